--- a/packages/daemon/__tests__/references.spec.ts
+++ b/packages/daemon/__tests__/references.spec.ts
@@ -1,4 +1,5 @@
 import { readFile } from 'node:fs/promises'
+import type { Registry } from 'prom-client'
 import { describe, expect, it } from 'vitest'
 import { RESULT_TABLE, ResultCode, resultName } from '@rackwalk/shared'
 import {
@@ -41,6 +42,19 @@
   ].join('\n')
 }
 
+/** The labels of a metric, which its description as JSON leaves out. */
+function labelsOf(registry: Registry, name: string): string {
+  const metric = registry.getSingleMetric(name) as { readonly labelNames?: readonly string[] }
+  return (metric.labelNames ?? []).map(label => `\`${label}\``).join(', ')
+}
+
+async function metricRows(registry: Registry): Promise<readonly string[]> {
+  const described = await registry.getMetricsAsJSON()
+  return described.map(
+    ({ name, type, help }) => `| \`${name}\` | ${type} | ${labelsOf(registry, name)} | ${help} |`,
+  )
+}
+
 async function metricsPage(): Promise<string> {
   const metrics = new Metrics(false)
   const zero = () => 0
@@ -62,12 +76,15 @@
     ready: zero,
     storeAge: zero,
   })
-  const described = [
-    ...(await metrics.registry.getMetricsAsJSON()),
-    ...(await gateway.registry.getMetricsAsJSON()),
+  const rows = [...(await metricRows(metrics.registry)), ...(await metricRows(gateway.registry))]
+  const head = [
+    '# Metrics',
+    '',
+    GENERATED,
+    '',
+    '| name | type | labels | meaning |',
+    '| --- | --- | --- | --- |',
   ]
-  const rows = described.map(({ name, type, help }) => `| \`${name}\` | ${type} | ${help} |`)
-  const head = ['# Metrics', '', GENERATED, '', '| name | type | meaning |', '| --- | --- | --- |']
   return [...head, ...rows, ''].join('\n')
 }
 
