--- a/bench/src/budgets/budgetSimulation.ts
+++ b/bench/src/budgets/budgetSimulation.ts
@@ -19,32 +19,26 @@
 } from '@rackwalk/coordination'
 import type { AllocationPolicy, Reservation } from '@rackwalk/coordination'
 import { MemoryObjects, MemoryTable } from '@rackwalk/stand-ins'
-import { drawRequest, meanCost, teamShare } from './demand.js'
-import type { SimulatedRequest, UserProfile } from './demand.js'
+import {
+  FAILURE_DOMAINS,
+  INSTANCES,
+  REQUESTS_PER_SECOND,
+  TEAMS,
+  drawRequest,
+  meanCost,
+  teamShare,
+} from './demand.js'
+import type { SimulatedRequest } from './demand.js'
 import type { Scenario } from './scenario.js'
 import { LaggingList, SimulatedNetwork, SimulatedTable } from './simulatedPlatform.js'
-import type { Reach } from './simulatedPlatform.js'
 
 /** What one run showed. */
 export interface BudgetOutcome {
-  readonly requests: number
-  readonly admitted: number
   /** Refused for the budget though a single ledger would have had the tokens. */
   readonly falseRefusals: number
-  /** Of these, the tokens lay in allocations of incarnations that were dead. */
-  readonly strandedRefusals: number
-  readonly trueRefusals: number
-  /** Refused while an instance could not serve at all. */
-  readonly notServed: number
   readonly overspentTokens: number
-  /** Tokens left unspent in budgets that had refused requests for lack of tokens. */
-  readonly leftShare: number
   readonly writesPerSecond: number
   readonly readsPerSecond: number
-  readonly messagesPerSecond: number
-  /** Mean time from a death until its allocations were back. */
-  readonly reclaimSeconds: number | undefined
-  readonly heldEntries: number
 }
 
 interface Books {
@@ -52,7 +46,6 @@
   readonly limit: number
   spent: number
   reserved: number
-  refused: boolean
 }
 
 interface Member {
@@ -66,6 +59,7 @@
 const LIST_LAG_MILLISECONDS = 10_000
 const REPLACEMENT_MILLISECONDS = 5_000
 const WARM_UP_MILLISECONDS = 5_000
+const REGION = asId<RegionId>('region-a')
 
 /** Drives the real coordination nodes with one user's demand, on virtual time. */
 export class BudgetSimulation {
@@ -75,38 +69,26 @@
   private readonly random: SeededRandom
   private readonly network: SimulatedNetwork
   private readonly list: LaggingList
-  private readonly reach: Reach
   private readonly books: Books[]
   private members: Member[] = []
   private incarnations = 0
   private requestCount = 0
-  private readonly deaths = new Map<IncarnationId, number>()
-  private readonly reclaimTimes: number[] = []
-  private readonly totals = {
-    requests: 0,
-    admitted: 0,
-    falseRefusals: 0,
-    strandedRefusals: 0,
-    trueRefusals: 0,
-    notServed: 0,
-  }
+  private falseRefusals = 0
 
   constructor(
-    private readonly profile: UserProfile,
     private readonly scenario: Scenario,
     private readonly createPolicy: () => AllocationPolicy,
     private readonly seed: number,
   ) {
     this.random = new SeededRandom(seed)
-    this.reach = scenario.reach(() => this.clock.monotonic() - WARM_UP_MILLISECONDS)
-    this.network = new SimulatedNetwork(this.clock, this.reach)
+    this.network = new SimulatedNetwork(this.clock)
     this.list = new LaggingList(this.clock, LIST_LAG_MILLISECONDS)
-    this.books = Array.from({ length: profile.teams }, (_, team) => this.createBooks(team))
+    this.books = Array.from({ length: TEAMS }, (_, team) => this.createBooks(team))
   }
 
   async run(): Promise<BudgetOutcome> {
     for (const books of this.books) await this.createRow(books)
-    for (let slot = 0; slot < this.profile.instances; slot += 1) this.startMember(slot)
+    for (let slot = 0; slot < INSTANCES; slot += 1) this.startMember(slot)
     await this.clock.advance(WARM_UP_MILLISECONDS)
     const writesBefore = this.table.writes
     const readsBefore = this.table.reads
@@ -115,25 +97,25 @@
     await this.clock.advance(this.scenario.milliseconds)
     const seconds = this.scenario.milliseconds / 1000
     return {
-      ...this.totals,
+      falseRefusals: this.falseRefusals,
       overspentTokens: this.books.reduce((sum, b) => sum + Math.max(0, b.spent - b.limit), 0),
-      leftShare: this.leftShare(),
       writesPerSecond: (this.table.writes - writesBefore) / seconds,
       readsPerSecond: (this.table.reads - readsBefore) / seconds,
-      messagesPerSecond: this.network.messages / seconds,
-      reclaimSeconds: mean(this.reclaimTimes),
-      heldEntries: this.counters.get('journal_held_entries'),
     }
   }
 
+  private get isTableLost(): boolean {
+    const { tableLostAtMilliseconds = Number.POSITIVE_INFINITY } = this.scenario
+    return this.clock.monotonic() - WARM_UP_MILLISECONDS >= tableLostAtMilliseconds
+  }
+
   private createBooks(team: number): Books {
-    const { teams, requestsPerSecond } = this.profile
     const seconds = this.scenario.milliseconds / 1000
-    const demand = requestsPerSecond * seconds * meanCost(this.profile) * teamShare(team, teams)
+    const demand = REQUESTS_PER_SECOND * seconds * meanCost() * teamShare(team)
     // Between nine tenths and eleven tenths of the demand, so that about half come to an end.
-    const limit = Math.round(demand * (0.9 + (0.2 * team) / teams))
+    const limit = Math.round(demand * (0.9 + (0.2 * team) / TEAMS))
     const budgetId = asId<BudgetId>(`budget-${team}`)
-    return { budgetId, limit, spent: 0, reserved: 0, refused: false }
+    return { budgetId, limit, spent: 0, reserved: 0 }
   }
 
   private async createRow({ budgetId, limit }: Books): Promise<void> {
@@ -150,23 +132,22 @@
 
   private startMember(slot: number): void {
     this.incarnations += 1
-    const region = asId<RegionId>(this.scenario.regionOf(slot, this.profile.instances))
     const incarnation = asId<IncarnationId>(`incarnation-${this.incarnations}`)
     const instanceId = asId<InstanceId>(`instance-${slot}`)
     const node = new CoordinationNode({
       identity: {
         instanceId,
         incarnation,
-        region,
-        failureDomain: asId<FailureDomainId>(`domain-${slot % this.profile.failureDomains}`),
+        region: REGION,
+        failureDomain: asId<FailureDomainId>(`domain-${slot % FAILURE_DOMAINS}`),
         peerAddress: incarnation,
         callerAddress: incarnation,
         operatorAddress: incarnation,
       },
-      table: new SimulatedTable(this.table, this.clock, region, this.reach),
+      table: new SimulatedTable(this.table, this.clock, () => this.isTableLost),
       objects: new MemoryObjects(),
       instances: this.list,
-      peers: this.network.channelOf(incarnation, region),
+      peers: this.network.channelOf(incarnation),
       clock: this.clock,
       random: new SeededRandom(this.seed * 1_000 + this.incarnations),
       counters: this.counters,
@@ -182,7 +163,7 @@
     })
     const listed: ListedInstance = { instanceId, peerAddress: incarnation, state: 'live' }
     const member: Member = { node, listed, slot, open: new Map(), isDead: false }
-    this.network.join(incarnation, { region, handlers: node.handlers })
+    this.network.join(incarnation, node.handlers)
     this.list.add(listed)
     // Found by the platform's list in a fleet; here everybody is introduced at once.
     for (const other of this.members) {
@@ -197,10 +178,10 @@
   }
 
   private scheduleArrival(): void {
-    const mean = 1000 / this.profile.requestsPerSecond
+    const mean = 1000 / REQUESTS_PER_SECOND
     const delay = -Math.log(1 - this.random.next()) * mean
     this.clock.after(delay, () => {
-      const request = drawRequest(this.profile, this.random)
+      const request = drawRequest(this.random)
       const member = this.members[Math.floor(this.random.next() * this.members.length)]
       if (member !== undefined) void this.serve(member, request)
       this.scheduleArrival()
@@ -209,15 +190,10 @@
 
   private async serve(member: Member, request: SimulatedRequest): Promise<void> {
     const books = this.books[request.team] as Books
-    this.totals.requests += 1
-    if (!member.node.isServing || !member.node.journal.hasRoom) {
-      this.totals.notServed += 1
-      return
-    }
+    if (!member.node.isServing || !member.node.journal.hasRoom) return
     const result = await member.node.ledger.reserve(books.budgetId, request.bound)
     if (member.isDead) return
     if (result.kind === 'refused') return this.noteRefusal(books, request)
-    this.totals.admitted += 1
     this.hold(member, books, request.bound)
     this.clock.after(request.milliseconds, () => {
       if (!member.isDead) this.settle(member, books, result.reservation, request)
@@ -265,13 +241,7 @@
   /** A single ledger that knew everything would have admitted what fits what is left. */
   private noteRefusal(books: Books, request: SimulatedRequest): void {
     const left = books.limit - books.spent - books.reserved
-    if (left < request.bound) {
-      books.refused = true
-      this.totals.trueRefusals += 1
-      return
-    }
-    this.totals.falseRefusals += 1
-    if (this.deaths.size > 0) this.totals.strandedRefusals += 1
+    if (left >= request.bound) this.falseRefusals += 1
   }
 
   private scheduleDeath(): void {
@@ -290,31 +260,6 @@
     this.list.remove(member.listed)
     this.members = this.members.filter(other => other !== member)
     for (const [books, tokens] of member.open) books.reserved -= tokens
-    this.deaths.set(incarnation, this.clock.monotonic())
-    this.watchReclaim(incarnation)
     this.clock.after(REPLACEMENT_MILLISECONDS, () => this.startMember(member.slot))
   }
-
-  private watchReclaim(incarnation: IncarnationId): void {
-    this.clock.after(1_000, async () => {
-      const retired = await this.table.get(tableKeys.retiredKey(incarnation))
-      this.table.reads -= 1
-      if (retired === undefined) return this.watchReclaim(incarnation)
-      const diedAt = this.deaths.get(incarnation) ?? 0
-      this.deaths.delete(incarnation)
-      this.reclaimTimes.push((this.clock.monotonic() - diedAt) / 1000)
-    })
-  }
-
-  private leftShare(): number {
-    const ended = this.books.filter(books => books.refused)
-    const left = ended.reduce((sum, b) => sum + Math.max(0, b.limit - b.spent - b.reserved), 0)
-    const limits = ended.reduce((sum, b) => sum + b.limit, 0)
-    return limits === 0 ? 0 : left / limits
-  }
-}
-
-function mean(values: readonly number[]): number | undefined {
-  if (values.length === 0) return undefined
-  return values.reduce((sum, value) => sum + value, 0) / values.length
 }
--- a/bench/src/budgets/demand.ts
+++ b/bench/src/budgets/demand.ts
@@ -1,42 +1,14 @@
 import type { RandomSource, TokenCount } from '@rackwalk/shared'
 
-/** One user's demand on prepaid budgets. */
-export interface UserProfile {
-  readonly name: string
-  readonly instances: number
-  readonly failureDomains: number
-  readonly teams: number
-  /** Requests a second of all teams together. */
-  readonly requestsPerSecond: number
-  /** Share of requests that are long redrafts or the like. */
-  readonly longShare: number
-  readonly overspendWeight: number
-  readonly falseRefusalWeight: number
-}
-
-/** The booking office weighs false refusals more heavily. */
-export const BOOKING_OFFICE: UserProfile = {
-  name: 'booking office',
-  instances: 8,
-  failureDomains: 4,
-  teams: 10,
-  requestsPerSecond: 6,
-  longShare: 0.02,
-  overspendWeight: 1,
-  falseRefusalWeight: 4,
-}
+/** Demand on prepaid budgets, of the booking office's size. */
 
-/** The documentation house weighs overspend more heavily. */
-export const DOCWORKS: UserProfile = {
-  name: 'Docworks',
-  instances: 8,
-  failureDomains: 3,
-  teams: 10,
-  requestsPerSecond: 6,
-  longShare: 0.15,
-  overspendWeight: 4,
-  falseRefusalWeight: 1,
-}
+export const INSTANCES = 8
+export const FAILURE_DOMAINS = 4
+export const TEAMS = 10
+/** Of all teams together. */
+export const REQUESTS_PER_SECOND = 6
+/** Share of requests that are long redrafts or the like. */
+const LONG_SHARE = 0.02
 
 /** One request: its bound, what it will really cost, and how long it takes. */
 export interface SimulatedRequest {
@@ -53,12 +25,12 @@
 const BOUND_FACTOR = 4
 
 /** Draws the next request; a few teams are large (Zipf). */
-export function drawRequest(profile: UserProfile, random: RandomSource): SimulatedRequest {
-  const size = random.next() < profile.longShare ? LONG : SHORT
+export function drawRequest(random: RandomSource): SimulatedRequest {
+  const size = random.next() < LONG_SHARE ? LONG : SHORT
   const prompt = Math.ceil(size.prompt * (0.2 + random.next()))
   const generated = Math.ceil(size.output * random.next())
   return {
-    team: drawTeam(profile.teams, random),
+    team: drawTeam(random),
     bound: prompt * BOUND_FACTOR + size.output,
     cost: prompt + generated,
     milliseconds: generated * TOKEN_MILLISECONDS,
@@ -66,22 +38,22 @@
 }
 
 /** Mean cost of a request, by which budgets are sized. */
-export function meanCost(profile: UserProfile): number {
+export function meanCost(): number {
   const costOf = (size: typeof SHORT) => size.prompt * 0.7 + size.output * 0.5
-  return costOf(SHORT) * (1 - profile.longShare) + costOf(LONG) * profile.longShare
+  return costOf(SHORT) * (1 - LONG_SHARE) + costOf(LONG) * LONG_SHARE
 }
 
 /** A team's share of all requests. */
-export function teamShare(team: number, teams: number): number {
-  const total = Array.from({ length: teams }, (_, index) => 1 / (index + 1)).reduce((a, b) => a + b)
+export function teamShare(team: number): number {
+  const total = Array.from({ length: TEAMS }, (_, index) => 1 / (index + 1)).reduce((a, b) => a + b)
   return 1 / (team + 1) / total
 }
 
-function drawTeam(teams: number, random: RandomSource): number {
+function drawTeam(random: RandomSource): number {
   let left = random.next()
-  for (let team = 0; team < teams; team += 1) {
-    left -= teamShare(team, teams)
+  for (let team = 0; team < TEAMS; team += 1) {
+    left -= teamShare(team)
     if (left < 0) return team
   }
-  return teams - 1
+  return TEAMS - 1
 }
--- a/bench/src/budgets/index.ts
+++ b/bench/src/budgets/index.ts
@@ -1,72 +1,35 @@
 import { EqualSplitPolicy, RateProportionalPolicy, WeighedPolicy } from '@rackwalk/coordination'
 import type { AllocationPolicy } from '@rackwalk/coordination'
-import type { Bound } from '../bounds.js'
-import { printMarkdown } from '../markdownTable.js'
-import { short } from '../percentile.js'
+import type { Bound } from '../bounds/bound.js'
 import { BudgetSimulation } from './budgetSimulation.js'
 import type { BudgetOutcome } from './budgetSimulation.js'
-import { BOOKING_OFFICE, DOCWORKS } from './demand.js'
-import type { UserProfile } from './demand.js'
-import { CALM, DEATHS, OUTAGE, SCENARIOS } from './scenario.js'
+import { SCENARIOS } from './scenario.js'
 import type { Scenario } from './scenario.js'
 
+/** Bounds on the budgets of the OpenAI-style kind, with the real ledgers of eight instances. */
+
+/** The booking office weighs a false refusal four times as heavily as overspending. */
+const WEIGHTS = { overspend: 1, falseRefusal: 4 }
+
+/** A policy that the setting `budgetPolicy` accepts. */
 interface NamedPolicy {
   readonly name: string
-  readonly create: (profile: UserProfile) => AllocationPolicy
+  readonly create: () => AllocationPolicy
 }
 
 const POLICIES: readonly NamedPolicy[] = [
   { name: 'equal-split', create: () => new EqualSplitPolicy() },
   { name: 'rate-proportional', create: () => new RateProportionalPolicy() },
-  {
-    name: 'weighed',
-    create: profile =>
-      new WeighedPolicy({
-        overspend: profile.overspendWeight,
-        falseRefusal: profile.falseRefusalWeight,
-      }),
-  },
-]
-
-const HEADINGS = [
-  'user',
-  'scenario',
-  'policy',
-  'requests',
-  'overspend',
-  'false refusals',
-  'while dead unreclaimed',
-  'true refusals',
-  'not served',
-  'left at the end',
-  'writes/s',
-  'reads/s',
-  'reclaim s',
-  'held',
+  { name: 'weighed', create: () => new WeighedPolicy(WEIGHTS) },
 ]
 
-/** Every policy under every scenario for both users. */
-export async function benchBudgets(seed: number): Promise<void> {
-  const rows: string[][] = []
-  for (const profile of [BOOKING_OFFICE, DOCWORKS]) {
-    for (const scenario of SCENARIOS) {
-      for (const policy of POLICIES) {
-        const outcome = await simulate(profile, scenario, policy, seed)
-        rows.push([profile.name, scenario.name, policy.name, ...cells(outcome)])
-      }
-    }
-  }
-  printMarkdown(HEADINGS, rows)
-}
-
-/** Counts that must not get worse, in two short runs. */
+/** Every policy under every scenario. */
 export async function boundBudgets(seed: number): Promise<readonly Bound[]> {
   const bounds: Bound[] = []
-  for (const scenario of [CALM, DEATHS, OUTAGE]) {
+  for (const scenario of SCENARIOS) {
     const outcomes = new Map<string, BudgetOutcome>()
-    for (const policy of POLICIES) {
-      const short = { ...scenario, milliseconds: scenario.milliseconds / 3 }
-      outcomes.set(policy.name, await simulate(BOOKING_OFFICE, short, policy, seed))
+    for (const { name, create } of POLICIES) {
+      outcomes.set(name, await new BudgetSimulation(scenario, create, seed).run())
     }
     bounds.push(...boundsOf(scenario, outcomes))
   }
@@ -90,24 +53,3 @@
     { name: name('reads a second'), value: weighed.readsPerSecond, atMost: 2_000 },
   ]
 }
-
-function simulate(profile: UserProfile, scenario: Scenario, policy: NamedPolicy, seed: number) {
-  return new BudgetSimulation(profile, scenario, () => policy.create(profile), seed).run()
-}
-
-function cells(outcome: BudgetOutcome): readonly string[] {
-  const percent = (count: number) => `${((100 * count) / outcome.requests).toFixed(3)}%`
-  return [
-    String(outcome.requests),
-    String(outcome.overspentTokens),
-    percent(outcome.falseRefusals),
-    percent(outcome.strandedRefusals),
-    percent(outcome.trueRefusals),
-    percent(outcome.notServed),
-    `${(100 * outcome.leftShare).toFixed(2)}%`,
-    short(outcome.writesPerSecond),
-    short(outcome.readsPerSecond),
-    outcome.reclaimSeconds === undefined ? '' : short(outcome.reclaimSeconds),
-    String(outcome.heldEntries),
-  ]
-}
--- a/bench/src/budgets/simulatedPlatform.ts
+++ b/bench/src/budgets/simulatedPlatform.ts
@@ -1,5 +1,5 @@
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
-import type { Clock, IncarnationId, Milliseconds, RegionId, TransactionId } from '@rackwalk/shared'
+import type { Clock, IncarnationId, Milliseconds, TransactionId } from '@rackwalk/shared'
 import type {
   IdentifiedWrites,
   InstanceList,
@@ -21,22 +21,14 @@
 
 const TABLE_MILLISECONDS: Milliseconds = 5
 const NEAR_MILLISECONDS: Milliseconds = 1
-const FAR_MILLISECONDS: Milliseconds = 30
 const TIMEOUT_MILLISECONDS: Milliseconds = 1_000
 
-/** What is out of reach at present, as seen from one region. */
-export interface Reach {
-  tableFor(region: RegionId): boolean
-  between(left: RegionId, right: RegionId): boolean
-}
-
 /** The common table as one instance reaches it, on virtual time. */
 export class SimulatedTable implements TableService {
   constructor(
     private readonly table: MemoryTable,
     private readonly clock: Clock,
-    private readonly region: RegionId,
-    private readonly reach: Reach,
+    private readonly isLost: () => boolean,
   ) {}
 
   async get(key: RowKey) {
@@ -59,58 +51,45 @@
   }
 
   private async arrive(): Promise<void> {
-    if (this.reach.tableFor(this.region)) return pause(this.clock, TABLE_MILLISECONDS)
+    if (!this.isLost()) return pause(this.clock, TABLE_MILLISECONDS)
     await pause(this.clock, TIMEOUT_MILLISECONDS)
     throw new RackwalkError(ResultCode.PlatformUnavailable)
   }
 }
 
-interface NetworkMember {
-  readonly region: RegionId
-  readonly handlers: PeerHandlers
-}
-
 /** The network between instances, on virtual time. */
 export class SimulatedNetwork {
-  private readonly members = new Map<IncarnationId, NetworkMember>()
-  messages = 0
+  private readonly members = new Map<IncarnationId, PeerHandlers>()
 
-  constructor(
-    private readonly clock: Clock,
-    private readonly reach: Reach,
-  ) {}
+  constructor(private readonly clock: Clock) {}
 
-  join(incarnation: IncarnationId, member: NetworkMember): void {
-    this.members.set(incarnation, member)
+  join(incarnation: IncarnationId, handlers: PeerHandlers): void {
+    this.members.set(incarnation, handlers)
   }
 
   leave(incarnation: IncarnationId): void {
     this.members.delete(incarnation)
   }
 
-  channelOf(sender: IncarnationId, region: RegionId): PeerChannel {
+  channelOf(sender: IncarnationId): PeerChannel {
     return {
-      call: (target, kind, request) => this.call(sender, region, target, kind, request),
+      call: (target, kind, request) => this.call(sender, target, kind, request),
     }
   }
 
   private async call<Kind extends PeerMessageKind>(
     sender: IncarnationId,
-    region: RegionId,
     target: IncarnationId,
     kind: Kind,
     request: PeerRequest<Kind>,
   ): Promise<PeerReply<Kind>> {
-    this.messages += 1
-    const member = this.members.get(target)
-    const isReachable =
-      member !== undefined && this.members.has(sender) && this.reach.between(region, member.region)
-    if (!isReachable) {
+    const handlers = this.members.get(target)
+    if (handlers === undefined || !this.members.has(sender)) {
       await pause(this.clock, TIMEOUT_MILLISECONDS)
       throw new RackwalkError(ResultCode.PlatformUnavailable, 'peer')
     }
-    await pause(this.clock, member.region === region ? NEAR_MILLISECONDS : FAR_MILLISECONDS)
-    const handler = member.handlers[kind] as PeerHandler<Kind> | undefined
+    await pause(this.clock, NEAR_MILLISECONDS)
+    const handler = handlers[kind] as PeerHandler<Kind> | undefined
     if (handler === undefined) throw new RackwalkError(ResultCode.PlatformUnavailable, 'peer')
     return handler(request)
   }
--- a/bench/src/path/index.ts
+++ b/bench/src/path/index.ts
@@ -2,18 +2,14 @@
 import { hashKey } from '@rackwalk/router'
 import { LocalFleet, MODEL, TEAM_KEY } from '@rackwalk/stand-ins'
 import type { FleetPlatform, ResourceDocument } from '@rackwalk/stand-ins'
-import type { Bound } from '../bounds.js'
+import type { Bound } from '../bounds/bound.js'
 import { mainThreadSeconds } from '../mainThreadTime.js'
-import { printMarkdown } from '../markdownTable.js'
 import { fitSlope } from '../capacity/slope.js'
 import type { Slope } from '../capacity/slope.js'
-import { short } from '../percentile.js'
 import type { Load, LoadResult, StartedPorts, WorkerRequest } from './loadWorker.js'
 
 const ENGINES = 4
 const TOKEN_MILLISECONDS = 15
-/** As at the peak: 6.3 M tokens/s over 14,000 requests/s. */
-const TOKENS = 450
 const BOUND_TOKENS = 100
 
 interface Reply {
@@ -69,7 +65,6 @@
 interface MeasuredLoad extends LoadResult {
   /** Processor seconds of the main thread. */
   readonly busySeconds: number
-  readonly heapMegabytes: number
 }
 
 class PathBench {
@@ -105,13 +100,11 @@
     addresses: readonly string[],
     streams: number,
     requests: number,
-    tokens = TOKENS,
+    tokens: number,
   ): Promise<MeasuredLoad> {
-    globalThis.gc?.()
     const before = mainThreadSeconds()
     const result = await this.client.load({ addresses, streams, requests, tokens })
-    const heapMegabytes = process.memoryUsage().heapUsed / 1024 / 1024
-    return { ...result, busySeconds: mainThreadSeconds() - before, heapMegabytes }
+    return { ...result, busySeconds: mainThreadSeconds() - before }
   }
 
   async stop(): Promise<void> {
@@ -151,36 +144,6 @@
   }
 }
 
-/** Added time, and work done per second of a core, at several numbers of streams. */
-export async function benchPath(): Promise<void> {
-  const bench = await new PathBench().start()
-  await bench.measure(bench.routed, 64, 300, BOUND_TOKENS)
-  const rows: string[][] = []
-  for (const [streams, requests] of [
-    [1, 2],
-    [32, 64],
-    [256, 512],
-  ] as const) {
-    const direct = await bench.measure(bench.direct, streams, requests)
-    const routed = await bench.measure(bench.routed, streams, requests)
-    rows.push(row(streams, direct, routed))
-  }
-  printMarkdown(
-    [
-      'streams',
-      'first byte direct p50/p95 ms',
-      'routed p50/p95 ms',
-      'total direct p50 ms',
-      'routed p50 ms',
-      'tokens per core-second',
-      'requests per core-second',
-      'heap MB',
-    ],
-    rows,
-  )
-  await bench.stop()
-}
-
 /** Processor time of the path, in microseconds of the main thread. */
 export interface PathSlopes {
   readonly perRequest: number
@@ -215,18 +178,3 @@
     { name: 'path: median time of an answer against direct', value: ratio, atMost: 2 },
   ]
 }
-
-function row(streams: number, direct: MeasuredLoad, routed: MeasuredLoad): string[] {
-  const pair = ({ firstByteMedian, firstByteHigh }: LoadResult) =>
-    `${short(firstByteMedian)} / ${short(firstByteHigh)}`
-  return [
-    String(streams),
-    pair(direct),
-    pair(routed),
-    short(direct.totalMedian),
-    short(routed.totalMedian),
-    short(routed.tokens / routed.busySeconds),
-    short(routed.whole / routed.busySeconds),
-    short(routed.heapMegabytes),
-  ]
-}
--- a/bench/src/path/loadWorker.ts
+++ b/bench/src/path/loadWorker.ts
@@ -32,14 +32,9 @@
 /** Times in milliseconds. */
 export interface LoadResult {
   readonly whole: number
-  readonly tokens: number
-  readonly seconds: number
-  readonly firstByteMedian: number
-  readonly firstByteHigh: number
   readonly totalMedian: number
 }
 
-const HIGH_PERCENTILE = 95
 const platform = new LocalPlatform()
 
 async function handle(request: WorkerRequest): Promise<unknown> {
@@ -64,30 +59,20 @@
 }
 
 async function run(load: Load): Promise<LoadResult> {
-  const firstByte = new Durations()
   const total = new Durations()
   let started = 0
   let whole = 0
-  const begin = performance.now()
   const caller = async () => {
     while (started < load.requests) {
       const number = started++
       const address = load.addresses[number % load.addresses.length] as string
       const answer = await streamChat(address, { word: 'w', tokens: load.tokens })
       if (answer.isWhole) whole += 1
-      firstByte.add(answer.firstByteMilliseconds)
       total.add(answer.totalMilliseconds)
     }
   }
   await Promise.all(Array.from({ length: load.streams }, caller))
-  return {
-    whole,
-    tokens: whole * load.tokens,
-    seconds: (performance.now() - begin) / 1000,
-    firstByteMedian: firstByte.at(50),
-    firstByteHigh: firstByte.at(HIGH_PERCENTILE),
-    totalMedian: total.at(50),
-  }
+  return { whole, totalMedian: total.at(50) }
 }
 
 parentPort?.on('message', ({ id, request }: { id: number; request: WorkerRequest }) => {
--- a/bench/src/routing/routingSimulation.ts
+++ b/bench/src/routing/routingSimulation.ts
@@ -18,7 +18,6 @@
 
 /** One user's engines and traffic. */
 export interface RoutingProfile {
-  readonly name: string
   readonly instances: number
   readonly engines: number
   readonly requestsPerSecond: number
@@ -30,17 +29,13 @@
 
 /** What one policy did with the traffic. Times in milliseconds. */
 export interface RoutingOutcome {
-  readonly requests: number
   readonly firstToken: Durations
-  /** Share of requests with a first token within the goal. */
-  readonly goodput: number
   readonly hitRate: number
   /** Requests of the busiest engine over the mean. */
   readonly worstShare: number
 }
 
 const MODEL = asId<ModelId>('assistant')
-const GOAL_MILLISECONDS = 690
 const REPORT_PERIOD_MILLISECONDS = 250
 const MEAN_ANSWER_TOKENS = 120
 const BURST_EVERY_MILLISECONDS = 20_000
@@ -70,7 +65,6 @@
   private readonly texts: Buffer
   private readonly lengths: number[]
   private readonly firstToken = new Durations()
-  private withinGoal = 0
   private requests = 0
 
   constructor(
@@ -100,9 +94,7 @@
     const hits = this.engines.reduce((sum, engine) => sum + engine.hitBlocks, 0)
     const busiest = Math.max(...this.engines.map(engine => engine.requests))
     return {
-      requests: this.requests,
       firstToken: this.firstToken,
-      goodput: this.withinGoal / this.requests,
       hitRate: hits / blocks,
       worstShare: (busiest * this.engines.length) / this.requests,
     }
@@ -152,7 +144,6 @@
   private noteFirstToken(duration: number): void {
     this.requests += 1
     this.firstToken.add(duration)
-    if (duration <= GOAL_MILLISECONDS) this.withinGoal += 1
   }
 
   /** A team's common beginning, then a conversation that grows with each turn. */
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -13,7 +13,7 @@
   Different = 8,
 }
 
-/** What each exit code means; docs/operators.md shows the same table. */
+/** What each exit code means; a test holds docs/operators.md to it. */
 export const EXIT_CODE_MEANINGS: Readonly<Record<ExitCode, string>> = {
   [ExitCode.Ok]: 'done',
   [ExitCode.Fault]: 'unexpected failure',
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,3 @@
 /** The operators' command line as a function, for tests and programs that wrap it. */
 export { runProgram } from './program.js'
-export type { CommandEnvironment } from './environment.js'
-export { EXIT_CODE_MEANINGS, ExitCode, exitCodeFor } from './exitCodes.js'
+export { EXIT_CODE_MEANINGS, ExitCode } from './exitCodes.js'
--- a/packages/cli/src/output/print.ts
+++ b/packages/cli/src/output/print.ts
@@ -4,7 +4,7 @@
 import type { Table } from './table.js'
 import { renderCsv, renderTable } from './table.js'
 
-export const OUTPUT_FORMATS = ['table', 'json', 'yaml', 'csv'] as const
+const OUTPUT_FORMATS = ['table', 'json', 'yaml', 'csv'] as const
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number]
 
 /** Checks the `--output` option. */
--- a/packages/coordination/src/journal/journalReader.ts
+++ b/packages/coordination/src/journal/journalReader.ts
@@ -20,6 +20,6 @@
 }
 
 /** Decodes the slot that a row holds. */
-export function slotOf(row: Row): JournalSlot {
+function slotOf(row: Row): JournalSlot {
   return row.value as unknown as JournalSlot
 }
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -21,7 +21,7 @@
   readonly silenceMilliseconds: Milliseconds
 }
 
-export const DEFAULT_MEMBERSHIP_TIMINGS: MembershipTimings = { silenceMilliseconds: 5_000 }
+const DEFAULT_MEMBERSHIP_TIMINGS: MembershipTimings = { silenceMilliseconds: 5_000 }
 
 /** Where a member is; that never changes. */
 export type MemberPlace = Pick<MemberInfo, 'incarnation' | 'region' | 'failureDomain'>
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -41,7 +41,7 @@
 }
 
 /** An earlier incarnation's holding, and what of it counts as handed out. */
-export interface Takeover {
+interface Takeover {
   readonly incarnation: string
   readonly granted: TokenCount
   /** Committed as the dead incarnation last recorded. */
--- a/packages/daemon/src/callers/httpCallerConnection.ts
+++ b/packages/daemon/src/callers/httpCallerConnection.ts
@@ -2,7 +2,7 @@
 import type { CallerConnection, IncomingRequest } from '@rackwalk/router'
 
 /** The caller's side of one HTTP exchange. */
-export class HttpCallerConnection implements CallerConnection {
+class HttpCallerConnection implements CallerConnection {
   private readonly controller = new AbortController()
 
   constructor(private readonly response: ServerResponse) {
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Where rows lie that somebody else writes. */
-export interface RowSource {
+interface RowSource {
   readonly table: string
   readonly partition: string
 }
@@ -15,7 +15,7 @@
 }
 
 /** What a caller says when it asks where to go. */
-export interface DirectoryQuestion {
+interface DirectoryQuestion {
   readonly region: string | undefined
   readonly failureDomain: string | undefined
 }
--- a/packages/daemon/src/operators/openApi.ts
+++ b/packages/daemon/src/operators/openApi.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod'
 import { RESOURCE_KINDS, RESOURCE_SCHEMAS } from '@rackwalk/router'
-import type { OperatorRoute } from './operatorRoutes.js'
+import type { OperatorRoute } from './operatorRoute.js'
 
 const SUMMARIES: Readonly<Record<string, string>> = {
   'GET /openapi.json': 'This description',
--- a/packages/daemon/src/operators/operatorRoutes.ts
+++ b/packages/daemon/src/operators/operatorRoutes.ts
@@ -25,6 +25,7 @@
 import { answerJson } from '../observe/httpAnswer.js'
 import type { InForceTracker } from './inForceTracker.js'
 import { openApiDescription } from './openApi.js'
+import type { OperatorRequest, OperatorRoute } from './operatorRoute.js'
 import type { ListQuery, ResourceApi, WriteOptions } from './resourceApi.js'
 import { WatchStream } from './watchStream.js'
 
@@ -44,24 +45,6 @@
   readonly status: () => JsonValue
 }
 
-/** One operator's request. */
-export interface OperatorRequest {
-  readonly operator: string
-  readonly request: IncomingMessage
-  readonly response: ServerResponse
-  readonly url: URL
-}
-
-type Handler = (request: OperatorRequest, ...names: string[]) => Promise<void> | void
-
-/** Method, path pattern and handler; the description of the API lists the same. */
-export interface OperatorRoute {
-  readonly method: string
-  /** Parts in braces are names. */
-  readonly path: string
-  readonly handle: Handler
-}
-
 const MAXIMUM_BODY_BYTES = 1024 * 1024
 const BODY_MILLISECONDS = 10_000
 const DEFAULT_PAGE = 100
--- a/packages/daemon/src/peers/peerProtocol.ts
+++ b/packages/daemon/src/peers/peerProtocol.ts
@@ -2,7 +2,7 @@
 
 /** What the two sides of the gRPC connection between instances share. */
 
-export const PEER_SERVICE = 'rackwalk.Peers'
+const PEER_SERVICE = 'rackwalk.Peers'
 export const SECRET_METADATA = 'rackwalk-peer-secret'
 /** Room for a configuration snapshot or a page of held entries. */
 export const MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
--- a/packages/daemon/src/report.ts
+++ b/packages/daemon/src/report.ts
@@ -4,7 +4,7 @@
 
 /** How `rackwalkd` ends when it cannot start: a numbered message and an exit code. */
 
-export const EXIT_FAULT = 1
+const EXIT_FAULT = 1
 export const EXIT_SETTINGS = 2
 
 /**
--- a/packages/router/src/engine/endpointClient.ts
+++ b/packages/router/src/engine/endpointClient.ts
@@ -1,7 +1,7 @@
 import { Agent, request as sendRequest } from 'undici'
 import type { Readable } from 'node:stream'
 import type { EndpointId, Milliseconds } from '@rackwalk/shared'
-import type { EndpointAnswer } from '../filters/stages.js'
+import type { AttemptResult } from './attemptResult.js'
 import { EndpointExchange, classify } from './endpointExchange.js'
 
 /** One exchange with an endpoint. */
@@ -19,14 +19,6 @@
   readonly signal: AbortSignal
 }
 
-/**
- * `unsent`: no byte can have left, so the request was not run. `failed`: it may have run.
- */
-export type AttemptResult =
-  | { readonly kind: 'answering'; readonly answer: EndpointAnswer }
-  | { readonly kind: 'unsent'; readonly reason: string }
-  | { readonly kind: 'failed'; readonly reason: string; readonly stalled: boolean }
-
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000
 const CONNECTIONS_PER_ENDPOINT = 512
 
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -2,7 +2,7 @@
 import { deferred } from '@rackwalk/shared'
 import type { EndpointId } from '@rackwalk/shared'
 import type { AnswerConsumer, EndpointAnswer } from '../filters/stages.js'
-import type { AttemptResult } from './endpointClient.js'
+import type { AttemptResult } from './attemptResult.js'
 
 // Errors that say the connection was never made.
 const NEVER_CONNECTED = new Set([
--- a/packages/router/src/engine/eventSplitter.ts
+++ b/packages/router/src/engine/eventSplitter.ts
@@ -3,7 +3,7 @@
 const MAXIMUM_EVENT_BYTES = 1024 * 1024
 
 /** Thrown when an endpoint sends an event without an end. */
-export class OversizedEventError extends Error {}
+class OversizedEventError extends Error {}
 
 /**
  * Cuts a stream of server-sent events at their ends. Slices share the memory of the chunks;
--- a/packages/router/src/engine/reports.ts
+++ b/packages/router/src/engine/reports.ts
@@ -24,7 +24,7 @@
 })
 
 /** A model that an engine has in memory. */
-export interface LoadedModel {
+interface LoadedModel {
   readonly model: string
   readonly version: string
 }
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -1,6 +1,7 @@
 import { DispatchedError, NotRunError, ResultCode, sleep } from '@rackwalk/shared'
 import type { Clock, EndpointId, Milliseconds, RandomSource } from '@rackwalk/shared'
-import type { AttemptResult, EndpointClient } from '../engine/endpointClient.js'
+import type { AttemptResult } from '../engine/attemptResult.js'
+import type { EndpointClient } from '../engine/endpointClient.js'
 import { RetryBudget, backoffMilliseconds } from '../limits/retryBudget.js'
 import type { Catalogue } from '../resources/catalogue.js'
 import type { EndpointRouter } from '../routing/endpointRouter.js'
@@ -21,7 +22,7 @@
 
 const MAXIMUM_ATTEMPTS = 4
 /** Header with which an endpoint says that it is going. */
-export const LEAVING_HEADER = 'x-endpoint-state'
+const LEAVING_HEADER = 'x-endpoint-state'
 const REFUSED_STATUS = 503
 const TOO_MANY_STATUS = 429
 /** Request headers that describe the caller's connection or are none of the endpoint's business. */
--- a/packages/router/src/filters/parse.ts
+++ b/packages/router/src/filters/parse.ts
@@ -15,7 +15,7 @@
   readonly longestDeadlineMilliseconds: Milliseconds
 }
 
-export const CHAT_PATH = '/v1/chat/completions'
+const CHAT_PATH = '/v1/chat/completions'
 const SERVICE_PATH = /^\/services\/([a-z0-9.-]+)(\/.*)?$/
 const KEY_PATTERN = /^[\x21-\x7e]{1,200}$/
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
--- a/packages/router/src/gateway/gatewayConfiguration.ts
+++ b/packages/router/src/gateway/gatewayConfiguration.ts
@@ -2,7 +2,7 @@
 
 /** The configuration of the gateway: routes, services, tenants and limits, as one version. */
 
-export interface RouteTarget {
+interface RouteTarget {
   readonly service: string
   readonly weight: number
 }
@@ -36,7 +36,7 @@
 }
 
 /** What the servers of a model are like. */
-export interface GatewayEngine {
+interface GatewayEngine {
   readonly tokensPerEvent: TokenCount
   /** Tokens that a server's memory holds; undefined where nothing is said. */
   readonly capacity: TokenCount | undefined
--- a/packages/router/src/gateway/serverAgent.ts
+++ b/packages/router/src/gateway/serverAgent.ts
@@ -49,7 +49,7 @@
 }
 
 /** How long a connection may rest, given the server's `Keep-Alive` header. */
-export function idleMilliseconds(keepAlive: string | readonly string[] | undefined): number {
+function idleMilliseconds(keepAlive: string | readonly string[] | undefined): number {
   const text = typeof keepAlive === 'string' ? keepAlive : keepAlive?.join(',')
   const seconds = /timeout=(\d+)/.exec(text ?? '')?.[1]
   if (seconds === undefined) return UNSTATED_IDLE_MILLISECONDS
--- a/packages/router/src/resources/kinds.ts
+++ b/packages/router/src/resources/kinds.ts
@@ -12,7 +12,7 @@
 const tokens = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER)
 
 /** A customer of the operator, with the keys its callers show. */
-export const teamSpecSchema = z.strictObject({
+const teamSpecSchema = z.strictObject({
   displayName: z.string().max(200).optional(),
   /** Budget from which its requests are paid. */
   budget: nameSchema,
@@ -25,13 +25,13 @@
 })
 
 /** Prepaid tokens of a team. */
-export const budgetSpecSchema = z.strictObject({
+const budgetSpecSchema = z.strictObject({
   team: nameSchema,
   limit: tokens,
 })
 
 /** A model engine or a plain service. */
-export const endpointSpecSchema = z.discriminatedUnion('kind', [
+const endpointSpecSchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('model'),
     address: z.url({ protocol: /^http$/ }),
@@ -53,7 +53,7 @@
 ])
 
 /** Which endpoints should have a model loaded. */
-export const placementSpecSchema = z.strictObject({
+const placementSpecSchema = z.strictObject({
   model: nameSchema,
   version: z.string().min(1).max(100),
   adapters: z.array(nameSchema).default([]),
--- a/packages/router/src/routing/routingPolicy.ts
+++ b/packages/router/src/routing/routingPolicy.ts
@@ -15,7 +15,7 @@
 }
 
 /** Any endpoint with equal chance. */
-export class RandomPolicy implements RoutingPolicy {
+class RandomPolicy implements RoutingPolicy {
   readonly name = 'random'
 
   choose(candidates: readonly EndpointView[], _demand: RoutedDemand, random: RandomSource) {
@@ -24,7 +24,7 @@
 }
 
 /** One after the other. */
-export class RoundRobinPolicy implements RoutingPolicy {
+class RoundRobinPolicy implements RoutingPolicy {
   readonly name = 'round-robin'
   private position = 0
 
@@ -44,7 +44,7 @@
 }
 
 /** The less busy of two at random, by the report and own requests since (Mitzenmacher 2001). */
-export class TwoChoicesPolicy implements RoutingPolicy {
+class TwoChoicesPolicy implements RoutingPolicy {
   readonly name = 'two-choices'
 
   choose(candidates: readonly EndpointView[], demand: RoutedDemand, random: RandomSource) {
@@ -72,7 +72,7 @@
  * endpoint at once. Cost does not grow with the number of endpoints (compare Prequal, NSDI
  * 2024).
  */
-export class ExpectedFirstTokenPolicy implements RoutingPolicy {
+class ExpectedFirstTokenPolicy implements RoutingPolicy {
   readonly name = 'expected-first-token'
 
   choose(candidates: readonly EndpointView[], demand: RoutedDemand, random: RandomSource) {
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,3 +1,5 @@
+/** Time as an interface, so that tests and simulations can drive it. Owns no timers itself. */
+
 import type { Milliseconds } from './quantities.js'
 
 /** A pending timer; cancelling one that fired is harmless. */
--- a/packages/shared/src/errors.ts
+++ b/packages/shared/src/errors.ts
@@ -1,3 +1,8 @@
+/**
+ * Errors that carry a numbered result code, in three classes: any, "not run", and "may have run".
+ * Relies on the table of result codes.
+ */
+
 import VError from 'verror'
 import type { AfterDispatchCode, NotRunCode } from './resultCodes.js'
 import { RESULT_TABLE, ResultCode } from './resultCodes.js'
--- a/packages/shared/src/ids.ts
+++ b/packages/shared/src/ids.ts
@@ -7,16 +7,23 @@
 /** A string that carries the name of what it identifies. */
 export type Branded<Name extends string> = string & { readonly [brand]: Name }
 
-/** Names one machine slot of the fleet, across its restarts. */
+/** Names one place of the fleet, across restarts of the process that fills it. */
 export type InstanceId = Branded<'InstanceId'>
 /** Names one run of an instance; a restart gets a new one. */
 export type IncarnationId = Branded<'IncarnationId'>
+/** Names a part of a region that fails as one, such as a hall or a rack. */
 export type FailureDomainId = Branded<'FailureDomainId'>
+/** Names a group of failure domains that are near each other. */
 export type RegionId = Branded<'RegionId'>
+/** Names who pays: callers' keys and budgets belong to a team. */
 export type TeamId = Branded<'TeamId'>
+/** Names one prepaid budget. */
 export type BudgetId = Branded<'BudgetId'>
+/** Names one model engine or plain service that serves requests. */
 export type EndpointId = Branded<'EndpointId'>
+/** Names a model that endpoints load and callers ask for. */
 export type ModelId = Branded<'ModelId'>
+/** Names one request in logs, headers and decision records. */
 export type RequestId = Branded<'RequestId'>
 /** Chosen by the caller; with the team it is the identity of a bill. */
 export type IdempotencyKey = Branded<'IdempotencyKey'>
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -1,7 +1,6 @@
 /** What every package shares: ids, units, result codes, errors, time and chance. */
 export { asId } from './ids.js'
 export type {
-  Branded,
   BudgetId,
   EndpointId,
   FailureDomainId,
@@ -26,5 +25,5 @@
 export type { Deferred } from './deferred.js'
 export type { Task } from './task.js'
 export { RESULT_TABLE, ResultCode, resultName } from './resultCodes.js'
-export type { AfterDispatchCode, Execution, NotRunCode, ResultDescription } from './resultCodes.js'
+export type { AfterDispatchCode, Execution } from './resultCodes.js'
 export { DispatchedError, NotRunError, RackwalkError, toRackwalkError } from './errors.js'
--- a/packages/shared/src/randomSource.ts
+++ b/packages/shared/src/randomSource.ts
@@ -1,3 +1,5 @@
+/** Random choices and unique ids as an interface, so that tests and simulations can repeat a run. */
+
 import { randomInt, randomUUID } from 'node:crypto'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
--- a/packages/shared/src/virtualClock.ts
+++ b/packages/shared/src/virtualClock.ts
@@ -1,3 +1,5 @@
+/** A clock for tests and simulations: hours pass in milliseconds, and timers fire in a fixed order. */
+
 import TinyQueue from 'tinyqueue'
 import type { Clock, Timer } from './clock.js'
 import type { Milliseconds } from './quantities.js'
--- a/packages/stand-ins/src/engine/engineStandIn.ts
+++ b/packages/stand-ins/src/engine/engineStandIn.ts
@@ -23,7 +23,7 @@
   readonly checksOrders: boolean
 }
 
-export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
+const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   models: ['assistant'],
   slots: 64,
   tokenMilliseconds: 5,
--- a/packages/stand-ins/src/exploration/prepaidWorld.ts
+++ b/packages/stand-ins/src/exploration/prepaidWorld.ts
@@ -15,7 +15,7 @@
 
 /** Random histories of one prepaid budget on a few instances, checked against its limit. */
 
-export type PrepaidAction =
+type PrepaidAction =
   | { readonly kind: 'reserve'; readonly node: number; readonly tokens: TokenCount }
   | { readonly kind: 'settle'; readonly node: number; readonly share: number }
   | { readonly kind: 'kill'; readonly node: number; readonly darkMilliseconds: Milliseconds }
@@ -28,10 +28,10 @@
   | { readonly kind: 'raise' }
   | { readonly kind: 'wait'; readonly milliseconds: Milliseconds }
 
-export type PrepaidFault = 'cut' | 'unreachable' | 'turned-away' | 'lost' | 'late'
+type PrepaidFault = 'cut' | 'unreachable' | 'turned-away' | 'lost' | 'late'
 
 /** `cut`: no call reaches or leaves the instance; `mute`: calls reach it, answers are lost. */
-export type PeerFault = 'none' | 'cut' | 'mute'
+type PeerFault = 'none' | 'cut' | 'mute'
 
 /** A way to break the ledger that the checker must notice. */
 export interface PrepaidVariant {
@@ -153,7 +153,7 @@
   { weight: 1, arbitrary: fc.constant({ kind: 'raise' as const }) },
 )
 
-export const prepaidScriptArbitrary = fc.array(actionArbitrary, { minLength: 20, maxLength: 70 })
+const prepaidScriptArbitrary = fc.array(actionArbitrary, { minLength: 20, maxLength: 70 })
 
 interface WorldNode {
   readonly ledger: PrepaidLedger
@@ -186,7 +186,7 @@
   }
 }
 
-export class PrepaidWorld {
+class PrepaidWorld {
   readonly counts: Record<string, number> = {}
   private readonly clock = new VirtualClock()
   private readonly store = new MemoryRowStore(this.clock)
--- a/packages/stand-ins/src/exploration/script.ts
+++ b/packages/stand-ins/src/exploration/script.ts
@@ -3,7 +3,7 @@
 /** Nodes, budgets and keys of a run; few, so that actions meet often. */
 export const NODES = 4
 export const BUDGETS = 2
-export const KEYS = 6
+const KEYS = 6
 /** Deaths that still leave a copy of every held entry, since two peers hold each. */
 export const MAXIMUM_DEATHS = 2
 
--- a/packages/stores/src/awsErrors.ts
+++ b/packages/stores/src/awsErrors.ts
@@ -1,3 +1,5 @@
+/** What an error of the AWS clients says about a write: refused for certain, or outcome unknown. */
+
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 
 const THROTTLED = new Set([
--- a/packages/stores/src/dynamodbTableService.ts
+++ b/packages/stores/src/dynamodbTableService.ts
@@ -1,3 +1,5 @@
+/** The table service over the DynamoDB API. Owns the connections to it; keeps no rows. */
+
 import {
   DynamoDBClient,
   GetItemCommand,
--- a/packages/stores/src/index.ts
+++ b/packages/stores/src/index.ts
@@ -13,22 +13,18 @@
 } from './tableService.js'
 export type { ObjectStore } from './objectStore.js'
 export type { InstanceList, ListedInstance } from './instanceList.js'
-export { INSTANCE_LIST_KEY, parseInstanceList } from './instanceListFormat.js'
+export { INSTANCE_LIST_KEY } from './instanceListFormat.js'
 export { ObjectStoreInstanceList } from './objectStoreInstanceList.js'
 export { DynamodbTableService } from './dynamodbTableService.js'
-export type { DynamodbOptions } from './dynamodbTableService.js'
 export { S3ObjectStore } from './s3ObjectStore.js'
-export type { S3Options } from './s3ObjectStore.js'
 export type {
   ChangedRow,
   RefusalReason,
   RowAddress,
   RowFeedOutcome,
-  RowPut,
   RowReadOutcome,
   RowStore,
   RowTransaction,
   RowWriteOutcome,
   StoredRow,
-  VersionCondition,
 } from './rowStore.js'
--- a/packages/stores/src/instanceList.ts
+++ b/packages/stores/src/instanceList.ts
@@ -1,3 +1,5 @@
+/** The platform's list of live and leaving instances, as the rest of the system sees it. */
+
 import type { InstanceId } from '@rackwalk/shared'
 
 /** One line of the platform's list, which lags behind what happens. */
--- a/packages/stores/src/instanceListFormat.ts
+++ b/packages/stores/src/instanceListFormat.ts
@@ -1,3 +1,5 @@
+/** The object in which the platform publishes its list of instances: its key and its JSON. */
+
 import * as z from 'zod'
 import { asId } from '@rackwalk/shared'
 import type { InstanceId } from '@rackwalk/shared'
--- a/packages/stores/src/objectStoreInstanceList.ts
+++ b/packages/stores/src/objectStoreInstanceList.ts
@@ -1,3 +1,5 @@
+/** The list of instances, read anew from the object store each time somebody asks. */
+
 import type { InstanceList, ListedInstance } from './instanceList.js'
 import { INSTANCE_LIST_KEY, parseInstanceList } from './instanceListFormat.js'
 import type { ObjectStore } from './objectStore.js'
--- a/packages/stores/src/rowStore.ts
+++ b/packages/stores/src/rowStore.ts
@@ -12,6 +12,7 @@
   readonly key: string
 }
 
+/** A row as a read gives it. */
 export interface StoredRow extends RowAddress {
   readonly value: string
   /** Version of the transaction that wrote it; greater is newer. */
@@ -25,11 +26,11 @@
 }
 
 /** A row that must have exactly this version; 0 means that it must not be there. */
-export interface VersionCondition extends RowAddress {
+interface VersionCondition extends RowAddress {
   readonly version: number
 }
 
-export interface RowPut extends RowAddress {
+interface RowPut extends RowAddress {
   readonly value: string
 }
 
@@ -43,6 +44,7 @@
 /** Why the store did not do what it was asked; in both cases nothing was done. */
 export type RefusalReason = 'throttled' | 'unavailable'
 
+/** What became of a transaction. */
 export type RowWriteOutcome =
   /** `storeTime` is the store's steady clock, in milliseconds. */
   | { readonly kind: 'done'; readonly version: number; readonly storeTime: number }
@@ -52,6 +54,7 @@
   /** No answer: it may have been done, or may be done later while its conditions hold. */
   | { readonly kind: 'unknown' }
 
+/** What became of a read of one partition. */
 export type RowReadOutcome =
   | {
       readonly kind: 'rows'
@@ -62,6 +65,7 @@
     }
   | { readonly kind: 'failed'; readonly reason: RefusalReason | 'unknown' }
 
+/** What became of a question for changes. */
 export type RowFeedOutcome =
   | {
       readonly kind: 'changes'
@@ -73,6 +77,7 @@
   | { readonly kind: 'history-gone' }
   | { readonly kind: 'failed'; readonly reason: RefusalReason | 'unknown' }
 
+/** The store; no method throws for a store that fails, since failures are outcomes. */
 export interface RowStore {
   write(transaction: RowTransaction): Promise<RowWriteOutcome>
   /** All rows of one partition of a table, in the order of their keys. */
--- a/packages/stores/src/s3ObjectStore.ts
+++ b/packages/stores/src/s3ObjectStore.ts
@@ -1,3 +1,5 @@
+/** The object store over the S3 API. Owns the connections to it; keeps no objects. */
+
 import {
   GetObjectCommand,
   ListObjectsV2Command,
--- a/packages/stores/src/tableService.ts
+++ b/packages/stores/src/tableService.ts
@@ -1,3 +1,8 @@
+/**
+ * The platform's table service as the OpenAI-style kind uses it: rows with versions, and transactions
+ * with conditions. Implemented over DynamoDB, and in memory for tests.
+ */
+
 import type { TransactionId, Version } from '@rackwalk/shared'
 
 /** Any value that JSON can hold. */
