--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -139,6 +139,7 @@
     otherInstances: () => [],
     limits: { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 },
     onEvent: () => {},
+    onMalformedRow: () => {},
   })
   const limits = Array.from({ length: budgets }, (_, number) => ({
     budget: `team-${number}`,
--- a/packages/coordination/__tests__/memberDirectory.spec.ts
+++ b/packages/coordination/__tests__/memberDirectory.spec.ts
@@ -31,6 +31,7 @@
       silenceMilliseconds: 3_500,
       partitionWritesPerSecond: 150,
       onEvent: () => {},
+      onMalformedRow: () => {},
     })
     let reads = 0
     const read = () => {
--- a/packages/coordination/__tests__/prepaidEvents.spec.ts
+++ b/packages/coordination/__tests__/prepaidEvents.spec.ts
@@ -31,6 +31,7 @@
       otherInstances: () => [],
       limits: { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 },
       onEvent: (event, fields) => events.push([event, fields]),
+      onMalformedRow: () => {},
     })
     ledger.configure([{ budget: BUDGET, limit: 100_000 }], 1)
     ledger.start()
--- a/packages/coordination/__tests__/prepaidLedger.spec.ts
+++ b/packages/coordination/__tests__/prepaidLedger.spec.ts
@@ -7,9 +7,9 @@
   PrepaidLedger,
   StoreClock,
   committedBound,
-  decodeHolder,
-  decodePool,
   holderKey,
+  holderRowCodec,
+  poolRowCodec,
 } from '@rackwalk/coordination'
 import type { HolderRow, PoolRow } from '@rackwalk/coordination'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
@@ -18,6 +18,11 @@
 const LIMIT = 100_000
 const PATIENCE = 100
 
+function decoded<Row>(row: Row | undefined): Row {
+  if (row === undefined) throw new Error('a malformed row')
+  return row
+}
+
 function setUp() {
   const clock = new VirtualClock()
   const rows = new MemoryRowStore(clock)
@@ -37,6 +42,7 @@
       otherInstances: () => [],
       limits: { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 },
       onEvent: event => events.push(event),
+      onMalformedRow: () => {},
     })
     ledger.configure([{ budget: BUDGET, limit: LIMIT }], 1)
     ledger.start()
@@ -47,14 +53,14 @@
     const row =
       outcome.kind === 'rows' ? outcome.rows.find(({ key }) => key === POOL_KEY) : undefined
     if (row === undefined) throw new Error('no pool row')
-    return decodePool(row.value)
+    return decoded(poolRowCodec.decode(row.value))
   }
   const holder = (budget: string): HolderRow => {
     const outcome = rows.read(PREPAID_TABLE, budget)
     const key = holderKey('node-1')
     const row = outcome.kind === 'rows' ? outcome.rows.find(row => row.key === key) : undefined
     if (row === undefined) throw new Error('no holder row')
-    return decodeHolder(row.value)
+    return decoded(holderRowCodec.decode(row.value))
   }
   const rowKeys = (): string[] => {
     const outcome = rows.read(PREPAID_TABLE, BUDGET)
--- a/packages/coordination/__tests__/storedRows.spec.ts
+++ b/packages/coordination/__tests__/storedRows.spec.ts
@@ -35,9 +35,9 @@
   StoreClock,
   createBudgetRow,
   createRequestId,
-  decodeHolder,
-  decodePool,
   freeTokens,
+  holderRowCodec,
+  poolRowCodec,
   readJournal,
   tableKeys,
 } from '@rackwalk/coordination'
@@ -97,6 +97,7 @@
     silenceMilliseconds: 3_500,
     partitionWritesPerSecond: 150,
     onEvent: (event, fields) => events.push({ event, ...fields }),
+    onMalformedRow: () => {},
   })
 }
 
@@ -114,6 +115,7 @@
     otherInstances: () => [],
     limits: { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0.002 },
     onEvent: () => {},
+    onMalformedRow: () => {},
   })
 }
 
@@ -223,8 +225,8 @@
   })
 
   it('tell of a pool and a holder', () => {
-    expect(decodePool(POOL_READ)).toMatchSnapshot()
-    expect(decodeHolder(HOLDER_READ)).toMatchSnapshot()
+    expect(poolRowCodec.decode(POOL_READ)).toMatchSnapshot()
+    expect(holderRowCodec.decode(HOLDER_READ)).toMatchSnapshot()
   })
 
   it('are what the next incarnation takes over', async () => {
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -115,10 +115,12 @@
 } from './segmentArchive.js'
 export type { ArchivedRecord, ArchiveLimits } from './segmentArchive.js'
 
-export { MEMBER_PARTITION, MEMBER_TABLE, MemberDirectory } from './membership/memberDirectory.js'
+export { MEMBER_PARTITION, MEMBER_TABLE, memberRowCodec } from './membership/memberRow.js'
+export type { MemberRow, MemberState } from './membership/memberRow.js'
+export { MemberDirectory } from './membership/memberDirectory.js'
 export { ActiveInstances, chooseActive } from './membership/activeInstances.js'
 export type { ActiveBounds, ActiveCandidate } from './membership/activeInstances.js'
-export type { MemberDirectoryParts, MemberRow, MemberState } from './membership/memberDirectory.js'
+export type { MemberDirectoryParts } from './membership/memberDirectory.js'
 export { StoreClock } from './rows/storeClock.js'
 export { TableMirror } from './rows/tableMirror.js'
 export type { MirrorListener, MirrorPage, TableMirrorParts } from './rows/tableMirror.js'
@@ -145,10 +147,10 @@
   POOL_KEY,
   PREPAID_TABLE,
   committedBound,
-  decodeHolder,
-  decodePool,
   endHolding,
   freeInPool,
   holderKey,
+  holderRowCodec,
+  poolRowCodec,
 } from './prepaid/prepaidRows.js'
 export type { HolderRow, PoolRow } from './prepaid/prepaidRows.js'
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -1,36 +1,16 @@
+/**
+ * The instances of the gateway kind's fleet, as their rows in the store tell. Owns this instance's
+ * own row and the times at which it saw the others change; relies on the mirror of the table for
+ * the rows, and on the store to write its own.
+ */
+
 import type { Clock, Milliseconds, RandomSource, Timer } from '@rackwalk/shared'
-import type { ChangedRow, RowStore } from '@rackwalk/stores'
+import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import type { StoreClock } from '../rows/storeClock.js'
+import { MEMBER_PARTITION, MEMBER_TABLE, memberRowCodec } from './memberRow.js'
+import type { MemberRow, MemberState } from './memberRow.js'
 
-/** The instances of the fleet, each a row that it renews itself. */
-
-export const MEMBER_TABLE = 'members'
-export const MEMBER_PARTITION = ''
-
-export type MemberState = 'serving' | 'draining'
-
-/** What an instance tells the others; it is written anew with each heartbeat. */
-export interface MemberRow {
-  readonly instance: string
-  readonly incarnation: string
-  readonly region: string
-  readonly failureDomain: string
-  /** IP:PORT for callers. */
-  readonly callerAddress: string
-  /** IP:PORT for peers; empty where the instance takes no calls from peers. */
-  readonly peerAddress: string
-  /** IP:PORT for datagrams about load; empty where the instance takes none. */
-  readonly loadAddress: string
-  /** Requests a second that it bears. */
-  readonly capacity: number
-  /** Requests a second that it took when the row was written. */
-  readonly requestsPerSecond: number
-  readonly state: MemberState
-  readonly heartbeat: number
-  /** Time until the row is renewed, in milliseconds; it tells how long silence means nothing. */
-  readonly renewalMilliseconds: Milliseconds
-}
-
+/** What a directory of members works with. */
 export interface MemberDirectoryParts {
   readonly self: Omit<
     MemberRow,
@@ -51,6 +31,8 @@
   /** Writes a second that the partition of all rows takes. */
   readonly partitionWritesPerSecond: number
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
+  /** A row that is no member's; it is left out, and what was known before stays. */
+  readonly onMalformedRow: (row: RowAddress) => void
 }
 
 interface KnownMember {
@@ -153,7 +135,8 @@
       return
     }
     if (known?.version === row.version) return
-    const parsed = JSON.parse(row.value) as MemberRow
+    const parsed = memberRowCodec.decode(row.value)
+    if (parsed === undefined) return this.parts.onMalformedRow(row)
     this.members.set(row.key, { row: parsed, version: row.version, changedAt: this.contactTime })
     if (known === undefined || known.row.state !== parsed.state) {
       this.parts.onEvent('member_state', { member: parsed.instance, state: parsed.state })
@@ -184,7 +167,7 @@
     const { store, clock, storeClock, isActive, heartbeatMilliseconds } = this.parts
     const factor = isActive() ? 1 : STANDBY_FACTOR
     this.renewalMilliseconds = heartbeatMilliseconds * this.slowness * factor
-    const value = JSON.stringify(this.self)
+    const value = memberRowCodec.encode(this.self)
     const sentAt = clock.monotonic()
     const puts = [{ ...this.address(), value }]
     const outcome = await store.write({ conditions: [], puts, removals: [] })
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -1,5 +1,5 @@
 import type { TokenCount } from '@rackwalk/shared'
-import { POOL_KEY, decodeHolder, decodePool, holderKey, instanceOfKey } from './prepaidRows.js'
+import { POOL_KEY, holderKey, holderRowCodec, instanceOfKey, poolRowCodec } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
 
 /** A row as it came from a read, a feed or a refused transaction. */
@@ -26,7 +26,11 @@
   private readonly holders = new Map<string, KnownRow<HolderRow>>()
   private loaded = false
 
-  constructor(private readonly instance: string) {}
+  constructor(
+    private readonly instance: string,
+    /** Told the key of a row that is not of its form; what was known before stays. */
+    private readonly onMalformed: (key: string) => void,
+  ) {}
 
   get isLoaded(): boolean {
     return this.loaded
@@ -121,12 +125,14 @@
 
   private set({ key, value, version }: RowUpdate): void {
     if (key === POOL_KEY) {
-      const row = value === undefined ? undefined : decodePool(value)
+      const row = value === undefined ? undefined : poolRowCodec.decode(value)
+      if (value !== undefined && row === undefined) return this.onMalformed(key)
       return this.setPool({ row, version })
     }
     const instance = instanceOfKey(key)
     if (instance === undefined) return
-    const row = value === undefined ? undefined : decodeHolder(value)
+    const row = value === undefined ? undefined : holderRowCodec.decode(value)
+    if (value !== undefined && row === undefined) return this.onMalformed(key)
     this.setHolder(instance, { row, version })
   }
 
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -1,12 +1,19 @@
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
-import type { RowStore, RowTransaction, RowWriteOutcome } from '@rackwalk/stores'
+import type { RowAddress, RowStore, RowTransaction, RowWriteOutcome } from '@rackwalk/stores'
 import type { StoreClock } from '../rows/storeClock.js'
 import { DemandMeter } from './demandMeter.js'
 import { HoldingState } from './holdingState.js'
 import type { LendingAccount } from './lender.js'
 import type { BudgetView, HoldingPolicy } from './holdingPolicy.js'
-import { POOL_KEY, PREPAID_TABLE, encodeRow, freeInPool, holderKey } from './prepaidRows.js'
+import {
+  POOL_KEY,
+  PREPAID_TABLE,
+  freeInPool,
+  holderKey,
+  holderRowCodec,
+  poolRowCodec,
+} from './prepaidRows.js'
 import type { PoolRow } from './prepaidRows.js'
 import type { PrepaidOutcome } from './prepaidOutcome.js'
 import { PartitionView } from './partitionView.js'
@@ -35,6 +42,8 @@
   /** Longest time between two writes while tokens are spent. */
   readonly recordMilliseconds: () => Milliseconds
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
+  /** A row of the budget that is not of its form; it is left out. */
+  readonly onMalformedRow: (row: RowAddress) => void
 }
 
 const LEAVE_RETRY_MILLISECONDS = 120
@@ -71,7 +80,7 @@
     this.holding = new HoldingState(parts.clock)
     this.demand = new DemandMeter(parts.clock)
     this.spending = new DemandMeter(parts.clock)
-    this.view = new PartitionView(parts.instance)
+    this.view = new PartitionView(parts.instance, key => parts.onMalformedRow(this.addressOf(key)))
     this.waiting = new WaitingRequests(parts.clock)
   }
 
@@ -403,10 +412,10 @@
     const own = this.addressOf(holderKey(this.parts.instance))
     const pool = this.addressOf(POOL_KEY)
     const conditions = [{ ...own, version: this.view.ownVersion }]
-    const puts = [{ ...own, value: encodeRow(plan.holder) }]
+    const puts = [{ ...own, value: holderRowCodec.encode(plan.holder) }]
     if (plan.changesPool) {
       conditions.push({ ...pool, version: this.view.poolVersion })
-      puts.push({ ...pool, value: encodeRow(plan.pool) })
+      puts.push({ ...pool, value: poolRowCodec.encode(plan.pool) })
     }
     return { conditions, puts, removals: [] }
   }
@@ -428,13 +437,13 @@
         { ...ownAddress, version: this.view.ownVersion },
         { ...poolAddress, version: this.view.poolVersion },
       ],
-      puts: [{ ...poolAddress, value: encodeRow(ended) }],
+      puts: [{ ...poolAddress, value: poolRowCodec.encode(ended) }],
       removals: [ownAddress],
     })
     return outcome.kind === 'done'
   }
 
-  private addressOf(key: string) {
+  private addressOf(key: string): RowAddress {
     return { table: PREPAID_TABLE, partition: this.parts.budget, key }
   }
 
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -1,6 +1,6 @@
 import { groupBy } from '@rackwalk/shared'
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
-import type { ChangedRow, RowStore } from '@rackwalk/stores'
+import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import type { StoreClock } from '../rows/storeClock.js'
 import type { HoldingPolicy } from './holdingPolicy.js'
 import { Borrower } from './borrower.js'
@@ -27,6 +27,8 @@
   /** Reaches other instances; without it nobody borrows. */
   readonly loanChannel?: LoanChannel
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
+  /** A row that is not of its form; it is left out, and what was known before stays. */
+  readonly onMalformedRow: (row: RowAddress) => void
 }
 
 /** What the store bears; from it follows how often holdings are recorded. */
--- a/packages/coordination/src/prepaid/prepaidRows.ts
+++ b/packages/coordination/src/prepaid/prepaidRows.ts
@@ -1,4 +1,6 @@
+import * as z from 'zod'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
 
 /**
  * Rows of the prepaid ledger. A budget is one partition: a pool row, and a holder row for
@@ -87,14 +89,64 @@
   }
 }
 
-export function encodeRow(row: PoolRow | HolderRow): string {
-  return JSON.stringify(row)
-}
+const poolSchema = z.object({
+  limit: z.number(),
+  configurationVersion: z.number(),
+  settled: z.number(),
+  allocated: z.number(),
+})
 
-export function decodePool(value: string): PoolRow {
-  return JSON.parse(value) as PoolRow
-}
+type PoolWire = z.infer<typeof poolSchema>
+
+/** The stored form of a pool row. */
+export const poolRowCodec = new JsonCodec<PoolWire, PoolRow>({
+  schema: poolSchema,
+  toWire: ({ limit, configurationVersion, settled, allocated }) => ({
+    limit,
+    configurationVersion,
+    settled,
+    allocated,
+  }),
+  // The names in the store are those of the type at present.
+  fromWire: wire => wire,
+})
+
+const holderSchema = z.object({
+  incarnation: z.string(),
+  sequence: z.number(),
+  granted: z.number(),
+  committed: z.number(),
+  base: z.number(),
+  strictRate: z.number(),
+  strictMilliseconds: z.number(),
+  cutBurst: z.number(),
+  cutRate: z.number(),
+  demandPerSecond: z.number(),
+  wanted: z.number(),
+})
 
-export function decodeHolder(value: string): HolderRow {
-  return JSON.parse(value) as HolderRow
+type HolderWire = z.infer<typeof holderSchema>
+
+function holderToWire(row: HolderRow): HolderWire {
+  return {
+    incarnation: row.incarnation,
+    sequence: row.sequence,
+    granted: row.granted,
+    committed: row.committed,
+    base: row.base,
+    strictRate: row.strictRate,
+    strictMilliseconds: row.strictMilliseconds,
+    cutBurst: row.cutBurst,
+    cutRate: row.cutRate,
+    demandPerSecond: row.demandPerSecond,
+    wanted: row.wanted,
+  }
 }
+
+/** The stored form of a holder row. */
+export const holderRowCodec = new JsonCodec<HolderWire, HolderRow>({
+  schema: holderSchema,
+  toWire: holderToWire,
+  // The names in the store are those of the type at present.
+  fromWire: wire => wire,
+})
--- a/packages/daemon/__tests__/serverFollower.spec.ts
+++ b/packages/daemon/__tests__/serverFollower.spec.ts
@@ -23,7 +23,7 @@
     slots: 8,
     isLeaving: false,
   })
-  const follower = new ServerFollower({ directory, clock, parse })
+  const follower = new ServerFollower({ directory, clock, parse, onMalformedRow: () => {} })
   let version = 0
   const row = (key: string, value: string | undefined) => {
     version += 1
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import type { ChangedRow, RowStore } from '@rackwalk/stores'
+import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import { MEMBER_PARTITION, MEMBER_TABLE, PREPAID_TABLE, TableMirror } from '@rackwalk/coordination'
 import type { MemberDirectory, MirrorListener, PrepaidLedger } from '@rackwalk/coordination'
 import type { ServerDirectory } from '@rackwalk/router'
@@ -36,6 +36,7 @@
   readonly onConfiguration: (rows: readonly ChangedRow[]) => void
   readonly onContact: (isReachable: boolean) => void
   readonly onFault: (error: unknown) => void
+  readonly onMalformedRow: (row: RowAddress) => void
 }
 
 interface FollowedTable {
@@ -102,6 +103,7 @@
         directory: parts.servers,
         clock: parts.clock,
         parse: servers.parse,
+        onMalformedRow: parts.onMalformedRow,
       }),
     },
   ]
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -1,7 +1,7 @@
 import type { Server } from 'node:http'
 import { ResultCode, SystemClock, SystemRandom } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
-import type { ChangedRow, RowStore } from '@rackwalk/stores'
+import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import {
   DemandHoldingPolicy,
   DemandMeter,
@@ -15,6 +15,7 @@
 import type { GatewayConfiguration, GatewayRecord } from '@rackwalk/router'
 import { ActiveFleet } from './activeFleet.js'
 import { BoundedLogger } from '../observe/boundedLogger.js'
+import { MalformedForms } from '../observe/malformedForms.js'
 import { ConsolaLogger } from '../observe/logger.js'
 import type { Logger } from '../observe/logger.js'
 import { GatewayAnswers } from './gatewayAnswers.js'
@@ -54,6 +55,7 @@
   private readonly random: RandomSource
   private readonly logger: Logger
   private readonly metrics: GatewayMetrics
+  private readonly malformed: MalformedForms
   private readonly store: RowStore
   private readonly storeClock: StoreClock
   private readonly members: MemberDirectory
@@ -85,9 +87,9 @@
     this.clock = options.clock ?? new SystemClock()
     this.random = options.random ?? new SystemRandom()
     this.logger = options.logger ?? this.createLogger()
-    this.store = new CountedStore(
-      options.store ?? adapter.createStore(settings.store),
-      (call, table, outcome) => this.metrics.noteStoreCall(call, table, outcome),
+    this.malformed = new MalformedForms(this.logger, () => this.metrics.noteEvent('malformed_form'))
+    this.store = new CountedStore(options.store ?? this.createStore(), (call, table, outcome) =>
+      this.metrics.noteStoreCall(call, table, outcome),
     )
     this.storeClock = new StoreClock(this.clock)
     this.incarnation = this.random.uniqueId().slice(0, 8)
@@ -194,6 +196,19 @@
     return isSettled
   }
 
+  private createStore(): RowStore {
+    const { address, timeoutMilliseconds } = this.settings.store
+    return this.adapter.createStore({
+      address,
+      timeoutMilliseconds,
+      onMalformedAnswer: call => this.malformed.note({ form: 'answer of the store', source: call }),
+    })
+  }
+
+  private noteMalformedRow({ table, partition, key }: RowAddress): void {
+    this.malformed.note({ form: 'row', source: `${table}/${partition}/${key}` })
+  }
+
   private createLogger(): Logger {
     const { log, instance } = this.settings
     const inner = new ConsolaLogger(log.level, instance.id)
@@ -223,6 +238,7 @@
       silenceMilliseconds: membership.silenceMilliseconds,
       partitionWritesPerSecond: store.partitionWritesPerSecond,
       onEvent: (event, fields) => this.note(event, fields),
+      onMalformedRow: row => this.noteMalformedRow(row),
     })
   }
 
@@ -259,6 +275,7 @@
       },
       loanChannel: this.peerLoans,
       onEvent: (event, fields) => this.note(event, fields),
+      onMalformedRow: row => this.noteMalformedRow(row),
     })
   }
 
@@ -267,6 +284,7 @@
       addressOf: instance =>
         this.members.others.find(member => member.instance === instance)?.peerAddress,
       timeoutMilliseconds: LOAN_MILLISECONDS,
+      onMalformed: form => this.malformed.note(form),
     })
   }
 
@@ -291,6 +309,7 @@
       idlePeers: () => loadAddressesOf(this.fleet.idleOthers),
       fleetLoad: this.fleetLoad,
       clock: this.clock,
+      onMalformed: form => this.malformed.note(form),
     })
   }
 
@@ -325,6 +344,7 @@
       },
       random: this.random,
       timeoutMilliseconds: PEER_MILLISECONDS,
+      onMalformed: form => this.malformed.note(form),
     })
   }
 
@@ -341,6 +361,7 @@
       isActive: () => this.fleet.isSelfActive,
       onContact: isReachable => this.note('store_contact', { isReachable }),
       onFault: error => this.noteFault(error),
+      onMalformedRow: row => this.noteMalformedRow(row),
     })
   }
 
--- a/packages/daemon/src/gateway/gatewayListeners.ts
+++ b/packages/daemon/src/gateway/gatewayListeners.ts
@@ -58,9 +58,9 @@
   await Promise.all(listeners.map(({ server, address }) => listenOn(server, address)))
 }
 
-function write(response: ServerResponse, { status, body }: PlainAnswer): void {
+function write(response: ServerResponse, { status, body, json }: PlainAnswer): void {
   const isText = typeof body === 'string'
-  const bytes = body === undefined ? '' : isText ? body : JSON.stringify(body)
+  const bytes = isText ? body : (json ?? (body === undefined ? '' : JSON.stringify(body)))
   response.writeHead(status, {
     'content-type': isText ? 'text/plain; version=0.0.4' : 'application/json',
     'content-length': String(Buffer.byteLength(bytes)),
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -1,9 +1,11 @@
 import { createSocket } from 'node:dgram'
 import type { Socket } from 'node:dgram'
 import * as z from 'zod'
+import { parseJson } from '@rackwalk/stores'
 import type { Clock, Milliseconds, Timer } from '@rackwalk/shared'
 import type { FleetLoad, PeerLoadReport } from '@rackwalk/router'
 import { parseAddress } from '../observe/listenOn.js'
+import type { MalformedForm } from '../observe/malformedForms.js'
 
 /**
  * Instances tell each other by datagrams what they have in progress at the servers. A lost
@@ -50,6 +52,7 @@
   readonly idlePeers: () => readonly string[]
   readonly fleetLoad: FleetLoad
   readonly clock: Clock
+  readonly onMalformed: (form: MalformedForm) => void
 }
 
 export class LoadExchange {
@@ -63,7 +66,7 @@
   start(): void {
     const { host, port } = parseAddress(this.parts.address)
     const socket = createSocket('udp4')
-    socket.on('message', bytes => this.take(bytes))
+    socket.on('message', (bytes, { address, port }) => this.take(bytes, `${address}:${port}`))
     // Without the socket, choices rest on own requests and on what servers tell.
     socket.on('error', () => this.stop())
     socket.bind(port, host, () => this.schedule())
@@ -121,9 +124,10 @@
     }
   }
 
-  private take(bytes: Buffer): void {
+  private take(bytes: Buffer, source: string): void {
     const report = decodeReport(bytes)
-    if (report !== undefined) this.parts.fleetLoad.observe(report)
+    if (report === undefined) this.parts.onMalformed({ form: 'load report', source })
+    else this.parts.fleetLoad.observe(report)
   }
 }
 
@@ -137,18 +141,14 @@
 
 /** Undefined where the bytes are no report. */
 export function decodeReport(bytes: Buffer): PeerLoadReport | undefined {
-  try {
-    const parsed = wireReport.safeParse(JSON.parse(bytes.toString('utf8')))
-    if (!parsed.success) return undefined
-    const [instance, incarnation, sequence, isWhole, entries] = parsed.data
-    const loads = entries.map(([server, running, pendingTokens, parts]) => ({
-      server,
-      running,
-      pendingTokens,
-      parts: parts.map(([id, tokens]) => ({ id, tokens })),
-    }))
-    return { instance, incarnation, sequence, isWhole, loads }
-  } catch {
-    return undefined
-  }
+  const report = wireReport.safeParse(parseJson(bytes.toString('utf8'))).data
+  if (report === undefined) return undefined
+  const [instance, incarnation, sequence, isWhole, entries] = report
+  const loads = entries.map(([server, running, pendingTokens, parts]) => ({
+    server,
+    running,
+    pendingTokens,
+    parts: parts.map(([id, tokens]) => ({ id, tokens })),
+  }))
+  return { instance, incarnation, sequence, isWhole, loads }
 }
--- a/packages/daemon/src/gateway/peerCall.ts
+++ b/packages/daemon/src/gateway/peerCall.ts
@@ -8,8 +8,8 @@
   /** IP:PORT. */
   readonly address: string
   readonly path: string
-  /** Sent as JSON; without it the call is a `GET`. */
-  readonly body?: object
+  /** JSON to send; without it the call is a `GET`. */
+  readonly body?: string
   /** Keeps connections; without it each call opens one. */
   readonly agent?: Agent
   readonly timeoutMilliseconds: Milliseconds
@@ -44,6 +44,6 @@
     }
     sent.on('error', () => finish(undefined))
     sent.on('close', () => finish(undefined))
-    sent.end(body === undefined ? undefined : JSON.stringify(body))
+    sent.end(body)
   })
 }
--- a/packages/daemon/src/gateway/peerLoans.ts
+++ b/packages/daemon/src/gateway/peerLoans.ts
@@ -1,29 +1,60 @@
+/**
+ * Loans of prepaid tokens between instances, over the listener for peers. Owns the paths and forms
+ * of the messages and the connections to peers; relies on the lender and the borrower to decide.
+ */
+
 import { Agent } from 'node:http'
 import * as z from 'zod'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
 import type { Lender, LoanChannel, LoanRepayment, LoanRequest } from '@rackwalk/coordination'
+import type { MalformedForm } from '../observe/malformedForms.js'
 import { callPeer } from './peerCall.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
-/** Loans of prepaid tokens between instances, over the listener for peers. */
-
 const LEND_PATH = '/loans/lend'
 const REPAY_PATH = '/loans/repay'
 /** Connections to one peer. */
 const MAXIMUM_CONNECTIONS = 4
 
-const loanRequest = z.strictObject({
+const requestSchema = z.strictObject({
   id: z.string(),
   budget: z.string(),
   tokens: z.number().nonnegative(),
   patienceMilliseconds: z.number().nonnegative(),
 })
-const loanRepayment = z.strictObject({
+
+const requestCodec = new JsonCodec<z.infer<typeof requestSchema>, LoanRequest>({
+  schema: requestSchema,
+  toWire: ({ id, budget, tokens, patienceMilliseconds }) => ({
+    id,
+    budget,
+    tokens,
+    patienceMilliseconds,
+  }),
+  fromWire: wire => wire,
+})
+
+const repaymentSchema = z.strictObject({
   id: z.string(),
   budget: z.string(),
   spent: z.number().nonnegative(),
 })
-const loanAnswer = z.object({ lent: z.number().nonnegative() })
+
+const repaymentCodec = new JsonCodec<z.infer<typeof repaymentSchema>, LoanRepayment>({
+  schema: repaymentSchema,
+  toWire: ({ id, budget, spent }) => ({ id, budget, spent }),
+  fromWire: wire => wire,
+})
+
+const answerSchema = z.object({ lent: z.number().nonnegative() })
+
+/** Stands for the tokens that a lender gives. */
+const answerCodec = new JsonCodec<z.infer<typeof answerSchema>, TokenCount>({
+  schema: answerSchema,
+  toWire: lent => ({ lent }),
+  fromWire: ({ lent }) => lent,
+})
 
 /** Answers a peer that wants to borrow or repays; undefined where the path is neither. */
 export async function answerLoan(
@@ -32,12 +63,12 @@
   lender: Lender,
 ): Promise<PlainAnswer | undefined> {
   if (path === LEND_PATH) {
-    const call = parse(loanRequest, body)
+    const call = requestCodec.decode(body)
     if (call === undefined) return { status: 400 }
-    return { status: 200, body: { lent: await lender.lend(call) } }
+    return { status: 200, json: answerCodec.encode(await lender.lend(call)) }
   }
   if (path !== REPAY_PATH) return undefined
-  const call = parse(loanRepayment, body)
+  const call = repaymentCodec.decode(body)
   if (call === undefined) return { status: 400 }
   lender.repay(call)
   return { status: 200, body: {} }
@@ -47,6 +78,7 @@
   /** IP:PORT at which an instance takes calls from peers; undefined where it is not known. */
   readonly addressOf: (instance: string) => string | undefined
   readonly timeoutMilliseconds: Milliseconds
+  readonly onMalformed: (form: MalformedForm) => void
 }
 
 /** Asks other instances for loans. */
@@ -56,12 +88,16 @@
   constructor(private readonly parts: PeerLoansParts) {}
 
   async ask(lender: string, call: LoanRequest): Promise<TokenCount | undefined> {
-    const text = await this.post(lender, LEND_PATH, call)
-    return text === undefined ? undefined : parse(loanAnswer, text)?.lent
+    const text = await this.post(lender, LEND_PATH, requestCodec.encode(call))
+    if (text === undefined) return undefined
+    const lent = answerCodec.decode(text)
+    if (lent === undefined) this.parts.onMalformed({ form: 'loan', source: lender })
+    return lent
   }
 
   async repay(lender: string, call: LoanRepayment): Promise<boolean> {
-    return (await this.post(lender, REPAY_PATH, call)) !== undefined
+    const body = repaymentCodec.encode(call)
+    return (await this.post(lender, REPAY_PATH, body)) !== undefined
   }
 
   close(): void {
@@ -69,18 +105,10 @@
   }
 
   /** The answer's text; undefined where there was none, or not a good one, in time. */
-  private post(instance: string, path: string, body: object): Promise<string | undefined> {
+  private post(instance: string, path: string, body: string): Promise<string | undefined> {
     const address = this.parts.addressOf(instance)
     if (address === undefined || address === '') return Promise.resolve(undefined)
     const { timeoutMilliseconds } = this.parts
     return callPeer({ address, path, body, agent: this.agent, timeoutMilliseconds })
   }
 }
-
-function parse<Schema extends z.ZodType>(schema: Schema, text: string) {
-  try {
-    return schema.safeParse(JSON.parse(text)).data
-  } catch {
-    return undefined
-  }
-}
--- a/packages/daemon/src/gateway/peerRows.ts
+++ b/packages/daemon/src/gateway/peerRows.ts
@@ -1,21 +1,65 @@
+/**
+ * Instances give each other the rows that they have heard from the store, while it does not answer
+ * those who ask. Owns the path and the form of an answer; relies on the mirrors for the rows.
+ */
+
+import * as z from 'zod'
 import { randomBelow } from '@rackwalk/shared'
 import type { Milliseconds, RandomSource } from '@rackwalk/shared'
 import type { MirrorPage, TableMirror } from '@rackwalk/coordination'
+import { JsonCodec } from '@rackwalk/stores'
+import type { MalformedForm } from '../observe/malformedForms.js'
 import { callPeer } from './peerCall.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
-/** Instances give each other the rows that they have heard from the store. */
-
 const ROWS_PATH = '/rows/'
 const ANY_ORIGIN = 'http://localhost'
 
+const pageSchema = z.object({
+  rows: z.array(
+    z.object({
+      table: z.string(),
+      partition: z.string(),
+      key: z.string(),
+      // A row that was removed has no value.
+      value: z.string().optional(),
+      version: z.number(),
+    }),
+  ),
+  isWhole: z.boolean(),
+  version: z.number(),
+})
+
+type PageWire = z.infer<typeof pageSchema>
+
+/** The form of an answer with rows. */
+const pageCodec = new JsonCodec<PageWire, MirrorPage>({
+  schema: pageSchema,
+  toWire: ({ rows, isWhole, version }) => ({
+    rows: rows.map(row => ({
+      table: row.table,
+      partition: row.partition,
+      key: row.key,
+      value: row.value,
+      version: row.version,
+    })),
+    isWhole,
+    version,
+  }),
+  fromWire: ({ rows, isWhole, version }) => ({
+    rows: rows.map(row => ({ ...row, value: row.value })),
+    isWhole,
+    version,
+  }),
+})
+
 /** Answers a peer's question for the rows of a table. */
 export function answerRows(url: string, mirrors: ReadonlyMap<string, TableMirror>): PlainAnswer {
   const { pathname, searchParams } = new URL(url, ANY_ORIGIN)
   const mirror = mirrors.get(decodeURIComponent(pathname.slice(ROWS_PATH.length)))
   if (!pathname.startsWith(ROWS_PATH) || mirror === undefined) return { status: 404 }
   const page = mirror.since(Number(searchParams.get('after') ?? 0))
-  return page === undefined ? { status: 503 } : { status: 200, body: page }
+  return page === undefined ? { status: 503 } : { status: 200, json: pageCodec.encode(page) }
 }
 
 export interface PeerRowsParts {
@@ -23,6 +67,7 @@
   readonly addresses: () => readonly string[]
   readonly random: RandomSource
   readonly timeoutMilliseconds: Milliseconds
+  readonly onMalformed: (form: MalformedForm) => void
 }
 
 /** Asks one other instance, chosen by chance, for newer rows. */
@@ -34,16 +79,11 @@
     const address = addresses[randomBelow(this.parts.random, addresses.length)]
     if (address === undefined) return undefined
     const path = `${ROWS_PATH}${encodeURIComponent(table)}?after=${after}`
-    const { timeoutMilliseconds } = this.parts
+    const { timeoutMilliseconds, onMalformed } = this.parts
     const text = await callPeer({ address, path, timeoutMilliseconds })
-    return text === undefined ? undefined : parsePage(text)
-  }
-}
-
-function parsePage(text: string): MirrorPage | undefined {
-  try {
-    return JSON.parse(text) as MirrorPage
-  } catch {
-    return undefined
+    if (text === undefined) return undefined
+    const page = pageCodec.decode(text)
+    if (page === undefined) onMalformed({ form: 'rows of a peer', source: address })
+    return page
   }
 }
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -11,7 +11,10 @@
 /** An answer to whoever asks for addresses or readiness. */
 export interface PlainAnswer {
   readonly status: number
+  /** Text as it is; anything else is sent as JSON. */
   readonly body?: unknown
+  /** JSON that is written out already. */
+  readonly json?: string
 }
 
 /** What a caller says when it asks where to go. */
@@ -20,10 +23,20 @@
   readonly failureDomain: string | undefined
 }
 
+/** Where the store is, and who is told of answers that are not of its protocol. */
+export interface StoreOptions {
+  /** IP:PORT. */
+  readonly address: string
+  /** Wait for an answer beyond the time that a call asks the store itself to wait. */
+  readonly timeoutMilliseconds: Milliseconds
+  /** Such an answer counts as none; `call` is its method and path. */
+  readonly onMalformedAnswer: (call: string) => void
+}
+
 /** Translates one platform's protocol; it decides nothing and keeps nothing. */
 export interface PlatformAdapter {
   readonly dialect: Dialect
-  createStore(options: { address: string; timeoutMilliseconds: Milliseconds }): RowStore
+  createStore(options: StoreOptions): RowStore
   readonly configuration: RowSource & {
     readonly key: string
     /** Throws where the document is not understood. */
--- a/packages/daemon/src/gateway/requestLine.ts
+++ b/packages/daemon/src/gateway/requestLine.ts
@@ -1,12 +1,31 @@
+/** The line of the log that tells of one request, field by field as collectors know it. */
+
 import type { GatewayRecord } from '@rackwalk/router'
 
-/** The fields of the log line that tells of one request. */
+/** Fields of the line; those of which nothing is known are left out of its JSON. */
 export function requestLine(record: GatewayRecord): Readonly<Record<string, unknown>> {
   return {
     request: record.requestId,
-    ...record,
-    requestId: undefined,
-    receivedAt: undefined,
+    attempts: record.attempts.map(attempt => ({
+      server: attempt.server,
+      score: attempt.score,
+      compared: attempt.compared,
+      waitedMilliseconds: attempt.waitedMilliseconds,
+      outcome: attempt.outcome,
+    })),
+    configurationVersion: record.configurationVersion,
+    route: record.route,
+    tenant: record.tenant,
+    service: record.service,
+    tokens: record.tokens,
+    reservation: record.reservation,
+    loans: record.loans,
+    budget: record.budget,
+    spent: record.spent,
+    status: record.status,
+    code: record.code,
+    execution: record.execution,
+    detail: record.detail,
     firstByteMilliseconds: rounded(record.firstByteMilliseconds),
     totalMilliseconds: rounded(record.totalMilliseconds),
   }
--- a/packages/daemon/src/gateway/serverFollower.ts
+++ b/packages/daemon/src/gateway/serverFollower.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import type { ChangedRow } from '@rackwalk/stores'
+import type { ChangedRow, RowAddress } from '@rackwalk/stores'
 import type { MirrorListener } from '@rackwalk/coordination'
 import type { ServerDirectory, ServerRecord } from '@rackwalk/router'
 
@@ -16,6 +16,7 @@
   readonly clock: Clock
   /** Undefined where the row describes no server. */
   readonly parse: (key: string, value: string) => ServerRecord | undefined
+  readonly onMalformedRow: (row: RowAddress) => void
 }
 
 export class ServerFollower implements MirrorListener {
@@ -26,8 +27,10 @@
 
   onRows(rows: readonly ChangedRow[], isWhole: boolean): void {
     const { directory, parse } = this.parts
-    for (const { key, value } of rows) {
+    for (const row of rows) {
+      const { key, value } = row
       const record = value === undefined ? undefined : parse(key, value)
+      if (value !== undefined && record === undefined) this.parts.onMalformedRow(row)
       if (record === undefined) directory.lapse(key, this.lapseMilliseconds)
       else directory.set(record)
     }
--- /dev/null
+++ b/packages/daemon/src/observe/malformedForms.ts
@@ -0,0 +1,36 @@
+/**
+ * What came from outside the process and was not of its form: rows, answers, messages. Each is
+ * counted; the first from each source is a line of the log, since one broken writer may repeat
+ * itself many times a second. Whoever reads such a thing leaves it out.
+ */
+
+import type { Logger } from './logger.js'
+
+/** What was read, and whose word it was. */
+export interface MalformedForm {
+  /** What was expected, such as `row` or `loan`. */
+  readonly form: string
+  /** The row, address or caller that it came from. */
+  readonly source: string
+}
+
+/** Sources that are remembered; beyond them there are only counts. */
+const MAXIMUM_SOURCES = 1_000
+
+/** Counts malformed input and tells of each source once. */
+export class MalformedForms {
+  private readonly told = new Set<string>()
+
+  constructor(
+    private readonly logger: Logger,
+    private readonly count: () => void,
+  ) {}
+
+  note({ form, source }: MalformedForm): void {
+    this.count()
+    const name = `${form} ${source}`
+    if (this.told.has(name) || this.told.size >= MAXIMUM_SOURCES) return
+    this.told.add(name)
+    this.logger.warn('malformed_form', { form, source })
+  }
+}
--- a/packages/stand-ins/src/exploration/prepaidWorld.ts
+++ b/packages/stand-ins/src/exploration/prepaidWorld.ts
@@ -343,6 +343,9 @@
       limits: { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 },
       loanChannel: this.variant.channelOf?.(channel) ?? channel,
       onEvent: event => this.count(event),
+      onMalformedRow: ({ key }) => {
+        throw new Error(`malformed row ${key}`)
+      },
     })
     const started: WorldNode = {
       ledger,
--- a/packages/stores/src/index.ts
+++ b/packages/stores/src/index.ts
@@ -17,6 +17,7 @@
 export { ObjectStoreInstanceList } from './objectStoreInstanceList.js'
 export { DynamodbTableService } from './dynamodbTableService.js'
 export { S3ObjectStore } from './s3ObjectStore.js'
+export { JsonCodec, parseJson } from './textCodec.js'
 export type {
   ChangedRow,
   RefusalReason,
