--- /dev/null
+++ b/packages/coordination/__tests__/checkedTable.spec.ts
@@ -0,0 +1,54 @@
+import { describe, expect, it } from 'vitest'
+import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
+import type { TransactionId } from '@rackwalk/shared'
+import type { JsonValue } from '@rackwalk/stores'
+import { CheckedTable } from '@rackwalk/coordination'
+import { MemoryTable } from '@rackwalk/stand-ins'
+
+/** A row and its partition; each is malformed, for the reason that its name gives. */
+const MALFORMED: readonly (readonly [string, string, JsonValue])[] = [
+  ['a budget without a limit', 'budgets', { budgetId: 'b', teamId: 't', settled: 0, holders: {} }],
+  ['a claim in no known state', 'claim/team', { state: 'lost', incarnation: 'i', requestId: 'r' }],
+  ['a slot of no known kind', 'journal/first', { kind: 'page', entries: [] }],
+  ['a change without a revision', 'changes', { kind: 'teams', name: 'team', operator: 'o', at: 0 }],
+  ['a resource that is a text', 'resources/teams', 'team'],
+  ['an incarnation that is empty', 'incarnations', {}],
+  ['a lease whose epoch is a text', 'leases', { holder: 'i', epoch: '4' }],
+  ['a write without a revision', 'writes', {}],
+]
+
+async function tableWith(partition: string, value: JsonValue) {
+  const memory = new MemoryTable()
+  const key = { partition, sort: 'row' }
+  const id = asId<TransactionId>('writer')
+  await memory.transact(id, [{ kind: 'put', key, condition: { kind: 'absent' }, value }])
+  const malformed: string[] = []
+  const table = new CheckedTable(memory, ({ partition, sort }) =>
+    malformed.push(`${partition}/${sort}`),
+  )
+  return { table, key, malformed }
+}
+
+async function codeOf(call: Promise<unknown>): Promise<ResultCode | undefined> {
+  try {
+    await call
+    return undefined
+  } catch (thrown) {
+    return thrown instanceof RackwalkError ? thrown.code : undefined
+  }
+}
+
+describe('the table with its rows checked', () => {
+  it.each(MALFORMED)('does not give %s', async (_, partition, value) => {
+    const { table, key, malformed } = await tableWith(partition, value)
+    expect(await codeOf(table.get(key))).toBe(ResultCode.PlatformUnavailable)
+    expect(await codeOf(table.query(partition))).toBe(ResultCode.PlatformUnavailable)
+    expect(malformed).toEqual([`${partition}/row`, `${partition}/row`])
+  })
+
+  it('gives markers, whose keys alone say something', async () => {
+    const { table, key, malformed } = await tableWith('holding/first', {})
+    expect((await table.get(key))?.value).toEqual({})
+    expect(malformed).toEqual([])
+  })
+})
--- a/packages/coordination/src/budget/budgetRow.ts
+++ b/packages/coordination/src/budget/budgetRow.ts
@@ -1,3 +1,6 @@
+import * as z from 'zod'
+import { JsonCodec } from '@rackwalk/stores'
+import { idSchema, sameNames } from '../forms.js'
 import type { BudgetId, IncarnationId, RegionId, TeamId, TokenCount } from '@rackwalk/shared'
 
 /** What one incarnation holds of a budget. */
@@ -163,3 +166,24 @@
 function sumOf(transfers: readonly FoldedTransfer[]): TokenCount {
   return transfers.reduce((sum, transfer) => sum + transfer.tokens, 0)
 }
+
+const holdingSchema = z.object({
+  region: idSchema<RegionId>(),
+  allocated: z.number(),
+  exchange: z.number(),
+  lastGranted: z.number(),
+  foldedIndex: z.number(),
+  sealed: z.boolean().optional(),
+})
+
+const budgetSchema = z.object({
+  budgetId: idSchema<BudgetId>(),
+  teamId: idSchema<TeamId>(),
+  limit: z.number(),
+  settled: z.number(),
+  holders: z.record(z.string(), holdingSchema) as z.ZodType<BudgetRow['holders']>,
+  deleted: z.boolean().optional(),
+})
+
+/** The stored form of a budget's row. */
+export const budgetRowCodec = new JsonCodec(sameNames<BudgetRow>(budgetSchema))
--- a/packages/coordination/src/budget/budgetStore.ts
+++ b/packages/coordination/src/budget/budgetStore.ts
@@ -1,10 +1,11 @@
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { BudgetId, RandomSource, TransactionId } from '@rackwalk/shared'
-import type { JsonValue, RowWrite, TableService } from '@rackwalk/stores'
+import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
+import { valueOf } from '../forms.js'
 import { budgetKey, holdingKey, sealingKey } from '../tableKeys.js'
 import type { BudgetRow, ExchangeRequest } from './budgetRow.js'
-import { applyExchange, freeTokens, wasApplied, wasReclaimed } from './budgetRow.js'
+import { applyExchange, budgetRowCodec, freeTokens, wasApplied, wasReclaimed } from './budgetRow.js'
 
 /**
  * `lost`: no answer, the exchange may take effect later; `unsent`: it cannot; `needless`:
@@ -31,7 +32,7 @@
 
   async read(budgetId: BudgetId): Promise<BudgetRow | undefined> {
     const row = await this.table.get(budgetKey(budgetId))
-    return row?.value as unknown as BudgetRow | undefined
+    return row && valueOf(budgetRowCodec, row)
   }
 
   /**
@@ -66,7 +67,7 @@
   ): Promise<ExchangeOutcome | undefined> {
     const stored = await this.readForWrite(budgetId)
     if (stored === undefined) return { kind: 'gone' }
-    const row = stored.value as unknown as BudgetRow
+    const row = valueOf(budgetRowCodec, stored)
     if (wasReclaimed(row, request)) return { kind: 'sealed' }
     if (wasApplied(row, request)) return { kind: 'applied', row }
     if (!mayHaveBeenSent && isNeedless(row, request)) return { kind: 'needless', row }
@@ -97,7 +98,7 @@
       kind: 'put',
       key: budgetKey(budgetId),
       condition: { kind: 'version', version },
-      value: row as unknown as JsonValue,
+      value: budgetRowCodec.toJson(row),
     }
     return request.exchange === 1 ? [put, ...firstHoldingWrites(budgetId, request)] : [put]
   }
--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -1,13 +1,14 @@
 import { RackwalkError, asId } from '@rackwalk/shared'
 import type { BudgetId, IncarnationId, RandomSource, TransactionId } from '@rackwalk/shared'
-import type { JsonValue, RowWrite, TableService } from '@rackwalk/stores'
+import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
+import { valueOf } from '../forms.js'
 import { entriesAfter } from '../journal/journalEntry.js'
 import type { JournalEntry, JournalSlot } from '../journal/journalEntry.js'
 import { readJournal } from '../journal/journalReader.js'
 import { budgetKey, holdingPartition, incarnationKey, retiredKey } from '../tableKeys.js'
-import type { BudgetRow, FoldedTransfer } from './budgetRow.js'
-import { reclaimHolding } from './budgetRow.js'
+import type { FoldedTransfer } from './budgetRow.js'
+import { budgetRowCodec, reclaimHolding } from './budgetRow.js'
 
 /** `unsealed`: refused, since the incarnation could still write bills. */
 export type ReclaimOutcome = 'reclaimed' | 'unsealed' | 'retry'
@@ -52,7 +53,7 @@
     for (;;) {
       const stored = await this.table.get(budgetKey(budgetId))
       if (stored === undefined) return
-      const row = stored.value as unknown as BudgetRow
+      const row = valueOf(budgetRowCodec, stored)
       const holding = row.holders[incarnation]
       if (holding === undefined || holding.sealed) return
       const rest = entriesAfter(slots, holding.foldedIndex, budgetId)
@@ -62,7 +63,7 @@
           kind: 'put',
           key: budgetKey(budgetId),
           condition: { kind: 'version', version: stored.version },
-          value: reclaimed as unknown as JsonValue,
+          value: budgetRowCodec.toJson(reclaimed),
         },
       ])
       if (result.committed) return
--- a/packages/coordination/src/claims/claimRow.ts
+++ b/packages/coordination/src/claims/claimRow.ts
@@ -1,4 +1,8 @@
-import type { IncarnationId, Milliseconds, RequestId, ResultCode } from '@rackwalk/shared'
+import * as z from 'zod'
+import { ResultCode } from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
+import { idSchema, sameNames } from '../forms.js'
+import type { IncarnationId, Milliseconds, RequestId } from '@rackwalk/shared'
 
 /**
  * `claimed`: it may be running. `released`: it was refused before dispatch, so it may be
@@ -14,3 +18,14 @@
   readonly claimedAt: Milliseconds
   readonly code?: ResultCode
 }
+
+const claimSchema = z.object({
+  state: z.enum(['claimed', 'released', 'done']),
+  code: z.enum(ResultCode).optional(),
+  incarnation: idSchema<IncarnationId>(),
+  requestId: idSchema<RequestId>(),
+  claimedAt: z.number(),
+})
+
+/** The stored form of a claim. */
+export const claimRowCodec = new JsonCodec(sameNames<ClaimRow>(claimSchema))
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -9,11 +9,13 @@
   Version,
 } from '@rackwalk/shared'
 import { versionAfter } from '@rackwalk/stores'
-import type { JsonValue, RowCondition, RowWrite, TableService } from '@rackwalk/stores'
+import type { RowCondition, RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
+import { valueOf } from '../forms.js'
 import type { Journal, JournalTicket } from '../journal/journal.js'
 import type { PeerChannel, PeerReply, PeerRequest } from '../peerMessages.js'
 import { claimKey } from '../tableKeys.js'
+import { claimRowCodec } from './claimRow.js'
 import type { ClaimRow, ClaimState } from './claimRow.js'
 
 /** A claim that this incarnation holds; only its holder may dispatch. */
@@ -129,7 +131,7 @@
       kind: 'put',
       key: claimKey(claim.teamId, claim.key),
       condition,
-      value: row as unknown as JsonValue,
+      value: claimRowCodec.toJson(row),
     })
     const outcome = ticket === undefined ? 'timeout' : await this.awaitWrite(ticket)
     if (outcome === 'lost') return 'lost'
@@ -179,7 +181,7 @@
     this.parts.counters.increment('claims_lost')
     try {
       const found = await this.parts.table.get(claimKey(teamId, key))
-      return found && { row: found.value as unknown as ClaimRow, version: found.version }
+      return found && { row: valueOf(claimRowCodec, found), version: found.version }
     } catch (thrown) {
       if (thrown instanceof RackwalkError) return undefined
       throw thrown
@@ -220,7 +222,7 @@
       kind: 'put',
       key: claimKey(claim.teamId, claim.key),
       condition: { kind: 'version', version: claim.version },
-      value: row as unknown as JsonValue,
+      value: claimRowCodec.toJson(row),
     }
   }
 
--- /dev/null
+++ b/packages/coordination/src/configuration/configurationChange.ts
@@ -0,0 +1,21 @@
+/** The form in which a change of the configuration lies in the table and travels between instances. */
+
+import * as z from 'zod'
+import type { TransactionId } from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
+import { anyJson, idSchema, sameNames } from '../forms.js'
+import type { ConfigurationChange } from '../peerMessages.js'
+
+/** A change, whose resource is absent where it was deleted. */
+export const changeSchema: z.ZodType<ConfigurationChange> = z.object({
+  revision: z.number(),
+  kind: z.string(),
+  name: z.string(),
+  resource: anyJson.optional(),
+  writeId: idSchema<TransactionId>(),
+  operator: z.string(),
+  at: z.number(),
+})
+
+/** The stored form of a change. */
+export const changeCodec = new JsonCodec(sameNames<ConfigurationChange>(changeSchema))
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -1,6 +1,6 @@
-import { RackwalkError } from '@rackwalk/shared'
+import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { IncarnationId, Version } from '@rackwalk/shared'
-import type { JsonValue, Row, TableService } from '@rackwalk/stores'
+import type { Row, TableService } from '@rackwalk/stores'
 import { sortKeyOf } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
 import type {
@@ -11,8 +11,10 @@
   PeerRequest,
 } from '../peerMessages.js'
 import { CHANGES_PARTITION } from '../tableKeys.js'
+import { valueOf } from '../forms.js'
+import { changeCodec } from './configurationChange.js'
 import type { Resource } from './resource.js'
-import { resourceId, resourcePartition } from './resource.js'
+import { resourceCodec, resourceId, resourcePartition } from './resource.js'
 
 /** Changes kept in memory for peers and watchers. */
 const KEPT_CHANGES = 10_000
@@ -96,7 +98,7 @@
   }
 
   private snapshot(): ConfigurationSnapshot {
-    const resources = [...this.resources.values()] as unknown as readonly JsonValue[]
+    const resources = [...this.resources.values()].map(resource => resourceCodec.toJson(resource))
     return { revision: this.current, resources }
   }
 
@@ -157,7 +159,9 @@
     if (snapshot.revision === this.current && this.loaded) return
     this.resources.clear()
     for (const value of snapshot.resources) {
-      const resource = value as unknown as Resource
+      const resource = resourceCodec.fromJson(value)
+      if (resource === undefined)
+        throw new RackwalkError(ResultCode.PlatformUnavailable, 'a resource')
       if (!this.parts.kinds.includes(resource.kind)) continue
       this.resources.set(resourceId(resource.kind, resource.metadata.name), resource)
     }
@@ -185,7 +189,7 @@
 
   private applyResource(change: ConfigurationChange): void {
     const id = resourceId(change.kind, change.name)
-    const resource = change.resource as unknown as Resource | undefined
+    const resource = resourceCodec.fromJson(change.resource)
     const known = this.resources.get(id)
     // A snapshot may hold a state from after this change.
     if (known !== undefined && known.metadata.version >= change.revision) return
@@ -199,5 +203,5 @@
 }
 
 function changeOf(row: Row): ConfigurationChange {
-  return row.value as unknown as ConfigurationChange
+  return valueOf(changeCodec, row)
 }
--- a/packages/coordination/src/configuration/resource.ts
+++ b/packages/coordination/src/configuration/resource.ts
@@ -1,3 +1,6 @@
+import * as z from 'zod'
+import { JsonCodec } from '@rackwalk/stores'
+import { anyJson, sameNames } from '../forms.js'
 import type { Milliseconds, Version } from '@rackwalk/shared'
 import type { JsonValue, RowKey } from '@rackwalk/stores'
 
@@ -29,3 +32,17 @@
 export function resourceId(kind: string, name: string): string {
   return `${kind}/${name}`
 }
+
+const resourceSchema = z.object({
+  kind: z.string(),
+  metadata: z.object({
+    name: z.string(),
+    version: z.number(),
+    labels: z.record(z.string(), z.string()),
+    createdAt: z.number(),
+  }),
+  spec: anyJson,
+})
+
+/** The stored form of a resource. */
+export const resourceCodec = new JsonCodec(sameNames<Resource>(resourceSchema))
--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -1,10 +1,14 @@
+import * as z from 'zod'
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { Clock, RandomSource, TransactionId, Version } from '@rackwalk/shared'
-import type { JsonValue, Row, RowKey, RowWrite, TableService } from '@rackwalk/stores'
+import { JsonCodec } from '@rackwalk/stores'
+import type { JsonValue, Row, RowCondition, RowKey, RowWrite, TableService } from '@rackwalk/stores'
 import type { ConfigurationChange } from '../peerMessages.js'
 import { CHANGES_PARTITION, changeKey } from '../tableKeys.js'
+import { sameNames, valueOf } from '../forms.js'
+import { changeCodec } from './configurationChange.js'
 import type { Resource } from './resource.js'
-import { resourceKey } from './resource.js'
+import { resourceCodec, resourceKey } from './resource.js'
 
 /** What an operator asks to change. */
 export interface ResourceWrite {
@@ -38,6 +42,11 @@
   readonly revision: Version
 }
 
+/** The stored form of the record of a write. */
+export const writeRecordCodec = new JsonCodec(
+  sameNames<WriteRecord>(z.object({ revision: z.number() })),
+)
+
 function writeRecordKey(writeId: TransactionId): RowKey {
   return { partition: 'writes', sort: writeId }
 }
@@ -76,13 +85,14 @@
   }
 
   async read(kind: string, name: string): Promise<Resource | undefined> {
-    return (await this.readRow(kind, name))?.value as unknown as Resource | undefined
+    const row = await this.readRow(kind, name)
+    return row && valueOf(resourceCodec, row)
   }
 
   /** What became of a write whose answer was lost; undefined while it is not in force. */
   async findWrite(writeId: TransactionId): Promise<WriteRecord | undefined> {
     const row = await this.table.get(writeRecordKey(writeId))
-    return row?.value as unknown as WriteRecord | undefined
+    return row && valueOf(writeRecordCodec, row)
   }
 
   /** Undefined when another operator's change took the revision first. */
@@ -90,7 +100,7 @@
     const done = await this.findWrite(write.writeId)
     if (done !== undefined) return this.acceptedAt(write, done.revision)
     const row = await this.readRow(write.kind, write.name)
-    const current = row?.value as unknown as Resource | undefined
+    const current = row && valueOf(resourceCodec, row)
     if (!isExpected(write.expected, current)) return { kind: 'conflict', current }
     if (write.content === undefined && current === undefined) return { kind: 'conflict', current }
     const revision = (await this.headRevision()) + 1
@@ -102,8 +112,8 @@
 
   private async acceptedAt(write: ResourceWrite, revision: Version): Promise<ResourceWriteResult> {
     const row = await this.table.get(changeKey(revision))
-    const change = row?.value as unknown as ConfigurationChange | undefined
-    const resource = change?.resource as unknown as Resource | undefined
+    const change = row && valueOf(changeCodec, row)
+    const resource = resourceCodec.fromJson(change?.resource)
     return { kind: 'accepted', revision, resource }
   }
 
@@ -133,13 +143,13 @@
       revision,
       kind: write.kind,
       name: write.name,
-      resource: resource as unknown as JsonValue | undefined,
+      resource: resource && resourceCodec.toJson(resource),
       writeId: write.writeId,
       operator: write.operator,
       at: this.clock.wallTime(),
     }
     return [
-      putAbsent(changeKey(revision), change as unknown as JsonValue),
+      putAbsent(changeKey(revision), changeCodec.toJson(change)),
       resourceRowWrite(write, row, resource),
       putAbsent(writeRecordKey(write.writeId), { revision }),
       ...((await write.companions?.()) ?? []),
@@ -161,12 +171,11 @@
   resource: Resource | undefined,
 ): RowWrite {
   const key = resourceKey(write.kind, write.name)
-  const value = resource as unknown as JsonValue
-  if (row === undefined) return { kind: 'put', key, condition: { kind: 'absent' }, value }
-  const condition = { kind: 'version', version: row.version } as const
+  const condition: RowCondition =
+    row === undefined ? { kind: 'absent' } : { kind: 'version', version: row.version }
   return resource === undefined
     ? { kind: 'delete', key, condition }
-    : { kind: 'put', key, condition, value }
+    : { kind: 'put', key, condition, value: resourceCodec.toJson(resource) }
 }
 
 function putAbsent(key: RowKey, value: JsonValue): RowWrite {
--- a/packages/coordination/src/counters.ts
+++ b/packages/coordination/src/counters.ts
@@ -25,6 +25,7 @@
   | 'heartbeats_failed'
   | 'table_reads'
   | 'table_writes'
+  | 'malformed_forms'
 
 /** Receives counts; must not throw. */
 export interface Counters {
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -7,7 +7,9 @@
 export type { CoordinationNodeParts, NodeIdentity } from './coordinationNode.js'
 export { DEFAULT_NODE_TIMINGS } from './nodeTimings.js'
 export type { NodeTimings } from './nodeTimings.js'
+export { CheckedTable } from './checkedTable.js'
 export { CountingTable } from './countingTable.js'
+export { valueOf } from './forms.js'
 export { MemoryCounters } from './counters.js'
 export type { CounterName, Counters } from './counters.js'
 export { rendezvousChoice, rendezvousOrder } from './rendezvous.js'
@@ -55,6 +57,7 @@
 export {
   allocatedTokens,
   applyExchange,
+  budgetRowCodec,
   createBudgetRow,
   freeTokens,
   reclaimHolding,
@@ -77,7 +80,12 @@
   ResourceWriteResult,
   WriteRecord,
 } from './configuration/resourceStore.js'
-export { resourceId, resourceKey, resourcePartition } from './configuration/resource.js'
+export {
+  resourceCodec,
+  resourceId,
+  resourceKey,
+  resourcePartition,
+} from './configuration/resource.js'
 export type { Resource, ResourceMetadata } from './configuration/resource.js'
 
 export { chooseAddresses } from './membership/callerAddresses.js'
@@ -105,6 +113,8 @@
   PeerRequest,
   ServingState,
 } from './peerMessages.js'
+export { PEER_FORMS } from './peerForms.js'
+export type { PeerForm } from './peerForms.js'
 export { foldBills, readUsage, summarize } from './usage.js'
 export type { Period, UsageLine, UsageReport } from './usage.js'
 export {
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -7,10 +7,11 @@
   TransactionId,
 } from '@rackwalk/shared'
 import { rowName } from '@rackwalk/stores'
-import type { JsonValue, RowWrite, TableService } from '@rackwalk/stores'
+import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
 import { journalSlotKey } from '../tableKeys.js'
 import type { BatchCommitter } from './batchCommitter.js'
+import { journalSlotCodec } from './journalEntry.js'
 import type { HeldItem, JournalEntry, JournalSlot } from './journalEntry.js'
 
 /** How an entry outlives its writer: in the table, or in the memory of peers. */
@@ -278,7 +279,7 @@
         kind: 'put',
         key: journalSlotKey(this.parts.incarnation, this.nextSlot),
         condition: { kind: 'absent' },
-        value: slot as unknown as JsonValue,
+        value: journalSlotCodec.toJson(slot),
       },
       ...attachments,
     ]
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -1,3 +1,7 @@
+import * as z from 'zod'
+import { ResultCode } from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
+import { anyJson, idSchema, sameNames } from '../forms.js'
 import type {
   BudgetId,
   IdempotencyKey,
@@ -5,7 +9,6 @@
   Milliseconds,
   ModelId,
   RequestId,
-  ResultCode,
   TeamId,
   TokenCount,
   TransferId,
@@ -79,3 +82,65 @@
 export function lastIndexOf(slots: readonly JournalSlot[]): number {
   return slots.flatMap(slot => slot.entries).reduce((last, { index }) => Math.max(last, index), 0)
 }
+
+const settleSchema = z.object({
+  kind: z.literal('settle'),
+  budgetId: idSchema<BudgetId>(),
+  teamId: idSchema<TeamId>(),
+  billKey: idSchema<IdempotencyKey>(),
+  requestId: idSchema<RequestId>(),
+  modelId: idSchema<ModelId>().optional(),
+  promptTokens: z.number(),
+  generatedTokens: z.number(),
+  billedTokens: z.number(),
+  creditedTokens: z.number(),
+  code: z.enum(ResultCode),
+  endedAt: z.number(),
+})
+
+const lendSchema = z.object({
+  kind: z.literal('lend'),
+  budgetId: idSchema<BudgetId>(),
+  transferId: idSchema<TransferId>(),
+  borrower: idSchema<IncarnationId>(),
+  tokens: z.number(),
+})
+
+const indexedEntrySchema = z.object({
+  index: z.number(),
+  entry: z.discriminatedUnion('kind', [settleSchema, lendSchema]).optional(),
+})
+
+const entries = z.array(indexedEntrySchema)
+
+const slotSchema = z.discriminatedUnion('kind', [
+  z.object({ kind: z.literal('batch'), entries }),
+  z.object({ kind: z.literal('seal'), sealedBy: idSchema<IncarnationId>(), entries }),
+])
+
+/** The stored form of a slot of a journal. */
+export const journalSlotCodec = new JsonCodec(sameNames<JournalSlot>(slotSchema))
+
+const keySchema = z.object({ partition: z.string(), sort: z.string() })
+
+const conditionSchema = z.discriminatedUnion('kind', [
+  z.object({ kind: z.literal('absent') }),
+  z.object({ kind: z.literal('version'), version: z.number() }),
+])
+
+/** A write of a row, as messages between instances carry it. */
+export const rowWriteSchema: z.ZodType<RowWrite> = z.discriminatedUnion('kind', [
+  z.object({
+    kind: z.literal('put'),
+    key: keySchema,
+    condition: conditionSchema,
+    value: anyJson,
+  }),
+  z.object({ kind: z.literal('delete'), key: keySchema, condition: conditionSchema }),
+  z.object({ kind: z.literal('check'), key: keySchema, condition: conditionSchema }),
+])
+
+/** An entry as peers hold it, with the row that changes with it. */
+export const heldItemSchema: z.ZodType<HeldItem> = indexedEntrySchema.extend({
+  attachment: rowWriteSchema.optional(),
+})
--- a/packages/coordination/src/journal/journalReader.ts
+++ b/packages/coordination/src/journal/journalReader.ts
@@ -1,6 +1,8 @@
 import type { IncarnationId } from '@rackwalk/shared'
 import type { Row, TableService } from '@rackwalk/stores'
 import { journalPartition } from '../tableKeys.js'
+import { valueOf } from '../forms.js'
+import { journalSlotCodec } from './journalEntry.js'
 import type { JournalSlot } from './journalEntry.js'
 
 /** A journal as the table has it. */
@@ -21,5 +23,5 @@
 
 /** Decodes the slot that a row holds. */
 function slotOf(row: Row): JournalSlot {
-  return row.value as unknown as JournalSlot
+  return valueOf(journalSlotCodec, row)
 }
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -1,3 +1,4 @@
+import * as z from 'zod'
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type {
   FailureDomainId,
@@ -7,7 +8,9 @@
   RegionId,
   TransactionId,
 } from '@rackwalk/shared'
-import type { JsonValue, Row, TableService } from '@rackwalk/stores'
+import { JsonCodec } from '@rackwalk/stores'
+import type { Row, TableService } from '@rackwalk/stores'
+import { idSchema, sameNames, valueOf } from '../forms.js'
 import { INCARNATIONS_PARTITION, SEALING_PARTITION, incarnationKey } from '../tableKeys.js'
 
 /** What the table keeps of a running incarnation. */
@@ -19,6 +22,17 @@
   readonly peerAddress: string
 }
 
+const incarnationSchema = z.object({
+  instanceId: idSchema<InstanceId>(),
+  incarnation: idSchema<IncarnationId>(),
+  region: idSchema<RegionId>(),
+  failureDomain: idSchema<FailureDomainId>(),
+  peerAddress: z.string(),
+})
+
+/** The stored form of the record of an incarnation. */
+export const incarnationRecordCodec = new JsonCodec(sameNames<IncarnationRecord>(incarnationSchema))
+
 /** Registers this run of an instance and lists the others. */
 export class IncarnationRegistry {
   constructor(
@@ -46,7 +60,7 @@
   private async put(record: IncarnationRecord): Promise<void> {
     const key = incarnationKey(record.incarnation)
     const id = asId<TransactionId>(this.random.uniqueId())
-    const value = record as unknown as JsonValue
+    const value = incarnationRecordCodec.toJson(record)
     const result = await this.table.transact(id, [
       { kind: 'put', key, condition: { kind: 'absent' }, value },
     ])
@@ -58,5 +72,5 @@
 }
 
 function recordOf(row: Row): IncarnationRecord {
-  return row.value as unknown as IncarnationRecord
+  return valueOf(incarnationRecordCodec, row)
 }
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -1,3 +1,4 @@
+import * as z from 'zod'
 import { RackwalkError, asId } from '@rackwalk/shared'
 import type {
   Clock,
@@ -6,7 +7,9 @@
   RandomSource,
   TransactionId,
 } from '@rackwalk/shared'
-import type { JsonValue, Row, TableService } from '@rackwalk/stores'
+import { JsonCodec } from '@rackwalk/stores'
+import type { Row, TableService } from '@rackwalk/stores'
+import { idSchema, sameNames, valueOf } from '../forms.js'
 import { leaseKey } from '../tableKeys.js'
 
 interface LeaseRow {
@@ -15,6 +18,11 @@
   readonly epoch: number
 }
 
+/** The stored form of a lease. */
+export const leaseRowCodec = new JsonCodec(
+  sameNames<LeaseRow>(z.object({ holder: idSchema<IncarnationId>(), epoch: z.number() })),
+)
+
 interface Observation {
   readonly version: number
   readonly since: Milliseconds
@@ -51,7 +59,7 @@
   async pursue(): Promise<number | undefined> {
     try {
       const row = await this.parts.table.get(leaseKey(this.parts.name))
-      const lease = row?.value as unknown as LeaseRow | undefined
+      const lease = row && valueOf(leaseRowCodec, row)
       if (lease?.holder === this.parts.incarnation) await this.write(lease.epoch, row)
       else if (this.isLapsed(row)) await this.write((lease?.epoch ?? 0) + 1, row)
     } catch (thrown) {
@@ -80,7 +88,7 @@
         key: leaseKey(this.parts.name),
         condition:
           row === undefined ? { kind: 'absent' } : { kind: 'version', version: row.version },
-        value: value as unknown as JsonValue,
+        value: leaseRowCodec.toJson(value),
       },
     ])
     if (!result.committed) return
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -1,9 +1,9 @@
 import { RackwalkError, asId } from '@rackwalk/shared'
 import type { IncarnationId, RandomSource, TransactionId } from '@rackwalk/shared'
-import type { JsonValue, RowWrite, TableService } from '@rackwalk/stores'
+import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
 import type { HeldItem, JournalSlot } from '../journal/journalEntry.js'
-import { lastIndexOf } from '../journal/journalEntry.js'
+import { journalSlotCodec, lastIndexOf } from '../journal/journalEntry.js'
 import { readJournal } from '../journal/journalReader.js'
 import type { PeerChannel } from '../peerMessages.js'
 import { journalSlotKey, sealingKey } from '../tableKeys.js'
@@ -138,7 +138,7 @@
     kind: 'put',
     key: journalSlotKey(target, number),
     condition: { kind: 'absent' },
-    value: slot as unknown as JsonValue,
+    value: journalSlotCodec.toJson(slot),
   }
   return [put, ...attached.flatMap(item => item.attachment ?? [])]
 }
--- /dev/null
+++ b/packages/coordination/src/peerForms.ts
@@ -0,0 +1,152 @@
+/**
+ * The forms of the messages between instances of the OpenAI-style kind, a pair for each kind of
+ * message. Senders and receivers of two versions meet in every rolling restart, so a name here
+ * changes only together with a mapping that keeps the name on the wire.
+ */
+
+import * as z from 'zod'
+import type {
+  BudgetId,
+  FailureDomainId,
+  IdempotencyKey,
+  IncarnationId,
+  InstanceId,
+  RegionId,
+  RequestId,
+  TeamId,
+  TransactionId,
+  TransferId,
+} from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
+import type { TransactResult } from '@rackwalk/stores'
+import { changeSchema } from './configuration/configurationChange.js'
+import { anyJson, idSchema, sameNames } from './forms.js'
+import { heldItemSchema, rowWriteSchema } from './journal/journalEntry.js'
+import type {
+  GroupDigest,
+  KeyRegistration,
+  MemberInfo,
+  PeerMessageKind,
+  PeerReply,
+  PeerRequest,
+} from './peerMessages.js'
+
+/** How the request and the reply of one kind of message are written. */
+export interface PeerForm<Kind extends PeerMessageKind> {
+  readonly request: JsonCodec<PeerRequest<Kind>, PeerRequest<Kind>>
+  readonly reply: JsonCodec<PeerReply<Kind>, PeerReply<Kind>>
+}
+
+function form<Kind extends PeerMessageKind>(
+  request: z.ZodType<PeerRequest<Kind>>,
+  reply: z.ZodType<PeerReply<Kind>>,
+): PeerForm<Kind> {
+  return { request: new JsonCodec(sameNames(request)), reply: new JsonCodec(sameNames(reply)) }
+}
+
+const nothing = z.object({}) as z.ZodType<Record<string, never>>
+const tokens = z.number()
+const writer = idSchema<IncarnationId>()
+const requestId = idSchema<RequestId>()
+const teamId = idSchema<TeamId>()
+const key = idSchema<IdempotencyKey>()
+
+const memberSchema: z.ZodType<MemberInfo> = z.object({
+  instanceId: idSchema<InstanceId>(),
+  incarnation: idSchema<IncarnationId>(),
+  region: idSchema<RegionId>(),
+  failureDomain: idSchema<FailureDomainId>(),
+  peerAddress: z.string(),
+  callerAddress: z.string(),
+  operatorAddress: z.string(),
+  state: z.enum(['starting', 'serving', 'draining']),
+  heartbeat: z.number(),
+  inFlight: z.number(),
+  configurationRevision: z.number(),
+  leavingEndpoints: z.array(z.string()),
+})
+
+const digestSchema: z.ZodType<GroupDigest> = z.object({
+  group: z.string(),
+  beat: z.number(),
+  membersHash: z.string(),
+  configurationRevision: z.number(),
+})
+
+const registrationSchema: z.ZodType<KeyRegistration> = z.discriminatedUnion('state', [
+  z.object({ state: z.literal('first') }),
+  z.object({ state: z.literal('running'), incarnation: idSchema<IncarnationId>(), requestId }),
+  z.object({ state: z.literal('mismatch'), requestId }),
+  z.object({
+    state: z.literal('ended'),
+    requestId,
+    complete: z.boolean(),
+    creditedTokens: tokens,
+  }),
+])
+
+const transactResultSchema: z.ZodType<TransactResult> = z.discriminatedUnion('committed', [
+  z.object({ committed: z.literal(true) }),
+  z.object({ committed: z.literal(false), conflicts: z.array(z.number()) }),
+])
+
+const snapshotSchema = z.object({ revision: z.number(), resources: z.array(anyJson) })
+
+/** The forms of all messages, by kind. */
+export const PEER_FORMS: { readonly [Kind in PeerMessageKind]: PeerForm<Kind> } = {
+  heartbeat: form<'heartbeat'>(
+    z.object({ sender: memberSchema, digests: z.array(digestSchema) }),
+    z.object({ receiver: memberSchema }),
+  ),
+  members: form<'members'>(
+    z.object({ group: z.string() }),
+    z.object({ members: z.array(memberSchema) }),
+  ),
+  hold: form<'hold'>(
+    z.object({ writer, items: z.array(heldItemSchema) }),
+    z.object({ held: z.boolean() }),
+  ),
+  releaseHeld: form<'releaseHeld'>(z.object({ writer, throughIndex: z.number() }), nothing),
+  collectHeld: form<'collectHeld'>(
+    z.object({ writer }),
+    z.object({ items: z.array(heldItemSchema) }),
+  ),
+  lend: form<'lend'>(
+    z.object({
+      transferId: idSchema<TransferId>(),
+      budgetId: idSchema<BudgetId>(),
+      borrower: idSchema<IncarnationId>(),
+      tokens,
+    }),
+    z.object({ tokens }),
+  ),
+  claimState: form<'claimState'>(
+    z.object({ requestId }),
+    z.object({ state: z.enum(['claimed', 'released', 'done', 'unknown']) }),
+  ),
+  registerKey: form<'registerKey'>(
+    z.object({
+      teamId,
+      key,
+      incarnation: idSchema<IncarnationId>(),
+      requestId,
+      fingerprint: z.string(),
+      repeatable: z.boolean(),
+    }),
+    registrationSchema,
+  ),
+  endKey: form<'endKey'>(
+    z.object({ teamId, key, requestId, complete: z.boolean(), billedTokens: tokens }),
+    nothing,
+  ),
+  commitBatch: form<'commitBatch'>(
+    z.object({ id: idSchema<TransactionId>(), writes: z.array(rowWriteSchema) }),
+    transactResultSchema,
+  ),
+  configurationSince: form<'configurationSince'>(
+    z.object({ revision: z.number() }),
+    z.object({ changes: z.array(changeSchema).optional(), snapshot: snapshotSchema.optional() }),
+  ),
+  drain: form<'drain'>(nothing, nothing),
+  explain: form<'explain'>(z.object({ requestId }), z.object({ record: anyJson.optional() })),
+}
--- a/packages/coordination/src/segmentArchive.ts
+++ b/packages/coordination/src/segmentArchive.ts
@@ -1,6 +1,9 @@
+import * as z from 'zod'
 import type { Clock, IncarnationId, Milliseconds, RequestId } from '@rackwalk/shared'
-import { RackwalkError } from '@rackwalk/shared'
+import { RackwalkError, ResultCode } from '@rackwalk/shared'
+import { JsonCodec } from '@rackwalk/stores'
 import type { JsonValue, ObjectStore } from '@rackwalk/stores'
+import { anyJson, idSchema, sameNames } from './forms.js'
 
 /** A record that can be found by its request. */
 export interface ArchivedRecord {
@@ -8,6 +11,11 @@
   readonly record: JsonValue
 }
 
+const archivedSchema = z.object({ requestId: idSchema<RequestId>(), record: anyJson })
+
+/** The form of one line of a segment. */
+const archivedRecordCodec = new JsonCodec(sameNames<ArchivedRecord>(archivedSchema))
+
 /** Bounds of the archive. */
 export interface ArchiveLimits {
   /** Records kept in memory, written ones included. */
@@ -92,7 +100,7 @@
 
   private async writeSegment(): Promise<boolean> {
     const records = this.unwritten.slice(0, this.limits.segmentRecords)
-    const lines = records.map(record => JSON.stringify(record)).join('\n')
+    const lines = records.map(record => archivedRecordCodec.encode(record)).join('\n')
     this.segment += 1
     const key = `${PREFIX}/${this.incarnation}/${paddedTime(this.clock.wallTime())}-${this.segment}`
     try {
@@ -144,7 +152,10 @@
   const lines = body.toString('utf8').split('\n')
   const line = lines.find(candidate => candidate.includes(requestId))
   if (line === undefined) return undefined
-  const parsed = JSON.parse(line) as ArchivedRecord
+  const parsed = archivedRecordCodec.decode(line)
+  if (parsed === undefined) {
+    throw new RackwalkError(ResultCode.PlatformUnavailable, 'malformed line of a segment')
+  }
   return parsed.requestId === requestId ? parsed.record : undefined
 }
 
--- a/packages/daemon/__tests__/peerProtocol.spec.ts
+++ b/packages/daemon/__tests__/peerProtocol.spec.ts
@@ -1,7 +1,9 @@
 import { Client, Metadata, credentials, status } from '@grpc/grpc-js'
 import type { ServiceError } from '@grpc/grpc-js'
 import { afterEach, describe, expect, it } from 'vitest'
-import { PeerServer } from '@rackwalk/daemon'
+import type { PeerMessageKind } from '@rackwalk/coordination'
+import { GrpcPeerChannel, PeerServer } from '@rackwalk/daemon'
+import type { MalformedForm } from '@rackwalk/daemon'
 
 /**
  * How messages between OpenAI-style instances travel: method names, the metadata that carries
@@ -9,21 +11,47 @@
  */
 
 const SECRET = 'between-peers'
-const KINDS = [
-  'heartbeat',
-  'members',
-  'hold',
-  'releaseHeld',
-  'collectHeld',
-  'lend',
-  'claimState',
-  'registerKey',
-  'endKey',
-  'commitBatch',
-  'configurationSince',
-  'drain',
-  'explain',
-] as const
+const MEMBER = {
+  instanceId: 'instance-9',
+  incarnation: 'instance-9-first',
+  region: 'region-a',
+  failureDomain: 'domain-1',
+  peerAddress: '10.0.0.9:81',
+  callerAddress: '10.0.0.9:80',
+  operatorAddress: '10.0.0.9:82',
+  state: 'serving',
+  heartbeat: 3,
+  inFlight: 2,
+  configurationRevision: 0,
+  leavingEndpoints: [],
+}
+const WRITER = { writer: 'instance-9-first' }
+const KEY = { teamId: 'team', key: 'key', requestId: 'r-1' }
+
+/** A request of each kind and a reply to it. */
+const MESSAGES: readonly (readonly [PeerMessageKind, object, object])[] = [
+  ['heartbeat', { sender: MEMBER, digests: [] }, { receiver: MEMBER }],
+  ['members', { group: 'region-a' }, { members: [MEMBER] }],
+  ['hold', { ...WRITER, items: [{ index: 1 }] }, { held: true }],
+  ['releaseHeld', { ...WRITER, throughIndex: 1 }, {}],
+  ['collectHeld', WRITER, { items: [{ index: 1 }] }],
+  [
+    'lend',
+    { transferId: 't-1', budgetId: 'budget', borrower: 'instance-9-first', tokens: 5 },
+    { tokens: 5 },
+  ],
+  ['claimState', { requestId: 'r-1' }, { state: 'done' }],
+  [
+    'registerKey',
+    { ...KEY, incarnation: 'instance-9-first', fingerprint: 'f', repeatable: true },
+    { state: 'mismatch', requestId: 'r-0' },
+  ],
+  ['endKey', { ...KEY, complete: true, billedTokens: 15 }, {}],
+  ['commitBatch', { id: 'id-1', writes: [] }, { committed: false, conflicts: [0] }],
+  ['configurationSince', { revision: 0 }, { changes: [] }],
+  ['drain', {}, {}],
+  ['explain', { requestId: 'r-1' }, { record: { code: 0 } }],
+]
 
 let server: PeerServer | undefined
 let client: Client | undefined
@@ -33,12 +61,22 @@
   server?.stop()
 })
 
-async function start(): Promise<void> {
-  const echo = (kind: string) => (request: unknown) => ({ kind, request }) as never
-  const handlers = Object.fromEntries(KINDS.map(kind => [kind, echo(kind)]))
-  server = new PeerServer(handlers, SECRET)
+const malformed: MalformedForm[] = []
+
+/** Handlers that note what they are asked and reply as listed. */
+async function start(asked: unknown[] = []): Promise<number> {
+  const handlers = MESSAGES.map(([kind, , reply]) => {
+    const handler = (request: unknown) => {
+      asked.push(request)
+      return reply as never
+    }
+    return [kind, handler] as const
+  })
+  malformed.length = 0
+  server = new PeerServer(Object.fromEntries(handlers), SECRET, form => malformed.push(form))
   const port = await server.listen('127.0.0.1:0')
   client = new Client(`127.0.0.1:${port}`, credentials.createInsecure())
+  return port
 }
 
 /** The bytes of the reply as text, or the status of the failure. */
@@ -54,13 +92,39 @@
 }
 
 describe('messages between instances on the wire', () => {
-  it.each(KINDS)('has a method for %s', async kind => {
-    await start()
-    const reply = await call(`/rackwalk.Peers/${kind}`, '{"field":1}', SECRET)
-    expect(reply).toBe(`{"kind":"${kind}","request":{"field":1}}`)
+  it.each(MESSAGES)('have a method for %s', async (kind, request, reply) => {
+    const asked: unknown[] = []
+    await start(asked)
+    const told = await call(`/rackwalk.Peers/${kind}`, JSON.stringify(request), SECRET)
+    expect(JSON.parse(told)).toEqual(reply)
+    expect(asked).toEqual([request])
+  })
+
+  it.each(MESSAGES)('carry %s from client to server', async (kind, request, reply) => {
+    const port = await start()
+    const channel = new GrpcPeerChannel(
+      () => `127.0.0.1:${port}`,
+      5_000,
+      SECRET,
+      form => malformed.push(form),
+    )
+    const told = await channel.call('peer' as never, kind, request as never)
+    channel.close()
+    expect(told).toEqual(reply)
+    expect(malformed).toEqual([])
+  })
+
+  it('are refused and counted where they are not of their form', async () => {
+    const asked: unknown[] = []
+    await start(asked)
+    for (const text of ['no JSON', '[]', '{"transferId":"t-1","tokens":"5"}']) {
+      expect(await call('/rackwalk.Peers/lend', text, SECRET)).toBe('INVALID_ARGUMENT')
+    }
+    expect(asked).toEqual([])
+    expect(malformed.map(({ form }) => form)).toEqual(['lend', 'lend', 'lend'])
   })
 
-  it('is refused without the secret, and for a method that is not there', async () => {
+  it('are refused without the secret, and for a method that is not there', async () => {
     await start()
     expect(await call('/rackwalk.Peers/drain', '{}')).toBe('UNAUTHENTICATED')
     expect(await call('/rackwalk.Peers/drain', '{}', 'guessed')).toBe('UNAUTHENTICATED')
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -24,7 +24,7 @@
 }
 
 /** Where the store is, and who is told of answers that are not of its protocol. */
-export interface StoreOptions {
+interface StoreOptions {
   /** IP:PORT. */
   readonly address: string
   /** Wait for an answer beyond the time that a call asks the store itself to wait. */
--- a/packages/daemon/src/operators/budgetCompanion.ts
+++ b/packages/daemon/src/operators/budgetCompanion.ts
@@ -1,7 +1,13 @@
 import { asId } from '@rackwalk/shared'
 import type { BudgetId, TeamId } from '@rackwalk/shared'
-import type { JsonValue, RowWrite, TableService } from '@rackwalk/stores'
-import { createBudgetRow, tableKeys, withLimit } from '@rackwalk/coordination'
+import type { RowWrite, TableService } from '@rackwalk/stores'
+import {
+  budgetRowCodec,
+  createBudgetRow,
+  tableKeys,
+  valueOf,
+  withLimit,
+} from '@rackwalk/coordination'
 import type { BudgetRow } from '@rackwalk/coordination'
 import type { BudgetSpec } from '@rackwalk/router'
 
@@ -18,21 +24,19 @@
   const budgetId = asId<BudgetId>(name)
   const key = tableKeys.budgetKey(budgetId)
   const stored = await table.get(key)
-  const current = stored?.value as unknown as BudgetRow | undefined
-  if (stored === undefined || current === undefined) {
+  if (stored === undefined) {
     if (spec === undefined) return []
     const created = createBudgetRow(budgetId, asId<TeamId>(spec.team), spec.limit)
-    return [{ kind: 'put', key, condition: { kind: 'absent' }, value: asJson(created) }]
+    return [
+      { kind: 'put', key, condition: { kind: 'absent' }, value: budgetRowCodec.toJson(created) },
+    ]
   }
+  const current = valueOf(budgetRowCodec, stored)
   const changed = spec === undefined ? { ...current, deleted: true } : changedRow(current, spec)
   const condition = { kind: 'version', version: stored.version } as const
-  return [{ kind: 'put', key, condition, value: asJson(changed) }]
+  return [{ kind: 'put', key, condition, value: budgetRowCodec.toJson(changed) }]
 }
 
 function changedRow(current: BudgetRow, spec: BudgetSpec): BudgetRow {
   return { ...withLimit(current, spec.limit), teamId: asId<TeamId>(spec.team) }
 }
-
-function asJson(row: BudgetRow): JsonValue {
-  return row as unknown as JsonValue
-}
--- a/packages/daemon/src/operators/operatorRoutes.ts
+++ b/packages/daemon/src/operators/operatorRoutes.ts
@@ -10,7 +10,14 @@
   TransactionId,
 } from '@rackwalk/shared'
 import type { JsonValue, TableService } from '@rackwalk/stores'
-import { allocatedTokens, freeTokens, readUsage, tableKeys } from '@rackwalk/coordination'
+import {
+  allocatedTokens,
+  budgetRowCodec,
+  freeTokens,
+  readUsage,
+  tableKeys,
+  valueOf,
+} from '@rackwalk/coordination'
 import type {
   AddressAnswer,
   BudgetRow,
@@ -168,8 +175,7 @@
     if (stored === undefined) {
       throw new RackwalkError(ResultCode.ResourceNotFound, `budgets/${name}`)
     }
-    const row = stored.value as unknown as BudgetRow
-    answerJson(response, 200, this.describeBudget(row))
+    answerJson(response, 200, this.describeBudget(valueOf(budgetRowCodec, stored)))
   }
 
   private describeBudget(row: BudgetRow) {
--- a/packages/daemon/src/operators/resourceApi.ts
+++ b/packages/daemon/src/operators/resourceApi.ts
@@ -1,7 +1,7 @@
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { RandomSource, TransactionId, Version } from '@rackwalk/shared'
 import type { JsonValue, TableService } from '@rackwalk/stores'
-import { resourcePartition } from '@rackwalk/coordination'
+import { resourceCodec, resourcePartition, valueOf } from '@rackwalk/coordination'
 import type { Resource, ResourceStore, ResourceWriteResult } from '@rackwalk/coordination'
 import type { BudgetSpec, ResourceKind } from '@rackwalk/router'
 import { budgetCompanion } from './budgetCompanion.js'
@@ -63,7 +63,7 @@
       const limit = query.limit
       const rows = await this.table.query(resourcePartition(kind), { after, limit })
       for (const row of rows) {
-        const resource = row.value as unknown as Resource
+        const resource = valueOf(resourceCodec, row)
         after = row.key.sort
         if (hasLabels(resource, query.labels)) items.push(resource)
         if (items.length === query.limit) return { items, next: after }
@@ -91,7 +91,7 @@
   ): Promise<Resource> {
     for (let attempt = 0; ; attempt += 1) {
       const current = await this.get(kind, name)
-      const merged = mergePatch(current as unknown as JsonValue, patch)
+      const merged = mergePatch(resourceCodec.toJson(current), patch)
       const input = parseResource(kind, name, merged)
       const expected = options.expected ?? current.metadata.version
       try {
--- a/packages/daemon/src/peers/grpcPeerChannel.ts
+++ b/packages/daemon/src/peers/grpcPeerChannel.ts
@@ -1,13 +1,21 @@
 import { Client, Metadata, credentials } from '@grpc/grpc-js'
 import type { IncarnationId, Milliseconds } from '@rackwalk/shared'
-import type { PeerChannel, PeerMessageKind, PeerReply, PeerRequest } from '@rackwalk/coordination'
+import { PEER_FORMS } from '@rackwalk/coordination'
+import type {
+  PeerChannel,
+  PeerForm,
+  PeerMessageKind,
+  PeerReply,
+  PeerRequest,
+} from '@rackwalk/coordination'
+import type { MalformedForm } from '../observe/malformedForms.js'
 import {
   MAXIMUM_MESSAGE_BYTES,
   SECRET_METADATA,
-  decodeMessage,
-  encodeMessage,
   methodPath,
   peerError,
+  toBytes,
+  toText,
 } from './peerProtocol.js'
 
 /** Finds the address of an incarnation, if it is known. */
@@ -21,6 +29,7 @@
     private readonly addressOf: AddressLookup,
     private readonly timeoutMilliseconds: Milliseconds,
     private readonly secret: string | undefined,
+    private readonly onMalformed: (form: MalformedForm) => void,
   ) {}
 
   call<Kind extends PeerMessageKind>(
@@ -39,18 +48,21 @@
     kind: Kind,
     request: PeerRequest<Kind>,
   ): Promise<PeerReply<Kind>> {
+    const form: PeerForm<Kind> = PEER_FORMS[kind]
     return new Promise((resolve, reject) => {
       this.clientOf(address).makeUnaryRequest(
         methodPath(kind),
-        encodeMessage,
-        // The peer runs the same code, and its answer is typed by the method.
-        data => decodeMessage(data) as PeerReply<Kind>,
-        request,
+        toBytes,
+        toText,
+        form.request.encode(request),
         this.metadata(),
         { deadline: Date.now() + this.timeoutMilliseconds },
-        (error, reply) => {
-          if (error || reply === undefined) reject(peerError(error?.message ?? 'no reply'))
-          else resolve(reply)
+        (error, text) => {
+          if (error || text === undefined) return reject(peerError(error?.message ?? 'no reply'))
+          const reply = form.reply.decode(text)
+          if (reply !== undefined) return resolve(reply)
+          this.onMalformed({ form: `reply to ${kind}`, source: address })
+          reject(peerError(`malformed reply to ${kind}`))
         },
       )
     })
--- a/packages/daemon/src/peers/peerProtocol.ts
+++ b/packages/daemon/src/peers/peerProtocol.ts
@@ -1,40 +1,32 @@
-import { RackwalkError, ResultCode } from '@rackwalk/shared'
+/** What the two sides of the gRPC connection between OpenAI-style instances share. */
 
-/** What the two sides of the gRPC connection between instances share. */
+import { RackwalkError, ResultCode } from '@rackwalk/shared'
+import { PEER_FORMS } from '@rackwalk/coordination'
+import type { PeerMessageKind } from '@rackwalk/coordination'
 
+/** Name of the service; it is part of each method's path. */
 const PEER_SERVICE = 'rackwalk.Peers'
+/** Metadata that carries the secret between peers. */
 export const SECRET_METADATA = 'rackwalk-peer-secret'
 /** Room for a configuration snapshot or a page of held entries. */
 export const MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
 
 /** Kinds of messages, each a unary method of the service. */
-export const PEER_KINDS = [
-  'heartbeat',
-  'members',
-  'hold',
-  'releaseHeld',
-  'collectHeld',
-  'lend',
-  'claimState',
-  'registerKey',
-  'endKey',
-  'commitBatch',
-  'configurationSince',
-  'drain',
-  'explain',
-] as const
+export const PEER_KINDS = Object.keys(PEER_FORMS) as readonly PeerMessageKind[]
 
+/** The path of a kind's method. */
 export function methodPath(kind: string): string {
   return `/${PEER_SERVICE}/${kind}`
 }
 
-/** Messages travel as JSON, which Node.js encodes natively. */
-export function encodeMessage(message: unknown): Buffer {
-  return Buffer.from(JSON.stringify(message))
+/** Messages travel as JSON, which Node.js encodes natively; this is its text as bytes. */
+export function toBytes(text: string): Buffer {
+  return Buffer.from(text)
 }
 
-export function decodeMessage(data: Buffer): unknown {
-  return JSON.parse(data.toString('utf8'))
+/** The text of a message. */
+export function toText(bytes: Buffer): string {
+  return bytes.toString('utf8')
 }
 
 /** The numbered error that a peer's failure stands for. */
--- a/packages/daemon/src/peers/peerServer.ts
+++ b/packages/daemon/src/peers/peerServer.ts
@@ -2,18 +2,21 @@
 import { Server, ServerCredentials, status } from '@grpc/grpc-js'
 import type { ServerUnaryCall, ServiceDefinition, sendUnaryData } from '@grpc/grpc-js'
 import { RackwalkError, toRackwalkError } from '@rackwalk/shared'
-import type { PeerHandlers } from '@rackwalk/coordination'
+import { PEER_FORMS } from '@rackwalk/coordination'
+import type { PeerForm, PeerHandler, PeerHandlers, PeerMessageKind } from '@rackwalk/coordination'
 import { cannotListen } from '../observe/listenOn.js'
+import type { MalformedForm } from '../observe/malformedForms.js'
 import {
   MAXIMUM_MESSAGE_BYTES,
   PEER_KINDS,
   SECRET_METADATA,
-  decodeMessage,
-  encodeMessage,
   methodPath,
+  toBytes,
+  toText,
 } from './peerProtocol.js'
 
-type UnaryHandler = (call: ServerUnaryCall<unknown, unknown>, reply: sendUnaryData<unknown>) => void
+type UnaryCall = ServerUnaryCall<string, string>
+type UnaryHandler = (call: UnaryCall, reply: sendUnaryData<string>) => void
 
 /** Receives the messages of other instances. */
 export class PeerServer {
@@ -25,13 +28,10 @@
   constructor(
     handlers: PeerHandlers,
     private readonly secret: string | undefined,
+    private readonly onMalformed: (form: MalformedForm) => void,
   ) {
     const implementation: Record<string, UnaryHandler> = {}
-    for (const kind of PEER_KINDS) {
-      // Each handler takes the request of its own kind, which the method name has chosen.
-      const handler = handlers[kind] as ((request: unknown) => unknown) | undefined
-      implementation[kind] = (call, reply) => void this.handle(handler, call, reply)
-    }
+    for (const kind of PEER_KINDS) implementation[kind] = this.methodOf(kind, handlers)
     this.server.addService(serviceDefinition(), implementation)
   }
 
@@ -49,15 +49,28 @@
     this.server.forceShutdown()
   }
 
-  private async handle(
-    handler: ((request: unknown) => unknown) | undefined,
-    call: ServerUnaryCall<unknown, unknown>,
-    reply: sendUnaryData<unknown>,
+  private methodOf<Kind extends PeerMessageKind>(kind: Kind, handlers: PeerHandlers): UnaryHandler {
+    // Each handler takes the request of its own kind, which the key has chosen.
+    const handler = handlers[kind] as PeerHandler<Kind> | undefined
+    return (call, reply) => void this.handle(kind, handler, call, reply)
+  }
+
+  private async handle<Kind extends PeerMessageKind>(
+    kind: Kind,
+    handler: PeerHandler<Kind> | undefined,
+    call: UnaryCall,
+    reply: sendUnaryData<string>,
   ): Promise<void> {
     if (!this.isTrusted(call)) return reply({ code: status.UNAUTHENTICATED })
     if (handler === undefined) return reply({ code: status.UNIMPLEMENTED })
+    const form: PeerForm<Kind> = PEER_FORMS[kind]
+    const request = form.request.decode(call.request)
+    if (request === undefined) {
+      this.onMalformed({ form: kind, source: call.getPeer() })
+      return reply({ code: status.INVALID_ARGUMENT, details: `malformed ${kind}` })
+    }
     try {
-      reply(null, await handler(call.request))
+      reply(null, form.reply.encode(await handler(request)))
     } catch (thrown) {
       const error = toRackwalkError(thrown)
       const code = thrown instanceof RackwalkError ? status.UNAVAILABLE : status.INTERNAL
@@ -65,7 +78,7 @@
     }
   }
 
-  private isTrusted(call: ServerUnaryCall<unknown, unknown>): boolean {
+  private isTrusted(call: UnaryCall): boolean {
     if (this.secret === undefined) return true
     const shown = Buffer.from(String(call.metadata.get(SECRET_METADATA)[0] ?? ''))
     const expected = Buffer.from(this.secret)
@@ -81,10 +94,10 @@
         path: methodPath(kind),
         requestStream: false,
         responseStream: false,
-        requestSerialize: encodeMessage,
-        requestDeserialize: decodeMessage,
-        responseSerialize: encodeMessage,
-        responseDeserialize: decodeMessage,
+        requestSerialize: toBytes,
+        requestDeserialize: toText,
+        responseSerialize: toBytes,
+        responseDeserialize: toText,
       },
     ]),
   )
--- a/packages/daemon/src/rackwalkDaemon.ts
+++ b/packages/daemon/src/rackwalkDaemon.ts
@@ -9,8 +9,9 @@
   Task,
 } from '@rackwalk/shared'
 import { DynamodbTableService, ObjectStoreInstanceList, S3ObjectStore } from '@rackwalk/stores'
-import type { JsonValue, ListedInstance } from '@rackwalk/stores'
+import type { JsonValue, ListedInstance, TableService } from '@rackwalk/stores'
 import {
+  CheckedTable,
   CoordinationNode,
   DEFAULT_JOURNAL_LIMITS,
   EqualSplitPolicy,
@@ -27,6 +28,7 @@
 import { Explainer } from './explainer.js'
 import { withPort } from './observe/listenOn.js'
 import { ConsolaLogger } from './observe/logger.js'
+import { MalformedForms } from './observe/malformedForms.js'
 import type { Logger } from './observe/logger.js'
 import { Metrics } from './observe/metrics.js'
 import { InForceTracker } from './operators/inForceTracker.js'
@@ -74,7 +76,10 @@
   private readonly logger: Logger
   private readonly metrics: Metrics
   private readonly identity: OwnIdentity
-  private readonly table: DynamodbTableService
+  private readonly malformed: MalformedForms
+  private readonly tableClient: DynamodbTableService
+  /** The table as all parts read it: with rows held against their forms. */
+  private readonly table: TableService
   private readonly objects: S3ObjectStore
   private readonly client: EndpointClient
   private readonly peers: GrpcPeerChannel
@@ -99,7 +104,13 @@
     this.logger = options.logger ?? new ConsolaLogger(settings.log.level, settings.instance.id)
     this.metrics = new Metrics(options.withProcessMetrics ?? true)
     this.identity = createIdentity(settings, this.random)
-    this.table = createTable(settings)
+    this.malformed = new MalformedForms(this.logger, () =>
+      this.metrics.increment('malformed_forms'),
+    )
+    this.tableClient = createTable(settings)
+    this.table = new CheckedTable(this.tableClient, ({ partition, sort }) =>
+      this.malformed.note({ form: 'row', source: `${partition}/${sort}` }),
+    )
     this.objects = createObjects(settings)
     this.client = new EndpointClient(settings.limits.stallMilliseconds)
     this.peers = this.createPeerChannel()
@@ -113,7 +124,9 @@
     this.inForce = new InForceTracker(this.node.membership, this.clock)
     this.monitor = this.createMonitor()
     this.tasks = [this.monitor, this.createPlacementTask()]
-    this.peerServer = new PeerServer(this.node.handlers, this.peerSecret())
+    this.peerServer = new PeerServer(this.node.handlers, this.peerSecret(), form =>
+      this.malformed.note(form),
+    )
     this.callerServer = this.createCallerServer()
     this.operatorServer = this.createOperatorServer()
     this.observe()
@@ -163,7 +176,7 @@
     this.peerServer.stop()
     this.peers.close()
     await this.client.close()
-    this.table.close()
+    this.tableClient.close()
     this.objects.close()
   }
 
@@ -192,6 +205,7 @@
       addressOf,
       this.settings.peers.timeoutMilliseconds,
       this.peerSecret(),
+      form => this.malformed.note(form),
     )
   }
 
--- a/packages/stores/src/textCodec.ts
+++ b/packages/stores/src/textCodec.ts
@@ -5,13 +5,7 @@
  */
 
 import type * as z from 'zod'
-
-/** Translates values to one form of text and back. */
-export interface TextCodec<Value> {
-  encode(value: Value): string
-  /** Undefined where the text is not of this form; whoever reads it counts that. */
-  decode(text: string): Value | undefined
-}
+import type { JsonValue } from './tableService.js'
 
 /** What a form of JSON looks like and how it stands for a value. */
 export interface JsonForm<Wire, Value> {
@@ -22,17 +16,28 @@
   readonly fromWire: (wire: Wire) => Value
 }
 
-/** A codec of one form of JSON. */
-export class JsonCodec<Wire, Value> implements TextCodec<Value> {
+/** Translates values to one form of JSON and back. */
+export class JsonCodec<Wire, Value> {
   constructor(private readonly form: JsonForm<Wire, Value>) {}
 
   encode(value: Value): string {
     return JSON.stringify(this.form.toWire(value))
   }
 
+  /** Undefined where the text is not of this form; whoever reads it counts that. */
   decode(text: string): Value | undefined {
-    const json = parseJson(text)
-    const wire = json === undefined ? undefined : this.form.schema.safeParse(json).data
+    return this.fromJson(parseJson(text))
+  }
+
+  /** The form as a value, for stores that write the JSON themselves. */
+  toJson(value: Value): JsonValue {
+    // Each form's schema describes JSON, which its type does not say.
+    return this.form.toWire(value) as JsonValue
+  }
+
+  /** Undefined where the JSON is not of this form. */
+  fromJson(json: unknown): Value | undefined {
+    const wire = this.form.schema.safeParse(json).data
     return wire === undefined ? undefined : this.form.fromWire(wire)
   }
 }
