--- a/bench/src/capacity/gatewayEstimate.ts
+++ b/bench/src/capacity/gatewayEstimate.ts
@@ -63,7 +63,8 @@
       coreShare: share(at(slopes.choice, fleet.endpoints / fleet.models) * requests),
       bytesPerSecond: 0,
       heapBytes: slopes.cacheHeap.perUnit * fleet.endpoints,
-      mechanism: 'router/gateway/serverChoice.ts, promptCaches.ts (every node knows every server)',
+      mechanism:
+        'decisions/choosing/endpointChoice.ts, promptCaches.ts (every node knows every server)',
     },
     {
       part: 'load datagrams, both ways',
--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -1,7 +1,8 @@
 import { VirtualClock } from '@rackwalk/shared'
 import { DemandHoldingPolicy, PrepaidLedger, StoreClock } from '@rackwalk/coordination'
 import { decodeReport, encodeReport } from '@rackwalk/daemon'
-import { FleetLoad, ServerDirectory, rankServers } from '@rackwalk/router'
+import { rankEndpoints } from '@rackwalk/decisions'
+import { FleetLoad, ServerDirectory, sharedPartOf, snapshotEndpoint } from '@rackwalk/router'
 import type { PeerLoadReport, PromptPart } from '@rackwalk/router'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 import { heapBytesOf, microsecondsOf, overSizes } from './slope.js'
@@ -61,21 +62,20 @@
 async function measureChoice(size: number): Promise<number> {
   const { directory, fleetLoad } = createServers(size)
   for (let server = 0; server < size; server += 1) fillCache(fleetLoad, server)
-  const parts = [part(3), part(7), part(10_000)]
-  return microsecondsOf(
-    () =>
-      rankServers({
-        servers: directory.available(SERVICE),
-        tried: new Set(),
-        peerLoad: server => fleetLoad.ofPeers(server),
-        uncachedTokens: server => fleetLoad.uncachedTokens(server, 3 * PART_TOKENS, parts),
-        promptParts: parts,
-        failureDomain: 'hall-a',
-        now: 0,
-        chance: 0.5,
-      }),
-    20,
-  )
+  const prompt = {
+    tokens: { prompt: 3 * PART_TOKENS, maximumOutput: 0 },
+    promptParts: [part(3), part(7), part(10_000)],
+  }
+  return microsecondsOf(() => {
+    const available = directory.available(SERVICE)
+    return rankEndpoints({
+      open: available.map(endpoint => snapshotEndpoint(endpoint, fleetLoad, prompt, 0)),
+      serviceIds: available.map(({ record }) => record.id),
+      sharedPartId: sharedPartOf(prompt),
+      failureDomain: 'hall-a',
+      chance: 0.5,
+    })
+  }, 20)
 }
 
 function createServers(size: number) {
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -4,11 +4,11 @@
 import { openingComment } from './scripts/lint/openingComment.mjs'
 
 // Packages in the order in which they may depend on each other: each imports only earlier ones.
-const LAYERS = ['shared', 'stores', 'coordination', 'router', 'daemon']
+const LAYERS = ['shared', 'decisions', 'stores', 'coordination', 'router', 'daemon']
 // The coordination library is embedded by others, so it must not know a transport or an engine.
 const TRANSPORTS = ['undici', '@grpc/grpc-js', 'node:http', 'http']
 // Folders whose modules and exports all have a doc comment; the list can only grow.
-const DOCUMENTED = ['packages/shared', 'packages/stores', 'platform']
+const DOCUMENTED = ['packages/shared', 'packages/decisions', 'packages/stores', 'platform']
 // Longer or more branched functions are hard to hold in mind; those that were there when the
 // rule came are counted by file in eslint-suppressions.json, and the count can only fall.
 const FUNCTION_LINES = 40
--- a/packages/coordination/src/claims/keyRegistrar.ts
+++ b/packages/coordination/src/claims/keyRegistrar.ts
@@ -7,7 +7,7 @@
   TokenCount,
 } from '@rackwalk/shared'
 import type { KeyRegistration, PeerChannel, PeerReply, PeerRequest } from '../peerMessages.js'
-import { rendezvousChoice } from '../rendezvous.js'
+import { rendezvousChoice } from '@rackwalk/decisions'
 
 interface RegisteredKey {
   readonly incarnation: IncarnationId
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -34,7 +34,7 @@
 import { DEFAULT_NODE_TIMINGS } from './nodeTimings.js'
 import type { NodeTimings } from './nodeTimings.js'
 import type { MemberInfo, PeerChannel, PeerHandlers, ServingState } from './peerMessages.js'
-import { rendezvousOrder } from './rendezvous.js'
+import { rendezvousOrder } from '@rackwalk/decisions'
 import { SegmentArchive } from './segmentArchive.js'
 
 /** Who this instance is; an instance learns it from its settings. */
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -12,7 +12,7 @@
 export { valueOf } from './forms.js'
 export { MemoryCounters } from './counters.js'
 export type { CounterName, Counters } from './counters.js'
-export { rendezvousChoice, rendezvousOrder } from './rendezvous.js'
+export { rendezvousChoice, rendezvousOrder } from '@rackwalk/decisions'
 export * as tableKeys from './tableKeys.js'
 
 export { DEFAULT_JOURNAL_LIMITS, Journal } from './journal/journal.js'
--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -3,7 +3,7 @@
 import type { RowWrite, TableService, TransactResult } from '@rackwalk/stores'
 import { MAXIMUM_TRANSACTION_WRITES, rowName } from '@rackwalk/stores'
 import type { MemberInfo, PeerChannel, PeerRequest } from '../peerMessages.js'
-import { rendezvousChoice } from '../rendezvous.js'
+import { rendezvousChoice } from '@rackwalk/decisions'
 import type { BatchCommitter } from './batchCommitter.js'
 
 interface QueuedBatch {
--- a/packages/coordination/src/membership/activeInstances.ts
+++ b/packages/coordination/src/membership/activeInstances.ts
@@ -1,6 +1,6 @@
 import { groupBy } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import { rendezvousOrder } from '../rendezvous.js'
+import { rendezvousOrder } from '@rackwalk/decisions'
 
 /**
  * Which instances take callers. Each instance that takes callers holds part of every budget, and
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -1,4 +1,5 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
+import { outcomeLabel } from '@rackwalk/decisions'
 import { ResultCode, resultName } from '@rackwalk/shared'
 import type { GatewayRecord } from '@rackwalk/router'
 
@@ -87,8 +88,7 @@
     const route = record.route ?? 'none'
     this.requests.inc({ code: String(code), result: resultName(code), route })
     for (const { outcome } of record.attempts) {
-      const kind = outcome.split(' ').slice(0, 2).join(' ')
-      this.attempts.inc({ service: record.service ?? 'none', outcome: kind })
+      this.attempts.inc({ service: record.service ?? 'none', outcome: outcomeLabel(outcome) })
     }
     if (record.reservation !== undefined) this.reservations.inc({ outcome: record.reservation })
     if (record.tenant !== undefined) this.tokens.inc({ tenant: record.tenant }, record.spent ?? 0)
--- a/packages/daemon/src/gateway/requestLine.ts
+++ b/packages/daemon/src/gateway/requestLine.ts
@@ -1,5 +1,6 @@
 /** The line of the log that tells of one request, field by field as collectors know it. */
 
+import { outcomeText } from '@rackwalk/decisions'
 import type { GatewayRecord } from '@rackwalk/router'
 
 /** Fields of the line; those of which nothing is known are left out of its JSON. */
@@ -11,7 +12,7 @@
       score: attempt.score,
       compared: attempt.compared,
       waitedMilliseconds: attempt.waitedMilliseconds,
-      outcome: attempt.outcome,
+      outcome: outcomeText(attempt.outcome),
     })),
     configurationVersion: record.configurationVersion,
     route: record.route,
--- /dev/null
+++ b/packages/decisions/__tests__/finalError.spec.ts
@@ -0,0 +1,63 @@
+import { describe, expect, it } from 'vitest'
+import { finalError } from '@rackwalk/decisions'
+import type { AttemptOutcome, NoChoice } from '@rackwalk/decisions'
+import { RESULT_TABLE } from '@rackwalk/shared'
+
+/** What a caller is told whose request came to no whole answer. */
+
+const NO_CONNECTION: AttemptOutcome = { kind: 'connect-failed', reason: 'ECONNREFUSED' }
+const REFUSED: AttemptOutcome = { kind: 'refused', status: 503 }
+const FAILED: AttemptOutcome = { kind: 'failed', reason: 'ECONNRESET' }
+const UNSIGNED: AttemptOutcome = { kind: 'not-trusted', problem: 'unsigned answer' }
+const BROKE_OFF: AttemptOutcome = { kind: 'broke-off', events: 2 }
+const UNMARKED_503: AttemptOutcome = { kind: 'answered', status: 503 }
+
+const HISTORIES: Readonly<Record<string, readonly AttemptOutcome[]>> = {
+  'no attempt': [],
+  'no connection': [NO_CONNECTION],
+  refused: [REFUSED],
+  'refused, no connection': [REFUSED, NO_CONNECTION],
+  'no connection, refused': [NO_CONNECTION, REFUSED],
+  failed: [FAILED],
+  'failed, refused': [FAILED, REFUSED],
+  unsigned: [UNSIGNED],
+  'failed, broke off': [FAILED, BROKE_OFF],
+  'a 503 that no refusal marks': [UNMARKED_503],
+}
+
+function told(
+  history: readonly AttemptOutcome[],
+  more: { isCallerGone?: boolean; isLate?: boolean; noChoice?: NoChoice } = {},
+): string {
+  const error = finalError({
+    service: 'models',
+    history,
+    isCallerGone: false,
+    isLate: false,
+    noChoice: undefined,
+    ...more,
+  })
+  return `${error.code} ${RESULT_TABLE[error.code].execution}: ${error.message}`
+}
+
+describe('the error of a request without a whole answer', () => {
+  it('follows from its attempts', () => {
+    const table = Object.entries(HISTORIES).map(([name, history]) => `${name} | ${told(history)}`)
+    expect(table).toMatchSnapshot()
+  })
+
+  it('says where the deadline passed', () => {
+    const table = Object.entries(HISTORIES).map(
+      ([name, history]) => `${name} | ${told(history, { isLate: true })}`,
+    )
+    expect(table).toMatchSnapshot()
+  })
+
+  it('says that nobody could be asked, or that the caller left', () => {
+    expect([
+      told([], { noChoice: 'none-listed' }),
+      told([], { noChoice: 'none-with-room' }),
+      told([FAILED], { isCallerGone: true, isLate: true }),
+    ]).toMatchSnapshot()
+  })
+})
--- a/packages/router/__tests__/spentTokens.spec.ts
+++ b/packages/decisions/__tests__/settledCost.spec.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest'
-import { spentTokens } from '@rackwalk/router'
+import { settledCost } from '@rackwalk/decisions'
 
 const TOKENS = { prompt: 1_000, maximumOutput: 200 }
 const TOKENS_PER_EVENT = 4
 
 /** Cost of a request that a server may have run, with what the caller was given of its answer. */
 function costOf(isHandedOut: boolean, events: number, isWhole: boolean) {
-  const result = { mayHaveRun: true, isHandedOut, events, isWhole }
-  return spentTokens(result, TOKENS, TOKENS_PER_EVENT)
+  const result = { isHandedOut, events, isWhole }
+  return settledCost(result, TOKENS, TOKENS_PER_EVENT)
 }
 
 describe('what a request has cost its tenant', () => {
@@ -24,7 +24,7 @@
   })
 
   it('is nothing for one that never ran', () => {
-    const result = { mayHaveRun: false, isHandedOut: false, events: 0, isWhole: false }
-    expect(spentTokens(result, TOKENS, TOKENS_PER_EVENT)).toBe(0)
+    const result = { isHandedOut: false, events: 0, isWhole: false }
+    expect(settledCost(result, TOKENS, TOKENS_PER_EVENT)).toBe(0)
   })
 })
--- /dev/null
+++ b/packages/decisions/src/admitting/budgetPatience.ts
@@ -0,0 +1,31 @@
+/**
+ * How long does a request wait for its budget, and when is a refused caller told to come back?
+ *
+ * A refusal that comes early can still be made good elsewhere; one that comes late costs the caller
+ * its goal. Where the budget is used up for good there is no time to come back at.
+ */
+
+import type { Milliseconds } from '@rackwalk/shared'
+
+/** Part of a route's goal that may pass before a refusal. Chosen, not measured. */
+const REFUSAL_SHARE = 0.2
+/** The longest wait for the store and for loans. Chosen: a loan takes 90 ms at most. */
+const LONGEST_PATIENCE_MILLISECONDS = 120
+/** Where other instances hold the tokens: they may have given some by then. Chosen. */
+const RETURN_AFTER_SECONDS = 0.25
+/** Callers are told hundredths of a second. */
+const HUNDREDTHS = 100
+
+/** The longest time for which a request may wait for tokens. */
+export function budgetPatience(goalMilliseconds: Milliseconds): Milliseconds {
+  return Math.min(LONGEST_PATIENCE_MILLISECONDS, REFUSAL_SHARE * goalMilliseconds)
+}
+
+/**
+ * Seconds after which a caller should come back; `waitMilliseconds` is when this instance may spend
+ * the tokens by itself, undefined where it cannot tell.
+ */
+export function returnAfterSeconds(waitMilliseconds: Milliseconds | undefined): number {
+  const wait = (waitMilliseconds ?? 0) / 1000
+  return Math.max(RETURN_AFTER_SECONDS, Math.round(wait * HUNDREDTHS) / HUNDREDTHS)
+}
--- /dev/null
+++ b/packages/decisions/src/choosing/endpointChoice.ts
@@ -0,0 +1,131 @@
+/**
+ * Which endpoint gets a request of the gateway kind?
+ *
+ * Inputs are snapshots of the endpoints that may take the request: what is in progress there from
+ * this instance and, as last told by datagrams (20 ms old in a small fleet), from the others; what
+ * the endpoint itself said in its newest answer; and how much of this prompt it would have to read.
+ * The score is the expected wait, expressed in prompt tokens that are read before the request's
+ * turn; the smallest wins. Trials of the weights: docs/design/gateway-routing.md.
+ *
+ * The OpenAI-style kind has a rule of its own (router/routing/routingPolicy.ts): its engines publish
+ * what they have cached and how much prompt waits, and operators choose among policies by resource.
+ */
+
+import type { Milliseconds, TokenCount } from '@rackwalk/shared'
+import { rendezvousChoice } from './rendezvous.js'
+
+/** What is known of one endpoint when a request looks for one. */
+export interface EndpointSnapshot {
+  readonly id: string
+  readonly failureDomain: string
+  /** Requests in progress from all instances, as far as this one knows. */
+  readonly running: number
+  /** Prompt tokens of requests from all instances that have not had their first event. */
+  readonly pendingTokens: TokenCount
+  /** Tokens of this request's prompt that the endpoint has probably not cached. */
+  readonly uncachedTokens: TokenCount
+  /** The load in the endpoint's newest answer; undefined where it never told one. */
+  readonly reported: ReportedLoad | undefined
+  /** Share of late requests that failed there, in [0, 1]. */
+  readonly failureShare: number
+}
+
+/** Load as an endpoint told it with an answer. */
+export interface ReportedLoad {
+  readonly running: number
+  readonly waiting: number
+  readonly ageMilliseconds: Milliseconds
+}
+
+/** What the choice rests on. */
+export interface ChoiceInputs {
+  /** Endpoints with room that this request was not sent to yet. */
+  readonly open: readonly EndpointSnapshot[]
+  /** Ids of all endpoints of the service, by which shared prompts are spread. */
+  readonly serviceIds: readonly string[]
+  /** The longest part of the prompt that other requests share; undefined where there is none. */
+  readonly sharedPartId: string | undefined
+  /** Where this instance runs. */
+  readonly failureDomain: string
+  /** In [0, 1); breaks ties, so that instances with equal knowledge do not all choose alike. */
+  readonly chance: number
+}
+
+/** One endpoint and its expected wait, in prompt tokens; smaller is better. */
+export interface EndpointScore {
+  readonly id: string
+  readonly score: number
+}
+
+/**
+ * What one request in progress costs the next one, in prompt tokens. Taken from the forwarder
+ * without budgets that docs/measurements.md compares with; not varied since.
+ */
+const RUNNING_COST: TokenCount = 60
+/**
+ * A token that is read delays this request and all that run beside it, so it counts more than once.
+ * Measured: 1.5 gave a mean worth of 0.550 and 0.673, 2 gave 0.556 and 0.679, 3 gave 0.521 and 0.684
+ * (booking office and Docworks, docs/measurements.md).
+ */
+const READING_WEIGHT = 2
+/**
+ * Takes a shared prompt to the same endpoint from instances that hear nothing of each other.
+ * Chosen, not measured by itself; too much affinity is known to cost far more than it saves.
+ */
+const AFFINITY_BONUS: TokenCount = 200
+/** Bytes between failure domains have a price. Taken from the same forwarder; not varied since. */
+const NEAR_BONUS: TokenCount = 60
+/** Cost of an endpoint of which all late requests failed. Chosen, not measured. */
+const FAILURE_COST: TokenCount = 12_000
+/** An endpoint that fails more than this share is passed over while another does not. Chosen. */
+const EJECTED_FAILURE_SHARE = 0.6
+/** A load that an endpoint told counts for this long. Chosen: loads change within a few events. */
+const REPORT_MILLISECONDS = 400
+/** What a request that waits at the endpoint costs, beyond a running one. Chosen, not measured. */
+const WAITING_COST: TokenCount = 400
+
+/** Scores of the endpoints that may take the request, best first; empty where none may. */
+export function rankEndpoints(inputs: ChoiceInputs): readonly EndpointScore[] {
+  const candidates = withoutEjected(inputs.open)
+  const favourite = favouriteOf(inputs)
+  return rotated(candidates, inputs.chance)
+    .map(endpoint => ({ id: endpoint.id, score: scoreOf(endpoint, inputs, favourite) }))
+    .sort((left, right) => left.score - right.score)
+}
+
+/** Endpoints that fail often are left out, unless all do. */
+function withoutEjected(open: readonly EndpointSnapshot[]): readonly EndpointSnapshot[] {
+  const sound = open.filter(endpoint => endpoint.failureShare < EJECTED_FAILURE_SHARE)
+  return sound.length > 0 ? sound : open
+}
+
+/** The sort is stable, so the order before it decides between equal scores. */
+function rotated<Item>(items: readonly Item[], chance: number): readonly Item[] {
+  const offset = Math.floor(chance * Math.max(1, items.length))
+  return [...items.slice(offset), ...items.slice(0, offset)]
+}
+
+function scoreOf(
+  endpoint: EndpointSnapshot,
+  inputs: ChoiceInputs,
+  favourite: string | undefined,
+): number {
+  const reported = freshReport(endpoint)
+  const running = Math.max(endpoint.running, reported?.running ?? 0)
+  const waiting = reported?.waiting ?? 0
+  const reading = READING_WEIGHT * endpoint.uncachedTokens
+  const cost = endpoint.pendingTokens + reading + RUNNING_COST * running + WAITING_COST * waiting
+  const affinity = endpoint.id === favourite ? AFFINITY_BONUS : 0
+  const near = endpoint.failureDomain === inputs.failureDomain ? NEAR_BONUS : 0
+  return cost + FAILURE_COST * endpoint.failureShare ** 2 - affinity - near
+}
+
+function freshReport({ reported }: EndpointSnapshot): ReportedLoad | undefined {
+  if (reported === undefined) return undefined
+  return reported.ageMilliseconds < REPORT_MILLISECONDS ? reported : undefined
+}
+
+/** The endpoint to which all instances send a shared part, by highest hash. */
+function favouriteOf({ sharedPartId, serviceIds }: ChoiceInputs): string | undefined {
+  return sharedPartId === undefined ? undefined : rendezvousChoice(sharedPartId, serviceIds)
+}
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/decisions/src/choosing/rendezvous.ts
@@ -1,3 +1,5 @@
+/** Choices that instances make alike without a word between them, by hashing. */
+
 import { createHash } from 'node:crypto'
 
 /**
--- /dev/null
+++ b/packages/decisions/src/index.ts
@@ -0,0 +1,20 @@
+/**
+ * The rules by which requests are placed, admitted, repeated and given up: pure code over plain
+ * snapshots, without I/O, timers or logging. docs/decisions.md lists them.
+ */
+export { rankEndpoints } from './choosing/endpointChoice.js'
+export type { EndpointSnapshot } from './choosing/endpointChoice.js'
+export { rendezvousChoice, rendezvousOrder } from './choosing/rendezvous.js'
+
+export { budgetPatience, returnAfterSeconds } from './admitting/budgetPatience.js'
+export { settledCost } from './admitting/settledCost.js'
+
+export { mayHaveRun, outcomeLabel, outcomeText } from './retrying/attemptOutcome.js'
+export type { AttemptOutcome } from './retrying/attemptOutcome.js'
+export { FleetRetryBudget } from './retrying/fleetRetryBudget.js'
+export type { RetryBounds } from './retrying/fleetRetryBudget.js'
+export { isPromising, isServerError, nextStep } from './retrying/nextStep.js'
+export type { NextStep } from './retrying/nextStep.js'
+
+export { finalError } from './stopping/finalError.js'
+export type { NoChoice } from './stopping/finalError.js'
--- /dev/null
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -0,0 +1,66 @@
+/**
+ * What is a caller told whose request came to no whole answer?
+ *
+ * "Not run" is said only where no attempt can have run the request. Where several attempts failed,
+ * the newest of those that may have run it counts.
+ */
+
+import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
+import type { RackwalkError } from '@rackwalk/shared'
+import type { AttemptOutcome } from '../retrying/attemptOutcome.js'
+import { mayHaveRun } from '../retrying/attemptOutcome.js'
+import { isPromising } from '../retrying/nextStep.js'
+
+/** Why no endpoint was asked at all. */
+export type NoChoice = 'none-listed' | 'none-with-room'
+
+/** How a request ended that came to no whole answer. */
+export interface EndedRequest {
+  readonly service: string
+  /** Outcomes of all attempts, the newest last; one that was cut short by the end has none. */
+  readonly history: readonly AttemptOutcome[]
+  readonly isCallerGone: boolean
+  readonly isLate: boolean
+  /** Why nothing was chosen for the first attempt; undefined where something was. */
+  readonly noChoice: NoChoice | undefined
+}
+
+/** The error of a request that came to no whole answer. */
+export function finalError(request: EndedRequest): RackwalkError {
+  if (request.isCallerGone) return new DispatchedError(ResultCode.CallerLeft)
+  if (request.isLate) return lateError(request)
+  return errorAfter(request)
+}
+
+function lateError({ history }: EndedRequest): RackwalkError {
+  const wasSent = history.some(({ kind }) => kind !== 'connect-failed')
+  if (wasSent) return new DispatchedError(ResultCode.DeadlinePassed)
+  return new NotRunError(ResultCode.DeadlineUnreachable)
+}
+
+function errorAfter({ service, history, noChoice }: EndedRequest): RackwalkError {
+  if (noChoice === 'none-listed') return new NotRunError(ResultCode.NoEndpoint, service)
+  if (noChoice === 'none-with-room') return new NotRunError(ResultCode.Overloaded, service)
+  const ran = history.filter(mayHaveRun)
+  const failure = ran.findLast(isFailure)
+  if (failure !== undefined) return errorOfRun(failure)
+  if (history.at(-1)?.kind === 'refused') return new NotRunError(ResultCode.EndpointRefused)
+  const detail = history.length > 0 ? 'no connection' : undefined
+  return new NotRunError(ResultCode.NoEndpoint, detail)
+}
+
+/** An answer is a failure of its own only where it must not be passed on. */
+function isFailure(outcome: AttemptOutcome): boolean {
+  return outcome.kind !== 'answered' || isPromising(outcome.status)
+}
+
+function errorOfRun(outcome: AttemptOutcome): RackwalkError {
+  switch (outcome.kind) {
+    case 'broke-off':
+      return new DispatchedError(ResultCode.EndpointBrokeOff)
+    case 'answered':
+      return new DispatchedError(ResultCode.EndpointError, `status ${outcome.status}`)
+    default:
+      return new DispatchedError(ResultCode.EndpointFailed)
+  }
+}
--- a/packages/router/__tests__/peerLoads.spec.ts
+++ b/packages/router/__tests__/peerLoads.spec.ts
@@ -5,8 +5,9 @@
   PeerLoads,
   PromptCaches,
   ServerDirectory,
-  rankServers,
+  snapshotEndpoint,
 } from '@rackwalk/router'
+import { rankEndpoints } from '@rackwalk/decisions'
 import type { PeerLoadReport } from '@rackwalk/router'
 
 const SERVER = {
@@ -149,17 +150,18 @@
   it('counts what other instances have sent there', () => {
     const directory = directoryOf('s1', 's2')
     const peers = new PeerLoads(new VirtualClock())
-    const choose = () =>
-      rankServers({
-        servers: directory.available('model'),
-        tried: new Set(),
-        peerLoad: server => peers.at(server),
-        uncachedTokens: () => 0,
-        promptParts: [],
+    const fleet = { ofPeers: (server: string) => peers.at(server), uncachedTokens: () => 0 }
+    const prompt = { tokens: undefined, promptParts: [] }
+    const choose = () => {
+      const available = directory.available('model')
+      return rankEndpoints({
+        open: available.map(endpoint => snapshotEndpoint(endpoint, fleet, prompt, 0)),
+        serviceIds: available.map(({ record }) => record.id),
+        sharedPartId: undefined,
         failureDomain: 'hall-a',
-        now: 0,
         chance: new SystemRandom().next(),
-      })[0]?.server.record.id
+      })[0]?.id
+    }
     // Found on played days: each instance saw a seventh of a long prompt queue.
     peers.observe(report(1, 5))
     expect(choose()).toBe('s2')
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -1,12 +1,17 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { NotRunError, RESULT_TABLE, ResultCode, toRackwalkError } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
+import {
+  FleetRetryBudget,
+  budgetPatience,
+  returnAfterSeconds,
+  settledCost,
+} from '@rackwalk/decisions'
+import type { RetryBounds } from '@rackwalk/decisions'
 import type { PrepaidLedger, PrepaidOutcome, PrepaidReservation } from '@rackwalk/coordination'
 import { readBody } from '../readBody.js'
 import { CallerReply } from './callerReply.js'
 import type { Dialect, RequestMetadata } from './dialect.js'
-import { Dispatch, spentTokens } from './dispatch.js'
-import type { DispatchParts, DispatchResult } from './dispatch.js'
 import { chooseService } from './gatewayConfiguration.js'
 import type {
   GatewayRoute,
@@ -15,12 +20,12 @@
   RouteTable,
 } from './gatewayConfiguration.js'
 import type { GatewayRecord } from './gatewayRecord.js'
-import { RetryWindow } from './retryWindow.js'
-import type { RetryBounds } from './retryWindow.js'
+import { RequestAttempts } from './requestAttempts.js'
+import type { AttemptsParts, AttemptsResult } from './requestAttempts.js'
 
 /** The request path for generic routes: identify, read, reserve, dispatch, settle, record. */
 
-export interface GatewayParts extends DispatchParts {
+export interface GatewayParts extends AttemptsParts {
   readonly dialect: Dialect
   readonly clock: Clock
   readonly random: RandomSource
@@ -47,21 +52,16 @@
   readonly goalAt: Milliseconds
 }
 
-const NOT_RUN: DispatchResult = {
+const NOT_RUN: AttemptsResult = {
   mayHaveRun: false,
   isHandedOut: false,
   events: 0,
   isWhole: false,
 }
 
-/** A refusal that comes within this part of the goal may still be made good elsewhere. */
-const REFUSAL_SHARE = 0.2
-const LONGEST_PATIENCE_MILLISECONDS = 120
-/** When to come back where other instances hold the tokens: they may have given some by then. */
-const RETURN_AFTER_SECONDS = 0.25
-
 export class Gateway {
-  private readonly retryWindows = new Map<string, RetryWindow>()
+  /** By service. */
+  private readonly retryBudgets = new Map<string, FleetRetryBudget>()
   private running = 0
 
   constructor(private readonly parts: GatewayParts) {}
@@ -102,12 +102,13 @@
     const identified = this.identify(request, metadata, record)
     const { route, service, tenant } = identified
     const body = await this.readBody(request)
-    const retries = this.retryWindow(service.name)
-    retries.noteRequest()
+    const { clock, instances } = this.parts
+    const retries = this.retryBudget(service.name)
+    retries.noteRequest(clock.monotonic())
     const reservation = await this.reserve(identified, record)
-    let result: DispatchResult = NOT_RUN
+    let result: AttemptsResult = NOT_RUN
     try {
-      const dispatch = new Dispatch(this.parts, {
+      const attempts = new RequestAttempts(this.parts, {
         metadata,
         route,
         service,
@@ -120,9 +121,9 @@
         deadlineAt: identified.deadlineAt,
         reply,
         record,
-        retries,
+        takeRetry: () => retries.take(clock.monotonic(), instances()),
       })
-      result = await dispatch.run()
+      result = await attempts.run()
       record.execution = result.mayHaveRun ? 'ran' : 'not-run'
     } finally {
       this.settle(identified, reservation, result, record)
@@ -168,8 +169,7 @@
     if (tenant?.prepaid === undefined || metadata.tokens === undefined) return undefined
     const tokens = metadata.tokens.prompt + metadata.tokens.maximumOutput
     record.tokens = tokens
-    const share = REFUSAL_SHARE * route.goalMilliseconds
-    const patience = Math.min(LONGEST_PATIENCE_MILLISECONDS, share)
+    const patience = budgetPatience(route.goalMilliseconds)
     const outcome = await this.parts.ledger.reserve(tenant.name, tokens, patience)
     if (outcome.kind === 'reserved') {
       record.reservation = outcome.path
@@ -188,19 +188,18 @@
     record.reservation = outcome.reason
     record.budget = this.parts.ledger.describe(tenant)
     if (outcome.reason === 'exhausted') return new NotRunError(ResultCode.BudgetExhausted)
-    const wait = (outcome.waitMilliseconds ?? 0) / 1000
-    const returnAfter = Math.max(RETURN_AFTER_SECONDS, Math.round(wait * 100) / 100)
+    const returnAfter = returnAfterSeconds(outcome.waitMilliseconds)
     return new NotRunError(ResultCode.BudgetUnavailable, undefined, returnAfter)
   }
 
   private settle(
     { metadata, service }: IdentifiedRequest,
     reservation: PrepaidReservation | undefined,
-    result: DispatchResult,
+    result: AttemptsResult,
     record: GatewayRecord,
   ): void {
     if (reservation === undefined || metadata.tokens === undefined) return
-    const spent = spentTokens(result, metadata.tokens, service.engine?.tokensPerEvent ?? 1)
+    const spent = settledCost(result, metadata.tokens, service.engine?.tokensPerEvent ?? 1)
     record.spent = spent
     this.parts.ledger.settle(reservation, spent)
   }
@@ -228,12 +227,11 @@
     this.parts.onRecord(record)
   }
 
-  private retryWindow(service: string): RetryWindow {
-    const known = this.retryWindows.get(service)
+  private retryBudget(service: string): FleetRetryBudget {
+    const known = this.retryBudgets.get(service)
     if (known !== undefined) return known
-    const { retryBounds, clock, instances } = this.parts
-    const created = new RetryWindow(retryBounds, clock, instances)
-    this.retryWindows.set(service, created)
+    const created = new FleetRetryBudget(this.parts.retryBounds)
+    this.retryBudgets.set(service, created)
     return created
   }
 }
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -1,4 +1,5 @@
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
+import type { AttemptOutcome } from '@rackwalk/decisions'
 import type { Execution } from '@rackwalk/shared'
 
 /** What is kept of one request's decisions; it becomes one line of the log. */
@@ -9,7 +10,8 @@
   /** Servers that were compared. */
   readonly compared: number
   readonly waitedMilliseconds: Milliseconds
-  outcome: string
+  /** Undefined until the attempt has ended. */
+  outcome: AttemptOutcome | undefined
 }
 
 export interface GatewayRecord {
--- /dev/null
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -0,0 +1,334 @@
+/**
+ * Sends one request of the gateway kind to endpoints until one answers. The rules say which
+ * endpoint is asked, whether another one is asked after a failure, and what the caller is told at
+ * the end (packages/decisions); this module collects what they need, acts, and notes the outcomes.
+ * Owns the exchange in progress and the outcomes of the attempts.
+ */
+
+import type { IncomingMessage } from 'node:http'
+import {
+  finalError,
+  isPromising,
+  isServerError,
+  mayHaveRun,
+  nextStep,
+  rankEndpoints,
+} from '@rackwalk/decisions'
+import type { AttemptOutcome, NextStep, NoChoice } from '@rackwalk/decisions'
+import type { Clock, Milliseconds, RandomSource, TokenCount } from '@rackwalk/shared'
+import { AnswerRelay } from './answerRelay.js'
+import type { CallerReply } from './callerReply.js'
+import type { Dialect, ReplyMetadata, RequestMetadata } from './dialect.js'
+import { sharedPartOf, snapshotEndpoint } from './endpointSnapshots.js'
+import { EventRelay } from './eventRelay.js'
+import type { FleetLoad } from './fleetLoad.js'
+import type { GatewayRoute, GatewayService } from './gatewayConfiguration.js'
+import type { GatewayRecord } from './gatewayRecord.js'
+import type { ServerDirectory, ServerState } from './serverDirectory.js'
+import { UpstreamExchange } from './upstreamExchange.js'
+
+/** What the attempts at requests work with. */
+export interface AttemptsParts {
+  readonly dialect: Dialect
+  readonly directory: ServerDirectory
+  readonly fleetLoad: FleetLoad
+  readonly clock: Clock
+  readonly random: RandomSource
+  readonly failureDomain: string
+  readonly connectMilliseconds: Milliseconds
+}
+
+/** A request that may be sent: admitted, read and paid for. */
+export interface AttemptedRequest {
+  readonly metadata: RequestMetadata
+  readonly route: GatewayRoute
+  readonly service: GatewayService
+  readonly tenant: string | undefined
+  readonly priority: number | undefined
+  readonly method: string
+  readonly path: string
+  readonly rawHeaders: readonly string[]
+  readonly body: Buffer
+  /** Monotonic time at which the caller or the route gives up. */
+  readonly deadlineAt: Milliseconds
+  readonly reply: CallerReply
+  readonly record: GatewayRecord
+  /** Takes one retry of the service's budget, if there is one. */
+  readonly takeRetry: () => boolean
+}
+
+/** How the attempts ended, for the budget and the log. */
+export interface AttemptsResult {
+  /** Whether an endpoint ran the request, or may have. */
+  readonly mayHaveRun: boolean
+  /** Whether the caller was given any part of an endpoint's answer. */
+  readonly isHandedOut: boolean
+  readonly events: number
+  /** Whether the last answer came to its own end. */
+  readonly isWhole: boolean
+}
+
+/** `done`: an answer was passed on whole. */
+type AttemptEnd = 'done' | Exclude<NextStep, 'pass-on'>
+
+/**
+ * An endpoint ends its work at the deadline by itself; its answer is awaited this much longer.
+ * Chosen, not measured.
+ */
+const DEADLINE_SLACK_MILLISECONDS = 80
+const STATUS_OK = 200
+/** Statuses below this one are successes, which an endpoint signs. */
+const STATUS_REDIRECT = 300
+
+/** The attempts at one request. */
+export class RequestAttempts {
+  private readonly tried = new Set<string>()
+  private readonly events = new EventRelay()
+  private readonly history: AttemptOutcome[] = []
+  private exchange: UpstreamExchange | undefined
+  private noChoice: NoChoice | undefined
+  private isHandedOut = false
+  private isLate = false
+
+  constructor(
+    private readonly parts: AttemptsParts,
+    private readonly request: AttemptedRequest,
+  ) {}
+
+  /** Serves the request to its end; the caller has an answer or a refusal when it resolves. */
+  async run(): Promise<AttemptsResult> {
+    const { reply, deadlineAt } = this.request
+    reply.onLeave(() => this.exchange?.abort())
+    const untilDeadline = deadlineAt - this.parts.clock.monotonic() + DEADLINE_SLACK_MILLISECONDS
+    const timer = this.parts.clock.after(untilDeadline, () => this.passDeadline())
+    try {
+      const isWhole = await this.attemptUntilDone()
+      return {
+        mayHaveRun: this.history.some(mayHaveRun),
+        isHandedOut: this.isHandedOut,
+        events: this.events.events,
+        isWhole,
+      }
+    } finally {
+      timer.cancel()
+    }
+  }
+
+  private passDeadline(): void {
+    this.isLate = true
+    this.exchange?.abort()
+  }
+
+  private get isOver(): boolean {
+    return this.isLate || this.request.reply.isLeft
+  }
+
+  /** True where an answer was passed on whole. */
+  private async attemptUntilDone(): Promise<boolean> {
+    while (!this.isOver) {
+      const endpoint = this.choose()
+      if (endpoint === undefined) break
+      const end = await this.attempt(endpoint)
+      if (end === 'done') return true
+      if (end === 'give-up') break
+    }
+    this.giveUp()
+    return false
+  }
+
+  /** The best endpoint, or undefined where none may take the request. */
+  private choose(): ServerState | undefined {
+    const { directory, fleetLoad, clock, random, failureDomain } = this.parts
+    const { service, metadata } = this.request
+    const now = clock.monotonic()
+    const available = directory.available(service.name)
+    const open = available.filter(({ hasRoom, record }) => hasRoom && !this.tried.has(record.id))
+    const ranked = rankEndpoints({
+      open: open.map(endpoint => snapshotEndpoint(endpoint, fleetLoad, metadata, now)),
+      serviceIds: available.map(({ record }) => record.id),
+      sharedPartId: sharedPartOf(metadata),
+      failureDomain,
+      chance: random.next(),
+    })
+    const [best] = ranked
+    if (best === undefined) {
+      const reason = available.length === 0 ? 'none-listed' : 'none-with-room'
+      if (this.tried.size === 0) this.noChoice = reason
+      return undefined
+    }
+    this.noteChoice(best.id, best.score, ranked.length)
+    return open.find(({ record }) => record.id === best.id)
+  }
+
+  private noteChoice(server: string, score: number, compared: number): void {
+    const { record } = this.request
+    record.attempts.push({
+      server,
+      score: Math.round(score),
+      compared,
+      waitedMilliseconds: Math.round(this.parts.clock.monotonic() - record.receivedAt),
+      outcome: undefined,
+    })
+  }
+
+  private async attempt(endpoint: ServerState): Promise<AttemptEnd> {
+    const { id } = endpoint.record
+    const pending = endpoint.beginRequest(this.uncachedTokens(id))
+    this.parts.fleetLoad.noteSent(id, this.request.metadata.promptParts)
+    this.tried.add(id)
+    try {
+      const exchange = this.open(endpoint)
+      const head = await exchange.awaitAnswer()
+      if (head.kind === 'head') {
+        return await this.takeAnswer(endpoint, exchange, head.response, pending.noteBegun)
+      }
+      endpoint.noteOutcome(false)
+      const kind = head.kind === 'not-sent' ? 'connect-failed' : 'failed'
+      return this.endAttempt({ kind, reason: head.reason })
+    } finally {
+      pending.end()
+      this.exchange = undefined
+    }
+  }
+
+  /** Tokens of the prompt that an endpoint would have to read. */
+  private uncachedTokens(endpoint: string): TokenCount {
+    const { tokens, promptParts } = this.request.metadata
+    return this.parts.fleetLoad.uncachedTokens(endpoint, tokens?.prompt ?? 0, promptParts)
+  }
+
+  private open(endpoint: ServerState): UpstreamExchange {
+    const { tenant, priority, method, path, rawHeaders, body, deadlineAt } = this.request
+    const remaining = Math.max(1, Math.floor(deadlineAt - this.parts.clock.monotonic()))
+    const headers = this.parts.dialect.forwardHeaders(rawHeaders, {
+      remainingMilliseconds: remaining,
+      instance: endpoint.record.id,
+      tenant,
+      priority,
+      lastEventId: this.events.lastEventId,
+    })
+    if (body.length > 0) headers.push('Content-Length', String(body.length))
+    const connectMilliseconds = Math.min(this.parts.connectMilliseconds, remaining)
+    const exchange = new UpstreamExchange(endpoint, {
+      method,
+      path,
+      headers,
+      body,
+      connectMilliseconds,
+    })
+    this.exchange = exchange
+    return exchange
+  }
+
+  /** Judges the head of an answer and passes the answer on where it may be. */
+  private async takeAnswer(
+    endpoint: ServerState,
+    exchange: UpstreamExchange,
+    response: IncomingMessage,
+    noteBegun: () => void,
+  ): Promise<AttemptEnd> {
+    const status = response.statusCode ?? 0
+    const reply = this.parts.dialect.readReply(status, response.headers)
+    if (reply.load !== undefined) endpoint.noteLoad(reply.load)
+    const outcome = this.judge(status, reply)
+    // An endpoint that refuses is full, not broken.
+    if (outcome.kind !== 'refused') endpoint.noteOutcome(isAnsweredWell(outcome))
+    const step = this.note(outcome)
+    if (step === 'pass-on') return this.passOn(endpoint, exchange, response, noteBegun)
+    discard(exchange, outcome, step)
+    return step
+  }
+
+  private judge(status: number, reply: ReplyMetadata): AttemptOutcome {
+    if (reply.isNotExecuted) return { kind: 'refused', status }
+    if (reply.requestId !== this.request.metadata.requestId) {
+      return { kind: 'not-trusted', problem: 'answer to another request' }
+    }
+    if (status < STATUS_REDIRECT && !reply.isSigned) {
+      return { kind: 'not-trusted', problem: 'unsigned answer' }
+    }
+    return { kind: 'answered', status }
+  }
+
+  private async passOn(
+    endpoint: ServerState,
+    exchange: UpstreamExchange,
+    response: IncomingMessage,
+    noteBegun: () => void,
+  ): Promise<AttemptEnd> {
+    const relay = new AnswerRelay({
+      exchange,
+      response,
+      reply: this.request.reply,
+      events: this.events,
+      isOver: () => this.isOver,
+      onStart: () => this.noteStart(),
+      onFirstEvent: noteBegun,
+    })
+    const isStream = this.request.route.isStreaming && response.statusCode === STATUS_OK
+    const isWhole = await (isStream ? relay.relayEvents() : relay.relayWhole())
+    if (isWhole) return 'done'
+    if (this.isOver) return 'give-up'
+    endpoint.noteOutcome(false)
+    // The attempt was noted as answered; now more is known of it.
+    this.history.pop()
+    return this.endAttempt({ kind: 'broke-off', events: this.events.events })
+  }
+
+  /** Notes an outcome after which nothing can be passed on. */
+  private endAttempt(outcome: AttemptOutcome): AttemptEnd {
+    const step = this.note(outcome)
+    return step === 'pass-on' ? 'give-up' : step
+  }
+
+  /** Notes the outcome of the attempt in progress and asks what to do next. */
+  private note(outcome: AttemptOutcome): NextStep {
+    const { route, service, reply, record, takeRetry } = this.request
+    this.history.push(outcome)
+    const attempt = record.attempts.at(-1)
+    if (attempt !== undefined) attempt.outcome = outcome
+    const available = this.parts.directory.available(service.name)
+    return nextStep({
+      route,
+      history: this.history,
+      isReplyStarted: reply.isStarted,
+      isOver: this.isOver,
+      hasUntried: available.some(endpoint => !this.tried.has(endpoint.record.id)),
+      takeRetry,
+    })
+  }
+
+  private noteStart(): void {
+    const { record } = this.request
+    this.isHandedOut = true
+    record.firstByteMilliseconds = this.parts.clock.monotonic() - record.receivedAt
+  }
+
+  private giveUp(): void {
+    const { reply, record, service } = this.request
+    const error = finalError({
+      service: service.name,
+      history: this.history,
+      isCallerGone: reply.isLeft,
+      isLate: this.isLate,
+      noChoice: this.noChoice,
+    })
+    record.code = error.code
+    record.detail = error.message
+    if (reply.isLeft) return
+    if (reply.isStarted) reply.cut()
+    else reply.refuse(error)
+  }
+}
+
+function isAnsweredWell(outcome: AttemptOutcome): boolean {
+  return outcome.kind === 'answered' && !isServerError(outcome.status)
+}
+
+/** Ends an exchange whose answer is not passed on; a connection is kept where that is safe. */
+function discard(exchange: UpstreamExchange, outcome: AttemptOutcome, step: NextStep): void {
+  if (outcome.kind === 'refused') return exchange.drain()
+  if (outcome.kind === 'answered' && step === 'try-another') return exchange.drain()
+  const isLeftOpen = outcome.kind === 'answered' && !isPromising(outcome.status)
+  if (!isLeftOpen) exchange.abort()
+}
--- a/packages/router/src/gateway/serverDirectory.ts
+++ b/packages/router/src/gateway/serverDirectory.ts
@@ -24,6 +24,14 @@
 /** Part of a server's connections that all instances together use. */
 const CONNECTION_SHARE = 0.85
 
+/** A request in progress at a server. */
+export interface RequestInProgress {
+  /** Its first event came, so its prompt is read; may be called again. */
+  noteBegun(): void
+  /** It has ended; call it once. */
+  end(): void
+}
+
 /** One server: its record, and what is in progress there from this instance. */
 export class ServerState {
   running = 0
@@ -52,6 +60,22 @@
     return this.running < this.connectionLimit()
   }
 
+  /** A request is sent there, of whose prompt so many tokens are to be read. */
+  beginRequest(tokens: TokenCount): RequestInProgress {
+    let pending = tokens
+    const noteBegun = () => {
+      this.pendingTokens -= pending
+      pending = 0
+    }
+    this.running += 1
+    this.pendingTokens += tokens
+    const end = () => {
+      noteBegun()
+      this.running -= 1
+    }
+    return { noteBegun, end }
+  }
+
   noteLoad(load: ServerLoad): void {
     this.load = load
     this.loadAt = this.clock.monotonic()
--- a/packages/router/src/gateway/upstreamExchange.ts
+++ b/packages/router/src/gateway/upstreamExchange.ts
@@ -77,6 +77,11 @@
     response.on('close', () => finish(false))
   }
 
+  /** Reads the rest of an answer that nobody wants, so that its connection can be used again. */
+  drain(): void {
+    this.readBody({ onData: () => {}, onEnd: () => {} })
+  }
+
   pause(): void {
     this.response?.pause()
   }
--- a/scripts/bundles.mjs
+++ b/scripts/bundles.mjs
@@ -1,6 +1,6 @@
 /** What goes into which bundle of the daemon. */
 
-const PACKAGES = ['shared', 'stores', 'coordination', 'router', 'daemon']
+const PACKAGES = ['shared', 'decisions', 'stores', 'coordination', 'router', 'daemon']
 
 /** What both bundles share: from the sources, so that a clean checkout needs no build before. */
 const options = {
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,6 +1,15 @@
 import { defineConfig } from 'vitest/config'
 
-const PACKAGES = ['shared', 'stores', 'coordination', 'router', 'daemon', 'cli', 'stand-ins']
+const PACKAGES = [
+  'shared',
+  'decisions',
+  'stores',
+  'coordination',
+  'router',
+  'daemon',
+  'cli',
+  'stand-ins',
+]
 
 export default defineConfig({
   resolve: {
