--- a/packages/decisions/__tests__/finalError.spec.ts
+++ b/packages/decisions/__tests__/finalError.spec.ts
@@ -46,6 +46,15 @@
     expect(table).toMatchSnapshot()
   })
 
+  it.each([
+    ['there is no connection to another endpoint', [NO_CONNECTION]],
+    ['another endpoint refuses', [REFUSED]],
+    ['no other endpoint has room', []],
+  ])('never says "not run" of one that an endpoint ran and failed, where %s', (_, rest) => {
+    const history: readonly AttemptOutcome[] = [{ kind: 'answered', status: 500 }, ...rest]
+    expect(told(history)).toBe('4007 ran: the endpoint answered with an error: status 500')
+  })
+
   it('says where the deadline passed', () => {
     const table = Object.entries(HISTORIES).map(
       ([name, history]) => `${name} | ${told(history, { isLate: true })}`,
--- a/packages/decisions/src/choosing/endpointChoice.ts
+++ b/packages/decisions/src/choosing/endpointChoice.ts
@@ -31,7 +31,7 @@
 }
 
 /** Load as an endpoint told it with an answer. */
-export interface ReportedLoad {
+interface ReportedLoad {
   readonly running: number
   readonly waiting: number
   readonly ageMilliseconds: Milliseconds
--- a/packages/decisions/src/retrying/nextStep.ts
+++ b/packages/decisions/src/retrying/nextStep.ts
@@ -13,7 +13,7 @@
 export type NextStep = 'pass-on' | 'try-another' | 'give-up'
 
 /** What a route allows. */
-export interface RetryRoute {
+interface RetryRoute {
   /** Whether a request may run twice. */
   readonly isIdempotent: boolean
   /** Whether its answers are streams of events. */
--- a/packages/decisions/src/stopping/finalError.ts
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -42,7 +42,7 @@
   if (noChoice === 'none-listed') return new NotRunError(ResultCode.NoEndpoint, service)
   if (noChoice === 'none-with-room') return new NotRunError(ResultCode.Overloaded, service)
   const ran = history.filter(mayHaveRun)
-  const failure = ran.findLast(isFailure)
+  const failure = ran.findLast(isFailure) ?? ran.at(-1)
   if (failure !== undefined) return errorOfRun(failure)
   if (history.at(-1)?.kind === 'refused') return new NotRunError(ResultCode.EndpointRefused)
   const detail = history.length > 0 ? 'no connection' : undefined
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -4,7 +4,7 @@
 
 /** What is kept of one request's decisions; it becomes one line of the log. */
 
-export interface AttemptRecord {
+interface AttemptRecord {
   readonly server: string
   readonly score: number
   /** Servers that were compared. */
