--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -2,7 +2,7 @@
 import { DemandHoldingPolicy, PrepaidLedger, StoreClock } from '@rackwalk/coordination'
 import { decodeReport, encodeReport } from '@rackwalk/daemon'
 import { rankEndpoints } from '@rackwalk/decisions'
-import { FleetLoad, ServerDirectory, sharedPartOf, snapshotEndpoint } from '@rackwalk/router'
+import { FleetLoad, EndpointDirectory, sharedPartOf, snapshotEndpoint } from '@rackwalk/router'
 import type { PeerLoadReport, PromptPart } from '@rackwalk/router'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 import { heapBytesOf, microsecondsOf, overSizes } from './slope.js'
@@ -80,7 +80,7 @@
 
 function createServers(size: number) {
   const clock = new VirtualClock()
-  const directory = new ServerDirectory({
+  const directory = new EndpointDirectory({
     clock,
     instances: () => 7,
     maximumConnections: () => 360,
@@ -88,7 +88,7 @@
   })
   for (let server = 0; server < size; server += 1) {
     directory.set({
-      id: serverId(server),
+      id: endpointId(server),
       service: SERVICE,
       address: '10.20.30.40:8080',
       failureDomain: 'hall-a',
@@ -102,7 +102,7 @@
 
 function fillCache(fleetLoad: FleetLoad, server: number): void {
   const parts = Array.from({ length: PARTS_KEPT }, (_, number) => part(number))
-  fleetLoad.noteSent(serverId(server), parts)
+  fleetLoad.noteSent(endpointId(server), parts)
   fleetLoad.nextReport(false)
 }
 
@@ -110,13 +110,13 @@
   return { id: (0x10000000 + number).toString(16), tokens: PART_TOKENS }
 }
 
-function serverId(number: number): string {
+function endpointId(number: number): string {
   return `i-${(0x1000000000 + number).toString(16)}`
 }
 
 function reportOf(servers: number, sequence: number): PeerLoadReport {
   const loads = Array.from({ length: servers }, (_, server) => ({
-    server: serverId(server),
+    endpoint: endpointId(server),
     running: 2,
     pendingTokens: 1_500,
     parts: [part(server), part(server + 1)],
--- a/packages/daemon/__tests__/serverFollower.spec.ts
+++ b/packages/daemon/__tests__/endpointFollower.spec.ts
@@ -1,21 +1,21 @@
 import { describe, expect, it } from 'vitest'
 import { VirtualClock } from '@rackwalk/shared'
-import { ServerDirectory } from '@rackwalk/router'
-import type { ServerRecord } from '@rackwalk/router'
-import { ServerFollower } from '@rackwalk/daemon'
+import { EndpointDirectory } from '@rackwalk/router'
+import type { EndpointRecord } from '@rackwalk/router'
+import { EndpointFollower } from '@rackwalk/daemon'
 
 const SERVICE = 'model'
 
 function setUp() {
   const clock = new VirtualClock()
   const changes: string[] = []
-  const directory = new ServerDirectory({
+  const directory = new EndpointDirectory({
     clock,
     instances: () => 1,
     maximumConnections: () => 100,
     onChange: (server, change) => changes.push(`${server.id} ${change}`),
   })
-  const parse = (id: string): ServerRecord => ({
+  const parse = (id: string): EndpointRecord => ({
     id,
     service: SERVICE,
     address: '127.0.0.1:1',
@@ -23,7 +23,7 @@
     slots: 8,
     isLeaving: false,
   })
-  const follower = new ServerFollower({ directory, clock, parse, onMalformedRow: () => {} })
+  const follower = new EndpointFollower({ directory, clock, parse, onMalformedRow: () => {} })
   let version = 0
   const row = (key: string, value: string | undefined) => {
     version += 1
@@ -39,7 +39,7 @@
   return { clock, changes, follower, list, drop, available }
 }
 
-describe('ServerFollower', () => {
+describe('EndpointFollower', () => {
   it('takes a server whose entry is removed for gone at once', () => {
     const { list, drop, available } = setUp()
     list('s1', 's2')
--- a/packages/daemon/__tests__/loadExchange.spec.ts
+++ b/packages/daemon/__tests__/loadExchange.spec.ts
@@ -9,7 +9,7 @@
   isWhole: fc.boolean(),
   loads: fc.array(
     fc.record({
-      server: fc.string(),
+      endpoint: fc.string(),
       running: fc.nat(),
       pendingTokens: fc.nat(),
       parts: fc.array(fc.record({ id: fc.string(), tokens: fc.nat() })),
--- a/packages/daemon/__tests__/references.spec.ts
+++ b/packages/daemon/__tests__/references.spec.ts
@@ -71,7 +71,7 @@
     instances: zero,
     activeInstances: zero,
     active: zero,
-    servers: zero,
+    endpoints: zero,
     configurationVersion: zero,
     ready: zero,
     storeAge: zero,
--- a/packages/daemon/src/gateway/serverFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -1,29 +1,29 @@
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { ChangedRow, RowAddress } from '@rackwalk/stores'
 import type { MirrorListener } from '@rackwalk/coordination'
-import type { ServerDirectory, ServerRecord } from '@rackwalk/router'
+import type { EndpointDirectory, EndpointRecord } from '@rackwalk/router'
 
 /**
- * Keeps the directory of servers as the platform lists them. Entries lapse while the store is
- * away; those of servers that live are back soon after it, and the others are gone.
+ * Keeps the directory of endpoints as the platform lists them. Entries lapse while the store is
+ * away; those of endpoints that live are back soon after it, and the others are gone.
  */
 
 /** An entry that is missing after an outage may come back for this long. */
 const LAPSE_MILLISECONDS = 1_800
 
-export interface ServerFollowerParts {
-  readonly directory: ServerDirectory
+export interface EndpointFollowerParts {
+  readonly directory: EndpointDirectory
   readonly clock: Clock
-  /** Undefined where the row describes no server. */
-  readonly parse: (key: string, value: string) => ServerRecord | undefined
+  /** Undefined where the row describes no endpoint. */
+  readonly parse: (key: string, value: string) => EndpointRecord | undefined
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
-export class ServerFollower implements MirrorListener {
+export class EndpointFollower implements MirrorListener {
   private isReachable = true
   private regainedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
-  constructor(private readonly parts: ServerFollowerParts) {}
+  constructor(private readonly parts: EndpointFollowerParts) {}
 
   onRows(rows: readonly ChangedRow[], isWhole: boolean): void {
     const { directory, parse } = this.parts
@@ -45,7 +45,7 @@
     this.isReachable = isReachable
   }
 
-  /** Not positive where nothing explains a missing entry but that its server is gone. */
+  /** Not positive where nothing explains a missing entry but that its endpoint is gone. */
   private get lapseMilliseconds(): Milliseconds {
     // The rows of the first answer after an outage come before the word that it is over.
     if (!this.isReachable) return LAPSE_MILLISECONDS
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -2,20 +2,20 @@
 import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import { MEMBER_PARTITION, MEMBER_TABLE, PREPAID_TABLE, TableMirror } from '@rackwalk/coordination'
 import type { MemberDirectory, MirrorListener, PrepaidLedger } from '@rackwalk/coordination'
-import type { ServerDirectory } from '@rackwalk/router'
+import type { EndpointDirectory } from '@rackwalk/router'
 import type { PeerRows } from './peerRows.js'
 import type { PlatformAdapter } from './platformAdapter.js'
-import { ServerFollower } from './serverFollower.js'
+import { EndpointFollower } from './endpointFollower.js'
 
 /** The tables of the store that an instance follows. */
 
 /** Feeds of tables that rarely change wait at the store. */
 const FEED_WAIT_MILLISECONDS = 2_000
 const CONFIGURATION_PAUSE_MILLISECONDS = 20
-/** Each server renews its row about once a second; a list this old is new enough. */
-const SERVER_PAUSE_MILLISECONDS = 250
+/** Each endpoint renews its row about once a second; a list this old is new enough. */
+const ENDPOINT_PAUSE_MILLISECONDS = 250
 /** An instance that stands by reads at leisure: what it knows serves few. */
-const STANDBY_SERVER_PAUSE_MILLISECONDS = 800
+const STANDBY_ENDPOINT_PAUSE_MILLISECONDS = 800
 const STANDBY_PREPAID_PAUSE_MILLISECONDS = 3_000
 const STANDBY_MEMBER_PAUSE_MILLISECONDS = 1_400
 const MEMBER_PAUSE_MILLISECONDS = 700
@@ -27,7 +27,7 @@
   readonly store: RowStore
   readonly clock: Clock
   readonly adapter: PlatformAdapter
-  readonly servers: ServerDirectory
+  readonly endpoints: EndpointDirectory
   readonly members: MemberDirectory
   readonly ledger: PrepaidLedger
   readonly peerRows: PeerRows
@@ -82,9 +82,9 @@
   return Math.max(PREPAID_PAUSE_MILLISECONDS, ledger.recordMilliseconds() * PREPAID_PAUSE_SHARE)
 }
 
-/** What the operator and the servers write. */
+/** What the operator and the endpoints write. */
 function othersTables(parts: FollowedTablesParts): readonly FollowedTable[] {
-  const { configuration, servers } = parts.adapter
+  const { configuration, endpoints } = parts.adapter
   return [
     {
       table: configuration.table,
@@ -94,15 +94,15 @@
       listener: { onRows: parts.onConfiguration, onReachable: parts.onContact },
     },
     {
-      table: servers.table,
-      partitions: () => [servers.partition],
+      table: endpoints.table,
+      partitions: () => [endpoints.partition],
       pauseMilliseconds: () =>
-        parts.isActive() ? SERVER_PAUSE_MILLISECONDS : STANDBY_SERVER_PAUSE_MILLISECONDS,
+        parts.isActive() ? ENDPOINT_PAUSE_MILLISECONDS : STANDBY_ENDPOINT_PAUSE_MILLISECONDS,
       isOthers: true,
-      listener: new ServerFollower({
-        directory: parts.servers,
+      listener: new EndpointFollower({
+        directory: parts.endpoints,
         clock: parts.clock,
-        parse: servers.parse,
+        parse: endpoints.parse,
         onMalformedRow: parts.onMalformedRow,
       }),
     },
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -11,7 +11,7 @@
   StoreClock,
 } from '@rackwalk/coordination'
 import type { MemberRow, TableMirror } from '@rackwalk/coordination'
-import { FleetLoad, Gateway, RouteTable, ServerDirectory } from '@rackwalk/router'
+import { FleetLoad, Gateway, RouteTable, EndpointDirectory } from '@rackwalk/router'
 import type { GatewayConfiguration, GatewayRecord } from '@rackwalk/router'
 import { ActiveFleet } from './activeFleet.js'
 import { BoundedLogger } from '../observe/boundedLogger.js'
@@ -63,7 +63,7 @@
   private readonly requestRate: DemandMeter
   private readonly fleet: ActiveFleet
   private readonly ledger: PrepaidLedger
-  private readonly servers: ServerDirectory
+  private readonly endpoints: EndpointDirectory
   private readonly fleetLoad: FleetLoad
   private readonly loadExchange: LoadExchange | undefined
   private readonly gateway: Gateway
@@ -98,11 +98,11 @@
     this.fleet = this.createFleet()
     this.peerLoans = this.createPeerLoans()
     this.ledger = this.createLedger()
-    this.servers = this.createServers()
+    this.endpoints = this.createEndpoints()
     this.fleetLoad = new FleetLoad({
       instance: settings.instance.id,
       incarnation: this.incarnation,
-      directory: this.servers,
+      directory: this.endpoints,
       clock: this.clock,
       capacityOf: name => this.routes?.service(name)?.engine?.capacity,
     })
@@ -137,9 +137,9 @@
     return this.routes !== undefined && !this.draining
   }
 
-  /** What is known here of a tenant's budget. */
-  describeBudget(tenant: string): Readonly<Record<string, unknown>> {
-    return this.ledger.describe(tenant)
+  /** What is known here of a team's budget. */
+  describeBudget(team: string): Readonly<Record<string, unknown>> {
+    return this.ledger.describe(team)
   }
 
   /** Brings requests in progress to their end, settles and leaves. */
@@ -288,14 +288,14 @@
     })
   }
 
-  private createServers(): ServerDirectory {
-    return new ServerDirectory({
+  private createEndpoints(): EndpointDirectory {
+    return new EndpointDirectory({
       clock: this.clock,
       instances: () => this.fleet.sharers,
       maximumConnections: name => this.routes?.service(name)?.maximumConnections ?? 1,
-      onChange: (server, change) => {
-        this.note('server_state', { server: server.id, service: server.service, change })
-        if (change === 'gone') this.fleetLoad.forget(server.id)
+      onChange: (endpoint, change) => {
+        this.note('server_state', { server: endpoint.id, service: endpoint.service, change })
+        if (change === 'gone') this.fleetLoad.forget(endpoint.id)
       },
     })
   }
@@ -317,7 +317,7 @@
     const { requests, retries, instance } = this.settings
     return new Gateway({
       dialect: this.adapter.dialect,
-      directory: this.servers,
+      directory: this.endpoints,
       fleetLoad: this.fleetLoad,
       clock: this.clock,
       random: this.random,
@@ -353,7 +353,7 @@
       store: this.store,
       clock: this.clock,
       adapter: this.adapter,
-      servers: this.servers,
+      endpoints: this.endpoints,
       members: this.members,
       ledger: this.ledger,
       peerRows: this.peerRows,
@@ -371,7 +371,7 @@
       instances: () => this.members.others.length + 1,
       activeInstances: () => this.fleet.activeCount,
       active: () => Number(this.fleet.isSelfActive),
-      servers: () => this.servers.size,
+      endpoints: () => this.endpoints.size,
       configurationVersion: () => this.routes?.version ?? 0,
       ready: () => (this.isReady ? 1 : 0),
       storeAge: () => (this.mirrors.get(this.adapter.configuration.table)?.age ?? 0) / 1000,
@@ -403,7 +403,7 @@
     if (configuration.version <= known) return
     this.routes = new RouteTable(configuration)
     applyLimits(this.callerListener, configuration.limits)
-    const limits = configuration.tenants.flatMap(({ name, prepaid }) =>
+    const limits = configuration.teams.flatMap(({ name, prepaid }) =>
       prepaid === undefined ? [] : [{ budget: name, limit: prepaid }],
     )
     this.ledger.configure(limits, configuration.version)
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -12,7 +12,7 @@
   readonly instances: () => number
   readonly activeInstances: () => number
   readonly active: () => number
-  readonly servers: () => number
+  readonly endpoints: () => number
   readonly configurationVersion: () => number
   readonly ready: () => number
   readonly storeAge: () => number
@@ -91,7 +91,7 @@
       this.attempts.inc({ service: record.service ?? 'none', outcome: outcomeLabel(outcome) })
     }
     if (record.reservation !== undefined) this.reservations.inc({ outcome: record.reservation })
-    if (record.tenant !== undefined) this.tokens.inc({ tenant: record.tenant }, record.spent ?? 0)
+    if (record.team !== undefined) this.tokens.inc({ tenant: record.team }, record.spent ?? 0)
     if (record.firstByteMilliseconds !== undefined) {
       this.firstByte.observe(record.firstByteMilliseconds / 1000)
     }
@@ -111,7 +111,7 @@
     this.gauge('instances', 'Instances that serve, this one included.', gauges.instances)
     this.gauge('active_instances', 'Instances that take callers.', gauges.activeInstances)
     this.gauge('active', '1 while callers are sent here.', gauges.active)
-    this.gauge('servers', 'Servers listed.', gauges.servers)
+    this.gauge('servers', 'Servers listed.', gauges.endpoints)
     this.gauge('configuration_version', 'Version in force here.', gauges.configurationVersion)
     this.gauge('ready', '1 while new requests may begin here.', gauges.ready)
     this.gauge('store_age_seconds', "Time since the store's last answer.", gauges.storeAge)
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -8,7 +8,7 @@
 import type { MalformedForm } from '../observe/malformedForms.js'
 
 /**
- * Instances tell each other by datagrams what they have in progress at the servers. A lost
+ * Instances tell each other by datagrams what they have in progress at the endpoints. A lost
  * datagram costs a worse choice, never a wrong answer.
  */
 
@@ -27,7 +27,7 @@
 /** and counts as silent when this many of them are missing. */
 const MISSING_SIGNS = 4
 
-/** `[instance, incarnation, sequence, isWhole, [[server, running, pendingTokens, [[id, tokens], ...]], ...]]` */
+/** `[instance, incarnation, sequence, isWhole, [[endpoint, running, pendingTokens, [[id, tokens], ...]], ...]]` */
 const wireReport = z.tuple([
   z.string(),
   z.string(),
@@ -67,7 +67,7 @@
     const { host, port } = parseAddress(this.parts.address)
     const socket = createSocket('udp4')
     socket.on('message', (bytes, { address, port }) => this.take(bytes, `${address}:${port}`))
-    // Without the socket, choices rest on own requests and on what servers tell.
+    // Without the socket, choices rest on own requests and on what endpoints tell.
     socket.on('error', () => this.stop())
     socket.bind(port, host, () => this.schedule())
     this.socket = socket
@@ -133,8 +133,8 @@
 
 export function encodeReport(report: PeerLoadReport): Buffer {
   const { instance, incarnation, sequence, isWhole } = report
-  const entries = report.loads.map(({ server, running, pendingTokens, parts }) => {
-    return [server, running, pendingTokens, parts.map(({ id, tokens }) => [id, tokens])]
+  const entries = report.loads.map(({ endpoint, running, pendingTokens, parts }) => {
+    return [endpoint, running, pendingTokens, parts.map(({ id, tokens }) => [id, tokens])]
   })
   return Buffer.from(JSON.stringify([instance, incarnation, sequence, isWhole, entries]))
 }
@@ -144,8 +144,8 @@
   const report = wireReport.safeParse(parseJson(bytes.toString('utf8'))).data
   if (report === undefined) return undefined
   const [instance, incarnation, sequence, isWhole, entries] = report
-  const loads = entries.map(([server, running, pendingTokens, parts]) => ({
-    server,
+  const loads = entries.map(([endpoint, running, pendingTokens, parts]) => ({
+    endpoint,
     running,
     pendingTokens,
     parts: parts.map(([id, tokens]) => ({ id, tokens })),
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -1,5 +1,5 @@
 import type { RowStore } from '@rackwalk/stores'
-import type { Dialect, GatewayConfiguration, ServerRecord } from '@rackwalk/router'
+import type { Dialect, GatewayConfiguration, EndpointRecord } from '@rackwalk/router'
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Where rows lie that somebody else writes. */
@@ -42,9 +42,9 @@
     /** Throws where the document is not understood. */
     parse(value: string): GatewayConfiguration
   }
-  readonly servers: RowSource & {
-    /** Undefined where the row describes no server. */
-    parse(key: string, value: string): ServerRecord | undefined
+  readonly endpoints: RowSource & {
+    /** Undefined where the row describes no endpoint. */
+    parse(key: string, value: string): EndpointRecord | undefined
   }
   /** Undefined where the path is no question for addresses. */
   readDirectoryQuestion(url: string): DirectoryQuestion | undefined
--- a/packages/daemon/src/gateway/requestLine.ts
+++ b/packages/daemon/src/gateway/requestLine.ts
@@ -8,7 +8,7 @@
   return {
     request: record.requestId,
     attempts: record.attempts.map(attempt => ({
-      server: attempt.server,
+      server: attempt.endpoint,
       score: attempt.score,
       compared: attempt.compared,
       waitedMilliseconds: attempt.waitedMilliseconds,
@@ -16,7 +16,7 @@
     })),
     configurationVersion: record.configurationVersion,
     route: record.route,
-    tenant: record.tenant,
+    tenant: record.team,
     service: record.service,
     tokens: record.tokens,
     reservation: record.reservation,
--- a/packages/router/__tests__/peerLoads.spec.ts
+++ b/packages/router/__tests__/peerLoads.spec.ts
@@ -4,7 +4,7 @@
   LoadReporter,
   PeerLoads,
   PromptCaches,
-  ServerDirectory,
+  EndpointDirectory,
   snapshotEndpoint,
 } from '@rackwalk/router'
 import { rankEndpoints } from '@rackwalk/decisions'
@@ -26,12 +26,12 @@
 
 function report(sequence: number, running: number, rest: Partial<PeerLoadReport> = {}) {
   const loads =
-    running > 0 ? [{ server: 's1', running, pendingTokens: running * 100, parts: [] }] : []
+    running > 0 ? [{ endpoint: 's1', running, pendingTokens: running * 100, parts: [] }] : []
   return { instance: 'peer', incarnation: 'first', sequence, isWhole: false, loads, ...rest }
 }
 
-function directoryOf(...ids: string[]): ServerDirectory {
-  const directory = new ServerDirectory({
+function directoryOf(...ids: string[]): EndpointDirectory {
+  const directory = new EndpointDirectory({
     clock: new VirtualClock(),
     instances: () => 1,
     maximumConnections: () => 100,
@@ -87,14 +87,14 @@
     const directory = directoryOf('s1', 's2')
     const caches = new PromptCaches()
     const reporter = new LoadReporter({ instance: 'self', incarnation: 'first' }, directory, caches)
-    const [server] = directory.available('model')
-    if (server === undefined) throw new Error('no server')
+    const [endpoint] = directory.available('model')
+    if (endpoint === undefined) throw new Error('no endpoint')
     caches.noteSent('s1', PARTS, undefined)
-    server.running = 1
-    server.pendingTokens = 700
+    endpoint.running = 1
+    endpoint.pendingTokens = 700
     const told = [reporter.next(false), reporter.next(false)]
-    server.running = 0
-    server.pendingTokens = 0
+    endpoint.running = 0
+    endpoint.pendingTokens = 0
     expect([
       ...told,
       reporter.next(false),
@@ -103,16 +103,16 @@
     ]).toMatchSnapshot()
   })
 
-  it('gives signs of life that say of no server anything and put no whole report off', () => {
+  it('gives signs of life that say of no endpoint anything and put no whole report off', () => {
     const directory = directoryOf('s1')
     const reporter = new LoadReporter(
       { instance: 'self', incarnation: 'first' },
       directory,
       new PromptCaches(),
     )
-    const [server] = directory.available('model')
-    if (server === undefined) throw new Error('no server')
-    server.running = 1
+    const [endpoint] = directory.available('model')
+    if (endpoint === undefined) throw new Error('no endpoint')
+    endpoint.running = 1
     const wholes: number[] = []
     for (let turn = 1; turn <= 24; turn += 1) {
       expect(reporter.sign()).toMatchObject({ isWhole: false, loads: [], sequence: 2 * turn - 1 })
@@ -123,7 +123,7 @@
 })
 
 describe('PromptCaches', () => {
-  it('counts the first parts that a server holds, up to one that it does not', () => {
+  it('counts the first parts that an endpoint holds, up to one that it does not', () => {
     const caches = new PromptCaches()
     caches.note('s1', [{ id: 'system', tokens: 300 }], undefined)
     expect(caches.cachedTokens('s1', PARTS)).toBe(300)
@@ -134,7 +134,7 @@
     expect(caches.cachedTokens('s2', PARTS)).toBe(0)
   })
 
-  it('drops what was unused for longest when a server is full', () => {
+  it('drops what was unused for longest when an endpoint is full', () => {
     const caches = new PromptCaches()
     const capacity = 1_000
     caches.note('s1', [{ id: 'a', tokens: 300 }], capacity)
@@ -146,11 +146,11 @@
   })
 })
 
-describe('the choice of a server', () => {
+describe('the choice of an endpoint', () => {
   it('counts what other instances have sent there', () => {
     const directory = directoryOf('s1', 's2')
     const peers = new PeerLoads(new VirtualClock())
-    const fleet = { ofPeers: (server: string) => peers.at(server), uncachedTokens: () => 0 }
+    const fleet = { ofPeers: (endpoint: string) => peers.at(endpoint), uncachedTokens: () => 0 }
     const prompt = { tokens: undefined, promptParts: [] }
     const choose = () => {
       const available = directory.available('model')
@@ -170,6 +170,6 @@
   })
 })
 
-function load(server: string) {
-  return { server, running: 9, pendingTokens: 9_000, parts: [] }
+function load(endpoint: string) {
+  return { endpoint, running: 9, pendingTokens: 9_000, parts: [] }
 }
--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Passes on the head of a server's answer. An answer that the server ends with its
+   * Passes on the head of an endpoint's answer. An answer that the endpoint ends with its
    * connection is passed on in the same way, so that a break never looks like an end.
    */
   start(response: IncomingMessage, isFramed: boolean): void {
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -21,20 +21,20 @@
   readonly promptParts: readonly PromptPart[]
 }
 
-/** What the gateway tells a server beside what the caller sent. */
+/** What the gateway tells an endpoint beside what the caller sent. */
 export interface ForwardMetadata {
   readonly remainingMilliseconds: Milliseconds
-  /** The server that must answer; any other refuses without running the request. */
-  readonly instance: string
-  readonly tenant: string | undefined
+  /** The endpoint that must answer; any other refuses without running the request. */
+  readonly endpoint: string
+  readonly team: string | undefined
   /** 0 is the most urgent; absent where the service orders nothing. */
   readonly priority: number | undefined
   /** Set where an answer is continued: the last event that the caller has. */
   readonly lastEventId: string | undefined
 }
 
-/** Load as a server tells it. */
-export interface ServerLoad {
+/** Load as an endpoint tells it. */
+export interface EndpointLoad {
   readonly running: number
   readonly waiting: number
   readonly slots: number
@@ -42,11 +42,11 @@
 
 export interface ReplyMetadata {
   readonly requestId: string | undefined
-  /** Whether the answer carries its server's signature. */
+  /** Whether the answer carries its endpoint's signature. */
   readonly isSigned: boolean
-  /** The server says that it did not run the request and never will. */
+  /** The endpoint says that it did not run the request and never will. */
   readonly isNotExecuted: boolean
-  readonly load: ServerLoad | undefined
+  readonly load: EndpointLoad | undefined
 }
 
 type Headers = Readonly<Record<string, string | readonly string[] | undefined>>
@@ -54,7 +54,7 @@
 export interface Dialect {
   /** Undefined where the headers make no request. */
   readRequest(headers: Headers): RequestMetadata | undefined
-  /** Headers for a server, as a flat list of names and values. */
+  /** Headers for an endpoint, as a flat list of names and values. */
   forwardHeaders(rawHeaders: readonly string[], forward: ForwardMetadata): string[]
   readReply(status: number, headers: Headers): ReplyMetadata
   /** Headers of an answer that the gateway gives itself. */
--- a/packages/router/src/gateway/serverAgent.ts
+++ b/packages/router/src/gateway/endpointAgent.ts
@@ -3,19 +3,19 @@
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 
-/** Kept connections to one server. */
+/** Kept connections to one endpoint. */
 
-/** Without a word from the server an idle connection is kept this long, in milliseconds. */
+/** Without a word from the endpoint an idle connection is kept this long, in milliseconds. */
 const UNSTATED_IDLE_MILLISECONDS = 400
-/** A connection is closed this long before the server would. */
+/** A connection is closed this long before the endpoint would. */
 const IDLE_MARGIN_MILLISECONDS = 600
 const SHORTEST_IDLE_MILLISECONDS = 200
 
 /**
- * Closes idle connections before the server does, and any on which bytes arrive that no
+ * Closes idle connections before the endpoint does, and any on which bytes arrive that no
  * request asked for: they would be taken for the next answer.
  */
-export class ServerAgent extends Agent {
+export class EndpointAgent extends Agent {
   private readonly idle = new WeakMap<Socket, { timer: NodeJS.Timeout; drop: () => void }>()
 
   constructor(maximumConnections: number) {
@@ -48,7 +48,7 @@
   }
 }
 
-/** How long a connection may rest, given the server's `Keep-Alive` header. */
+/** How long a connection may rest, given the endpoint's `Keep-Alive` header. */
 function idleMilliseconds(keepAlive: string | readonly string[] | undefined): number {
   const text = typeof keepAlive === 'string' ? keepAlive : keepAlive?.join(',')
   const seconds = /timeout=(\d+)/.exec(text ?? '')?.[1]
--- a/packages/router/src/gateway/serverDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -1,13 +1,13 @@
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
-import type { ServerLoad } from './dialect.js'
+import type { EndpointLoad } from './dialect.js'
 import type { InstanceLoad } from './peerLoads.js'
-import { ServerAgent } from './serverAgent.js'
+import { EndpointAgent } from './endpointAgent.js'
 
-/** The servers of all services, with what this instance knows of each. */
+/** The endpoints of all services, with what this instance knows of each. */
 
-/** A server as the platform lists it. */
-export interface ServerRecord {
-  /** Names one start of a server. */
+/** An endpoint as the platform lists it. */
+export interface EndpointRecord {
+  /** Names one start of an endpoint. */
   readonly id: string
   readonly service: string
   /** IP:PORT. */
@@ -17,14 +17,14 @@
   readonly isLeaving: boolean
 }
 
-/** Weight of the newest outcome in a server's failure share. */
+/** Weight of the newest outcome in an endpoint's failure share. */
 const FAILURE_WEIGHT = 0.3
 /** Time in which a failure share halves while nothing is sent there. */
 const FAILURE_HALF_LIFE_MILLISECONDS = 2_500
-/** Part of a server's connections that all instances together use. */
+/** Part of an endpoint's connections that all instances together use. */
 const CONNECTION_SHARE = 0.85
 
-/** A request in progress at a server. */
+/** A request in progress at an endpoint. */
 export interface RequestInProgress {
   /** Its first event came, so its prompt is read; may be called again. */
   noteBegun(): void
@@ -32,26 +32,26 @@
   end(): void
 }
 
-/** One server: its record, and what is in progress there from this instance. */
-export class ServerState {
+/** One endpoint: its record, and what is in progress there from this instance. */
+export class EndpointState {
   running = 0
   /** Prompt tokens of requests that have not had their first event. */
   pendingTokens: TokenCount = 0
-  load: ServerLoad | undefined
+  load: EndpointLoad | undefined
   loadAt: Milliseconds = Number.NEGATIVE_INFINITY
   private failureShare = 0
   private failureAt: Milliseconds = 0
-  private connections: ServerAgent | undefined
+  private connections: EndpointAgent | undefined
 
   constructor(
-    public record: ServerRecord,
+    public record: EndpointRecord,
     private readonly clock: Clock,
     private readonly connectionLimit: () => number,
   ) {}
 
-  get agent(): ServerAgent {
+  get agent(): EndpointAgent {
     const limit = this.connectionLimit()
-    this.connections ??= new ServerAgent(limit)
+    this.connections ??= new EndpointAgent(limit)
     this.connections.maxSockets = limit
     return this.connections
   }
@@ -76,7 +76,7 @@
     return { noteBegun, end }
   }
 
-  noteLoad(load: ServerLoad): void {
+  noteLoad(load: EndpointLoad): void {
     this.load = load
     this.loadAt = this.clock.monotonic()
   }
@@ -99,48 +99,48 @@
   }
 }
 
-export interface ServerDirectoryParts {
+export interface EndpointDirectoryParts {
   readonly clock: Clock
-  /** Instances that share the servers' connections. */
+  /** Instances that share the endpoints' connections. */
   readonly instances: () => number
-  /** Connections that one server of a service takes. */
+  /** Connections that one endpoint of a service takes. */
   readonly maximumConnections: (service: string) => number
-  readonly onChange: (server: ServerRecord, change: string) => void
+  readonly onChange: (endpoint: EndpointRecord, change: string) => void
 }
 
-export class ServerDirectory {
-  private readonly servers = new Map<string, ServerState>()
-  /** Servers whose entries are missing and may come back. */
+export class EndpointDirectory {
+  private readonly endpoints = new Map<string, EndpointState>()
+  /** Endpoints whose entries are missing and may come back. */
   private readonly lapsed = new Map<string, Timer>()
 
-  constructor(private readonly parts: ServerDirectoryParts) {}
+  constructor(private readonly parts: EndpointDirectoryParts) {}
 
-  /** A server was listed, or its record changed. */
-  set(record: ServerRecord): void {
+  /** An endpoint was listed, or its record changed. */
+  set(record: EndpointRecord): void {
     this.endLapse(record.id)
-    const known = this.servers.get(record.id)
+    const known = this.endpoints.get(record.id)
     if (known === undefined) {
       this.parts.onChange(record, record.isLeaving ? 'listed as leaving' : 'listed')
-      this.servers.set(record.id, this.createState(record))
+      this.endpoints.set(record.id, this.createState(record))
       return
     }
     if (record.isLeaving && !known.record.isLeaving) this.parts.onChange(record, 'leaving')
     known.record = record
   }
 
-  /** A server is no longer listed; what runs there may end. */
+  /** An endpoint is no longer listed; what runs there may end. */
   remove(id: string): void {
     this.endLapse(id)
-    const known = this.servers.get(id)
+    const known = this.endpoints.get(id)
     if (known === undefined) return
-    this.servers.delete(id)
+    this.endpoints.delete(id)
     this.parts.onChange(known.record, 'gone')
     if (known.running === 0) known.close()
   }
 
-  /** The entry of a server is missing; unless it is listed again in time, the server is gone. */
+  /** The entry of an endpoint is missing; unless it is listed again in time, the endpoint is gone. */
   lapse(id: string, milliseconds: Milliseconds): void {
-    const known = this.servers.get(id)
+    const known = this.endpoints.get(id)
     if (known === undefined || this.lapsed.has(id)) return
     if (milliseconds <= 0) return this.remove(id)
     this.parts.onChange(known.record, 'lapsed')
@@ -150,31 +150,31 @@
     )
   }
 
-  /** Ids of all servers known here. */
+  /** Ids of all endpoints known here. */
   get ids(): readonly string[] {
-    return [...this.servers.keys()]
+    return [...this.endpoints.keys()]
   }
 
-  /** Servers of a service to which new requests may go. */
-  available(service: string): readonly ServerState[] {
-    return [...this.servers.values()].filter(
-      server => server.record.service === service && !server.record.isLeaving,
+  /** Endpoints of a service to which new requests may go. */
+  available(service: string): readonly EndpointState[] {
+    return [...this.endpoints.values()].filter(
+      endpoint => endpoint.record.service === service && !endpoint.record.isLeaving,
     )
   }
 
   get size(): number {
-    return this.servers.size
+    return this.endpoints.size
   }
 
-  /** The service of a listed server. */
+  /** The service of a listed endpoint. */
   serviceOf(id: string): string | undefined {
-    return this.servers.get(id)?.record.service
+    return this.endpoints.get(id)?.record.service
   }
 
-  /** What is in progress from here, by server; servers with nothing are left out. */
+  /** What is in progress from here, by endpoint; endpoints with nothing are left out. */
   loads(): ReadonlyMap<string, InstanceLoad> {
     const loads = new Map<string, InstanceLoad>()
-    for (const [id, { running, pendingTokens }] of this.servers) {
+    for (const [id, { running, pendingTokens }] of this.endpoints) {
       if (running > 0) loads.set(id, { running, pendingTokens })
     }
     return loads
@@ -185,11 +185,11 @@
     this.lapsed.delete(id)
   }
 
-  private createState(record: ServerRecord): ServerState {
+  private createState(record: EndpointRecord): EndpointState {
     const limit = () => {
       const all = this.parts.maximumConnections(record.service) * CONNECTION_SHARE
       return Math.max(1, Math.floor(all / Math.max(1, this.parts.instances())))
     }
-    return new ServerState(record, this.parts.clock, limit)
+    return new EndpointState(record, this.parts.clock, limit)
   }
 }
--- a/packages/router/src/gateway/endpointSnapshots.ts
+++ b/packages/router/src/gateway/endpointSnapshots.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { RequestMetadata } from './dialect.js'
 import type { InstanceLoad } from './peerLoads.js'
-import type { ServerState } from './serverDirectory.js'
+import type { EndpointState } from './endpointDirectory.js'
 
 /** What the fleet knows of an endpoint beyond this instance's own requests. */
 export interface FleetKnowledge {
@@ -23,7 +23,7 @@
 
 /** What is known of an endpoint for a request with this prompt; `now` is monotonic. */
 export function snapshotEndpoint(
-  endpoint: ServerState,
+  endpoint: EndpointState,
   fleet: FleetKnowledge,
   prompt: PromptMetadata,
   now: Milliseconds,
--- a/packages/router/src/gateway/eventRelay.ts
+++ b/packages/router/src/gateway/eventRelay.ts
@@ -16,7 +16,7 @@
     return events
   }
 
-  /** Another server continues after the last whole event: the piece of the next one is void. */
+  /** Another endpoint continues after the last whole event: the piece of the next one is void. */
   continueElsewhere(): void {
     this.splitter = new EventSplitter()
   }
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -4,16 +4,16 @@
 import { PeerLoads } from './peerLoads.js'
 import type { InstanceLoad, PeerLoadReport } from './peerLoads.js'
 import { PromptCaches } from './promptCaches.js'
-import type { ServerDirectory } from './serverDirectory.js'
+import type { EndpointDirectory } from './endpointDirectory.js'
 
-/** What the whole fleet has in progress at the servers and what it has sent there before. */
+/** What the whole fleet has in progress at the endpoints and what it has sent there before. */
 
 export interface FleetLoadParts {
   readonly instance: string
   readonly incarnation: string
-  readonly directory: ServerDirectory
+  readonly directory: EndpointDirectory
   readonly clock: Clock
-  /** Tokens that a server of a service holds; undefined where nothing is said. */
+  /** Tokens that an endpoint of a service holds; undefined where nothing is said. */
   readonly capacityOf: (service: string) => TokenCount | undefined
 }
 
@@ -31,26 +31,26 @@
     )
   }
 
-  /** What other instances have in progress at a server. */
-  ofPeers(server: string): InstanceLoad {
-    return this.peers.at(server)
+  /** What other instances have in progress at an endpoint. */
+  ofPeers(endpoint: string): InstanceLoad {
+    return this.peers.at(endpoint)
   }
 
-  /** Tokens of a prompt that a server would have to read. */
-  uncachedTokens(server: string, prompt: TokenCount, parts: readonly PromptPart[]): TokenCount {
-    return Math.max(0, prompt - this.caches.cachedTokens(server, parts))
+  /** Tokens of a prompt that an endpoint would have to read. */
+  uncachedTokens(endpoint: string, prompt: TokenCount, parts: readonly PromptPart[]): TokenCount {
+    return Math.max(0, prompt - this.caches.cachedTokens(endpoint, parts))
   }
 
-  /** A prompt is sent to a server from here. */
-  noteSent(server: string, parts: readonly PromptPart[]): void {
-    this.caches.noteSent(server, parts, this.capacityAt(server))
+  /** A prompt is sent to an endpoint from here. */
+  noteSent(endpoint: string, parts: readonly PromptPart[]): void {
+    this.caches.noteSent(endpoint, parts, this.capacityAt(endpoint))
   }
 
   /** Takes in what another instance told. */
   observe(report: PeerLoadReport): void {
     this.peers.observe(report)
-    for (const { server, parts } of report.loads) {
-      if (parts.length > 0) this.caches.note(server, parts, this.capacityAt(server))
+    for (const { endpoint, parts } of report.loads) {
+      if (parts.length > 0) this.caches.note(endpoint, parts, this.capacityAt(endpoint))
     }
   }
 
@@ -74,13 +74,13 @@
     this.peers.expire(silence)
   }
 
-  /** A server is gone. */
-  forget(server: string): void {
-    this.caches.forget(server)
+  /** An endpoint is gone. */
+  forget(endpoint: string): void {
+    this.caches.forget(endpoint)
   }
 
-  private capacityAt(server: string): TokenCount | undefined {
-    const service = this.parts.directory.serviceOf(server)
+  private capacityAt(endpoint: string): TokenCount | undefined {
+    const service = this.parts.directory.serviceOf(endpoint)
     return service === undefined ? undefined : this.parts.capacityOf(service)
   }
 }
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -16,7 +16,7 @@
 import type {
   GatewayRoute,
   GatewayService,
-  GatewayTenant,
+  GatewayTeam,
   RouteTable,
 } from './gatewayConfiguration.js'
 import type { GatewayRecord } from './gatewayRecord.js'
@@ -42,12 +42,12 @@
   readonly onRecord: (record: GatewayRecord) => void
 }
 
-/** A request whose route and tenant are known. */
+/** A request whose route and team are known. */
 interface IdentifiedRequest {
   readonly metadata: RequestMetadata
   readonly route: GatewayRoute
   readonly service: GatewayService
-  readonly tenant: GatewayTenant | undefined
+  readonly team: GatewayTeam | undefined
   readonly deadlineAt: Milliseconds
   readonly goalAt: Milliseconds
 }
@@ -100,7 +100,7 @@
     record: GatewayRecord,
   ): Promise<void> {
     const identified = this.identify(request, metadata, record)
-    const { route, service, tenant } = identified
+    const { route, service, team } = identified
     const body = await this.readBody(request)
     const { clock, instances } = this.parts
     const retries = this.retryBudget(service.name)
@@ -112,8 +112,8 @@
         metadata,
         route,
         service,
-        tenant: tenant?.name,
-        priority: service.engine === undefined ? undefined : (tenant?.priority ?? route.priority),
+        team: team?.name,
+        priority: service.engine === undefined ? undefined : (team?.priority ?? route.priority),
         method: request.method ?? 'GET',
         path: request.url ?? '/',
         rawHeaders: request.rawHeaders,
@@ -143,8 +143,8 @@
     const route = routes.match(request.headers.host ?? '', path)
     if (route === undefined) throw new NotRunError(ResultCode.NotFound, path)
     record.route = route.name
-    const tenant = route.isAnonymous ? undefined : findTenant(routes, metadata)
-    record.tenant = tenant?.name
+    const team = route.isAnonymous ? undefined : findTeam(routes, metadata)
+    record.team = team?.name
     const serviceName = chooseService(route, this.parts.random.next())
     const service = serviceName === undefined ? undefined : routes.service(serviceName)
     if (service === undefined) throw new NotRunError(ResultCode.NoEndpoint, serviceName)
@@ -152,7 +152,7 @@
     const patience = metadata.deadlineMilliseconds ?? this.parts.defaultDeadlineMilliseconds
     const deadlineAt = record.receivedAt + Math.min(patience, route.timeoutMilliseconds)
     const goalAt = record.receivedAt + route.goalMilliseconds
-    return { metadata, route, service, tenant, deadlineAt, goalAt }
+    return { metadata, route, service, team, deadlineAt, goalAt }
   }
 
   private readBody(request: IncomingMessage): Promise<Buffer> {
@@ -161,32 +161,32 @@
     return readBody(request, bytes, limits?.idleMilliseconds ?? 0, this.parts.clock)
   }
 
-  /** Sets the largest cost aside where the tenant has a prepaid budget. */
+  /** Sets the largest cost aside where the team has a prepaid budget. */
   private async reserve(
-    { metadata, tenant, route }: IdentifiedRequest,
+    { metadata, team, route }: IdentifiedRequest,
     record: GatewayRecord,
   ): Promise<PrepaidReservation | undefined> {
-    if (tenant?.prepaid === undefined || metadata.tokens === undefined) return undefined
+    if (team?.prepaid === undefined || metadata.tokens === undefined) return undefined
     const tokens = metadata.tokens.prompt + metadata.tokens.maximumOutput
     record.tokens = tokens
     const patience = budgetPatience(route.goalMilliseconds)
-    const outcome = await this.parts.ledger.reserve(tenant.name, tokens, patience)
+    const outcome = await this.parts.ledger.reserve(team.name, tokens, patience)
     if (outcome.kind === 'reserved') {
       record.reservation = outcome.path
       const { loans } = outcome.reservation
       if (loans.length > 0) record.loans = loans.map(({ lender, tokens }) => ({ lender, tokens }))
       return outcome.reservation
     }
-    throw this.budgetRefusal(tenant.name, outcome, record)
+    throw this.budgetRefusal(team.name, outcome, record)
   }
 
   private budgetRefusal(
-    tenant: string,
+    team: string,
     outcome: Extract<PrepaidOutcome, { kind: 'refused' }>,
     record: GatewayRecord,
   ): NotRunError {
     record.reservation = outcome.reason
-    record.budget = this.parts.ledger.describe(tenant)
+    record.budget = this.parts.ledger.describe(team)
     if (outcome.reason === 'exhausted') return new NotRunError(ResultCode.BudgetExhausted)
     const returnAfter = returnAfterSeconds(outcome.waitMilliseconds)
     return new NotRunError(ResultCode.BudgetUnavailable, undefined, returnAfter)
@@ -236,9 +236,9 @@
   }
 }
 
-function findTenant(routes: RouteTable, metadata: RequestMetadata): GatewayTenant {
+function findTeam(routes: RouteTable, metadata: RequestMetadata): GatewayTeam {
   const key = metadata.credential
-  const tenant = key === undefined ? undefined : routes.tenantOf(key)
-  if (tenant === undefined) throw new NotRunError(ResultCode.UnknownKey)
-  return tenant
+  const team = key === undefined ? undefined : routes.teamOf(key)
+  if (team === undefined) throw new NotRunError(ResultCode.UnknownKey)
+  return team
 }
--- a/packages/router/src/gateway/gatewayConfiguration.ts
+++ b/packages/router/src/gateway/gatewayConfiguration.ts
@@ -1,6 +1,6 @@
 import type { Bytes, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** The configuration of the gateway: routes, services, tenants and limits, as one version. */
+/** The configuration of the gateway: routes, services, teams and limits, as one version. */
 
 interface RouteTarget {
   readonly service: string
@@ -15,11 +15,11 @@
   /** Whether a request may run more than once. */
   readonly isIdempotent: boolean
   readonly isStreaming: boolean
-  /** Whether a broken stream may be continued at another server. */
+  /** Whether a broken stream may be continued at another endpoint. */
   readonly isResumable: boolean
   readonly isAnonymous: boolean
   readonly targets: readonly RouteTarget[]
-  /** Servers that one request may be sent to. */
+  /** Endpoints that one request may be sent to. */
   readonly maximumAttempts: number
   readonly timeoutMilliseconds: Milliseconds
   readonly goalMilliseconds: Milliseconds
@@ -29,24 +29,24 @@
 
 export interface GatewayService {
   readonly name: string
-  /** Connections that one server takes from all instances together. */
+  /** Connections that one endpoint takes from all instances together. */
   readonly maximumConnections: number
-  /** Present where the servers run a model. */
+  /** Present where the endpoints run a model. */
   readonly engine: GatewayEngine | undefined
 }
 
-/** What the servers of a model are like. */
+/** What the endpoints of a model are like. */
 interface GatewayEngine {
   readonly tokensPerEvent: TokenCount
-  /** Tokens that a server's memory holds; undefined where nothing is said. */
+  /** Tokens that an endpoint's memory holds; undefined where nothing is said. */
   readonly capacity: TokenCount | undefined
 }
 
-export interface GatewayTenant {
+export interface GatewayTeam {
   readonly name: string
   readonly keys: readonly string[]
   readonly priority: number | undefined
-  /** Undefined where nothing bounds the tenant. */
+  /** Undefined where nothing bounds the team. */
   readonly prepaid: TokenCount | undefined
 }
 
@@ -61,14 +61,14 @@
   readonly version: number
   readonly routes: readonly GatewayRoute[]
   readonly services: readonly GatewayService[]
-  readonly tenants: readonly GatewayTenant[]
+  readonly teams: readonly GatewayTeam[]
   readonly limits: GatewayLimits
 }
 
 /** A configuration with the indexes that the request path needs. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, readonly GatewayRoute[]>()
-  private readonly tenantsByKey = new Map<string, GatewayTenant>()
+  private readonly teamsByKey = new Map<string, GatewayTeam>()
   private readonly servicesByName = new Map<string, GatewayService>()
 
   constructor(readonly configuration: GatewayConfiguration) {
@@ -79,8 +79,8 @@
     for (const [host, routes] of this.routesByHost) {
       this.routesByHost.set(host, [...routes].sort(byLongestPrefix))
     }
-    for (const tenant of configuration.tenants) {
-      for (const key of tenant.keys) this.tenantsByKey.set(key, tenant)
+    for (const team of configuration.teams) {
+      for (const key of team.keys) this.teamsByKey.set(key, team)
     }
     for (const service of configuration.services) this.servicesByName.set(service.name, service)
   }
@@ -95,8 +95,8 @@
     return this.routesByHost.get(name)?.find(route => path.startsWith(route.pathPrefix))
   }
 
-  tenantOf(key: string): GatewayTenant | undefined {
-    return this.tenantsByKey.get(key)
+  teamOf(key: string): GatewayTeam | undefined {
+    return this.teamsByKey.get(key)
   }
 
   service(name: string): GatewayService | undefined {
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -5,9 +5,9 @@
 /** What is kept of one request's decisions; it becomes one line of the log. */
 
 interface AttemptRecord {
-  readonly server: string
+  readonly endpoint: string
   readonly score: number
-  /** Servers that were compared. */
+  /** Endpoints that were compared. */
   readonly compared: number
   readonly waitedMilliseconds: Milliseconds
   /** Undefined until the attempt has ended. */
@@ -19,7 +19,7 @@
   readonly receivedAt: Milliseconds
   configurationVersion?: number
   route?: string
-  tenant?: string
+  team?: string
   service?: string
   /** Largest possible cost, and how it was reserved. */
   tokens?: TokenCount
@@ -31,7 +31,7 @@
   spent?: TokenCount
   attempts: AttemptRecord[]
   status?: number
-  /** Numbered result; 0 where the server's own answer was passed on. */
+  /** Numbered result; 0 where the endpoint's own answer was passed on. */
   code?: number
   execution?: Execution
   detail?: string
--- a/packages/router/src/gateway/loadReporter.ts
+++ b/packages/router/src/gateway/loadReporter.ts
@@ -1,6 +1,6 @@
-import type { InstanceLoad, PeerLoadReport, ServerReport } from './peerLoads.js'
+import type { InstanceLoad, PeerLoadReport, EndpointReport } from './peerLoads.js'
 import type { PromptCaches } from './promptCaches.js'
-import type { ServerDirectory } from './serverDirectory.js'
+import type { EndpointDirectory } from './endpointDirectory.js'
 
 /** Reports between two whole ones; a lost report is made good by the next whole one. */
 const REPORTS_A_WHOLE = 12
@@ -13,7 +13,7 @@
 
   constructor(
     private readonly identity: { readonly instance: string; readonly incarnation: string },
-    private readonly directory: ServerDirectory,
+    private readonly directory: EndpointDirectory,
     private readonly caches: PromptCaches,
   ) {}
 
@@ -24,22 +24,22 @@
     const isWhole = this.reports % REPORTS_A_WHOLE === 0
     const current = this.directory.loads()
     const parts = this.caches.takeUntold()
-    const isNews = (server: string) =>
-      parts.has(server) || !isSame(current.get(server), this.told.get(server))
-    const servers = new Set([...current.keys(), ...this.told.keys(), ...parts.keys()])
-    const loads = [...servers]
-      .filter(server => isWhole || isNews(server))
-      .map((server): ServerReport => ({
-        server,
-        ...(current.get(server) ?? NO_LOAD),
-        parts: parts.get(server) ?? [],
+    const isNews = (endpoint: string) =>
+      parts.has(endpoint) || !isSame(current.get(endpoint), this.told.get(endpoint))
+    const endpoints = new Set([...current.keys(), ...this.told.keys(), ...parts.keys()])
+    const loads = [...endpoints]
+      .filter(endpoint => isWhole || isNews(endpoint))
+      .map((endpoint): EndpointReport => ({
+        endpoint,
+        ...(current.get(endpoint) ?? NO_LOAD),
+        parts: parts.get(endpoint) ?? [],
       }))
     this.told = new Map(current)
     if (!isWhole && !isSignDue && loads.length === 0) return undefined
     return { ...this.identity, sequence: this.sequence, isWhole, loads }
   }
 
-  /** Says of no server anything; it goes to instances that get no reports. */
+  /** Says of no endpoint anything; it goes to instances that get no reports. */
   sign(): PeerLoadReport {
     this.sequence += 1
     return { ...this.identity, sequence: this.sequence, isWhole: false, loads: [] }
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -1,9 +1,9 @@
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { PromptPart } from './dialect.js'
 
-/** What other instances have in progress at the servers, as they last told. */
+/** What other instances have in progress at the endpoints, as they last told. */
 
-/** Requests in progress at one server from one or several instances. */
+/** Requests in progress at one endpoint from one or several instances. */
 export interface InstanceLoad {
   readonly running: number
   /** Prompt tokens of requests that have not had their first event. */
@@ -17,14 +17,14 @@
   readonly incarnation: string
   /** Rises within one life of the instance; a report that comes late is dropped. */
   readonly sequence: number
-  /** Whether servers that are not named have nothing in progress from there. */
+  /** Whether endpoints that are not named have nothing in progress from there. */
   readonly isWhole: boolean
-  readonly loads: readonly ServerReport[]
+  readonly loads: readonly EndpointReport[]
 }
 
-/** One instance's word on one server. */
-export interface ServerReport extends InstanceLoad {
-  readonly server: string
+/** One instance's word on one endpoint. */
+export interface EndpointReport extends InstanceLoad {
+  readonly endpoint: string
   /** Shared parts of prompts that were sent there since the last report. */
   readonly parts: readonly PromptPart[]
 }
@@ -40,7 +40,7 @@
 
 export class PeerLoads {
   private readonly peers = new Map<string, PeerState>()
-  /** Sums over all peers, kept so that a choice costs one look-up a server. */
+  /** Sums over all peers, kept so that a choice costs one look-up an endpoint. */
   private readonly sums = new Map<string, InstanceLoad>()
 
   constructor(private readonly clock: Clock) {}
@@ -51,14 +51,14 @@
     peer.sequence = report.sequence
     peer.heardAt = this.clock.monotonic()
     if (report.isWhole) this.clear(peer)
-    for (const { server, running, pendingTokens } of report.loads) {
-      this.replace(peer, server, { running, pendingTokens })
+    for (const { endpoint, running, pendingTokens } of report.loads) {
+      this.replace(peer, endpoint, { running, pendingTokens })
     }
   }
 
-  /** What all peers that were heard of lately have in progress at a server. */
-  at(server: string): InstanceLoad {
-    return this.sums.get(server) ?? NO_LOAD
+  /** What all peers that were heard of lately have in progress at an endpoint. */
+  at(endpoint: string): InstanceLoad {
+    return this.sums.get(endpoint) ?? NO_LOAD
   }
 
   /** Whether an instance was heard of lately. */
@@ -87,18 +87,18 @@
   }
 
   private clear(peer: PeerState): void {
-    for (const server of [...peer.loads.keys()]) this.replace(peer, server, NO_LOAD)
+    for (const endpoint of [...peer.loads.keys()]) this.replace(peer, endpoint, NO_LOAD)
   }
 
-  private replace(peer: PeerState, server: string, load: InstanceLoad): void {
-    const before = peer.loads.get(server) ?? NO_LOAD
+  private replace(peer: PeerState, endpoint: string, load: InstanceLoad): void {
+    const before = peer.loads.get(endpoint) ?? NO_LOAD
     const isNothing = load.running === 0 && load.pendingTokens === 0
-    if (isNothing) peer.loads.delete(server)
-    else peer.loads.set(server, load)
-    const sum = this.at(server)
+    if (isNothing) peer.loads.delete(endpoint)
+    else peer.loads.set(endpoint, load)
+    const sum = this.at(endpoint)
     const running = sum.running + load.running - before.running
     const pendingTokens = sum.pendingTokens + load.pendingTokens - before.pendingTokens
-    if (running === 0 && pendingTokens === 0) this.sums.delete(server)
-    else this.sums.set(server, { running, pendingTokens })
+    if (running === 0 && pendingTokens === 0) this.sums.delete(endpoint)
+    else this.sums.set(endpoint, { running, pendingTokens })
   }
 }
--- a/packages/router/src/gateway/promptCaches.ts
+++ b/packages/router/src/gateway/promptCaches.ts
@@ -2,16 +2,16 @@
 import type { PromptPart } from './dialect.js'
 
 /**
- * What the servers are likely to hold of earlier prompts. Nobody asks them: what this instance
- * and its peers sent there is known, and a server drops what was unused for longest.
+ * What the endpoints are likely to hold of earlier prompts. Nobody asks them: what this instance
+ * and its peers sent there is known, and an endpoint drops what was unused for longest.
  */
 
-/** Part of a server's memory that holds cached parts; running requests take the rest. */
+/** Part of an endpoint's memory that holds cached parts; running requests take the rest. */
 const CACHE_SHARE = 0.6
-/** Memory of a server whose configuration names none. */
+/** Memory of an endpoint whose configuration names none. */
 const UNSTATED_CAPACITY: TokenCount = 100_000
 
-class ServerCache {
+class EndpointCache {
   /** Tokens by part id, the part unused for longest first. */
   readonly parts = new Map<string, TokenCount>()
   private total: TokenCount = 0
@@ -29,29 +29,29 @@
 }
 
 export class PromptCaches {
-  private readonly servers = new Map<string, ServerCache>()
+  private readonly endpoints = new Map<string, EndpointCache>()
   private untold = new Map<string, PromptPart[]>()
 
-  /** Notes a prompt that this instance sends to a server; peers are told of its shared parts. */
-  noteSent(server: string, parts: readonly PromptPart[], capacity: TokenCount | undefined): void {
-    this.note(server, parts, capacity)
-    const untold = this.untold.get(server) ?? []
+  /** Notes a prompt that this instance sends to an endpoint; peers are told of its shared parts. */
+  noteSent(endpoint: string, parts: readonly PromptPart[], capacity: TokenCount | undefined): void {
+    this.note(endpoint, parts, capacity)
+    const untold = this.untold.get(endpoint) ?? []
     // The last part belongs to one request or session.
     untold.push(...parts.slice(0, -1))
-    if (untold.length > 0) this.untold.set(server, untold)
+    if (untold.length > 0) this.untold.set(endpoint, untold)
   }
 
-  /** Notes parts of prompts that anybody sent to a server. */
-  note(server: string, parts: readonly PromptPart[], capacity: TokenCount | undefined): void {
-    const cache = this.servers.get(server) ?? new ServerCache()
-    this.servers.set(server, cache)
+  /** Notes parts of prompts that anybody sent to an endpoint. */
+  note(endpoint: string, parts: readonly PromptPart[], capacity: TokenCount | undefined): void {
+    const cache = this.endpoints.get(endpoint) ?? new EndpointCache()
+    this.endpoints.set(endpoint, cache)
     const limit = CACHE_SHARE * (capacity ?? UNSTATED_CAPACITY)
     for (const part of parts) cache.use(part, limit)
   }
 
-  /** Tokens of a prompt that a server need not read: its first parts, up to one not held. */
-  cachedTokens(server: string, parts: readonly PromptPart[]): TokenCount {
-    const cache = this.servers.get(server)
+  /** Tokens of a prompt that an endpoint need not read: its first parts, up to one not held. */
+  cachedTokens(endpoint: string, parts: readonly PromptPart[]): TokenCount {
+    const cache = this.endpoints.get(endpoint)
     if (cache === undefined) return 0
     let tokens = 0
     for (const part of parts) {
@@ -61,12 +61,12 @@
     return tokens
   }
 
-  /** A server is gone; the next one at its address holds nothing. */
-  forget(server: string): void {
-    this.servers.delete(server)
+  /** An endpoint is gone; the next one at its address holds nothing. */
+  forget(endpoint: string): void {
+    this.endpoints.delete(endpoint)
   }
 
-  /** Shared parts sent since the last call, by server. */
+  /** Shared parts sent since the last call, by endpoint. */
   takeUntold(): ReadonlyMap<string, readonly PromptPart[]> {
     const untold = this.untold
     this.untold = new Map()
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -24,13 +24,13 @@
 import type { FleetLoad } from './fleetLoad.js'
 import type { GatewayRoute, GatewayService } from './gatewayConfiguration.js'
 import type { GatewayRecord } from './gatewayRecord.js'
-import type { ServerDirectory, ServerState } from './serverDirectory.js'
+import type { EndpointDirectory, EndpointState } from './endpointDirectory.js'
 import { UpstreamExchange } from './upstreamExchange.js'
 
 /** What the attempts at requests work with. */
 export interface AttemptsParts {
   readonly dialect: Dialect
-  readonly directory: ServerDirectory
+  readonly directory: EndpointDirectory
   readonly fleetLoad: FleetLoad
   readonly clock: Clock
   readonly random: RandomSource
@@ -43,7 +43,7 @@
   readonly metadata: RequestMetadata
   readonly route: GatewayRoute
   readonly service: GatewayService
-  readonly tenant: string | undefined
+  readonly team: string | undefined
   readonly priority: number | undefined
   readonly method: string
   readonly path: string
@@ -137,7 +137,7 @@
   }
 
   /** The best endpoint, or undefined where none may take the request. */
-  private choose(): ServerState | undefined {
+  private choose(): EndpointState | undefined {
     const { directory, fleetLoad, clock, random, failureDomain } = this.parts
     const { service, metadata } = this.request
     const now = clock.monotonic()
@@ -160,10 +160,10 @@
     return open.find(({ record }) => record.id === best.id)
   }
 
-  private noteChoice(server: string, score: number, compared: number): void {
+  private noteChoice(endpoint: string, score: number, compared: number): void {
     const { record } = this.request
     record.attempts.push({
-      server,
+      endpoint,
       score: Math.round(score),
       compared,
       waitedMilliseconds: Math.round(this.parts.clock.monotonic() - record.receivedAt),
@@ -171,7 +171,7 @@
     })
   }
 
-  private async attempt(endpoint: ServerState): Promise<AttemptEnd> {
+  private async attempt(endpoint: EndpointState): Promise<AttemptEnd> {
     const { id } = endpoint.record
     const pending = endpoint.beginRequest(this.uncachedTokens(id))
     this.parts.fleetLoad.noteSent(id, this.request.metadata.promptParts)
@@ -197,13 +197,13 @@
     return this.parts.fleetLoad.uncachedTokens(endpoint, tokens?.prompt ?? 0, promptParts)
   }
 
-  private open(endpoint: ServerState): UpstreamExchange {
-    const { tenant, priority, method, path, rawHeaders, body, deadlineAt } = this.request
+  private open(endpoint: EndpointState): UpstreamExchange {
+    const { team, priority, method, path, rawHeaders, body, deadlineAt } = this.request
     const remaining = Math.max(1, Math.floor(deadlineAt - this.parts.clock.monotonic()))
     const headers = this.parts.dialect.forwardHeaders(rawHeaders, {
       remainingMilliseconds: remaining,
-      instance: endpoint.record.id,
-      tenant,
+      endpoint: endpoint.record.id,
+      team,
       priority,
       lastEventId: this.events.lastEventId,
     })
@@ -222,7 +222,7 @@
 
   /** Judges the head of an answer and passes the answer on where it may be. */
   private async takeAnswer(
-    endpoint: ServerState,
+    endpoint: EndpointState,
     exchange: UpstreamExchange,
     response: IncomingMessage,
     noteBegun: () => void,
@@ -251,7 +251,7 @@
   }
 
   private async passOn(
-    endpoint: ServerState,
+    endpoint: EndpointState,
     exchange: UpstreamExchange,
     response: IncomingMessage,
     noteBegun: () => void,
--- a/packages/router/src/gateway/upstreamExchange.ts
+++ b/packages/router/src/gateway/upstreamExchange.ts
@@ -1,9 +1,9 @@
 import { request as httpRequest } from 'node:http'
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Milliseconds } from '@rackwalk/shared'
-import type { ServerState } from './serverDirectory.js'
+import type { EndpointState } from './endpointDirectory.js'
 
-/** One request to one server, up to the head of its answer and then its body. */
+/** One request to one endpoint, up to the head of its answer and then its body. */
 
 export interface UpstreamRequest {
   readonly method: string
@@ -36,15 +36,15 @@
   private connected = false
   private ended = false
 
-  constructor(server: ServerState, request: UpstreamRequest) {
-    const [host = '', port = ''] = server.record.address.split(':')
+  constructor(endpoint: EndpointState, request: UpstreamRequest) {
+    const [host = '', port = ''] = endpoint.record.address.split(':')
     this.call = httpRequest({
       host,
       port: Number(port),
       method: request.method,
       path: request.path,
       headers: request.headers as unknown as Record<string, string>,
-      agent: server.agent,
+      agent: endpoint.agent,
       setHost: false,
     })
     this.head = this.awaitHead(request.connectMilliseconds)
@@ -90,7 +90,7 @@
     this.response?.resume()
   }
 
-  /** Ends the exchange and its connection; the server drops the request. */
+  /** Ends the exchange and its connection; the endpoint drops the request. */
   abort(): void {
     this.broken = true
     this.call.destroy()
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -72,6 +72,7 @@
   GatewayLimits,
   GatewayRoute,
   GatewayService,
+  GatewayTeam,
 } from './gateway/gatewayConfiguration.js'
 export type { GatewayRecord } from './gateway/gatewayRecord.js'
 export type {
@@ -80,7 +81,7 @@
   PromptPart,
   ReplyMetadata,
   RequestMetadata,
-  ServerLoad,
+  EndpointLoad,
 } from './gateway/dialect.js'
 export { withoutConnectionHeaders } from './gateway/connectionHeaders.js'
 export { FleetLoad } from './gateway/fleetLoad.js'
@@ -90,5 +91,5 @@
 export type { PeerLoadReport } from './gateway/peerLoads.js'
 export { EventRelay } from './gateway/eventRelay.js'
 export { sharedPartOf, snapshotEndpoint } from './gateway/endpointSnapshots.js'
-export { ServerDirectory } from './gateway/serverDirectory.js'
-export type { ServerRecord } from './gateway/serverDirectory.js'
+export { EndpointDirectory } from './gateway/endpointDirectory.js'
+export type { EndpointRecord } from './gateway/endpointDirectory.js'
