--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -12,7 +12,7 @@
 export { valueOf } from './forms.js'
 export { MemoryCounters } from './counters.js'
 export type { CounterName, Counters } from './counters.js'
-export { rendezvousChoice, rendezvousOrder } from '@rackwalk/decisions'
+export { committedBound, rendezvousChoice, rendezvousOrder } from '@rackwalk/decisions'
 export * as tableKeys from './tableKeys.js'
 
 export { DEFAULT_JOURNAL_LIMITS, Journal } from './journal/journal.js'
@@ -128,8 +128,6 @@
 export { MEMBER_PARTITION, MEMBER_TABLE, memberRowCodec } from './membership/memberRow.js'
 export type { MemberRow, MemberState } from './membership/memberRow.js'
 export { MemberDirectory } from './membership/memberDirectory.js'
-export { ActiveInstances, chooseActive } from './membership/activeInstances.js'
-export type { ActiveBounds, ActiveCandidate } from './membership/activeInstances.js'
 export type { MemberDirectoryParts } from './membership/memberDirectory.js'
 export { StoreClock } from './rows/storeClock.js'
 export { TableMirror } from './rows/tableMirror.js'
@@ -156,7 +154,6 @@
 export {
   POOL_KEY,
   PREPAID_TABLE,
-  committedBound,
   endHolding,
   freeInPool,
   holderKey,
--- a/packages/coordination/src/prepaid/holdingState.ts
+++ b/packages/coordination/src/prepaid/holdingState.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds, TokenCount, Version } from '@rackwalk/shared'
-import { committedBound, timeOfBound } from './prepaidRows.js'
+import { committedBound, timeOfBound } from '@rackwalk/decisions'
 import type { HolderRow } from './prepaidRows.js'
 
 /** A holder row of this incarnation that is, or may come to be, in the store. */
--- a/packages/coordination/src/prepaid/prepaidRows.ts
+++ b/packages/coordination/src/prepaid/prepaidRows.ts
@@ -60,26 +60,6 @@
   return pool.limit - pool.settled - pool.allocated
 }
 
-/** The most that a holder may have committed, `elapsed` milliseconds after its row's base. */
-export function committedBound(holder: HolderRow, elapsed: Milliseconds): TokenCount {
-  const strict = Math.max(0, Math.min(elapsed, holder.strictMilliseconds))
-  const cut = Math.max(0, elapsed - holder.strictMilliseconds)
-  const growth = (holder.strictRate * strict + holder.cutRate * cut) / 1000
-  const burst = cut > 0 ? holder.cutBurst : 0
-  return Math.min(holder.granted, Math.floor(holder.committed + burst + growth))
-}
-
-/** Time after a row's base at which the bound reaches `committed`; undefined where never. */
-export function timeOfBound(holder: HolderRow, committed: TokenCount): Milliseconds | undefined {
-  if (committed > holder.granted) return undefined
-  const missing = (committed - holder.committed) * 1000
-  const byStrict = holder.strictRate * holder.strictMilliseconds
-  if (missing <= byStrict) return missing <= 0 ? 0 : missing / holder.strictRate
-  const beyond = missing - byStrict - holder.cutBurst * 1000
-  if (beyond <= 0) return holder.strictMilliseconds + 1
-  return holder.cutRate > 0 ? holder.strictMilliseconds + beyond / holder.cutRate : undefined
-}
-
 /** Ends a holding: what it may have committed counts as handed out, the rest is free again. */
 export function endHolding(pool: PoolRow, holder: HolderRow, committed: TokenCount): PoolRow {
   return {
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -1,7 +1,8 @@
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import { plentyOf } from './holdingPolicy.js'
 import type { BudgetView, HoldingPolicy } from './holdingPolicy.js'
-import { committedBound, endHolding, freeInPool } from './prepaidRows.js'
+import { committedBound } from '@rackwalk/decisions'
+import { endHolding, freeInPool } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
 
 /** Decides the next write of one holder: a pure function of what is known. */
--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -1,5 +1,6 @@
-import { ActiveInstances } from '@rackwalk/coordination'
-import type { ActiveBounds, MemberRow } from '@rackwalk/coordination'
+import { ActiveInstances, isBusy } from '@rackwalk/decisions'
+import type { ActiveBounds } from '@rackwalk/decisions'
+import type { MemberRow } from '@rackwalk/coordination'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
 /** What this instance knows of the fleet at present: who serves, and who of them takes callers. */
@@ -33,13 +34,6 @@
 /** Others that started at the same time are known after this time. */
 const SETTLING_MILLISECONDS = 2_000
 
-/** An instance that takes this many requests a second serves callers, active or not. */
-const BUSY_REQUESTS_PER_SECOND = 0.5
-
-function isBusy({ requestsPerSecond }: MemberRow): boolean {
-  return requestsPerSecond >= BUSY_REQUESTS_PER_SECOND
-}
-
 function activeCountOf({ isSelfActive, activeOthers }: FleetView): number {
   return activeOthers.length + (isSelfActive ? 1 : 0)
 }
@@ -51,7 +45,7 @@
   private selfSince: Milliseconds = 0
 
   constructor(private readonly parts: ActiveFleetParts) {
-    this.choice = new ActiveInstances(parts.clock, parts.bounds)
+    this.choice = new ActiveInstances(parts.bounds)
   }
 
   /** Whether callers are sent here. */
@@ -139,7 +133,8 @@
   private look(self: MemberRow | undefined): Omit<FleetView, 'at'> {
     const all = this.parts.others()
     const others = this.reachable(all)
-    const active = this.choice.choose(self === undefined ? others : [self, ...others])
+    const candidates = self === undefined ? others : [self, ...others]
+    const active = this.choice.choose(candidates, this.parts.clock.monotonic())
     const activeOthers = active.filter(member => member !== self)
     const busyOthers = others.filter(other => isBusy(other) && !activeOthers.includes(other))
     const workingOthers = [...activeOthers, ...busyOthers]
--- a/packages/daemon/src/gateway/plannedStop.ts
+++ b/packages/daemon/src/gateway/plannedStop.ts
@@ -1,16 +1,13 @@
+/**
+ * Brings an instance to its planned end inside the time that it is given, by the phases of
+ * decisions/stopping/drainPhases.ts. Owns nothing; the daemon gives the acts.
+ */
+
+import { LINGER_MILLISECONDS, exitTime, isTimeToSettle } from '@rackwalk/decisions'
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Brings an instance to its planned end inside the time that it is given. */
-
-/** After the notice, callers that still hold an old answer are served for this long. */
-const LINGER_MILLISECONDS = 2_600
-/** The process lives at least this long after the notice, so that callers learn of it. */
-const SHORTEST_DRAIN_MILLISECONDS = 3_200
-/** Kept at the end of the grace time for settling budgets. */
-const SETTLE_MILLISECONDS = 900
-/** The process ends by itself this long before it would be killed. */
-const EXIT_MILLISECONDS = 200
+/** Time between two looks at the requests in progress. */
 const POLL_MILLISECONDS = 20
 
 export interface PlannedStopParts {
@@ -46,18 +43,16 @@
 }
 
 async function waitForRequests(parts: PlannedStopParts, startedAt: Milliseconds): Promise<void> {
-  const earliest = startedAt + SHORTEST_DRAIN_MILLISECONDS
-  const latest = startedAt + parts.graceMilliseconds() - SETTLE_MILLISECONDS
+  const grace = parts.graceMilliseconds()
   for (;;) {
-    const now = parts.clock.monotonic()
-    if (now >= latest) return
-    if (parts.inFlight() === 0 && now >= earliest) return
+    const elapsed = parts.clock.monotonic() - startedAt
+    if (isTimeToSettle({ elapsed, grace, inFlight: parts.inFlight() })) return
     await sleep(parts.clock, POLL_MILLISECONDS)
   }
 }
 
 async function graceEnd(parts: PlannedStopParts, startedAt: Milliseconds): Promise<boolean> {
-  const end = startedAt + parts.graceMilliseconds() - EXIT_MILLISECONDS
+  const end = startedAt + exitTime(parts.graceMilliseconds())
   await sleep(parts.clock, Math.max(0, end - parts.clock.monotonic()))
   return false
 }
--- a/packages/coordination/__tests__/activeInstances.spec.ts
+++ b/packages/decisions/__tests__/activeInstances.spec.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
 import fc from 'fast-check'
 import { VirtualClock } from '@rackwalk/shared'
-import { ActiveInstances, chooseActive } from '@rackwalk/coordination'
-import type { ActiveCandidate } from '@rackwalk/coordination'
+import { ActiveInstances, chooseActive } from '@rackwalk/decisions'
+import type { ActiveCandidate } from '@rackwalk/decisions'
 
 const BOUNDS = { minimumInDomain: 2, headroom: 2 }
 
@@ -69,23 +69,23 @@
   })
 
   it('are chosen for each region by its own load', () => {
-    const choice = new ActiveInstances(new VirtualClock(), BOUNDS)
+    const choice = new ActiveInstances(BOUNDS)
     const busy = fleet(5, { region: 'busy', requestsPerSecond: 16 })
     const idle = fleet(5, { region: 'idle' })
-    const chosen = choice.choose([...busy, ...idle])
+    const chosen = choice.choose([...busy, ...idle], 0)
     expect(chosen.filter(({ region }) => region === 'busy').length).toBe(12)
     expect(chosen.filter(({ region }) => region === 'idle').length).toBe(6)
   })
 
   it('follow a rise of the load at once and a fall slowly', async () => {
     const clock = new VirtualClock()
-    const choice = new ActiveInstances(clock, BOUNDS)
+    const choice = new ActiveInstances(BOUNDS)
     const counts: number[] = []
     for (const requestsPerSecond of [0, 16, 0]) {
-      counts.push(choice.choose(fleet(5, { requestsPerSecond })).length)
+      counts.push(choice.choose(fleet(5, { requestsPerSecond }), clock.monotonic()).length)
     }
     expect(counts).toEqual([6, 12, 12])
     await clock.advance(60_000)
-    expect(choice.choose(fleet(5)).length).toBe(6)
+    expect(choice.choose(fleet(5), clock.monotonic()).length).toBe(6)
   })
 })
--- /dev/null
+++ b/packages/decisions/__tests__/spendingBound.spec.ts
@@ -0,0 +1,62 @@
+import fc from 'fast-check'
+import { describe, expect, it } from 'vitest'
+import { committedBound, timeOfBound } from '@rackwalk/decisions'
+
+/** What an instance may spend by its own row while the store is away. */
+
+const BOUND = {
+  granted: 10_000,
+  committed: 1_000,
+  strictRate: 100,
+  strictMilliseconds: 2_000,
+  cutBurst: 500,
+  cutRate: 1_000,
+}
+
+describe('the spending bound of a row', () => {
+  it('grows by the strict rate, then by a burst and the rate of a cut, up to what is held', () => {
+    const times = [-5, 0, 1_000, 2_000, 2_001, 3_000, 5_000, 10_000, 60_000]
+    const table = times.map(time => `${time} ms: ${committedBound(BOUND, time)}`)
+    expect(table).toMatchInlineSnapshot(`
+      [
+        "-5 ms: 1000",
+        "0 ms: 1000",
+        "1000 ms: 1100",
+        "2000 ms: 1200",
+        "2001 ms: 1701",
+        "3000 ms: 2700",
+        "5000 ms: 4700",
+        "10000 ms: 9700",
+        "60000 ms: 10000",
+      ]
+    `)
+  })
+
+  it('tells when a sum may be committed, or that it never may', () => {
+    const sums = [900, 1_100, 1_200, 1_400, 3_000, 10_000, 10_001]
+    const table = sums.map(sum => `${sum}: ${timeOfBound(BOUND, sum)}`)
+    expect(table).toMatchInlineSnapshot(`
+      [
+        "900: 0",
+        "1100: 1000",
+        "1200: 2000",
+        "1400: 2001",
+        "3000: 3300",
+        "10000: 10300",
+        "10001: undefined",
+      ]
+    `)
+  })
+
+  it('allows a sum at the time that it tells, and not a second before', () => {
+    const sums = fc.integer({ min: 1_001, max: 10_000 })
+    fc.assert(
+      fc.property(sums, sum => {
+        const time = timeOfBound(BOUND, sum) ?? Number.NaN
+        expect(committedBound(BOUND, Math.ceil(time) + 1)).toBeGreaterThanOrEqual(sum)
+        expect(committedBound(BOUND, time - 1_000)).toBeLessThan(sum)
+      }),
+      { seed: 1 },
+    )
+  })
+})
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -6,6 +6,7 @@
 export type { EndpointSnapshot } from './choosing/endpointChoice.js'
 export { rendezvousChoice, rendezvousOrder } from './choosing/rendezvous.js'
 
+export { committedBound, timeOfBound } from './admitting/spendingBound.js'
 export { budgetPatience, returnAfterSeconds } from './admitting/budgetPatience.js'
 export { settledCost } from './admitting/settledCost.js'
 
@@ -16,5 +17,9 @@
 export { isPromising, isServerError, nextStep } from './retrying/nextStep.js'
 export type { NextStep } from './retrying/nextStep.js'
 
+export { ActiveInstances, chooseActive, isBusy } from './placing/activeInstances.js'
+export type { ActiveBounds, ActiveCandidate } from './placing/activeInstances.js'
+
+export { LINGER_MILLISECONDS, exitTime, isTimeToSettle } from './stopping/drainPhases.js'
 export { finalError } from './stopping/finalError.js'
 export type { NoChoice } from './stopping/finalError.js'
--- a/packages/coordination/src/membership/activeInstances.ts
+++ b/packages/decisions/src/placing/activeInstances.ts
@@ -1,34 +1,38 @@
-import { groupBy } from '@rackwalk/shared'
-import type { Clock, Milliseconds } from '@rackwalk/shared'
-import { rendezvousOrder } from '@rackwalk/decisions'
-
 /**
- * Which instances take callers. Each instance that takes callers holds part of every budget, and
- * knows at once only of its own requests, so a fleet uses no more of them than its load needs;
- * the others stand by, hold nothing and follow the store at leisure. All instances choose for
- * themselves from what they know of the members. Two that choose differently do no harm: an
- * instance that stands by serves whoever comes.
+ * Which instances take callers?
+ *
+ * Each instance that takes callers holds part of every budget and knows at once only of its own
+ * requests, so a fleet uses no more of them than its load needs; the others stand by. Inputs are
+ * what members tell of themselves (rows up to a second old, three on standby): where they run, what
+ * load they can take and what they take at present. All instances choose for themselves. Two that
+ * choose differently do no harm: a standby instance serves whoever comes. Ways weighed and figures:
+ * docs/design/platform-deployment.md#active-instances.
  */
 
+import { groupBy } from '@rackwalk/shared'
+import type { Milliseconds } from '@rackwalk/shared'
+import { rendezvousOrder } from '../choosing/rendezvous.js'
+
 /** What the choice needs to know of an instance. */
 export interface ActiveCandidate {
   readonly instance: string
   readonly region: string
   readonly failureDomain: string
-  /** Requests a second that it bears. */
+  /** Requests a second that it can take, by its settings. */
   readonly capacity: number
   /** Requests a second that it takes at present. */
   readonly requestsPerSecond: number
 }
 
+/** How many instances there have to be; from the settings. */
 export interface ActiveBounds {
   /** Active instances that each failure domain has at least. */
   readonly minimumInDomain: number
-  /** Active instances together bear this many times the present load. */
+  /** Active instances together can take this many times the present load. */
   readonly headroom: number
 }
 
-/** In this time the highest load seen counts for half. */
+/** In this time the highest load seen fades to half. Chosen, not measured. */
 const LOAD_HALF_LIFE_MILLISECONDS = 15_000
 /** Names of instances say nothing, so equals are ordered by a hash under this key. */
 const ORDER_KEY = 'active'
@@ -37,27 +41,22 @@
 export class ActiveInstances {
   private readonly loads = new Map<string, { load: number; at: Milliseconds }>()
 
-  constructor(
-    private readonly clock: Clock,
-    private readonly bounds: ActiveBounds,
-  ) {}
+  constructor(private readonly bounds: ActiveBounds) {}
 
-  /** Of the candidates those that should take callers, region by region. */
+  /** Of the candidates those that should take callers, region by region; `now` is monotonic. */
   choose<Candidate extends ActiveCandidate>(
     candidates: readonly Candidate[],
+    now: Milliseconds,
   ): readonly Candidate[] {
     const regions = groupBy(candidates, candidate => candidate.region)
     return [...regions].flatMap(([region, members]) => {
-      const load = this.notedLoad(
-        region,
-        sumOf(members, member => member.requestsPerSecond),
-      )
+      const present = sumOf(members, member => member.requestsPerSecond)
+      const load = this.notedLoad(region, present, now)
       return chooseActive(members, load, this.bounds)
     })
   }
 
-  private notedLoad(region: string, present: number): number {
-    const now = this.clock.monotonic()
+  private notedLoad(region: string, present: number, now: Milliseconds): number {
     const known = this.loads.get(region) ?? { load: 0, at: now }
     const faded = known.load * 0.5 ** ((now - known.at) / LOAD_HALF_LIFE_MILLISECONDS)
     const load = Math.max(present, faded)
@@ -67,7 +66,7 @@
 }
 
 /**
- * The fewest instances that bear the load with headroom: from each failure domain in turn its
+ * The fewest instances that can take the load with headroom: from each failure domain in turn its
  * best, so that domains get the same number where they have as many.
  */
 export function chooseActive<Candidate extends ActiveCandidate>(
@@ -89,6 +88,17 @@
   return chosen
 }
 
+/** An instance that takes this many requests a second serves callers, active or not. Chosen. */
+const BUSY_REQUESTS_PER_SECOND = 0.5
+
+/**
+ * Whether callers come to an instance, whether or not it was chosen: some do not follow the
+ * directory, and who serves them shares the bounds of the whole fleet.
+ */
+export function isBusy({ requestsPerSecond }: Pick<ActiveCandidate, 'requestsPerSecond'>): boolean {
+  return requestsPerSecond >= BUSY_REQUESTS_PER_SECOND
+}
+
 function byCapacity<Candidate extends ActiveCandidate>(
   members: readonly Candidate[],
 ): readonly Candidate[] {
