--- a/eslint.config.js
+++ b/eslint.config.js
@@ -8,7 +8,16 @@
 // The coordination library is embedded by others, so it must not know a transport or an engine.
 const TRANSPORTS = ['undici', '@grpc/grpc-js', 'node:http', 'http']
 // Folders whose modules and exports all have a doc comment; the list can only grow.
-const DOCUMENTED = ['packages/shared', 'packages/decisions', 'packages/stores', 'platform']
+const DOCUMENTED = [
+  'packages/shared/src',
+  'packages/decisions/src',
+  'packages/stores/src',
+  'packages/coordination/src/prepaid',
+  'packages/coordination/src/rows',
+  'packages/router/src/gateway',
+  'packages/daemon/src/gateway',
+  'platform/src',
+]
 // Longer or more branched functions are hard to hold in mind; those that were there when the
 // rule came are counted by file in eslint-suppressions.json, and the count can only fall.
 const FUNCTION_LINES = 40
@@ -60,7 +69,7 @@
     },
   },
   {
-    files: DOCUMENTED.map(folder => `${folder}/src/**/*.ts`),
+    files: DOCUMENTED.map(folder => `${folder}/**/*.ts`),
     ignores: ['**/index.ts'],
     plugins: { jsdoc, rackwalk: { rules: { 'opening-comment': openingComment } } },
     rules: {
--- a/packages/coordination/src/prepaid/borrower.ts
+++ b/packages/coordination/src/prepaid/borrower.ts
@@ -1,9 +1,14 @@
+/**
+ * Borrows tokens that other instances hold, for one request, where neither the own holding nor the
+ * pool covers it. Owns which lenders lately gave no answer or too little, and which loans are still to
+ * be repaid; relies on a channel to reach lenders.
+ */
+
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { Loan, LoanChannel } from './loan.js'
 
-/** Borrows tokens that other instances hold, where one transaction cannot reach them. */
-
+/** What a borrower works with. */
 export interface BorrowerParts {
   readonly channel: LoanChannel
   readonly clock: Clock
@@ -22,6 +27,7 @@
 const REPAY_ATTEMPTS = 5
 const REPAY_RETRY_MILLISECONDS = 700
 
+/** Borrows for one instance, over all its budgets. */
 export class Borrower {
   private readonly silentUntil = new Map<string, Milliseconds>()
   private readonly shortUntil = new Map<string, Milliseconds>()
--- a/packages/coordination/src/prepaid/demandMeter.ts
+++ b/packages/coordination/src/prepaid/demandMeter.ts
@@ -1,3 +1,5 @@
+/** Tokens or requests a second, averaged over the last seconds. Owns one decaying sum. */
+
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
 /** Time over which demand is averaged. */
--- a/packages/coordination/src/prepaid/holdingPolicy.ts
+++ b/packages/coordination/src/prepaid/holdingPolicy.ts
@@ -1,3 +1,8 @@
+/**
+ * How much of a budget should an instance hold, and how much stays in the pool? Pure policies over a
+ * view of the budget; the setting `budgets.policy` chooses one.
+ */
+
 import type { TokenCount } from '@rackwalk/shared'
 
 /** What one instance knows about a budget when it decides how much of it to hold. */
--- a/packages/coordination/src/prepaid/holdingState.ts
+++ b/packages/coordination/src/prepaid/holdingState.ts
@@ -1,3 +1,8 @@
+/**
+ * What this incarnation may still commit of one budget. Owns the tokens committed here and the rows of
+ * this incarnation that are, or may come to be, in the store; relies on decisions/admitting/spendingBound.
+ */
+
 import type { Clock, Milliseconds, TokenCount, Version } from '@rackwalk/shared'
 import { committedBound, timeOfBound } from '@rackwalk/decisions'
 import type { HolderRow } from './prepaidRows.js'
--- a/packages/coordination/src/prepaid/lender.ts
+++ b/packages/coordination/src/prepaid/lender.ts
@@ -1,3 +1,8 @@
+/**
+ * The lending side of loans: commits tokens out of this instance's holding for a borrower, and frees what
+ * was not spent. Owns the open loans; one that is never repaid counts as spent.
+ */
+
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { LoanRepayment, LoanRequest } from './loan.js'
 
--- a/packages/coordination/src/prepaid/loan.ts
+++ b/packages/coordination/src/prepaid/loan.ts
@@ -1,11 +1,12 @@
-import type { Milliseconds, TokenCount } from '@rackwalk/shared'
-
 /**
- * Loans of prepaid tokens between instances. A lender counts a loan as committed in its own
- * holding before it answers, so the borrower spends what is already accounted for: whatever
- * message is lost and whoever dies, the budget is never counted for less than was spent.
+ * Loans of prepaid tokens between instances: their messages and the channel that carries them. A lender
+ * counts a loan as committed in its own holding before it answers, so the borrower spends what is already
+ * accounted for: whatever message is lost and whoever dies, the budget is never counted for less than was
+ * spent.
  */
 
+import type { Milliseconds, TokenCount } from '@rackwalk/shared'
+
 /** Tokens of a reservation that another instance has committed on behalf of this one. */
 export interface Loan {
   readonly lender: string
@@ -14,6 +15,7 @@
   readonly tokens: TokenCount
 }
 
+/** Asks for a loan. */
 export interface LoanRequest {
   readonly id: string
   readonly budget: string
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -1,3 +1,8 @@
+/**
+ * The rows of one budget as last seen, whether by a read, the feed or a refused write. Owns the newest
+ * sight of each row; an older one never replaces a newer.
+ */
+
 import type { TokenCount } from '@rackwalk/shared'
 import { POOL_KEY, holderKey, holderRowCodec, instanceOfKey, poolRowCodec } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -1,3 +1,9 @@
+/**
+ * One budget on one instance: reserves, settles and keeps the rows in the store true. Owns the requests
+ * that wait for a write and the write in progress; relies on HoldingState for what may be spent, on
+ * PartitionView for what the others hold, and on writePlan for what the next write says.
+ */
+
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { RowAddress, RowStore, RowTransaction, RowWriteOutcome } from '@rackwalk/stores'
@@ -23,8 +29,7 @@
 import { WaitingRequests } from './waitingRequests.js'
 import type { WaitingRequest } from './waitingRequests.js'
 
-/** One budget on one instance: reserves, settles and keeps the rows in the store true. */
-
+/** What an account works with. */
 export interface PrepaidAccountParts {
   readonly budget: string
   readonly instance: string
@@ -58,6 +63,7 @@
 const LARGEST_DECAY = 0.98
 const LEAVE_ATTEMPTS = 12
 
+/** One budget on one instance. */
 export class PrepaidAccount implements LendingAccount {
   private readonly holding: HoldingState
   /** Tokens that callers ask for, refused ones included. */
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -1,3 +1,8 @@
+/**
+ * All prepaid budgets on one instance. Owns an account for each, and decides whether a request is covered
+ * by the own holding, a write or loans; relies on accounts, borrower and lender to do it.
+ */
+
 import { groupBy } from '@rackwalk/shared'
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
 import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
@@ -9,8 +14,7 @@
 import { PrepaidAccount } from './prepaidAccount.js'
 import type { PrepaidOutcome, PrepaidReservation } from './prepaidOutcome.js'
 
-/** All prepaid budgets on one instance. */
-
+/** What a ledger works with. */
 export interface PrepaidLedgerParts {
   readonly instance: string
   readonly incarnation: string
@@ -52,6 +56,7 @@
 /** Part of the store's writes that periodic records may take. */
 const RECORD_SHARE = 0.3
 
+/** All prepaid budgets on one instance. */
 export class PrepaidLedger {
   private readonly accounts = new Map<string, PrepaidAccount>()
   private readonly borrower: Borrower | undefined
--- a/packages/coordination/src/prepaid/prepaidRows.ts
+++ b/packages/coordination/src/prepaid/prepaidRows.ts
@@ -1,13 +1,13 @@
+/**
+ * Rows of the prepaid ledger and their stored forms. A budget is one partition: a pool row, and a holder
+ * row for each instance that drew on it. What an instance may hand out is bounded by its holder row alone,
+ * so that a death at any moment loses at most what that row allowed.
+ */
+
 import * as z from 'zod'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 
-/**
- * Rows of the prepaid ledger. A budget is one partition: a pool row, and a holder row for
- * each instance that drew on it. What an instance may hand out is bounded by its holder row
- * alone, so that a death at any moment loses at most what that row allowed.
- */
-
 export const PREPAID_TABLE = 'prepaid'
 export const POOL_KEY = 'pool'
 const HOLDER_PREFIX = 'holder/'
@@ -23,6 +23,7 @@
   readonly allocated: TokenCount
 }
 
+/** What one incarnation holds, and may spend before its next write. */
 export interface HolderRow {
   readonly incarnation: string
   /** Counts the writes of this incarnation; tells a lost answer from a lost write. */
@@ -47,6 +48,7 @@
   readonly wanted: TokenCount
 }
 
+/** The key of an instance's holder row. */
 export function holderKey(instance: string): string {
   return `${HOLDER_PREFIX}${instance}`
 }
@@ -56,6 +58,7 @@
   return key.startsWith(HOLDER_PREFIX) ? key.slice(HOLDER_PREFIX.length) : undefined
 }
 
+/** Tokens of the pool that nobody holds; negative after the limit was lowered. */
 export function freeInPool(pool: PoolRow): TokenCount {
   return pool.limit - pool.settled - pool.allocated
 }
--- a/packages/coordination/src/prepaid/waitingRequests.ts
+++ b/packages/coordination/src/prepaid/waitingRequests.ts
@@ -1,3 +1,7 @@
+/**
+ * The requests of one budget that wait for a write which covers them, first come first. Owns their timers.
+ */
+
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
 import type { PrepaidOutcome } from './prepaidOutcome.js'
 
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -1,3 +1,8 @@
+/**
+ * What does the next write of one holder say? A pure function of what is known: which requests it admits,
+ * how the holding changes, and how much may be spent before the write after it.
+ */
+
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import { plentyOf } from './holdingPolicy.js'
 import type { BudgetView, HoldingPolicy } from './holdingPolicy.js'
@@ -5,8 +10,7 @@
 import { endHolding, freeInPool } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
 
-/** Decides the next write of one holder: a pure function of what is known. */
-
+/** What the plan rests on. */
 export interface WriteInputs {
   readonly pool: PoolRow | undefined
   /** The row under this instance's key; another incarnation's at the first write. */
@@ -31,6 +35,7 @@
   readonly othersWant: TokenCount
 }
 
+/** The next write, and the requests that it covers. */
 export interface WritePlan {
   readonly pool: PoolRow
   readonly holder: HolderRow
--- a/packages/coordination/src/rows/storeClock.ts
+++ b/packages/coordination/src/rows/storeClock.ts
@@ -1,3 +1,7 @@
+/**
+ * Bounds on the store's steady clock, drawn from the times that its answers name. Owns the newest bounds.
+ */
+
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
 /**
--- a/packages/coordination/src/rows/tableMirror.ts
+++ b/packages/coordination/src/rows/tableMirror.ts
@@ -1,9 +1,12 @@
+/**
+ * A copy of one table of the row store, kept up to date by the store's feed, or by peers while the store
+ * does not answer. Owns the position in the feed and the rows seen; tells its listener of changes.
+ */
+
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { ChangedRow, RowFeedOutcome, RowStore } from '@rackwalk/stores'
 
-/** A copy of one table of the row store, kept up to date by the store's feed. */
-
 /** What a mirror tells its owner. */
 export interface MirrorListener {
   /**
@@ -28,6 +31,7 @@
   readonly version: number
 }
 
+/** What a mirror works with. */
 export interface TableMirrorParts {
   readonly store: RowStore
   readonly table: string
--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -1,10 +1,15 @@
+/**
+ * What this instance knows of the fleet at present: who serves, who of them takes callers, and at which
+ * addresses. Owns a short-lived view, since decisions ask for it often; relies on the members' rows, on the
+ * datagrams for who was heard of, and on decisions/placing/activeInstances.
+ */
+
 import { ActiveInstances, isBusy } from '@rackwalk/decisions'
 import type { ActiveBounds } from '@rackwalk/decisions'
 import type { MemberRow } from '@rackwalk/coordination'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** What this instance knows of the fleet at present: who serves, and who of them takes callers. */
-
+/** What the view of the fleet rests on. */
 export interface ActiveFleetParts {
   /** Whether this instance takes callers; asked far more often than the own row. */
   readonly isServing: () => boolean
@@ -38,6 +43,7 @@
   return activeOthers.length + (isSelfActive ? 1 : 0)
 }
 
+/** The fleet as this instance sees it. */
 export class ActiveFleet {
   private readonly choice: ActiveInstances
   private view: FleetView | undefined
--- a/packages/daemon/src/gateway/countedStore.ts
+++ b/packages/daemon/src/gateway/countedStore.ts
@@ -1,3 +1,5 @@
+/** The store with its calls counted: each has a price and a limit. Owns nothing. */
+
 import type {
   RowFeedOutcome,
   RowReadOutcome,
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -1,16 +1,17 @@
+/**
+ * Keeps the directory of endpoints as the platform lists them. Entries lapse while the store is away; those
+ * of endpoints that live are back soon after it, and the others are gone. Owns when the store came back.
+ */
+
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { ChangedRow, RowAddress } from '@rackwalk/stores'
 import type { MirrorListener } from '@rackwalk/coordination'
 import type { EndpointDirectory, EndpointRecord } from '@rackwalk/router'
 
-/**
- * Keeps the directory of endpoints as the platform lists them. Entries lapse while the store is
- * away; those of endpoints that live are back soon after it, and the others are gone.
- */
-
 /** An entry that is missing after an outage may come back for this long. */
 const LAPSE_MILLISECONDS = 1_800
 
+/** What a follower works with. */
 export interface EndpointFollowerParts {
   readonly directory: EndpointDirectory
   readonly clock: Clock
@@ -19,6 +20,7 @@
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
+/** Follows the rows of endpoints. */
 export class EndpointFollower implements MirrorListener {
   private isReachable = true
   private regainedAt: Milliseconds = Number.NEGATIVE_INFINITY
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -1,3 +1,8 @@
+/**
+ * The tables of the store that an instance follows, and how often it reads each. Owns nothing: it makes a
+ * mirror for each table and connects it to who listens.
+ */
+
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import { MEMBER_PARTITION, MEMBER_TABLE, PREPAID_TABLE, TableMirror } from '@rackwalk/coordination'
@@ -7,8 +12,6 @@
 import type { PlatformAdapter } from './platformAdapter.js'
 import { EndpointFollower } from './endpointFollower.js'
 
-/** The tables of the store that an instance follows. */
-
 /** Feeds of tables that rarely change wait at the store. */
 const FEED_WAIT_MILLISECONDS = 2_000
 const CONFIGURATION_PAUSE_MILLISECONDS = 20
@@ -23,6 +26,7 @@
 /** Time between two reads, as a part of that between two records of a holding. */
 const PREPAID_PAUSE_SHARE = 0.5
 
+/** What the mirrors are connected to. */
 export interface FollowedTablesParts {
   readonly store: RowStore
   readonly clock: Clock
--- a/packages/daemon/src/gateway/gatewayAnswers.ts
+++ b/packages/daemon/src/gateway/gatewayAnswers.ts
@@ -1,3 +1,8 @@
+/**
+ * The short questions that an instance answers beside requests: readiness, addresses, peers, metrics. Owns
+ * nothing; relies on the adapter for how the platform spells them.
+ */
+
 import type { Server } from 'node:http'
 import type { Lender, TableMirror } from '@rackwalk/coordination'
 import type { ActiveFleet } from './activeFleet.js'
@@ -9,8 +14,7 @@
 import { answerRows } from './peerRows.js'
 import type { PlainAnswer, PlatformAdapter } from './platformAdapter.js'
 
-/** The short questions that an instance answers beside requests. */
-
+/** What the answers rest on. */
 export interface GatewayAnswersParts {
   readonly adapter: PlatformAdapter
   readonly isReady: () => boolean
@@ -28,6 +32,7 @@
   readonly address: string
 }
 
+/** Answers short questions, a listener for each kind. */
 export class GatewayAnswers {
   constructor(private readonly parts: GatewayAnswersParts) {}
 
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -1,3 +1,8 @@
+/**
+ * One instance of the gateway kind: every part, wired together. Owns the configuration in force and the
+ * phase of the instance's life; relies on each part for what it does.
+ */
+
 import type { Server } from 'node:http'
 import { ResultCode, SystemClock, SystemRandom } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
@@ -34,6 +39,7 @@
 import type { PlatformAdapter } from './platformAdapter.js'
 import type { SettingsOutcome } from './settingsWatcher.js'
 
+/** What may be replaced in tests and in programs that embed a daemon. */
 export interface GatewayDaemonOptions {
   readonly clock?: Clock
   readonly random?: RandomSource
--- a/packages/daemon/src/gateway/gatewayListeners.ts
+++ b/packages/daemon/src/gateway/gatewayListeners.ts
@@ -1,3 +1,7 @@
+/**
+ * The sockets of a gateway instance: the listener for callers and the plain listeners for short calls.
+ */
+
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { GatewayLimits } from '@rackwalk/router'
@@ -5,8 +9,6 @@
 import { listenOn } from '../observe/listenOn.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
-/** The sockets of a gateway instance. */
-
 /** Callers may take up a connection that rested almost this long; it must still be there. */
 const IDLE_SLACK_MILLISECONDS = 1_000
 const LONGEST_HEADER_BYTES = 64 * 1024
@@ -52,6 +54,7 @@
   })
 }
 
+/** Listens at all addresses; fails with `CannotListen` where one cannot be bound. */
 export async function listenAll(
   listeners: readonly { readonly server: Server; readonly address: string }[],
 ): Promise<void> {
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -1,3 +1,8 @@
+/**
+ * The metrics of a gateway instance. Owns their registry; names and labels are an interface to operators
+ * and change only on purpose.
+ */
+
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 import { outcomeLabel } from '@rackwalk/decisions'
 import { ResultCode, resultName } from '@rackwalk/shared'
--- a/packages/daemon/src/gateway/gatewaySettings.ts
+++ b/packages/daemon/src/gateway/gatewaySettings.ts
@@ -1,8 +1,11 @@
+/**
+ * Settings of an instance that serves generic routes on a platform of its own protocol: names, bounds,
+ * defaults and what each is for. docs/settings-gateway.md is made from it.
+ */
+
 import * as z from 'zod'
 import { nameSchema } from '@rackwalk/router'
 
-/** Settings of an instance that serves generic routes on a platform of its own protocol. */
-
 const ADDRESS_PATTERN = /^[0-9.]+:\d{1,5}$/
 
 const address = z.string().regex(ADDRESS_PATTERN, 'IP:PORT').describe('IP address and port')
@@ -123,4 +126,5 @@
     .describe('What is logged'),
 })
 
+/** Settings that were checked, with defaults filled in. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>
--- a/packages/daemon/src/gateway/instanceCapacity.ts
+++ b/packages/daemon/src/gateway/instanceCapacity.ts
@@ -1,6 +1,9 @@
-import type { GatewaySettings } from './gatewaySettings.js'
+/**
+ * How many requests a second can this instance take? From its processor share and link, as its settings
+ * name them.
+ */
 
-/** Requests a second that one instance bears, from what its settings say of its machine. */
+import type { GatewaySettings } from './gatewaySettings.js'
 
 /**
  * Measured on a played day of 73 machines: 43 requests a second with their events took 0.128 of
@@ -13,6 +16,7 @@
 const LINK_SHARE = 0.4
 const BYTES_PER_MEGABIT = 125_000
 
+/** Requests a second; at least 1. */
 export function capacityOf(machine: GatewaySettings['instance']['capacity']): number {
   const byProcessor = machine.processorShare * machine.processorSpeed * REQUESTS_PER_CORE
   const byLink = (machine.linkMegabits * BYTES_PER_MEGABIT * LINK_SHARE) / BYTES_PER_REQUEST
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -1,3 +1,9 @@
+/**
+ * Datagrams in which instances tell each other what they have in progress at the endpoints. A lost one
+ * costs a worse choice, never a wrong answer. Owns the socket and the times of sending; relies on FleetLoad
+ * for what to tell and for what to do with what it is told.
+ */
+
 import { createSocket } from 'node:dgram'
 import type { Socket } from 'node:dgram'
 import * as z from 'zod'
@@ -7,11 +13,6 @@
 import { parseAddress } from '../observe/listenOn.js'
 import type { MalformedForm } from '../observe/malformedForms.js'
 
-/**
- * Instances tell each other by datagrams what they have in progress at the endpoints. A lost
- * datagram costs a worse choice, never a wrong answer.
- */
-
 /** Time between two reports in a small fleet. */
 const SHORTEST_INTERVAL_MILLISECONDS = 20
 /** Bytes a second that one instance sends in reports, to all that get them together, */
@@ -43,6 +44,7 @@
   ),
 ])
 
+/** What the exchange works with. */
 export interface LoadExchangeParts {
   /** IP:PORT at which this instance takes reports. */
   readonly address: string
@@ -55,6 +57,7 @@
   readonly onMalformed: (form: MalformedForm) => void
 }
 
+/** Sends this instance's reports and takes those of others. */
 export class LoadExchange {
   private socket: Socket | undefined
   private timer: Timer | undefined
@@ -131,6 +134,7 @@
   }
 }
 
+/** The bytes of a report. */
 export function encodeReport(report: PeerLoadReport): Buffer {
   const { instance, incarnation, sequence, isWhole } = report
   const entries = report.loads.map(({ endpoint, running, pendingTokens, parts }) => {
--- a/packages/daemon/src/gateway/peerCall.ts
+++ b/packages/daemon/src/gateway/peerCall.ts
@@ -1,3 +1,5 @@
+/** One HTTP call to another instance, answered in time or not at all. */
+
 import { request } from 'node:http'
 import type { Agent } from 'node:http'
 import type { Milliseconds } from '@rackwalk/shared'
--- a/packages/daemon/src/gateway/peerLoans.ts
+++ b/packages/daemon/src/gateway/peerLoans.ts
@@ -74,6 +74,7 @@
   return { status: 200, body: {} }
 }
 
+/** What the calls for loans work with. */
 export interface PeerLoansParts {
   /** IP:PORT at which an instance takes calls from peers; undefined where it is not known. */
   readonly addressOf: (instance: string) => string | undefined
--- a/packages/daemon/src/gateway/peerRows.ts
+++ b/packages/daemon/src/gateway/peerRows.ts
@@ -62,6 +62,7 @@
   return page === undefined ? { status: 503 } : { status: 200, json: pageCodec.encode(page) }
 }
 
+/** What the questions for rows work with. */
 export interface PeerRowsParts {
   /** Addresses of other instances, the likeliest to answer first or in no order. */
   readonly addresses: () => readonly string[]
--- a/packages/daemon/src/gateway/plannedStop.ts
+++ b/packages/daemon/src/gateway/plannedStop.ts
@@ -10,6 +10,7 @@
 /** Time between two looks at the requests in progress. */
 const POLL_MILLISECONDS = 20
 
+/** The acts of a planned stop, and what it asks. */
 export interface PlannedStopParts {
   readonly clock: Clock
   readonly graceMilliseconds: () => Milliseconds
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -1,3 +1,8 @@
+/**
+ * What the gateway kind asks of the module that knows a platform: how its headers, store, documents and
+ * questions are spelled. An adapter translates; it decides nothing and keeps nothing.
+ */
+
 import type { RowStore } from '@rackwalk/stores'
 import type { Dialect, GatewayConfiguration, EndpointRecord } from '@rackwalk/router'
 import type { Milliseconds } from '@rackwalk/shared'
--- a/packages/daemon/src/gateway/runGateway.ts
+++ b/packages/daemon/src/gateway/runGateway.ts
@@ -1,3 +1,5 @@
+/** Starts a gateway instance and ties it to the signals of its process. */
+
 import { resolve } from 'node:path'
 import { pathToFileURL } from 'node:url'
 import { GatewayDaemon } from './gatewayDaemon.js'
--- a/packages/daemon/src/gateway/settingsWatcher.ts
+++ b/packages/daemon/src/gateway/settingsWatcher.ts
@@ -1,3 +1,8 @@
+/**
+ * Reads the settings anew on a signal and when the file has changed by itself. Owns the text last read; a
+ * file with a fault is refused as a whole.
+ */
+
 import { readFileSync } from 'node:fs'
 import { SettingsError, formatFault, parseWith } from '../settings/load.js'
 import { gatewaySettingsSchema } from './gatewaySettings.js'
--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -1,3 +1,8 @@
+/**
+ * The answer to one caller: its head, its bytes and how it ends. Owns whether it has begun and whether the
+ * caller has left.
+ */
+
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { RESULT_TABLE } from '@rackwalk/shared'
 import type { RackwalkError } from '@rackwalk/shared'
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -1,16 +1,17 @@
-import type { Milliseconds, TokenCount } from '@rackwalk/shared'
-
 /**
- * What a request and an answer mean, apart from how their headers are spelled. A dialect
- * translates; the gateway knows only these types.
+ * What a request and an answer mean, apart from how their headers are spelled. A dialect translates; the
+ * gateway knows only these types.
  */
 
+import type { Milliseconds, TokenCount } from '@rackwalk/shared'
+
 /** A part of a prompt that requests may share. */
 export interface PromptPart {
   readonly id: string
   readonly tokens: TokenCount
 }
 
+/** What a caller says of its request. */
 export interface RequestMetadata {
   readonly requestId: string
   /** Time that the caller still waits, counted from the arrival. */
@@ -40,6 +41,7 @@
   readonly slots: number
 }
 
+/** What an endpoint says with its answer. */
 export interface ReplyMetadata {
   readonly requestId: string | undefined
   /** Whether the answer carries its endpoint's signature. */
@@ -51,6 +53,7 @@
 
 type Headers = Readonly<Record<string, string | readonly string[] | undefined>>
 
+/** Spells requests and answers as one platform does. */
 export interface Dialect {
   /** Undefined where the headers make no request. */
   readRequest(headers: Headers): RequestMetadata | undefined
--- a/packages/router/src/gateway/endpointAgent.ts
+++ b/packages/router/src/gateway/endpointAgent.ts
@@ -1,10 +1,10 @@
+/** Kept connections to one endpoint. Owns the timers of idle connections. */
+
 import { Agent } from 'node:http'
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 
-/** Kept connections to one endpoint. */
-
 /** Without a word from the endpoint an idle connection is kept this long, in milliseconds. */
 const UNSTATED_IDLE_MILLISECONDS = 400
 /** A connection is closed this long before the endpoint would. */
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -1,10 +1,13 @@
+/**
+ * The endpoints of all services, with what this instance knows of each. Owns what is in progress there from
+ * here, the connections, late failures, and the timers of entries that lapsed.
+ */
+
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
 import type { EndpointLoad } from './dialect.js'
 import type { InstanceLoad } from './peerLoads.js'
 import { EndpointAgent } from './endpointAgent.js'
 
-/** The endpoints of all services, with what this instance knows of each. */
-
 /** An endpoint as the platform lists it. */
 export interface EndpointRecord {
   /** Names one start of an endpoint. */
@@ -99,6 +102,7 @@
   }
 }
 
+/** What a directory works with. */
 export interface EndpointDirectoryParts {
   readonly clock: Clock
   /** Instances that share the endpoints' connections. */
@@ -108,6 +112,7 @@
   readonly onChange: (endpoint: EndpointRecord, change: string) => void
 }
 
+/** All endpoints that are listed, and those that lapsed. */
 export class EndpointDirectory {
   private readonly endpoints = new Map<string, EndpointState>()
   /** Endpoints whose entries are missing and may come back. */
--- a/packages/router/src/gateway/eventRelay.ts
+++ b/packages/router/src/gateway/eventRelay.ts
@@ -1,9 +1,13 @@
-import { EventSplitter } from '../engine/eventSplitter.js'
+/**
+ * Reads a stream of events as it passes: counts them and knows the last id. Owns the piece of an event
+ * whose end has not come.
+ */
 
-/** Reads a stream of events as it passes: counts them and knows the last id. */
+import { EventSplitter } from '../engine/eventSplitter.js'
 
 const ID_LINE = /^id:[ ]?(.*)$/m
 
+/** The events of all answers to one request. */
 export class EventRelay {
   private splitter = new EventSplitter()
   private count = 0
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -1,3 +1,8 @@
+/**
+ * What the whole fleet has in progress at the endpoints and what it has sent there before. Owns what peers
+ * told and the reckoning of prompt caches; relies on the directory for this instance's own requests.
+ */
+
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { PromptPart } from './dialect.js'
 import { LoadReporter } from './loadReporter.js'
@@ -6,8 +11,7 @@
 import { PromptCaches } from './promptCaches.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
 
-/** What the whole fleet has in progress at the endpoints and what it has sent there before. */
-
+/** What the knowledge of the fleet rests on. */
 export interface FleetLoadParts {
   readonly instance: string
   readonly incarnation: string
@@ -17,6 +21,7 @@
   readonly capacityOf: (service: string) => TokenCount | undefined
 }
 
+/** The knowledge of the whole fleet, on one instance. */
 export class FleetLoad {
   private readonly peers: PeerLoads
   private readonly caches = new PromptCaches()
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -1,3 +1,8 @@
+/**
+ * The way of a request of the gateway kind: identify, read, reserve, attempt, settle, record. Owns the
+ * retry budget of each service and the count of requests in progress.
+ */
+
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { NotRunError, RESULT_TABLE, ResultCode, toRackwalkError } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
@@ -23,8 +28,7 @@
 import { RequestAttempts } from './requestAttempts.js'
 import type { AttemptsParts, AttemptsResult } from './requestAttempts.js'
 
-/** The request path for generic routes: identify, read, reserve, dispatch, settle, record. */
-
+/** What the gateway works with. */
 export interface GatewayParts extends AttemptsParts {
   readonly dialect: Dialect
   readonly clock: Clock
@@ -59,6 +63,7 @@
   isWhole: false,
 }
 
+/** Serves requests, each from its arrival to its end. */
 export class Gateway {
   /** By service. */
   private readonly retryBudgets = new Map<string, FleetRetryBudget>()
--- a/packages/router/src/gateway/gatewayConfiguration.ts
+++ b/packages/router/src/gateway/gatewayConfiguration.ts
@@ -1,12 +1,16 @@
-import type { Bytes, Milliseconds, TokenCount } from '@rackwalk/shared'
+/**
+ * The configuration of the gateway kind: routes, services, teams and limits, as one version, with the
+ * indexes that the way of a request needs.
+ */
 
-/** The configuration of the gateway: routes, services, teams and limits, as one version. */
+import type { Bytes, Milliseconds, TokenCount } from '@rackwalk/shared'
 
 interface RouteTarget {
   readonly service: string
   readonly weight: number
 }
 
+/** Where requests of a host and path prefix go, and what they allow. */
 export interface GatewayRoute {
   readonly name: string
   readonly host: string
@@ -27,6 +31,7 @@
   readonly priority: number
 }
 
+/** A service, which endpoints provide. */
 export interface GatewayService {
   readonly name: string
   /** Connections that one endpoint takes from all instances together. */
@@ -42,6 +47,7 @@
   readonly capacity: TokenCount | undefined
 }
 
+/** A team, its keys, and the tokens that it has paid for. */
 export interface GatewayTeam {
   readonly name: string
   readonly keys: readonly string[]
@@ -50,6 +56,7 @@
   readonly prepaid: TokenCount | undefined
 }
 
+/** Limits on connections and requests of callers. */
 export interface GatewayLimits {
   readonly headerBytes: Bytes
   readonly bodyBytes: Bytes
@@ -57,6 +64,7 @@
   readonly idleMilliseconds: Milliseconds
 }
 
+/** One version of the configuration. */
 export interface GatewayConfiguration {
   readonly version: number
   readonly routes: readonly GatewayRoute[]
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -1,9 +1,9 @@
+/** What is kept of one request's decisions; it becomes one line of the log. */
+
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { AttemptOutcome } from '@rackwalk/decisions'
 import type { Execution } from '@rackwalk/shared'
 
-/** What is kept of one request's decisions; it becomes one line of the log. */
-
 interface AttemptRecord {
   readonly endpoint: string
   readonly score: number
@@ -14,6 +14,7 @@
   outcome: AttemptOutcome | undefined
 }
 
+/** One request, from its arrival to its end. */
 export interface GatewayRecord {
   readonly requestId: string
   readonly receivedAt: Milliseconds
--- a/packages/router/src/gateway/loadReporter.ts
+++ b/packages/router/src/gateway/loadReporter.ts
@@ -1,3 +1,8 @@
+/**
+ * Makes the reports of what this instance has in progress: what changed, and now and then everything. Owns
+ * what was told last.
+ */
+
 import type { InstanceLoad, PeerLoadReport, EndpointReport } from './peerLoads.js'
 import type { PromptCaches } from './promptCaches.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -1,8 +1,11 @@
+/**
+ * What other instances have in progress at the endpoints, as they last told. Owns one state for each peer
+ * and the sums over all of them.
+ */
+
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { PromptPart } from './dialect.js'
 
-/** What other instances have in progress at the endpoints, as they last told. */
-
 /** Requests in progress at one endpoint from one or several instances. */
 export interface InstanceLoad {
   readonly running: number
@@ -38,6 +41,7 @@
 
 const NO_LOAD: InstanceLoad = { running: 0, pendingTokens: 0 }
 
+/** The loads of all peers. */
 export class PeerLoads {
   private readonly peers = new Map<string, PeerState>()
   /** Sums over all peers, kept so that a choice costs one look-up an endpoint. */
--- a/packages/router/src/gateway/promptCaches.ts
+++ b/packages/router/src/gateway/promptCaches.ts
@@ -1,11 +1,11 @@
-import type { TokenCount } from '@rackwalk/shared'
-import type { PromptPart } from './dialect.js'
-
 /**
- * What the endpoints are likely to hold of earlier prompts. Nobody asks them: what this instance
- * and its peers sent there is known, and an endpoint drops what was unused for longest.
+ * What the endpoints are likely to have cached of earlier prompts. Nobody asks them: what this instance and
+ * its peers sent there is known, and an endpoint drops what was unused for longest. Owns that reckoning.
  */
 
+import type { TokenCount } from '@rackwalk/shared'
+import type { PromptPart } from './dialect.js'
+
 /** Part of an endpoint's memory that holds cached parts; running requests take the rest. */
 const CACHE_SHARE = 0.6
 /** Memory of an endpoint whose configuration names none. */
@@ -28,6 +28,7 @@
   }
 }
 
+/** The prompt caches of all endpoints. */
 export class PromptCaches {
   private readonly endpoints = new Map<string, EndpointCache>()
   private untold = new Map<string, PromptPart[]>()
--- a/packages/router/src/gateway/upstreamExchange.ts
+++ b/packages/router/src/gateway/upstreamExchange.ts
@@ -1,10 +1,14 @@
+/**
+ * One request to one endpoint, up to the head of its answer and then its body. Owns the connection's part
+ * in it; tells a whole answer from a broken one.
+ */
+
 import { request as httpRequest } from 'node:http'
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Milliseconds } from '@rackwalk/shared'
 import type { EndpointState } from './endpointDirectory.js'
 
-/** One request to one endpoint, up to the head of its answer and then its body. */
-
+/** What is sent. */
 export interface UpstreamRequest {
   readonly method: string
   readonly path: string
@@ -14,6 +18,7 @@
   readonly connectMilliseconds: Milliseconds
 }
 
+/** What came of sending it. */
 export type HeadOutcome =
   | { readonly kind: 'head'; readonly response: IncomingMessage }
   /** No connection came up: nothing was sent. */
@@ -28,6 +33,7 @@
   onEnd(isWhole: boolean): void
 }
 
+/** The exchange, from the sending to the end of the answer. */
 export class UpstreamExchange {
   private readonly call: ClientRequest
   private readonly head: Promise<HeadOutcome>
