--- a/packages/coordination/src/prepaid/holdingPolicy.ts
+++ b/packages/coordination/src/prepaid/holdingPolicy.ts
@@ -20,15 +20,15 @@
   readonly largestRequest: TokenCount
 }
 
-/** How much of a budget an instance should hold, and how fast it may spend unrecorded. */
+/** How much of a budget an instance should hold, and how much has to stay in the pool. */
 export interface HoldingPolicy {
   /** Unspent tokens that this instance should hold. */
   target(view: BudgetView): TokenCount
-  /** Tokens that stay in the pool for whoever meets a large request. */
+  /** Tokens that stay in the pool, so that any instance can cover a large request from it. */
   poolFloor(view: BudgetView): TokenCount
 }
 
-/** Everybody the same, whatever the demand: the baseline for measurements. */
+/** The same for every instance, whatever the demand: the baseline for measurements. */
 export class EqualHoldingPolicy implements HoldingPolicy {
   target(view: BudgetView): TokenCount {
     if (view.isStandby) return 0
@@ -40,24 +40,30 @@
   }
 }
 
-/** Part of the mean demand that every instance is given beyond its own. */
+/**
+ * Share of the mean demand that every instance is given beyond its own, so that a shift of demand
+ * finds tokens there. Chosen, not measured by itself.
+ */
 const BASE_SHARE = 0.35
-/** The same while there is plenty: an even spread then bears any shift of demand. */
+/** The same while there is plenty: every instance can then take a shift of demand. Chosen. */
 const PLENTY_BASE_SHARE = 1
-/** A budget that lasts this long at the present demand is scarce, */
+/**
+ * A budget that lasts this many seconds at the present demand is scarce, and one that lasts
+ * `PLENTY_SECONDS` is plentiful. Measured against 10 and 40 seconds, the trade between calm days and
+ * days with deaths: docs/measurements.md, "Bounds of a holder row".
+ */
 const SCARCE_SECONDS = 15
-/** and one that lasts this long is not going to be missed. */
 const PLENTY_SECONDS = 50
-/** An instance that stands by holds at most what its callers ask for in this time. */
+/** A standby instance holds at most what its callers ask for in this time. Chosen, not measured. */
 const STANDBY_SECONDS = 40
-/** Largest requests kept in the pool, and the part of the unspent tokens that this may take. */
+/** The pool keeps this many largest requests, but not more than a share of what is unspent. Chosen. */
 const FLOOR_REQUESTS = 2
 const FLOOR_SHARE = 0.25
 
 /**
- * Holdings follow demand. Nearly all is held while there is plenty, so that a cut from the
- * store refuses nobody; towards the end of a budget a growing part stays in the pool, where
- * any instance reaches it with one transaction.
+ * Holdings follow demand. While there is plenty nearly all of a budget is held, so that an instance
+ * that is cut off from the store refuses no request; towards the end of a budget a growing part
+ * stays in the pool, where any instance reaches it with one transaction.
  */
 export class DemandHoldingPolicy implements HoldingPolicy {
   target(view: BudgetView): TokenCount {
@@ -70,8 +76,8 @@
     const base = sum > 0 ? (evenness * sum) / count : 1
     const whole = sum + base * count
     if (!view.isStandby) return Math.floor((holdable * (view.ownDemandPerSecond + base)) / whole)
-    // Callers that do not follow the directory are served like others, but nobody else is
-    // going to come, and what they asked for once fades.
+    // A standby instance gets a share of observed demand only, and 40 s of it at most, because the
+    // directory sends it no new callers.
     const share = (holdable * view.ownDemandPerSecond) / whole
     return Math.floor(Math.min(share, STANDBY_SECONDS * view.ownDemandPerSecond))
   }
@@ -83,8 +89,8 @@
 }
 
 /**
- * How little it matters where the tokens of a budget lie: 0 when they will all be asked for
- * soon, 1 when they last for long.
+ * How long a budget will last at the present demand, from 0 (scarce: where its tokens are held
+ * matters) to 1 (plentiful: it does not).
  */
 export function plentyOf(view: BudgetView): number {
   const demands = view.others.map(other => other.demandPerSecond)
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -40,7 +40,7 @@
   /** Monotonic time at which this process started; its predecessor was dead by then. */
   readonly startedAt: Milliseconds
   readonly policy: HoldingPolicy
-  /** Whether callers are sent here; otherwise only what they ask for unasked is held. */
+  /** Whether the directory sends callers here; a standby instance holds for observed demand only. */
   readonly isActive: () => boolean
   /** Other instances that serve callers. */
   readonly otherInstances: () => readonly string[]
@@ -51,16 +51,19 @@
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
+/** Time between two tries to give everything back at a planned stop. Chosen, not measured. */
 const LEAVE_RETRY_MILLISECONDS = 120
-/** A store that has not answered for this long counts as out of reach. */
+/** A store that has not answered a call for this long counts as out of reach. Chosen. */
 const SLOW_CALL_MILLISECONDS = 250
-/** After a write that the store had no room for, the next one comes this much later. */
+/** After a write that the store throttled, the next one comes this much later. Chosen. */
 const THROTTLED_MILLISECONDS = 400
-/** Idle budgets are recorded this many times less often. */
+/** Budgets from which nothing was spent are recorded this many times less often. Chosen. */
 const IDLE_FACTOR = 4
-/** Part of the time between two records after which holdings may be moved. */
+/** Share of the time between two records after which holdings may be moved. Chosen. */
 const ADJUST_SHARE = 0.25
+/** Factor by which the largest request seen fades with each request. Chosen, not measured. */
 const LARGEST_DECAY = 0.98
+/** Tries to give everything back at a planned stop; the grace time ends them earlier. Chosen. */
 const LEAVE_ATTEMPTS = 12
 
 /** One budget on one instance. */
@@ -166,7 +169,7 @@
     this.takeBack(committed - Math.min(spent, committed))
   }
 
-  /** Of the tokens that a caller asked for, so many were not needed. */
+  /** A caller asked for more tokens than it needed: the difference is no demand. */
   noteUnused(tokens: TokenCount): void {
     this.demand.add(-tokens)
   }
@@ -407,7 +410,7 @@
     return admitted
   }
 
-  /** After a write nothing more can be found in the pool: whoever still waits is told so. */
+  /** After a write nothing more can be found in the pool: requests that still wait are refused. */
   private refuseHopeless(): void {
     const reachable = this.holding.unspent + Math.max(0, freeInPool(this.view.pool ?? NO_POOL))
     const hopeless = this.waiting.takeWhere(request => request.tokens > reachable)
@@ -464,7 +467,7 @@
     }
   }
 
-  /** Nobody can be given more than is held until the store answers again. */
+  /** Until the store answers again, requests can be given no more than is held. */
   private serveFromHolding(): void {
     for (const request of this.waiting.takeAll()) this.finishFromHolding(request)
   }
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -35,7 +35,7 @@
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
-/** What the store bears; from it follows how often holdings are recorded. */
+/** The writes that the store takes; from them follows how often holdings are recorded. */
 export interface LedgerLimits {
   readonly writesPerSecond: number
   readonly partitionWritesPerSecond: number
@@ -49,11 +49,13 @@
   readonly limit: TokenCount
 }
 
+/** Time between two looks at what is due. Chosen, not measured. */
 const MAINTAIN_MILLISECONDS = 125
-/** Longest time in which other instances are asked for tokens. */
+/** Longest time in which other instances are asked for tokens, for one request. Chosen. */
 const BORROW_MILLISECONDS = 60
+/** Least time between two records of one holding. Chosen, not measured. */
 const SHORTEST_RECORD_MILLISECONDS = 500
-/** Part of the store's writes that periodic records may take. */
+/** Share of the store's writes that periodic records may take. Chosen, not measured. */
 const RECORD_SHARE = 0.3
 
 /** All prepaid budgets on one instance. */
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -56,21 +56,32 @@
   readonly assumed: TokenCount
 }
 
-/** Holdings are moved only where they are off their target by more than this. */
+/**
+ * Holdings are moved only where they are off their target by more than this share: each move is a
+ * write that contends for the pool. Chosen, not measured by itself.
+ */
 const TOLERANCE = 0.12
 /**
- * While the store answers, a row is never older than this: what may be spent in that time
- * is lost with a killed process, so it is kept to the demand.
+ * While the store answers, a row is never older than this. What may be spent in that time is lost
+ * when the process is killed, so it is kept to the demand. Measured: 1.6 s gave a mean worth of 0.510
+ * and 0.646, 2 s gave 0.553 and 0.681 on other code (docs/measurements.md).
  */
 const STRICT_MILLISECONDS = 2_000
+/** Times the present spending that the first time allows. Chosen: the demand once. */
 const STRICT_DEMAND_FACTOR = 1
-/** A cut is told from a death by nobody, so spending in it is bounded by the rate alone. */
+/**
+ * Times the present spending that a cut allows. Whether a row is old because of a cut or a death
+ * cannot be told, so what a cut allows is also what a death loses. Measured: once instead of twice
+ * raised the mean worth (docs/measurements.md, "cuts spent at the demand once").
+ */
 const CUT_DEMAND_FACTOR = 1
-/** Without demand, the time in which all of a holding could be spent: of a scarce budget, */
+/**
+ * Seconds in which a whole holding could be spent without demand, of a scarce and of a plentiful
+ * budget. Measured together with the burst: 0.568 and 0.689 (docs/measurements.md).
+ */
 const SCARCE_CUT_SECONDS = 12
-/** and of one that nobody is going to miss. */
 const PLENTY_CUT_SECONDS = 8
-/** Largest requests that may be committed at once in a cut while there is plenty. */
+/** Largest requests that may be committed at once in a cut while there is plenty. Measured: as above. */
 const PLENTY_BURST_REQUESTS = 0.8
 
 /** The next write, and the requests that it covers. */
--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -34,9 +34,9 @@
   readonly idleOthers: readonly MemberRow[]
 }
 
-/** Age up to which a view of the fleet is used again. */
+/** Age up to which a view of the fleet is used again. Chosen: members change within seconds. */
 const VIEW_MILLISECONDS = 100
-/** Others that started at the same time are known after this time. */
+/** Other instances that started at the same time are known after this time. Chosen. */
 const SETTLING_MILLISECONDS = 2_000
 
 function activeCountOf({ isSelfActive, activeOthers }: FleetView): number {
@@ -92,8 +92,8 @@
   }
 
   /**
-   * By how many a bound of the whole fleet is divided here. Instances that serve nobody share
-   * such a bound among all: they use little of it.
+   * The number of instances that share a bound of the whole fleet, this one included. An idle
+   * instance shares it with all others: it uses little of its part.
    */
   get sharers(): number {
     const { self, isSelfActive, workingOthers, idleOthers } = this.current()
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -8,7 +8,10 @@
 import type { MirrorListener } from '@rackwalk/coordination'
 import type { EndpointDirectory, EndpointRecord } from '@rackwalk/router'
 
-/** An entry that is missing after an outage may come back for this long. */
+/**
+ * An entry that is missing after an outage may come back for this long. The platform says about two
+ * seconds; what is missing after that is gone.
+ */
 const LAPSE_MILLISECONDS = 1_800
 
 /** What a follower works with. */
@@ -49,7 +52,7 @@
 
   /** Not positive where nothing explains a missing entry but that its endpoint is gone. */
   private get lapseMilliseconds(): Milliseconds {
-    // The rows of the first answer after an outage come before the word that it is over.
+    // The first rows after an outage are told before the store counts as reachable again.
     if (!this.isReachable) return LAPSE_MILLISECONDS
     return this.regainedAt + LAPSE_MILLISECONDS - this.parts.clock.monotonic()
   }
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -12,18 +12,22 @@
 import type { PlatformAdapter } from './platformAdapter.js'
 import { EndpointFollower } from './endpointFollower.js'
 
-/** Feeds of tables that rarely change wait at the store. */
+/**
+ * Times of the feeds, chosen and not measured: each call to the store has a price, and the store
+ * takes a bounded number a second. How long a question for changes waits at the store, on tables
+ * that rarely change:
+ */
 const FEED_WAIT_MILLISECONDS = 2_000
 const CONFIGURATION_PAUSE_MILLISECONDS = 20
 /** Each endpoint renews its row about once a second; a list this old is new enough. */
 const ENDPOINT_PAUSE_MILLISECONDS = 250
-/** An instance that stands by reads at leisure: what it knows serves few. */
+/** A standby instance reads less often: few requests depend on what it knows. */
 const STANDBY_ENDPOINT_PAUSE_MILLISECONDS = 800
 const STANDBY_PREPAID_PAUSE_MILLISECONDS = 3_000
 const STANDBY_MEMBER_PAUSE_MILLISECONDS = 1_400
 const MEMBER_PAUSE_MILLISECONDS = 700
 const PREPAID_PAUSE_MILLISECONDS = 400
-/** Time between two reads, as a part of that between two records of a holding. */
+/** Time between two reads, as a share of that between two records of a holding. */
 const PREPAID_PAUSE_SHARE = 0.5
 
 /** What the mirrors are connected to. */
--- a/packages/daemon/src/gateway/peerRows.ts
+++ b/packages/daemon/src/gateway/peerRows.ts
@@ -71,7 +71,7 @@
   readonly onMalformed: (form: MalformedForm) => void
 }
 
-/** Asks one other instance, chosen by chance, for newer rows. */
+/** Asks one other instance, chosen at random, for newer rows. */
 export class PeerRows {
   constructor(private readonly parts: PeerRowsParts) {}
 
--- a/packages/router/src/gateway/endpointAgent.ts
+++ b/packages/router/src/gateway/endpointAgent.ts
@@ -5,7 +5,7 @@
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 
-/** Without a word from the endpoint an idle connection is kept this long, in milliseconds. */
+/** An idle connection is kept this long where the endpoint does not say how long it keeps it. Chosen. */
 const UNSTATED_IDLE_MILLISECONDS = 400
 /** A connection is closed this long before the endpoint would. */
 const IDLE_MARGIN_MILLISECONDS = 600
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -20,11 +20,12 @@
   readonly isLeaving: boolean
 }
 
-/** Weight of the newest outcome in an endpoint's failure share. */
+/** Weight of the newest outcome in an endpoint's failure share. Chosen, not measured. */
 const FAILURE_WEIGHT = 0.3
-/** Time in which a failure share halves while nothing is sent there. */
+/** Time in which a failure share halves while nothing is sent there. Chosen, not measured. */
 const FAILURE_HALF_LIFE_MILLISECONDS = 2_500
-/** Part of an endpoint's connections that all instances together use. */
+/** Share of an endpoint's connections that all instances together use; the rest covers instances
+ * that count their number differently for a moment. Chosen, not measured. */
 const CONNECTION_SHARE = 0.85
 
 /** A request in progress at an endpoint. */
@@ -63,7 +64,7 @@
     return this.running < this.connectionLimit()
   }
 
-  /** A request is sent there, of whose prompt so many tokens are to be read. */
+  /** A request is sent there; `tokens` of its prompt have to be read. */
   beginRequest(tokens: TokenCount): RequestInProgress {
     let pending = tokens
     const noteBegun = () => {
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -13,7 +13,7 @@
   readonly pendingTokens: TokenCount
 }
 
-/** One instance's word on what it has in progress. */
+/** What one instance told of its requests in progress. */
 export interface PeerLoadReport {
   readonly instance: string
   /** Names one life of the instance. */
@@ -25,7 +25,7 @@
   readonly loads: readonly EndpointReport[]
 }
 
-/** One instance's word on one endpoint. */
+/** What one instance told of one endpoint. */
 export interface EndpointReport extends InstanceLoad {
   readonly endpoint: string
   /** Shared parts of prompts that were sent there since the last report. */
