--- a/bench/src/budgets/budgetSimulation.ts
+++ b/bench/src/budgets/budgetSimulation.ts
@@ -1,3 +1,8 @@
+/**
+ * Drives the real coordination nodes with a demand on prepaid budgets, on virtual time, and counts false
+ * refusals, overspending and calls to the table.
+ */
+
 import { RackwalkError, ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
 import type {
   BudgetId,
--- a/bench/src/budgets/demand.ts
+++ b/bench/src/budgets/demand.ts
@@ -1,7 +1,7 @@
-import type { RandomSource, TokenCount } from '@rackwalk/shared'
-
 /** Demand on prepaid budgets, of the booking office's size. */
 
+import type { RandomSource, TokenCount } from '@rackwalk/shared'
+
 export const INSTANCES = 8
 export const FAILURE_DOMAINS = 4
 export const TEAMS = 10
--- a/bench/src/budgets/simulatedPlatform.ts
+++ b/bench/src/budgets/simulatedPlatform.ts
@@ -1,3 +1,5 @@
+/** The table, the network and the list of instances of a simulation, on virtual time. */
+
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { Clock, IncarnationId, Milliseconds, TransactionId } from '@rackwalk/shared'
 import type {
--- a/bench/src/capacity/estimate.ts
+++ b/bench/src/capacity/estimate.ts
@@ -1,3 +1,5 @@
+/** Control work of instances of the OpenAI-style kind, reckoned from measured slopes. */
+
 import type { FleetSize } from './fleetSize.js'
 import type { MeasuredSlopes } from './measuredSlopes.js'
 import type { Slope } from './slope.js'
--- a/bench/src/capacity/gatewayEstimate.ts
+++ b/bench/src/capacity/gatewayEstimate.ts
@@ -1,10 +1,10 @@
+/** Control work of instances of the gateway kind, reckoned from measured slopes. */
+
 import type { NodeCost, PlatformCost } from './estimate.js'
 import type { FleetSize } from './fleetSize.js'
 import type { GatewaySlopes } from './gatewaySlopes.js'
 import type { Slope } from './slope.js'
 
-/** Control work of instances of the gateway kind, reckoned from measured slopes. */
-
 const MICROSECONDS = 1e6
 /** Datagrams: at most so many bytes a second from one instance (daemon/gateway/loadExchange). */
 const LOAD_BYTES_PER_SECOND = 12_000
--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -1,3 +1,5 @@
+/** Slopes of the gateway kind, measured in this process. */
+
 import { VirtualClock } from '@rackwalk/shared'
 import { DemandHoldingPolicy, PrepaidLedger, StoreClock } from '@rackwalk/coordination'
 import { decodeReport, encodeReport } from '@rackwalk/daemon'
@@ -27,6 +29,7 @@
 const CAPACITY = 300_000
 const LIMIT = 1_000_000
 
+/** Measures all slopes, one after the other. */
 export async function measureGatewaySlopes(): Promise<GatewaySlopes> {
   return {
     choice: await overSizes([6, 60, 240], measureChoice),
--- a/bench/src/capacity/measuredSlopes.ts
+++ b/bench/src/capacity/measuredSlopes.ts
@@ -1,3 +1,5 @@
+/** Slopes of the OpenAI-style kind, measured in this process. */
+
 import { RackwalkError, ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
 import type {
   BudgetId,
--- a/bench/src/capacity/page.ts
+++ b/bench/src/capacity/page.ts
@@ -1,3 +1,5 @@
+/** Writes docs/CAPACITY.md from what was just measured. */
+
 import { short } from '../percentile.js'
 import type { PathSlopes } from '../path/index.js'
 import { nodeCosts, platformCosts } from './estimate.js'
--- a/bench/src/explore.ts
+++ b/bench/src/explore.ts
@@ -1,8 +1,11 @@
+/**
+ * `npm run explore -- --runs N --seed S`: explores as many schedules of the coordination parts as asked
+ * for, beside those that CI explores.
+ */
+
 import { cac } from 'cac'
 import { BROKEN_VARIANTS, SOUND, explore } from '@rackwalk/stand-ins'
 
-/** `npm run explore -- --runs N --seed S`: as many schedules as one has patience for. */
-
 interface Flags {
   readonly runs: string
   readonly seed: string
--- a/bench/src/mainThreadTime.ts
+++ b/bench/src/mainThreadTime.ts
@@ -1,3 +1,5 @@
+/** Processor time of the main thread. */
+
 import { readFileSync } from 'node:fs'
 import { performance } from 'node:perf_hooks'
 
--- a/bench/src/path/loadWorker.ts
+++ b/bench/src/path/loadWorker.ts
@@ -1,13 +1,13 @@
+/**
+ * The other side of the path's load, in a thread of its own, so that what the main thread spends is the
+ * path's alone: platform, engines, service and callers.
+ */
+
 import { parentPort } from 'node:worker_threads'
 import { EngineStandIn, LocalPlatform, ServiceStandIn, streamChat } from '@rackwalk/stand-ins'
 import type { ListedInstance } from '@rackwalk/stores'
 import { Durations } from '../percentile.js'
 
-/**
- * The other side of the path bench, in a thread of its own, so that what the main thread
- * spends is the path's alone: platform, engines, service and callers.
- */
-
 /** What the main thread asks for. */
 export type WorkerRequest =
   | { readonly kind: 'start'; readonly engines: number; readonly tokenMilliseconds: number }
@@ -22,6 +22,7 @@
   readonly tokens: number
 }
 
+/** Where the worker listens. */
 export interface StartedPorts {
   readonly tableUrl: string
   readonly objectUrl: string
--- a/bench/src/percentile.ts
+++ b/bench/src/percentile.ts
@@ -1,3 +1,5 @@
+/** Percentiles of durations, and short numbers for pages. */
+
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 
--- a/bench/src/routing/engineModel.ts
+++ b/bench/src/routing/engineModel.ts
@@ -1,3 +1,5 @@
+/** A model engine on virtual time: a queue, serial prefill, batched decoding, a prefix cache. */
+
 import type { Clock, EndpointId, Milliseconds } from '@rackwalk/shared'
 import { PREFIX_BLOCK_TOKENS } from '@rackwalk/router'
 import type { CacheEvent, LoadReport, PrefixHash } from '@rackwalk/router'
--- a/bench/src/routing/routingSimulation.ts
+++ b/bench/src/routing/routingSimulation.ts
@@ -1,3 +1,5 @@
+/** Drives the real routing code of several instances against engine models, on virtual time. */
+
 import { SeededRandom, VirtualClock, asId, randomBelow } from '@rackwalk/shared'
 import type { EndpointId, ModelId } from '@rackwalk/shared'
 import {
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -12,11 +12,12 @@
   'packages/shared/src',
   'packages/decisions/src',
   'packages/stores/src',
-  'packages/coordination/src/prepaid',
-  'packages/coordination/src/rows',
+  'packages/coordination/src',
   'packages/router/src/gateway',
   'packages/daemon/src/gateway',
+  'packages/cli/src',
   'platform/src',
+  'bench/src',
 ]
 // Longer or more branched functions are hard to hold in mind; those that were there when the
 // rule came are counted by file in eslint-suppressions.json, and the count can only fall.
--- a/packages/cli/src/commands/context.ts
+++ b/packages/cli/src/commands/context.ts
@@ -1,3 +1,5 @@
+/** What every command of `rackwalk` works with. */
+
 import type { CommandEnvironment } from '../environment.js'
 import type { OperatorConnection } from '../operatorConnection.js'
 import type { OutputFormat } from '../output/print.js'
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,3 +1,5 @@
+/** `rackwalk explain`: why a request was decided as it was. */
+
 import type { Table } from '../output/table.js'
 import { cell, printDocument } from '../output/print.js'
 import type { CommandContext } from './context.js'
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,3 +1,5 @@
+/** Commands about the fleet: instances, usage, audit, budgets, draining. */
+
 import { usageError } from '../errors.js'
 import { cell, printDocument } from '../output/print.js'
 import type { CommandContext } from './context.js'
--- a/packages/cli/src/commands/resources.ts
+++ b/packages/cli/src/commands/resources.ts
@@ -1,3 +1,5 @@
+/** Commands that read, write, compare and watch resources. */
+
 import { parseAllDocuments } from 'yaml'
 import { CommandError, usageError } from '../errors.js'
 import { ExitCode } from '../exitCodes.js'
--- a/packages/cli/src/completion.ts
+++ b/packages/cli/src/completion.ts
@@ -1,3 +1,5 @@
+/** Completion scripts for shells. */
+
 import { usageError } from './errors.js'
 
 /** Kinds of resources, offered as arguments. */
--- a/packages/cli/src/errors.ts
+++ b/packages/cli/src/errors.ts
@@ -1,3 +1,5 @@
+/** Errors that end a command with an exit code. */
+
 import { ExitCode } from './exitCodes.js'
 
 /** Ends the command with a message and an exit code. */
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,3 +1,5 @@
+/** Exit codes of `rackwalk`, and which result of the server leads to which. */
+
 import { ResultCode } from '@rackwalk/shared'
 
 /** Exit codes of `rackwalk`; scripts rely on them, so they do not change. */
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
+/** Entry point of `rackwalk`. */
+
 import { readFile } from 'node:fs/promises'
 import { runProgram } from './program.js'
 
-/** Entry point of `rackwalk`. */
-
 process.exitCode = await runProgram(process.argv.slice(2), {
   variables: process.env,
   isTerminal: process.stdout.isTTY === true,
--- a/packages/cli/src/operatorConnection.ts
+++ b/packages/cli/src/operatorConnection.ts
@@ -1,3 +1,5 @@
+/** The operator API of one instance, as the command line speaks it. Owns the connection. */
+
 import { request } from 'undici'
 import type { Dispatcher } from 'undici'
 import { ResultCode } from '@rackwalk/shared'
--- a/packages/cli/src/output/print.ts
+++ b/packages/cli/src/output/print.ts
@@ -1,3 +1,5 @@
+/** Prints documents as a table, JSON or YAML. */
+
 import { stringify } from 'yaml'
 import type { CommandEnvironment } from '../environment.js'
 import { usageError } from '../errors.js'
@@ -5,6 +7,7 @@
 import { renderCsv, renderTable } from './table.js'
 
 const OUTPUT_FORMATS = ['table', 'json', 'yaml', 'csv'] as const
+/** How documents are printed. */
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number]
 
 /** Checks the `--output` option. */
--- a/packages/cli/src/output/table.ts
+++ b/packages/cli/src/output/table.ts
@@ -1,3 +1,5 @@
+/** Lays a table of text out in columns. */
+
 import { colors } from 'consola/utils'
 
 /** A table of text; every row has as many cells as there are headings. */
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -1,3 +1,5 @@
+/** The command line of `rackwalk`: its commands and options. */
+
 import { cac } from 'cac'
 import type { CAC } from 'cac'
 import type { CommandContext } from './commands/context.js'
--- a/packages/coordination/src/budget/allocation.ts
+++ b/packages/coordination/src/budget/allocation.ts
@@ -1,3 +1,8 @@
+/**
+ * One incarnation's allocation of one budget, in memory: what is available, reserved, spent and lent. Owns
+ * these counts and the open exchange; decides nothing.
+ */
+
 import type {
   BudgetId,
   IncarnationId,
--- a/packages/coordination/src/budget/allocationPolicy.ts
+++ b/packages/coordination/src/budget/allocationPolicy.ts
@@ -1,3 +1,8 @@
+/**
+ * How large are allocations, when do they go back, and how much is lent? Policies of the OpenAI-style kind;
+ * the setting `budgetPolicy` chooses one, and decision records keep what they looked at.
+ */
+
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 
 /** What an allocation decision may look at; all of it is kept in decision records. */
--- a/packages/coordination/src/budget/budgetLedger.ts
+++ b/packages/coordination/src/budget/budgetLedger.ts
@@ -1,3 +1,9 @@
+/**
+ * The budgets of the OpenAI-style kind as one incarnation holds them: reserves, settles, exchanges with the
+ * row, borrows and lends. Owns the allocations and the requests that wait for tokens; relies on the policy
+ * for amounts, on BudgetStore for the row and on the journal for bills.
+ */
+
 import { RackwalkError, ResultCode, asId, deferred } from '@rackwalk/shared'
 import type {
   BudgetId,
--- a/packages/coordination/src/budget/budgetRow.ts
+++ b/packages/coordination/src/budget/budgetRow.ts
@@ -1,3 +1,8 @@
+/**
+ * The row of one budget of the OpenAI-style kind: its stored form, and pure functions that apply exchanges,
+ * loans and the end of a holder.
+ */
+
 import * as z from 'zod'
 import { JsonCodec } from '@rackwalk/stores'
 import { idSchema, sameNames } from '../forms.js'
--- a/packages/coordination/src/budget/budgetStore.ts
+++ b/packages/coordination/src/budget/budgetStore.ts
@@ -1,3 +1,8 @@
+/**
+ * Reads budget rows and carries exchanges into them, each exactly once although answers may be lost. Owns
+ * nothing; relies on conditions of the table.
+ */
+
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { BudgetId, RandomSource, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService } from '@rackwalk/stores'
--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -1,3 +1,8 @@
+/**
+ * Returns to their budgets what a sealed incarnation still held. Owns nothing; safe to run on several
+ * instances at once.
+ */
+
 import { RackwalkError, asId } from '@rackwalk/shared'
 import type { BudgetId, IncarnationId, RandomSource, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService } from '@rackwalk/stores'
--- a/packages/coordination/src/claims/claimRow.ts
+++ b/packages/coordination/src/claims/claimRow.ts
@@ -1,3 +1,5 @@
+/** The durable claim of a request that may run at most once: its states and stored form. */
+
 import * as z from 'zod'
 import { ResultCode } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -1,3 +1,8 @@
+/**
+ * Claims of requests that may run at most once. Owns the attempts of this incarnation and their states;
+ * relies on the journal to make a claim durable and on peers to tell what became of theirs.
+ */
+
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type {
   Clock,
--- a/packages/coordination/src/claims/keyRegistrar.ts
+++ b/packages/coordination/src/claims/keyRegistrar.ts
@@ -1,3 +1,8 @@
+/**
+ * Which instance runs the request with this idempotency key? A hint that keeps a caller's retry from
+ * running beside its first attempt. Owns the keys that hashing gives to this instance.
+ */
+
 import type {
   Clock,
   IdempotencyKey,
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -1,3 +1,8 @@
+/**
+ * The configuration of the OpenAI-style kind in force on this instance. Owns the resources and the recent
+ * changes; takes changes in order from the table, or from peers while the table does not answer.
+ */
+
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { IncarnationId, Version } from '@rackwalk/shared'
 import type { Row, TableService } from '@rackwalk/stores'
--- a/packages/coordination/src/configuration/resource.ts
+++ b/packages/coordination/src/configuration/resource.ts
@@ -1,3 +1,5 @@
+/** One configured thing: its type, its keys in the table and its stored form. */
+
 import * as z from 'zod'
 import { JsonCodec } from '@rackwalk/stores'
 import { anyJson, sameNames } from '../forms.js'
@@ -11,6 +13,7 @@
   readonly spec: JsonValue
 }
 
+/** What is known of a resource beside its content. */
 export interface ResourceMetadata {
   readonly name: string
   /** Revision of the change that made this state; conditional writes compare it. */
@@ -20,10 +23,12 @@
   readonly createdAt: Milliseconds
 }
 
+/** The partition of all resources of a kind. */
 export function resourcePartition(kind: string): string {
   return `resources/${kind}`
 }
 
+/** The key of a resource. */
 export function resourceKey(kind: string, name: string): RowKey {
   return { partition: resourcePartition(kind), sort: name }
 }
--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -1,3 +1,8 @@
+/**
+ * The write side of the configuration: every change takes the next revision in one ordered log. Owns
+ * nothing; relies on conditions of the table.
+ */
+
 import * as z from 'zod'
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { Clock, RandomSource, TransactionId, Version } from '@rackwalk/shared'
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -1,3 +1,8 @@
+/**
+ * All coordination parts of one instance of the OpenAI-style kind, wired together, with their background
+ * work. Owns the timers and the state of the instance's life; each part owns the rest.
+ */
+
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type {
   BudgetId,
--- a/packages/coordination/src/countingTable.ts
+++ b/packages/coordination/src/countingTable.ts
@@ -1,3 +1,5 @@
+/** The table with its calls counted: the platform takes few of them. Owns nothing. */
+
 import type { TransactionId } from '@rackwalk/shared'
 import type {
   IdentifiedWrites,
--- a/packages/coordination/src/journal/batchCommitter.ts
+++ b/packages/coordination/src/journal/batchCommitter.ts
@@ -1,3 +1,7 @@
+/**
+ * Who carries a journal's batch to the table: the interface, and the committer that writes by itself.
+ */
+
 import type { TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService, TransactResult } from '@rackwalk/stores'
 
--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -1,3 +1,8 @@
+/**
+ * Batches of the journals of one failure domain, joined into one transaction in a large fleet. Owns the
+ * batches that wait at the domain's committer.
+ */
+
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { FailureDomainId, IncarnationId, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService, TransactResult } from '@rackwalk/stores'
--- a/packages/coordination/src/journal/heldItems.ts
+++ b/packages/coordination/src/journal/heldItems.ts
@@ -1,3 +1,8 @@
+/**
+ * Journal entries that this instance keeps in memory for peers whose journal cannot be written at present.
+ * Owns the entries and the writers for whom it holds nothing more.
+ */
+
 import type { IncarnationId } from '@rackwalk/shared'
 import type { HeldItem } from './journalEntry.js'
 
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -1,3 +1,8 @@
+/**
+ * The ordered journal of one incarnation, written in group commits. Owns the entries that are not yet in
+ * the table; relies on a committer to write, and on the table's conditions for order and fencing.
+ */
+
 import { RackwalkError, ResultCode, asId, deferred } from '@rackwalk/shared'
 import type {
   Clock,
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -1,3 +1,8 @@
+/**
+ * What a journal holds: entries, slots and entries held by peers, with their forms in the table and in
+ * messages.
+ */
+
 import * as z from 'zod'
 import { ResultCode } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
@@ -43,6 +48,7 @@
   readonly tokens: TokenCount
 }
 
+/** What an entry of a journal tells. */
 export type JournalEntry = SettleEntry | LendEntry
 
 /** Entries are numbered by their writer; the numbers grow, with gaps where a write lost. */
--- a/packages/coordination/src/journal/journalReader.ts
+++ b/packages/coordination/src/journal/journalReader.ts
@@ -1,3 +1,5 @@
+/** Reads a whole journal from the table. */
+
 import type { IncarnationId } from '@rackwalk/shared'
 import type { Row, TableService } from '@rackwalk/stores'
 import { journalPartition } from '../tableKeys.js'
--- a/packages/coordination/src/journal/peerHold.ts
+++ b/packages/coordination/src/journal/peerHold.ts
@@ -1,3 +1,8 @@
+/**
+ * Copies entries to peers while the table is out of reach, and tells them when to forget. Owns which peers
+ * hold something.
+ */
+
 import type { FailureDomainId, IncarnationId } from '@rackwalk/shared'
 import type { MemberInfo, PeerChannel } from '../peerMessages.js'
 import type { Journal } from './journal.js'
--- a/packages/coordination/src/membership/callerAddresses.ts
+++ b/packages/coordination/src/membership/callerAddresses.ts
@@ -1,3 +1,8 @@
+/**
+ * At which addresses should a caller connect? The choice of the OpenAI-style kind: a less busy instance
+ * first, others in other failure domains after it. Pure, but for the random source it is given.
+ */
+
 import { randomBelow } from '@rackwalk/shared'
 import type { RandomSource } from '@rackwalk/shared'
 import type { MemberInfo } from '../peerMessages.js'
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -1,3 +1,8 @@
+/**
+ * The incarnations that run, as the table has them: registering this one and listing the others. Owns
+ * nothing.
+ */
+
 import * as z from 'zod'
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type {
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -1,3 +1,8 @@
+/**
+ * A lease in the table, with an epoch that fences its holder's orders. Owns when this instance last held
+ * it, on its own clock.
+ */
+
 import * as z from 'zod'
 import { RackwalkError, asId } from '@rackwalk/shared'
 import type {
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -51,6 +51,7 @@
 /** Rows of instances that have not been renewed for this many silences are removed. */
 const REMOVE_AFTER_SILENCES = 20
 
+/** The members of the fleet, on one instance. */
 export class MemberDirectory {
   private readonly members = new Map<string, KnownMember>()
   private heartbeat = 0
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -1,3 +1,8 @@
+/**
+ * The live instances of the OpenAI-style kind, by heartbeats within groups and digests between them. Owns
+ * what was last heard of each; sends nothing itself.
+ */
+
 import { createHash } from 'node:crypto'
 import { randomBelow } from '@rackwalk/shared'
 import type {
--- a/packages/coordination/src/membership/reaper.ts
+++ b/packages/coordination/src/membership/reaper.ts
@@ -1,3 +1,8 @@
+/**
+ * Finds incarnations that are gone for good, has them sealed and their allocations returned. Owns since
+ * when each has been missing.
+ */
+
 import type { Clock, IncarnationId, Milliseconds } from '@rackwalk/shared'
 import type { ListedInstance } from '@rackwalk/stores'
 import type { Reclaimer } from '../budget/reclaimer.js'
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -1,3 +1,8 @@
+/**
+ * Ends an incarnation for good, by a seal in its journal after its held entries. Owns nothing; safe to run
+ * on several instances at once.
+ */
+
 import { RackwalkError, asId } from '@rackwalk/shared'
 import type { IncarnationId, RandomSource, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService } from '@rackwalk/stores'
--- a/packages/coordination/src/nodeHandlers.ts
+++ b/packages/coordination/src/nodeHandlers.ts
@@ -1,3 +1,5 @@
+/** One handler for each kind of message between instances of the OpenAI-style kind. */
+
 import type { IncarnationId } from '@rackwalk/shared'
 import type { BudgetLedger } from './budget/budgetLedger.js'
 import type { Claims } from './claims/claims.js'
--- a/packages/coordination/src/nodeTimings.ts
+++ b/packages/coordination/src/nodeTimings.ts
@@ -1,3 +1,5 @@
+/** Periods of the background work of an instance of the OpenAI-style kind, with their defaults. */
+
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Periods of the background work. */
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -1,3 +1,8 @@
+/**
+ * Messages between instances of the OpenAI-style kind, by kind: request, reply, and who carries and handles
+ * them. Their forms on the wire stand in peerForms.ts.
+ */
+
 import type {
   BudgetId,
   FailureDomainId,
@@ -165,8 +170,11 @@
       readonly creditedTokens: TokenCount
     }
 
+/** Names of the kinds. */
 export type PeerMessageKind = keyof PeerMessages
+/** The request of a kind. */
 export type PeerRequest<Kind extends PeerMessageKind> = PeerMessages[Kind]['request']
+/** The reply to a kind. */
 export type PeerReply<Kind extends PeerMessageKind> = PeerMessages[Kind]['reply']
 
 /**
--- a/packages/coordination/src/segmentArchive.ts
+++ b/packages/coordination/src/segmentArchive.ts
@@ -1,3 +1,8 @@
+/**
+ * Decision records: recent ones in memory, all of them in segments of the object store. Owns the records
+ * that are not yet written.
+ */
+
 import * as z from 'zod'
 import type { Clock, IncarnationId, Milliseconds, RequestId } from '@rackwalk/shared'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
--- a/packages/coordination/src/tableKeys.ts
+++ b/packages/coordination/src/tableKeys.ts
@@ -1,9 +1,9 @@
+/** Every row that the OpenAI-style kind keeps in the table, by the key under which it lies. */
+
 import type { BudgetId, IdempotencyKey, IncarnationId, TeamId } from '@rackwalk/shared'
 import type { RowKey } from '@rackwalk/stores'
 import { sortKeyOf } from '@rackwalk/stores'
 
-/** Every row that the coordination parts keep, by the key under which it lies. */
-
 /** Partition of the incarnations that are open or not yet reclaimed. */
 export const INCARNATIONS_PARTITION = 'incarnations'
 /** Partition of incarnations whose allocations went back to their budgets. */
@@ -17,26 +17,32 @@
 /** Partition of the leases. */
 export const LEASES_PARTITION = 'leases'
 
+/** The partition of an incarnation's journal. */
 export function journalPartition(incarnation: IncarnationId): string {
   return `journal/${incarnation}`
 }
 
+/** The key of one slot of a journal; slots count from 1. */
 export function journalSlotKey(incarnation: IncarnationId, slot: number): RowKey {
   return { partition: journalPartition(incarnation), sort: sortKeyOf(slot) }
 }
 
+/** The key of the record of a running incarnation. */
 export function incarnationKey(incarnation: IncarnationId): RowKey {
   return { partition: INCARNATIONS_PARTITION, sort: incarnation }
 }
 
+/** The key of the marker of an incarnation that was reclaimed. */
 export function retiredKey(incarnation: IncarnationId): RowKey {
   return { partition: RETIRED_PARTITION, sort: incarnation }
 }
 
+/** The key of the marker of an incarnation that is being sealed. */
 export function sealingKey(incarnation: IncarnationId): RowKey {
   return { partition: SEALING_PARTITION, sort: incarnation }
 }
 
+/** The key of a budget's row. */
 export function budgetKey(budget: BudgetId): RowKey {
   return { partition: BUDGETS_PARTITION, sort: budget }
 }
@@ -46,18 +52,22 @@
   return `holding/${incarnation}`
 }
 
+/** The key of the marker that an incarnation holds something of a budget. */
 export function holdingKey(incarnation: IncarnationId, budget: BudgetId): RowKey {
   return { partition: holdingPartition(incarnation), sort: budget }
 }
 
+/** The key of a claim. */
 export function claimKey(team: TeamId, key: IdempotencyKey): RowKey {
   return { partition: `claim/${team}`, sort: key }
 }
 
+/** The key of a change; revisions count from 1. */
 export function changeKey(revision: number): RowKey {
   return { partition: CHANGES_PARTITION, sort: sortKeyOf(revision) }
 }
 
+/** The key of a lease. */
 export function leaseKey(name: string): RowKey {
   return { partition: LEASES_PARTITION, sort: name }
 }
--- a/packages/coordination/src/usage.ts
+++ b/packages/coordination/src/usage.ts
@@ -1,3 +1,8 @@
+/**
+ * Usage by team and model, added up from all journals: bills are folded by their key, so that each counts
+ * once.
+ */
+
 import { ResultCode, asId } from '@rackwalk/shared'
 import type { IncarnationId, Milliseconds, ModelId, TeamId, TokenCount } from '@rackwalk/shared'
 import type { TableService } from '@rackwalk/stores'
--- a/scripts/lint/openingComment.mjs
+++ b/scripts/lint/openingComment.mjs
@@ -12,7 +12,9 @@
   create(context) {
     return {
       Program(program) {
-        const first = context.sourceCode.getAllComments()[0]
+        const comments = context.sourceCode.getAllComments()
+        // The first line of a program may name its interpreter.
+        const first = comments.find(({ type }) => type !== 'Shebang')
         const isDoc = first?.type === 'Block' && first.value.startsWith('*')
         const isAtTop = first !== undefined && first.range[0] <= (program.body[0]?.range[0] ?? 0)
         if (!isDoc || !isAtTop)
