--- a/packages/coordination/__tests__/checkedTable.spec.ts
+++ b/packages/coordination/__tests__/checkedTable.spec.ts
@@ -5,12 +5,19 @@
 import { CheckedTable } from '@rackwalk/coordination'
 import { MemoryTable } from '@rackwalk/stand-ins'
 
+/** Whole but for its resource, which must not be taken for a deletion. */
+const CHANGE = {
+  ...{ revision: 1, kind: 'teams', name: 'team', resource: { kind: 'teams' } },
+  ...{ writeId: 'w', operator: 'o', at: 0 },
+}
+
 /** A row and its partition; each is malformed, for the reason that its name gives. */
 const MALFORMED: readonly (readonly [string, string, JsonValue])[] = [
   ['a budget without a limit', 'budgets', { budgetId: 'b', teamId: 't', settled: 0, holders: {} }],
   ['a claim in no known state', 'claim/team', { state: 'lost', incarnation: 'i', requestId: 'r' }],
   ['a slot of no known kind', 'journal/first', { kind: 'page', entries: [] }],
   ['a change without a revision', 'changes', { kind: 'teams', name: 'team', operator: 'o', at: 0 }],
+  ['a change of what is no resource', 'changes', CHANGE],
   ['a resource that is a text', 'resources/teams', 'team'],
   ['an incarnation that is empty', 'incarnations', {}],
   ['a lease whose epoch is a text', 'leases', { holder: 'i', epoch: '4' }],
--- a/packages/coordination/__tests__/configuration.spec.ts
+++ b/packages/coordination/__tests__/configuration.spec.ts
@@ -172,3 +172,28 @@
     return isUnknown ? 'unknown' : 'failed'
   }
 }
+
+describe('a configuration that a peer spoils', () => {
+  const TEAM = { kind: 'teams', metadata: { name: 'team', version: 1, labels: {}, createdAt: 0 } }
+  const MALFORMED = { kind: 'teams' }
+  const CHANGE = { revision: 2, kind: 'teams', name: 'team', operator: 'operator', at: 0 }
+
+  it.each([
+    ['a snapshot', { snapshot: { revision: 2, resources: [MALFORMED] } }],
+    [
+      'a change',
+      { changes: [{ ...CHANGE, writeId: asId<TransactionId>('w'), resource: MALFORMED }] },
+    ],
+  ])('by %s with what is no resource stays as it was', async (_, spoiled) => {
+    const replies: object[] = [{ snapshot: { revision: 1, resources: [{ ...TEAM, spec: {} }] } }]
+    const peers: PeerChannel = { call: async () => (replies.shift() ?? {}) as never }
+    const away = () => Promise.reject(new RackwalkError(ResultCode.PlatformUnavailable))
+    const table: TableService = { get: away, query: away, transact: away, transactMany: away }
+    const follower = createFollower(table, peers)
+    await follower.catchUp()
+    replies.push(spoiled)
+    await follower.catchUp()
+    expect(follower.find('teams', 'team')?.metadata.version).toBe(1)
+    expect(follower.revision).toBe(1)
+  })
+})
--- a/packages/coordination/src/checkedTable.ts
+++ b/packages/coordination/src/checkedTable.ts
@@ -4,7 +4,6 @@
  * Relies on the codecs, which stand beside the types that rows carry.
  */
 
-import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { TransactionId } from '@rackwalk/shared'
 import type {
   IdentifiedWrites,
@@ -20,6 +19,7 @@
 import { changeCodec } from './configuration/configurationChange.js'
 import { resourceCodec } from './configuration/resource.js'
 import { writeRecordCodec } from './configuration/resourceStore.js'
+import { malformedRow } from './forms.js'
 import { journalSlotCodec } from './journal/journalEntry.js'
 import { incarnationRecordCodec } from './membership/incarnationRegistry.js'
 import { leaseRowCodec } from './membership/lease.js'
@@ -77,14 +77,11 @@
     return this.table.transactMany(parts)
   }
 
-  private check({ key, value }: Row): void {
-    const form = FORMS[key.partition.split('/')[0] ?? '']
+  private check(row: Row): void {
+    const form = FORMS[row.key.partition.split('/')[0] ?? '']
     // Rows without a form are markers: only their keys say something.
-    if (form === undefined || form.fromJson(value) !== undefined) return
-    this.onMalformedRow(key)
-    throw new RackwalkError(
-      ResultCode.PlatformUnavailable,
-      `malformed row ${key.partition}/${key.sort}`,
-    )
+    if (form === undefined || form.fromJson(row.value) !== undefined) return
+    this.onMalformedRow(row.key)
+    throw malformedRow(row)
   }
 }
--- a/packages/coordination/src/configuration/configurationChange.ts
+++ b/packages/coordination/src/configuration/configurationChange.ts
@@ -5,13 +5,17 @@
 import { JsonCodec } from '@rackwalk/stores'
 import { anyJson, idSchema, sameNames } from '../forms.js'
 import type { ConfigurationChange } from '../peerMessages.js'
+import { resourceCodec } from './resource.js'
+
+/** A resource as JSON; what is none must not pass, since an absent one stands for a deletion. */
+export const resourceJson = anyJson.refine(json => resourceCodec.fromJson(json) !== undefined)
 
 /** A change, whose resource is absent where it was deleted. */
 export const changeSchema: z.ZodType<ConfigurationChange> = z.object({
   revision: z.number(),
   kind: z.string(),
   name: z.string(),
-  resource: anyJson.optional(),
+  resource: resourceJson.optional(),
   writeId: idSchema<TransactionId>(),
   operator: z.string(),
   at: z.number(),
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -5,7 +5,7 @@
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { IncarnationId, Version } from '@rackwalk/shared'
-import type { Row, TableService } from '@rackwalk/stores'
+import type { JsonValue, Row, TableService } from '@rackwalk/stores'
 import { sortKeyOf } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
 import type {
@@ -162,11 +162,10 @@
   private applySnapshot(snapshot: ConfigurationSnapshot): void {
     if (snapshot.revision < this.current) return
     if (snapshot.revision === this.current && this.loaded) return
+    // Decoded before anything is cleared: a malformed snapshot leaves what is in force as it is.
+    const resources = snapshot.resources.map(resourceOf)
     this.resources.clear()
-    for (const value of snapshot.resources) {
-      const resource = resourceCodec.fromJson(value)
-      if (resource === undefined)
-        throw new RackwalkError(ResultCode.PlatformUnavailable, 'a resource')
+    for (const resource of resources) {
       if (!this.parts.kinds.includes(resource.kind)) continue
       this.resources.set(resourceId(resource.kind, resource.metadata.name), resource)
     }
@@ -194,7 +193,7 @@
 
   private applyResource(change: ConfigurationChange): void {
     const id = resourceId(change.kind, change.name)
-    const resource = resourceCodec.fromJson(change.resource)
+    const resource = change.resource === undefined ? undefined : resourceOf(change.resource)
     const known = this.resources.get(id)
     // A snapshot may hold a state from after this change.
     if (known !== undefined && known.metadata.version >= change.revision) return
@@ -210,3 +209,10 @@
 function changeOf(row: Row): ConfigurationChange {
   return valueOf(changeCodec, row)
 }
+
+/** Throws where the JSON is no resource: it must not be taken for a deletion. */
+function resourceOf(json: JsonValue): Resource {
+  const resource = resourceCodec.fromJson(json)
+  if (resource !== undefined) return resource
+  throw new RackwalkError(ResultCode.PlatformUnavailable, 'malformed resource')
+}
--- a/packages/coordination/src/forms.ts
+++ b/packages/coordination/src/forms.ts
@@ -26,7 +26,12 @@
  */
 export function valueOf<Wire, Value>(codec: JsonCodec<Wire, Value>, row: Row): Value {
   const value = codec.fromJson(row.value)
-  if (value !== undefined) return value
-  const { partition, sort } = row.key
-  throw new RackwalkError(ResultCode.PlatformUnavailable, `malformed row ${partition}/${sort}`)
+  if (value === undefined) throw malformedRow(row)
+  return value
+}
+
+/** The error of a row that is not of its form: it is as good as not given by the table. */
+export function malformedRow({ key }: Row): RackwalkError {
+  const detail = `malformed row ${key.partition}/${key.sort}`
+  return new RackwalkError(ResultCode.PlatformUnavailable, detail)
 }
--- a/packages/coordination/src/peerForms.ts
+++ b/packages/coordination/src/peerForms.ts
@@ -19,7 +19,7 @@
 } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 import type { TransactResult } from '@rackwalk/stores'
-import { changeSchema } from './configuration/configurationChange.js'
+import { changeSchema, resourceJson } from './configuration/configurationChange.js'
 import { anyJson, idSchema, sameNames } from './forms.js'
 import { heldItemSchema, rowWriteSchema } from './journal/journalEntry.js'
 import type {
@@ -90,7 +90,7 @@
   z.object({ committed: z.literal(false), conflicts: z.array(z.number()) }),
 ])
 
-const snapshotSchema = z.object({ revision: z.number(), resources: z.array(anyJson) })
+const snapshotSchema = z.object({ revision: z.number(), resources: z.array(resourceJson) })
 
 /** The forms of all messages, by kind. */
 export const PEER_FORMS: { readonly [Kind in PeerMessageKind]: PeerForm<Kind> } = {
