--- a/bench/src/budgets/budgetSimulation.ts
+++ b/bench/src/budgets/budgetSimulation.ts
@@ -177,8 +177,8 @@
     this.list.add(listed)
     // Found by the platform's list in a fleet; here everybody is introduced at once.
     for (const other of this.members) {
-      other.node.membership.hear(node.describe())
-      node.membership.hear(other.node.describe())
+      other.node.membership.mergeMember(node.describe())
+      node.membership.mergeMember(other.node.describe())
     }
     this.members.push(member)
     node.start()
@@ -234,7 +234,7 @@
         endedAt: this.clock.wallTime(),
       })
       // Counted when the caller may have the end of its answer.
-      ticket.safe.then(
+      ticket.durableOrHeld.then(
         () => (books.spent += request.cost),
         () => undefined,
       )
--- a/bench/src/budgets/index.ts
+++ b/bench/src/budgets/index.ts
@@ -1,4 +1,8 @@
-import { EqualSplitPolicy, RateProportionalPolicy, WeighedPolicy } from '@rackwalk/coordination'
+import {
+  EqualSplitPolicy,
+  RateProportionalPolicy,
+  CostWeightedPolicy,
+} from '@rackwalk/coordination'
 import type { AllocationPolicy } from '@rackwalk/coordination'
 import type { Bound } from '../bounds/bound.js'
 import { BudgetSimulation } from './budgetSimulation.js'
@@ -20,7 +24,7 @@
 const POLICIES: readonly NamedPolicy[] = [
   { name: 'equal-split', create: () => new EqualSplitPolicy() },
   { name: 'rate-proportional', create: () => new RateProportionalPolicy() },
-  { name: 'weighed', create: () => new WeighedPolicy(WEIGHTS) },
+  { name: 'weighed', create: () => new CostWeightedPolicy(WEIGHTS) },
 ]
 
 /** Every policy under every scenario. */
--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -1,6 +1,6 @@
 /** Slopes of the gateway kind, measured in this process. */
 
-import { UNTOLD_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
+import { UNKNOWN_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
 import { DemandHoldingPolicy, PrepaidLedger, StoreClock } from '@rackwalk/coordination'
 import { decodeReport, encodeReport } from '@rackwalk/daemon'
 import { rankEndpoints } from '@rackwalk/decisions'
@@ -99,7 +99,7 @@
       service: SERVICE,
       address: '10.20.30.40:8080',
       failureDomain: 'hall-a',
-      softwareVersion: UNTOLD_SOFTWARE_VERSION,
+      softwareVersion: UNKNOWN_SOFTWARE_VERSION,
       slots: 64,
       isLeaving: false,
       coldMilliseconds: 0,
--- a/bench/src/capacity/measuredSlopes.ts
+++ b/bench/src/capacity/measuredSlopes.ts
@@ -23,8 +23,8 @@
   Journal,
   Membership,
   MemoryCounters,
-  SegmentArchive,
-  WeighedPolicy,
+  DecisionArchive,
+  CostWeightedPolicy,
   createBudgetRow,
   tableKeys,
 } from '@rackwalk/coordination'
@@ -67,7 +67,7 @@
     heartbeatBytes: JSON.stringify({ sender: member(0, 1), digests: [] }).length,
     digestBytes: await overSizes([2, 12, 24], async groups => {
       const membership = createMembership(15, 1)
-      membership.hearDigests(Array.from({ length: groups - 1 }, (_, n) => digestOf(n)))
+      membership.mergeDigests(Array.from({ length: groups - 1 }, (_, n) => digestOf(n)))
       return JSON.stringify(membership.digests()).length
     }),
     memberHeap: await overSizes([90, 360, 1_440], size =>
@@ -126,7 +126,7 @@
 function createMembership(size: number, groups: number): Membership {
   const self = member(0, groups)
   const membership = new Membership(self, () => self, new VirtualClock(), new SeededRandom(1))
-  for (let number = 1; number < size; number += 1) membership.hear(member(number, groups))
+  for (let number = 1; number < size; number += 1) membership.mergeMember(member(number, groups))
   return membership
 }
 
@@ -148,7 +148,7 @@
       const known = membership.find(target)
       if (known === undefined) continue
       const sent = JSON.stringify({ ...known, heartbeat: beat })
-      membership.hear(JSON.parse(sent) as MemberInfo)
+      membership.mergeMember(JSON.parse(sent) as MemberInfo)
     }
   }, 20)
 }
@@ -175,11 +175,11 @@
     clock,
     random,
     counters,
-    policy: new WeighedPolicy({ overspend: 1, falseRefusal: 1 }),
+    policy: new CostWeightedPolicy({ overspend: 1, falseRefusal: 1 }),
     liveIncarnations: () => [SELF],
     onSealed: () => undefined,
   })
-  await ledger.warm(budgets)
+  await ledger.preallocate(budgets)
   return ledger
 }
 
@@ -215,7 +215,7 @@
   const table = new EndpointTable(
     { endpoints, findEndpoint: find, isEvacuated: () => false },
     new VirtualClock(),
-    { takes: () => true, refusalOf: () => undefined },
+    { allows: () => true, refusalOf: () => undefined },
     () => undefined,
   )
   const report = { running: 10, waiting: 0, cacheUse: 0, leaving: false, queuedPromptTokens: 0 }
@@ -223,7 +223,7 @@
     table.noteReport(endpointId, report, 0)
     for (let prompt = 0; prompt < prompts; prompt += 1) {
       const text = Buffer.alloc(8_192, `prompt ${endpointId} ${prompt} `)
-      table.prefixes.assume(endpointId, prefixHashes(text))
+      table.prefixes.noteSent(endpointId, prefixHashes(text))
     }
   }
   return table
@@ -324,13 +324,13 @@
   }
 }
 
-function createArchive(size: number): SegmentArchive {
-  const archive = new SegmentArchive(new MemoryObjects(), new VirtualClock(), SELF)
+function createArchive(size: number): DecisionArchive {
+  const archive = new DecisionArchive(new MemoryObjects(), new VirtualClock(), SELF)
   fillArchive(archive, size)
   return archive
 }
 
-function fillArchive(archive: SegmentArchive, size: number): void {
+function fillArchive(archive: DecisionArchive, size: number): void {
   for (let n = 0; n < size; n += 1) {
     const record = decisionRecord(n)
     archive.add({ requestId: asId<RequestId>(record.requestId), record })
--- a/bench/src/path/index.ts
+++ b/bench/src/path/index.ts
@@ -1,5 +1,5 @@
 import { Worker } from 'node:worker_threads'
-import { hashKey } from '@rackwalk/router'
+import { hashApiKey } from '@rackwalk/router'
 import { LocalFleet, MODEL, TEAM_KEY } from '@rackwalk/stand-ins'
 import type { FleetPlatform, ResourceDocument } from '@rackwalk/stand-ins'
 import type { Bound } from '../bounds/bound.js'
@@ -133,7 +133,7 @@
         maximumInFlight: 1_024,
       },
     }))
-    const team = { budget: 'team', keyHashes: [hashKey(TEAM_KEY)] }
+    const team = { budget: 'team', keyHashes: [hashApiKey(TEAM_KEY)] }
     const placement = { model: MODEL, version: '1', replicas: ENGINES }
     return [
       { kind: 'budgets', metadata: { name: 'team' }, spec: { team: 'team', limit: 1e12 } },
--- a/bench/src/routing/routingSimulation.ts
+++ b/bench/src/routing/routingSimulation.ts
@@ -11,7 +11,7 @@
 } from '@rackwalk/router'
 import type {
   ConfiguredEndpoint,
-  EndpointSource,
+  EndpointCatalogue,
   RoutingPolicy,
   RoutingPolicyName,
 } from '@rackwalk/router'
@@ -87,7 +87,7 @@
     )
     for (const [index, engine] of this.engines.entries()) this.reports[index]?.follow(engine)
     const source = endpointSource(ids)
-    const permits = { takes: () => true, refusalOf: () => undefined }
+    const permits = { allows: () => true, refusalOf: () => undefined }
     this.routers = Array.from({ length: profile.instances }, () => ({
       table: new EndpointTable(source, this.clock, permits, () => undefined),
       policy: createRoutingPolicy(policy),
@@ -139,8 +139,8 @@
     const choice = router.policy.choose(views, demand, this.random)
     if (choice === undefined) throw new Error('no engine')
     const { endpointId } = choice
-    router.table.prefixes.assume(endpointId, hashes)
-    router.table.noteSent(endpointId, promptTokens)
+    router.table.prefixes.noteSent(endpointId, hashes)
+    router.table.noteRequestSent(endpointId, promptTokens)
     const arrivedAt = this.clock.monotonic()
     const answerTokens = Math.ceil(-Math.log(1 - this.random.next()) * MEAN_ANSWER_TOKENS)
     const engine = this.engines.find(candidate => candidate.endpointId === endpointId)
@@ -153,7 +153,7 @@
         if (!isBegun) this.noteFirstToken(this.clock.monotonic() - arrivedAt)
         isBegun = true
       },
-      onEnd: () => router.table.noteEnded(endpointId),
+      onEnd: () => router.table.noteRequestEnded(endpointId),
     })
   }
 
@@ -191,7 +191,7 @@
   }
 }
 
-function endpointSource(ids: readonly EndpointId[]): EndpointSource {
+function endpointSource(ids: readonly EndpointId[]): EndpointCatalogue {
   const endpoints: readonly ConfiguredEndpoint[] = ids.map(endpointId => ({
     endpointId,
     spec: {
--- a/packages/cli/src/commands/context.ts
+++ b/packages/cli/src/commands/context.ts
@@ -1,13 +1,13 @@
 /** What every command of `rackwalk` works with. */
 
 import type { CommandEnvironment } from '../environment.js'
-import type { OperatorConnection } from '../operatorConnection.js'
+import type { OperatorHttpClient } from '../operatorHttpClient.js'
 import type { OutputFormat } from '../output/print.js'
 
 /** What every command gets. */
 export interface CommandContext {
   readonly environment: CommandEnvironment
-  readonly connection: OperatorConnection
+  readonly connection: OperatorHttpClient
   readonly format: OutputFormat
 }
 
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,7 +1,7 @@
 /** `rackwalk explain`: why a request was decided as it was. */
 
 import type { Table } from '../output/table.js'
-import { cell, printDocument } from '../output/print.js'
+import { formatCell, printDocument } from '../output/print.js'
 import type { CommandContext } from './context.js'
 
 interface ScoredEndpoint {
@@ -52,10 +52,10 @@
     ['request', decision.requestId],
     ['decided by', decision.instanceId],
     ['received', new Date(decision.receivedAt).toISOString()],
-    ['team', cell(decision.teamId)],
-    ['asked for', cell(decision.target)],
-    ['result', `${cell(decision.code)} ${cell(decision.execution)}`],
-    ['because', cell(decision.detail)],
+    ['team', formatCell(decision.teamId)],
+    ['asked for', formatCell(decision.target)],
+    ['result', `${formatCell(decision.code)} ${formatCell(decision.execution)}`],
+    ['because', formatCell(decision.detail)],
     ['queued', milliseconds(decision.queuedMilliseconds)],
     ['first byte', milliseconds(decision.firstByteMilliseconds)],
     ['total', milliseconds(decision.totalMilliseconds)],
@@ -77,15 +77,15 @@
   const held =
     allocation === undefined
       ? ''
-      : `${cell(allocation['available'])} available and ${cell(allocation['reserved'])} reserved here; ` +
-        `limit ${cell(allocation['limit'])}, settled ${cell(allocation['settled'])}, free ${cell(allocation['free'])}`
+      : `${formatCell(allocation['available'])} available and ${formatCell(allocation['reserved'])} reserved here; ` +
+        `limit ${formatCell(allocation['limit'])}, settled ${formatCell(allocation['settled'])}, free ${formatCell(allocation['free'])}`
   return [
     ['allocation', held],
-    ['reserved', cell(decision.reservedTokens)],
-    ['prompt tokens', cell(decision.promptTokens)],
-    ['generated tokens', cell(decision.generatedTokens)],
-    ['billed tokens', cell(decision.billedTokens)],
-    ['bill kept', cell(decision.billDurability)],
+    ['reserved', formatCell(decision.reservedTokens)],
+    ['prompt tokens', formatCell(decision.promptTokens)],
+    ['generated tokens', formatCell(decision.generatedTokens)],
+    ['billed tokens', formatCell(decision.billedTokens)],
+    ['bill kept', formatCell(decision.billDurability)],
   ]
 }
 
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,7 +1,7 @@
 /** Commands about the fleet: instances, usage, audit, budgets, draining. */
 
 import { usageError } from '../errors.js'
-import { cell, printDocument } from '../output/print.js'
+import { formatCell, printDocument } from '../output/print.js'
 import type { CommandContext } from './context.js'
 
 const MILLISECONDS_PER_DAY = 86_400_000
@@ -20,7 +20,7 @@
 ): void {
   printDocument(context.environment, context.format, document, () => ({
     headings: fields,
-    rows: rows.map(row => fields.map(field => cell(row[field]))),
+    rows: rows.map(row => fields.map(field => formatCell(row[field]))),
   }))
 }
 
@@ -32,10 +32,10 @@
   printDocument(context.environment, context.format, document, () => ({
     headings: ['where', 'tokens', 'note'],
     rows: [
-      ...totals.map(field => [field, cell(document[field]), '']),
+      ...totals.map(field => [field, formatCell(document[field]), '']),
       ...holders.map(holder => [
-        `held by ${cell(holder['instanceId'] ?? holder['incarnation'])}`,
-        cell(holder['allocated']),
+        `held by ${formatCell(holder['instanceId'] ?? holder['incarnation'])}`,
+        formatCell(holder['allocated']),
         holder['isLive'] === true ? '' : 'not live: stranded until reclaimed',
       ]),
     ],
@@ -100,7 +100,7 @@
 
 /** `drain INSTANCE`. */
 export async function drain(context: CommandContext, name: string): Promise<void> {
-  await context.connection.exchange('POST', `/v1/instances/${name}/drain`)
+  await context.connection.request('POST', `/v1/instances/${name}/drain`)
   context.environment.print(`${name} takes no new requests`)
 }
 
@@ -119,7 +119,7 @@
 ): Promise<void> {
   const spec = reason === undefined ? {} : { reason }
   const resource = { kind: 'evacuations', metadata: { name: domain }, spec }
-  await context.connection.exchange('PUT', `${EVACUATIONS_PATH}/${domain}`, resource)
+  await context.connection.request('PUT', `${EVACUATIONS_PATH}/${domain}`, resource)
   context.environment.print(
     `${domain} gets nothing new; \`describe evacuations ${domain}\` shows who has taken it in`,
   )
@@ -127,7 +127,7 @@
 
 /** `restore DOMAIN`. */
 export async function restore(context: CommandContext, domain: string): Promise<void> {
-  await context.connection.exchange('DELETE', `${EVACUATIONS_PATH}/${domain}`)
+  await context.connection.request('DELETE', `${EVACUATIONS_PATH}/${domain}`)
   context.environment.print(`${domain} is used again`)
 }
 
@@ -141,8 +141,11 @@
 }
 
 /** `clear FINGERPRINT`: the request is sent on as any other again. */
-export async function clear(context: CommandContext, fingerprint: string): Promise<void> {
-  await context.connection.exchange('DELETE', `${CRASHES_PATH}/${fingerprint}`)
+export async function clearCrashingRequest(
+  context: CommandContext,
+  fingerprint: string,
+): Promise<void> {
+  await context.connection.request('DELETE', `${CRASHES_PATH}/${fingerprint}`)
   context.environment.print(`${fingerprint} is sent to endpoints again`)
 }
 
--- a/packages/cli/src/commands/resources.ts
+++ b/packages/cli/src/commands/resources.ts
@@ -3,7 +3,7 @@
 import { parseAllDocuments } from 'yaml'
 import { CommandError, usageError } from '../errors.js'
 import { ExitCode } from '../exitCodes.js'
-import { cell, printDocument } from '../output/print.js'
+import { formatCell, printDocument } from '../output/print.js'
 import type { CommandContext, ResourceDocument } from './context.js'
 
 /** Options of the commands that write. */
@@ -20,7 +20,7 @@
   readonly labels?: string
 }
 
-const PAGE = 500
+const PAGE_SIZE = 500
 
 /** `apply -f FILE`: creates or replaces every resource of a YAML file. */
 export async function apply(context: CommandContext, flags: WriteFlags): Promise<void> {
@@ -28,7 +28,7 @@
   for (const resource of resources) {
     const headers = conditionHeaders({ ...flags, ifVersion: resource.metadata.version })
     const path = withDryRun(pathOf(resource), flags)
-    const written = await context.connection.exchange('PUT', path, resource, headers)
+    const written = await context.connection.request('PUT', path, resource, headers)
     const { metadata } = written as unknown as ResourceDocument
     const suffix = flags.dryRun ? ' (dry run)' : ` at version ${metadata.version}`
     context.environment.print(`${resource.kind}/${metadata.name} applied${suffix}`)
@@ -49,11 +49,11 @@
     headings: ['name', 'version', 'labels', 'spec'],
     rows: items.map(({ metadata, spec }) => [
       metadata.name,
-      cell(metadata.version),
+      formatCell(metadata.version),
       Object.entries(metadata.labels ?? {})
         .map(([label, value]) => `${label}=${value}`)
         .join(','),
-      cell(spec),
+      formatCell(spec),
     ]),
   }))
 }
@@ -66,10 +66,10 @@
     rows: [
       ['kind', resource.kind],
       ['name', resource.metadata.name],
-      ['version', cell(resource.metadata.version)],
+      ['version', formatCell(resource.metadata.version)],
       ...Object.entries(resource.spec as object).map(([field, value]) => [
         `spec.${field}`,
-        cell(value),
+        formatCell(value),
       ]),
       ...(resource.status?.instances ?? []).map(({ instanceId, inForce }) => [
         `in force on ${instanceId}`,
@@ -90,7 +90,7 @@
   const path = withDryRun(`/v1/${kind}/${name}`, flags)
   const document = parseJson(text)
   const headers = conditionHeaders(flags)
-  const written = await context.connection.exchange('PATCH', path, document, headers)
+  const written = await context.connection.request('PATCH', path, document, headers)
   const { metadata } = written as unknown as ResourceDocument
   context.environment.print(`${kind}/${name} patched at version ${metadata.version}`)
 }
@@ -103,7 +103,7 @@
   flags: WriteFlags,
 ): Promise<void> {
   const path = withDryRun(`/v1/${kind}/${name}`, flags)
-  await context.connection.exchange('DELETE', path, undefined, conditionHeaders(flags))
+  await context.connection.request('DELETE', path, undefined, conditionHeaders(flags))
   context.environment.print(`${kind}/${name} deleted${flags.dryRun ? ' (dry run)' : ''}`)
 }
 
@@ -129,7 +129,7 @@
   if (kind !== undefined) query.set('kinds', kind)
   if (flags.from !== undefined) query.set('from', String(flags.from))
   let left = flags.count === undefined ? Number.POSITIVE_INFINITY : Number(flags.count)
-  for await (const event of context.connection.lines(`/v1/watch?${query}`)) {
+  for await (const event of context.connection.streamDocuments(`/v1/watch?${query}`)) {
     if (event['type'] === 'bookmark') continue
     if (context.format === 'json') context.environment.print(JSON.stringify(event))
     else {
@@ -148,7 +148,7 @@
   const id = `${resource.kind}/${resource.metadata.name}`
   // A dry run fills defaults in, so that only real differences show.
   const path = `${pathOf(resource)}?dryRun=true`
-  const wanted = await context.connection.exchange('PUT', path, resource)
+  const wanted = await context.connection.request('PUT', path, resource)
   const current = await findCurrent(context, resource)
   if (current === undefined) return [`+ ${id} is new`]
   return compare(id, current.spec, wanted['spec'])
@@ -170,7 +170,9 @@
   const fields = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort()
   return fields
     .filter(field => JSON.stringify(before[field]) !== JSON.stringify(after[field]))
-    .map(field => `~ ${id} spec.${field}: ${cell(before[field])} -> ${cell(after[field])}`)
+    .map(
+      field => `~ ${id} spec.${field}: ${formatCell(before[field])} -> ${formatCell(after[field])}`,
+    )
 }
 
 async function list(
@@ -181,7 +183,7 @@
   const items: ResourceDocument[] = []
   let after: string | undefined
   do {
-    const query = new URLSearchParams({ limit: String(PAGE) })
+    const query = new URLSearchParams({ limit: String(PAGE_SIZE) })
     if (flags.labels !== undefined) query.set('labels', flags.labels)
     if (after !== undefined) query.set('after', after)
     const page = await context.connection.get(`/v1/${kind}?${query}`)
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -28,7 +28,7 @@
   [ExitCode.Different]: '`diff` found differences',
 }
 
-const BY_RESULT: Readonly<Partial<Record<ResultCode, ExitCode>>> = {
+const EXIT_CODES_BY_RESULT: Readonly<Partial<Record<ResultCode, ExitCode>>> = {
   [ResultCode.ResourceNotFound]: ExitCode.NotFound,
   [ResultCode.NotFound]: ExitCode.NotFound,
   [ResultCode.VersionConflict]: ExitCode.Conflict,
@@ -44,5 +44,5 @@
 
 /** The exit code for an error that the server answered with. */
 export function exitCodeFor(result: ResultCode): ExitCode {
-  return BY_RESULT[result] ?? ExitCode.Fault
+  return EXIT_CODES_BY_RESULT[result] ?? ExitCode.Fault
 }
--- a/packages/cli/src/operatorConnection.ts
+++ b/packages/cli/src/operatorHttpClient.ts
@@ -7,7 +7,7 @@
 import { ExitCode, exitCodeFor } from './exitCodes.js'
 
 /** Any JSON document that the server answers with. */
-export type Document = Readonly<Record<string, unknown>>
+export type JsonDocument = Readonly<Record<string, unknown>>
 
 interface ErrorDocument {
   readonly error?: {
@@ -20,37 +20,37 @@
 }
 
 /** Speaks the operator API of one instance. */
-export class OperatorConnection {
+export class OperatorHttpClient {
   constructor(
     private readonly server: string,
     private readonly token: string,
   ) {}
 
-  async get(path: string): Promise<Document> {
-    return this.exchange('GET', path)
+  async get(path: string): Promise<JsonDocument> {
+    return this.request('GET', path)
   }
 
-  async exchange(
+  async request(
     method: Dispatcher.HttpMethod,
     path: string,
     document?: unknown,
     headers: Readonly<Record<string, string>> = {},
-  ): Promise<Document> {
+  ): Promise<JsonDocument> {
     const response = await this.send(method, path, document, headers)
-    const body = (await response.body.json()) as Document
+    const body = (await response.body.json()) as JsonDocument
     if (response.statusCode >= 400) throw failure(body)
     return body
   }
 
   /** Reads a stream of JSON lines until it ends or the reader stops. */
-  async *lines(path: string): AsyncGenerator<Document> {
+  async *streamDocuments(path: string): AsyncGenerator<JsonDocument> {
     const response = await this.send('GET', path)
-    if (response.statusCode >= 400) throw failure((await response.body.json()) as Document)
+    if (response.statusCode >= 400) throw failure((await response.body.json()) as JsonDocument)
     let rest = ''
     for await (const chunk of response.body) {
       const lines = (rest + String(chunk)).split('\n')
       rest = lines.pop() ?? ''
-      for (const line of lines) yield JSON.parse(line) as Document
+      for (const line of lines) yield JSON.parse(line) as JsonDocument
     }
   }
 
@@ -73,7 +73,7 @@
   }
 }
 
-function failure(body: Document): CommandError {
+function failure(body: JsonDocument): CommandError {
   const { error } = body as ErrorDocument
   const code = error?.code ?? ResultCode.Internal
   const faults = (error?.faults ?? []).map(({ path, message }) => `  ${path}: ${message}`)
--- a/packages/cli/src/output/print.ts
+++ b/packages/cli/src/output/print.ts
@@ -11,7 +11,7 @@
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number]
 
 /** Checks the `--output` option. */
-export function parseFormat(text: string): OutputFormat {
+export function parseOutputFormat(text: string): OutputFormat {
   const format = OUTPUT_FORMATS.find(candidate => candidate === text)
   if (format === undefined) throw usageError(`--output is one of ${OUTPUT_FORMATS.join(', ')}`)
   return format
@@ -37,7 +37,7 @@
 }
 
 /** A value as a cell: nothing for what is absent. */
-export function cell(value: unknown): string {
+export function formatCell(value: unknown): string {
   if (value === undefined || value === null) return ''
   return typeof value === 'object' ? JSON.stringify(value) : String(value)
 }
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -10,8 +10,8 @@
 import type { CommandEnvironment } from './environment.js'
 import { CommandError, usageError } from './errors.js'
 import { ExitCode } from './exitCodes.js'
-import { OperatorConnection } from './operatorConnection.js'
-import { parseFormat } from './output/print.js'
+import { OperatorHttpClient } from './operatorHttpClient.js'
+import { parseOutputFormat } from './output/print.js'
 
 /** Options that every command takes. */
 interface CommonFlags {
@@ -38,7 +38,7 @@
     await program.runMatchedCommand()
     return ExitCode.Ok
   } catch (thrown) {
-    return report(environment, thrown)
+    return reportError(environment, thrown)
   }
 }
 
@@ -160,7 +160,9 @@
     .action(async flags => fleet.crashes(await contextOf(flags)))
   program
     .command('clear <fingerprint>', 'Send such a request to endpoints again')
-    .action(async (fingerprint, flags) => fleet.clear(await contextOf(flags), fingerprint))
+    .action(async (fingerprint, flags) =>
+      fleet.clearCrashingRequest(await contextOf(flags), fingerprint),
+    )
 }
 
 async function createContext(
@@ -171,8 +173,8 @@
   const server = flags.server ?? environment.variables['RACKWALK_SERVER'] ?? DEFAULT_SERVER
   return {
     environment,
-    connection: new OperatorConnection(server, token),
-    format: parseFormat(flags.output ?? 'table'),
+    connection: new OperatorHttpClient(server, token),
+    format: parseOutputFormat(flags.output ?? 'table'),
   }
 }
 
@@ -186,7 +188,7 @@
   return token
 }
 
-function report(environment: CommandEnvironment, thrown: unknown): ExitCode {
+function reportError(environment: CommandEnvironment, thrown: unknown): ExitCode {
   if (thrown instanceof CommandError) {
     if (thrown.message !== '') environment.printError(thrown.message)
     return thrown.exitCode
--- a/packages/coordination/__tests__/books.spec.ts
+++ b/packages/coordination/__tests__/books.spec.ts
@@ -6,8 +6,8 @@
   EqualSplitPolicy,
   KeyRegistrar,
   RateProportionalPolicy,
-  SegmentArchive,
-  WeighedPolicy,
+  DecisionArchive,
+  CostWeightedPolicy,
   allocatedTokens,
   applyExchange,
   createBudgetRow,
@@ -100,16 +100,16 @@
   it.each([
     new EqualSplitPolicy(),
     new RateProportionalPolicy(),
-    new WeighedPolicy({ overspend: 4, falseRefusal: 1 }),
+    new CostWeightedPolicy({ overspend: 4, falseRefusal: 1 }),
   ])('$name never lends, gives back or holds what is not there', policy => {
     fc.assert(
       fc.property(view, fc.nat(10_000), (seen, asked) => {
-        const lent = policy.lend(seen, asked)
+        const lent = policy.tokensToLend(seen, asked)
         expect(lent).toBeGreaterThanOrEqual(0)
         expect(lent).toBeLessThanOrEqual(Math.min(asked, seen.available))
-        expect(policy.giveBack(seen)).toBeGreaterThanOrEqual(0)
-        expect(policy.giveBack(seen)).toBeLessThanOrEqual(seen.available)
-        expect(policy.borrow(seen, asked)).toBeGreaterThanOrEqual(asked)
+        expect(policy.tokensToReturn(seen)).toBeGreaterThanOrEqual(0)
+        expect(policy.tokensToReturn(seen)).toBeLessThanOrEqual(seen.available)
+        expect(policy.tokensToBorrow(seen, asked)).toBeGreaterThanOrEqual(asked)
         expect(Number.isInteger(policy.target(seen))).toBe(true)
       }),
       { seed: 1, numRuns: 500 },
@@ -162,7 +162,7 @@
   it('finds a record after its instance died, and only what was written', async () => {
     const clock = new VirtualClock()
     const objects = new MemoryObjects()
-    const archive = new SegmentArchive(objects, clock, HOLDER)
+    const archive = new DecisionArchive(objects, clock, HOLDER)
     await clock.advance(5_000)
     const ids = [1, 2, 3].map(count => createRequestId(HOLDER, clock.wallTime(), count))
     const [first, second, third] = ids as [RequestId, RequestId, RequestId]
@@ -171,7 +171,7 @@
     await clock.advance(20_000)
     expect(await archive.writeDue()).toBe(true)
     archive.add({ requestId: third, record: { n: 3 } })
-    const other = new SegmentArchive(objects, clock, asId<IncarnationId>('other'))
+    const other = new DecisionArchive(objects, clock, asId<IncarnationId>('other'))
     expect(await other.findWritten(second)).toEqual({ n: 2 })
     expect(await other.findWritten(third)).toBeUndefined()
     expect(objects.writes, 'one segment for both').toBe(1)
--- a/packages/coordination/__tests__/budgetShortage.spec.ts
+++ b/packages/coordination/__tests__/budgetShortage.spec.ts
@@ -8,7 +8,7 @@
     const shortage = new BudgetShortage(clock)
     const told: unknown[] = []
     for (let round = 0; round < 5; round += 1) {
-      told.push(shortage.noteRefused(), shortage.takeEnded())
+      told.push(shortage.recordRefusal(), shortage.takeEnded())
       await clock.advance(1_500)
     }
     told.push(shortage.isShort, shortage.takeEnded())
@@ -41,9 +41,9 @@
   it('begins anew after its end', async () => {
     const clock = new VirtualClock()
     const shortage = new BudgetShortage(clock)
-    shortage.noteRefused()
+    shortage.recordRefusal()
     await clock.advance(2_000)
     shortage.takeEnded()
-    expect(shortage.noteRefused()).toBe(true)
+    expect(shortage.recordRefusal()).toBe(true)
   })
 })
--- a/packages/coordination/__tests__/configuration.spec.ts
+++ b/packages/coordination/__tests__/configuration.spec.ts
@@ -115,7 +115,8 @@
     const peer = createFollower(table)
     await peer.catchUp()
     const channel = {
-      call: async (_: unknown, __: unknown, request: { revision: number }) => peer.answer(request),
+      call: async (_: unknown, __: unknown, request: { revision: number }) =>
+        peer.answerPeer(request),
     }
     const started = createFollower(brokenTable, channel as unknown as PeerChannel)
     await started.catchUp()
@@ -134,7 +135,7 @@
     await ahead.catchUp()
     const seen: number[] = []
     ahead.subscribe(() => seen.push(ahead.revision))
-    const old = behind.answer({ revision: 0 })
+    const old = behind.answerPeer({ revision: 0 })
     const channel = { call: async () => ({ snapshot: { revision: 1, resources: [] }, ...old }) }
     const misled = createFollower(brokenTable, channel as unknown as PeerChannel)
     await misled.catchUp()
--- a/packages/coordination/__tests__/crashRecords.spec.ts
+++ b/packages/coordination/__tests__/crashRecords.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { CRASH_PARTITION, CRASH_TABLE, CrashRecords, TableMirror } from '@rackwalk/coordination'
+import { CRASH_PARTITION, CRASH_TABLE, CrashRecordStore, TableMirror } from '@rackwalk/coordination'
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointStart, RequestFingerprint } from '@rackwalk/shared'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
@@ -28,7 +28,7 @@
   const startInstance = () => {
     const client = store.connect()
     const told: string[] = []
-    const records = new CrashRecords({
+    const records = new CrashRecordStore({
       store: client.store,
       clock,
       onMarks: marks =>
--- a/packages/coordination/__tests__/domainCommitter.spec.ts
+++ b/packages/coordination/__tests__/domainCommitter.spec.ts
@@ -9,7 +9,7 @@
   TeamId,
 } from '@rackwalk/shared'
 import {
-  CommitJoiner,
+  BatchCoalescer,
   DomainCommitter,
   Journal,
   MemoryCounters,
@@ -28,7 +28,7 @@
   readonly journals: Journal[]
   isCommitterReachable = true
   private readonly ids = Array.from({ length: MEMBERS }, (_, n) => asId<IncarnationId>(`m-${n}`))
-  private readonly joiners = new Map(this.ids.map(id => [id, new CommitJoiner(this.table)]))
+  private readonly joiners = new Map(this.ids.map(id => [id, new BatchCoalescer(this.table)]))
 
   constructor() {
     this.journals = this.ids.map((id, number) => this.createJournal(id, number))
@@ -46,7 +46,7 @@
       incarnation,
       failureDomain: DOMAIN,
       table: this.table,
-      joiner: this.joiners.get(incarnation) as CommitJoiner,
+      coalescer: this.joiners.get(incarnation) as BatchCoalescer,
       peers,
       liveMembers: () => members,
     })
@@ -134,7 +134,7 @@
       incarnation: asId<IncarnationId>('m-outside'),
       failureDomain: DOMAIN,
       table: domain.table,
-      joiner: new CommitJoiner(domain.table),
+      coalescer: new BatchCoalescer(domain.table),
       peers: { call: () => Promise.reject(new Error('unreachable')) },
       liveMembers: () =>
         Array.from({ length: MEMBERS }, (_, n) => ({
--- a/packages/coordination/__tests__/firstHolding.spec.ts
+++ b/packages/coordination/__tests__/firstHolding.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { budgetPatience, lastBudgetPatience } from '@rackwalk/decisions'
+import { budgetWaitLimit, extendedBudgetWaitLimit } from '@rackwalk/decisions'
 import { VirtualClock } from '@rackwalk/shared'
 import type { Milliseconds } from '@rackwalk/shared'
 import { MemoryRowStore, loanChannelTo, startPrepaidMember } from '@rackwalk/stand-ins'
@@ -17,8 +17,8 @@
 const NAMES = ['instance-0', 'instance-1', 'instance-2']
 const LOAN_TIMES = { oneWayMilliseconds: 4, timeoutMilliseconds: 45 }
 const LIMITS = { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0.002 }
-const PATIENCE = budgetPatience(GOAL_MILLISECONDS)
-const LAST_PATIENCE = lastBudgetPatience(GOAL_MILLISECONDS, DEADLINE_MILLISECONDS)
+const PATIENCE = budgetWaitLimit(GOAL_MILLISECONDS)
+const LAST_PATIENCE = extendedBudgetWaitLimit(GOAL_MILLISECONDS, DEADLINE_MILLISECONDS)
 
 interface Order {
   /** Time that each call to the store takes longer. */
--- a/packages/coordination/__tests__/heldArchive.spec.ts
+++ b/packages/coordination/__tests__/heldEntryArchive.spec.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import {
-  HeldArchive,
+  HeldEntryArchive,
   IncarnationRegistry,
   MemoryCounters,
   Sealer,
   tableKeys,
 } from '@rackwalk/coordination'
-import type { HeldItem, PeerChannel } from '@rackwalk/coordination'
+import type { HeldEntry, PeerChannel } from '@rackwalk/coordination'
 import { RackwalkError, ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
 import type { BudgetId, IncarnationId, TransferId } from '@rackwalk/shared'
 import { MemoryObjects, MemoryTable } from '@rackwalk/stand-ins'
@@ -34,7 +34,7 @@
   }
 }
 
-function items(first: number, count: number): readonly HeldItem[] {
+function items(first: number, count: number): readonly HeldEntry[] {
   return Array.from({ length: count }, (_, offset) => ({
     index: first + offset,
     entry: {
@@ -51,7 +51,7 @@
   const clock = new VirtualClock()
   const objects = new FailingObjects()
   const counters = new MemoryCounters()
-  return { clock, objects, counters, archive: new HeldArchive({ objects, clock, counters }) }
+  return { clock, objects, counters, archive: new HeldEntryArchive({ objects, clock, counters }) }
 }
 
 describe('entries held for a writer', () => {
@@ -91,7 +91,7 @@
     await registry.register(record)
     await archive.write(WRITER, items(1, 2))
     const parts = { incarnation: SEALER, table, registry, peers: UNREACHABLE, random, counters }
-    const sealer = new Sealer({ ...parts, archive, isKnownGone: () => true })
+    const sealer = new Sealer({ ...parts, archive, isConfirmedDead: () => true })
     objects.isLost = true
     expect(await sealer.seal(record)).toBe('retry')
     objects.isLost = false
--- a/packages/coordination/__tests__/journal.spec.ts
+++ b/packages/coordination/__tests__/journal.spec.ts
@@ -103,7 +103,7 @@
       },
     ])
     expect(await journal.flush()).toBe('sealed')
-    await expect(ticket.safe).rejects.toMatchObject({ code: ResultCode.Sealed })
+    await expect(ticket.durableOrHeld).rejects.toMatchObject({ code: ResultCode.Sealed })
     expect(() => journal.append({ entry: settle('b') })).toThrow(RackwalkError)
     expect(await writtenRequests()).toEqual([])
   })
@@ -131,8 +131,8 @@
     const ticket = journal.append({ entry: settle('a') })
     committer.accident = 'question lost'
     await journal.flush()
-    journal.markHeld(new Set(journal.unheld(10).map(item => item.index)))
-    await expect(ticket.safe).resolves.toBe('held')
+    journal.markReplicated(new Set(journal.unreplicatedEntries(10).map(item => item.index)))
+    await expect(ticket.durableOrHeld).resolves.toBe('held')
     expect(journal.durableIndex).toBe(0)
     await journal.flush()
     await expect(ticket.durable).resolves.toBeUndefined()
--- a/packages/coordination/__tests__/loans.spec.ts
+++ b/packages/coordination/__tests__/loans.spec.ts
@@ -74,7 +74,7 @@
   const repaid: LoanRepayment[] = []
   const channel: LoanChannel = {
     isSilent,
-    ask: async (lender, { tokens }) => {
+    requestLoan: async (lender, { tokens }) => {
       asked.push(lender)
       // As long as the call to an instance that is gone lasts.
       if (held[lender] === 'silent' && isSilent !== undefined) await sleep(clock, 2 * PATIENCE)
--- a/packages/coordination/__tests__/membership.spec.ts
+++ b/packages/coordination/__tests__/membership.spec.ts
@@ -31,13 +31,13 @@
   it('drops a silent member and takes it back when it is heard again', async () => {
     const clock = new VirtualClock()
     const membership = createMembership(member(0), clock)
-    membership.hear(member(1))
+    membership.mergeMember(member(1))
     expect(membership.liveCount).toBe(2)
     await clock.advance(6_000)
     expect(membership.liveCount).toBe(1)
-    membership.hear(member(1))
+    membership.mergeMember(member(1))
     expect(membership.liveCount, 'old news').toBe(1)
-    membership.hear(member(1, { heartbeat: 2 }))
+    membership.mergeMember(member(1, { heartbeat: 2 }))
     expect(membership.liveCount).toBe(2)
   })
 
@@ -48,7 +48,7 @@
       for (let number = 1; number < regions * 50; number += 1) {
         const region = asId<RegionId>(`region-${number % regions}`)
         const failureDomain = asId<FailureDomainId>(`domain-${number % (regions * 4)}`)
-        membership.hear(member(number, { region, failureDomain }))
+        membership.mergeMember(member(number, { region, failureDomain }))
       }
       return membership.planHeartbeats().length
     }
@@ -66,13 +66,13 @@
       }),
     )
     const distant = createMembership(far[0] as MemberInfo, clock)
-    for (const info of far.slice(1)) distant.hear(info)
+    for (const info of far.slice(1)) distant.mergeMember(info)
     const [digest] = distant.digests()
     const group = digest?.group ?? ''
-    expect(near.hearDigests(distant.digests())).toEqual([group])
-    near.hearMembers(group, distant.membersOf(group))
+    expect(near.mergeDigests(distant.digests())).toEqual([group])
+    near.replaceGroupMembers(group, distant.membersOf(group))
     expect(near.liveCount).toBe(31)
-    expect(near.hearDigests(distant.digests()), 'nothing new').toEqual([])
+    expect(near.mergeDigests(distant.digests()), 'nothing new').toEqual([])
   })
 })
 
@@ -118,14 +118,14 @@
         durationMilliseconds: 1_000,
       })
     const [first, second] = [create('first'), create('second')]
-    expect(await first.pursue()).toBe(1)
-    expect(await second.pursue()).toBeUndefined()
+    expect(await first.acquireOrRenew()).toBe(1)
+    expect(await second.acquireOrRenew()).toBeUndefined()
     await clock.advance(900)
-    expect(await first.pursue()).toBe(1)
-    expect(await second.pursue()).toBeUndefined()
+    expect(await first.acquireOrRenew()).toBe(1)
+    expect(await second.acquireOrRenew()).toBeUndefined()
     await clock.advance(1_001)
     expect(first.epoch, 'a paused holder knows that its time is over').toBeUndefined()
-    expect(await second.pursue()).toBe(2)
-    expect(await first.pursue()).toBeUndefined()
+    expect(await second.acquireOrRenew()).toBe(2)
+    expect(await first.acquireOrRenew()).toBeUndefined()
   })
 })
--- a/packages/coordination/__tests__/peerMessages.spec.ts
+++ b/packages/coordination/__tests__/peerMessages.spec.ts
@@ -15,7 +15,7 @@
 import {
   CoordinationNode,
   MemoryCounters,
-  WeighedPolicy,
+  CostWeightedPolicy,
   createBudgetRow,
   tableKeys,
 } from '@rackwalk/coordination'
@@ -66,9 +66,9 @@
       clock: this.clock,
       random: new SeededRandom(number),
       counters: new MemoryCounters(),
-      policy: new WeighedPolicy({ overspend: 1, falseRefusal: 1 }),
+      policy: new CostWeightedPolicy({ overspend: 1, falseRefusal: 1 }),
       resourceKinds: ['teams'],
-      holdCopies: 1,
+      requiredReplicas: 1,
       leavingEndpoints: () => ['engine-1'],
       onSealed: () => {},
       onFault: error => {
@@ -85,7 +85,8 @@
     const nodes = Array.from({ length: count }, (_, index) =>
       this.add(index + 1, `domain-${index % 2}`),
     )
-    for (const node of nodes) for (const other of nodes) node.membership.hear(other.describe())
+    for (const node of nodes)
+      for (const other of nodes) node.membership.mergeMember(other.describe())
     await this.clock.advance(1_500)
     return nodes
   }
--- a/packages/coordination/__tests__/prepaidEvents.spec.ts
+++ b/packages/coordination/__tests__/prepaidEvents.spec.ts
@@ -153,7 +153,7 @@
     rows.put(PREPAID_TABLE, holderKey('instance-2'), holderText(other), BUDGET)
     rows.put(PREPAID_TABLE, POOL_KEY, poolText({ limit: 100_000, allocated: 100_000 }), BUDGET)
     const { ledger } = start('first', 0, {
-      ask: () => Promise.resolve(0),
+      requestLoan: () => Promise.resolve(0),
       repay: () => Promise.resolve(true),
     })
     await clock.advance(1_000)
--- a/packages/coordination/__tests__/prepaidLedger.spec.ts
+++ b/packages/coordination/__tests__/prepaidLedger.spec.ts
@@ -237,7 +237,7 @@
     rows.put(PREPAID_TABLE, holderKey('node-2'), holderRowCodec.encode(other), BUDGET)
     rows.put(PREPAID_TABLE, POOL_KEY, poolRowCodec.encode(full), BUDGET)
     const node = start('first', 0, {
-      ask: (_, { tokens }) => Promise.resolve(tokens),
+      requestLoan: (_, { tokens }) => Promise.resolve(tokens),
       repay: () => Promise.resolve(true),
     })
     void follow(node)
--- a/packages/coordination/__tests__/storedRows.spec.ts
+++ b/packages/coordination/__tests__/storedRows.spec.ts
@@ -31,7 +31,7 @@
   PrepaidLedger,
   ResourceStore,
   Sealer,
-  SegmentArchive,
+  DecisionArchive,
   StoreClock,
   createBudgetRow,
   createRequestId,
@@ -295,7 +295,7 @@
       peers: UNREACHABLE,
       random,
       counters: new MemoryCounters(),
-      isKnownGone: () => true,
+      isConfirmedDead: () => true,
     })
     expect(await sealer.seal(RECORD)).toBe('sealed')
     const { INCARNATIONS_PARTITION, SEALING_PARTITION, journalPartition } = tableKeys
@@ -327,13 +327,13 @@
       random: new SeededRandom(1),
       durationMilliseconds: 1_000,
     })
-    await lease.pursue()
+    await lease.acquireOrRenew()
     expect(await rowsOf(table, tableKeys.LEASES_PARTITION)).toMatchSnapshot()
   })
 
   it('tell of decisions, in segments of the object store', async () => {
     const objects = new MemoryObjects()
-    const archive = new SegmentArchive(objects, new VirtualClock(), WRITER)
+    const archive = new DecisionArchive(objects, new VirtualClock(), WRITER)
     const requestId = createRequestId(WRITER, 0, 1)
     archive.add({ requestId, record: { requestId, code: 0, routing: [] } })
     await archive.writeDue(true)
@@ -435,14 +435,14 @@
       random: new SeededRandom(1),
       durationMilliseconds: 1_000,
     })
-    expect(await lease.pursue()).toBe(4)
+    expect(await lease.acquireOrRenew()).toBe(4)
   })
 
   it('tell of decisions', async () => {
     const objects = new MemoryObjects()
     const line = '{"requestId":"instance-1-first.0.1","record":{"code":0,"routing":[]}}'
     await objects.put('decisions/instance-1-first/00000000000000-1', Buffer.from(line))
-    const archive = new SegmentArchive(objects, new VirtualClock(), OTHER)
+    const archive = new DecisionArchive(objects, new VirtualClock(), OTHER)
     expect(await archive.findWritten(REQUEST)).toEqual({ code: 0, routing: [] })
   })
 })
--- a/packages/coordination/__tests__/suspension.spec.ts
+++ b/packages/coordination/__tests__/suspension.spec.ts
@@ -56,7 +56,7 @@
       random: new SeededRandom(1),
       durationMilliseconds: SUSPENDED_MILLISECONDS,
     })
-    await lease.pursue()
+    await lease.acquireOrRenew()
     expect(lease.epoch).toBe(1)
     clock.suspend(SUSPENDED_MILLISECONDS)
     expect(lease.epoch).toBeUndefined()
@@ -77,8 +77,8 @@
   it('allows no more for the time of a suspension, so that its successor counts at least what it spent', async () => {
     const clock = new VirtualClock()
     const holding = new HoldingState(clock)
-    holding.send({ ...ROW, sequence: 1 }, 0, 0)
-    holding.observe(1, 1)
+    holding.recordSent({ ...ROW, sequence: 1 }, 0, 0)
+    holding.confirmRow(1, 1)
     await clock.advance(1_000)
     const before = holding.allowance
     clock.suspend(SUSPENDED_MILLISECONDS)
@@ -89,13 +89,13 @@
     const clock = new VirtualClock()
     const storeClock = new StoreClock(clock)
     const storeTime = () => 50_000 + clock.sinceStart()
-    storeClock.note(storeTime(), clock.monotonic())
+    storeClock.recordAnswer(storeTime(), clock.monotonic())
     clock.suspend(SUSPENDED_MILLISECONDS)
     await clock.advance(100)
     // What a row says of its time is never later than the store's, so a successor counts no less than has passed.
     expect(storeClock.lowerBound).toBeLessThanOrEqual(storeTime())
     const startedAtMost = storeClock.upperBoundAt(0)
-    storeClock.note(storeTime(), clock.monotonic())
+    storeClock.recordAnswer(storeTime(), clock.monotonic())
     // When its predecessor was dead is never told earlier than it was.
     expect(storeClock.upperBoundAt(0)).toBeGreaterThanOrEqual(startedAtMost ?? Infinity)
   })
--- a/packages/coordination/__tests__/tableMirror.spec.ts
+++ b/packages/coordination/__tests__/tableMirror.spec.ts
@@ -2,14 +2,14 @@
 import { VirtualClock } from '@rackwalk/shared'
 import type { ChangedRow } from '@rackwalk/stores'
 import { TableMirror } from '@rackwalk/coordination'
-import type { MirrorPage, NearPeer } from '@rackwalk/coordination'
+import type { MirrorPage, UpstreamPeer } from '@rackwalk/coordination'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
 const TABLE = 'things'
 
 function setUp(
   askPeers?: (table: string, after: number) => Promise<MirrorPage | undefined>,
-  nearPeer?: NearPeer,
+  upstreamPeer?: UpstreamPeer,
   clock = new VirtualClock(),
   store = new MemoryRowStore(clock),
   waitMilliseconds = 500,
@@ -33,7 +33,7 @@
     clock,
     listener: { onRows, onFault: error => faults.push(error) },
     askPeers,
-    nearPeer,
+    upstreamPeer,
     waitMilliseconds,
     pauseMilliseconds: () => pauseMilliseconds,
     isWanted: () => wanted.isWanted,
@@ -52,14 +52,14 @@
     await clock.advance(1_000)
     const calls = vi.spyOn(client.store, 'readChanges')
     store.put(TABLE, 'a', '1')
-    mirror.readSoon()
-    mirror.readSoon()
+    mirror.requestRead()
+    mirror.requestRead()
     await clock.advance(100)
     expect([...seen]).toEqual([['a', '1']])
     expect(calls.mock.calls.length).toBe(1)
-    mirror.readSoon()
+    mirror.requestRead()
     await clock.advance(1)
-    mirror.readSoon()
+    mirror.requestRead()
     await clock.advance(400)
     expect(calls.mock.calls.length).toBe(3)
   })
@@ -73,7 +73,7 @@
       await clock.advance(3_000)
       const calls = vi.spyOn(client.store, 'readChanges')
       for (let turn = 0; turn < 1_000; turn += 1) {
-        if (isHurried) mirror.readSoon()
+        if (isHurried) mirror.requestRead()
         await clock.advance(10)
       }
       return calls.mock.calls.length
@@ -181,13 +181,13 @@
     const source = setUp(undefined, undefined, clock, store, 0)
     let isPreferred = true
     let asked = 0
-    const nearPeer: NearPeer = {
+    const nearPeer: UpstreamPeer = {
       isPreferred: () => isPreferred,
       ask: (_, after) => {
         asked += 1
         return Promise.resolve(source.mirror.since(after))
       },
-      oldestMilliseconds: 600,
+      maximumAgeMilliseconds: 600,
     }
     const follower = setUp(undefined, nearPeer, clock, store, 0)
     source.store.put(TABLE, 'a', '1')
--- a/packages/coordination/__tests__/checkedTable.spec.ts
+++ b/packages/coordination/__tests__/validatingTable.spec.ts
@@ -2,7 +2,7 @@
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { TransactionId } from '@rackwalk/shared'
 import type { JsonValue } from '@rackwalk/stores'
-import { CheckedTable } from '@rackwalk/coordination'
+import { ValidatingTable } from '@rackwalk/coordination'
 import { MemoryTable } from '@rackwalk/stand-ins'
 
 /** Whole but for its resource, which must not be taken for a deletion. */
@@ -30,7 +30,7 @@
   const id = asId<TransactionId>('writer')
   await memory.transact(id, [{ kind: 'put', key, condition: { kind: 'absent' }, value }])
   const malformed: string[] = []
-  const table = new CheckedTable(memory, ({ partition, sort }) =>
+  const table = new ValidatingTable(memory, ({ partition, sort }) =>
     malformed.push(`${partition}/${sort}`),
   )
   return { table, key, malformed }
--- a/packages/coordination/src/budget/allocationPolicy.ts
+++ b/packages/coordination/src/budget/allocationPolicy.ts
@@ -29,13 +29,13 @@
   /** Tokens that should be available here at present. */
   target(view: AllocationView): TokenCount
   /** Tokens to ask for when requests wait for `needed` more than is available. */
-  want(view: AllocationView, needed: TokenCount): TokenCount
+  tokensToRequest(view: AllocationView, needed: TokenCount): TokenCount
   /** Tokens to ask a peer for when `needed` are missing. */
-  borrow(view: AllocationView, needed: TokenCount): TokenCount
+  tokensToBorrow(view: AllocationView, needed: TokenCount): TokenCount
   /** Tokens to give back to the row now. */
-  giveBack(view: AllocationView): TokenCount
+  tokensToReturn(view: AllocationView): TokenCount
   /** Tokens to lend to a peer that asks for `asked`. */
-  lend(view: AllocationView, asked: TokenCount): TokenCount
+  tokensToLend(view: AllocationView, asked: TokenCount): TokenCount
   /** How long a request may wait for tokens of requests that are about to end. */
   readonly patienceMilliseconds: Milliseconds
 }
@@ -52,19 +52,19 @@
     return this.remainingShare(view)
   }
 
-  want(view: AllocationView): TokenCount {
+  tokensToRequest(view: AllocationView): TokenCount {
     return this.remainingShare(view)
   }
 
-  borrow(_view: AllocationView, needed: TokenCount): TokenCount {
+  tokensToBorrow(_view: AllocationView, needed: TokenCount): TokenCount {
     return needed
   }
 
-  giveBack(): TokenCount {
+  tokensToReturn(): TokenCount {
     return 0
   }
 
-  lend(): TokenCount {
+  tokensToLend(): TokenCount {
     return 0
   }
 
@@ -83,23 +83,23 @@
   readonly patienceMilliseconds = 0
 
   target(view: AllocationView): TokenCount {
-    return boundedByFairPart(view, Math.ceil(view.ratePerSecond * RATE_HORIZON_SECONDS))
+    return capToFairShare(view, Math.ceil(view.ratePerSecond * RATE_HORIZON_SECONDS))
   }
 
-  want(view: AllocationView, needed: TokenCount): TokenCount {
+  tokensToRequest(view: AllocationView, needed: TokenCount): TokenCount {
     return Math.max(needed, this.target(view) - view.available)
   }
 
-  borrow(_view: AllocationView, needed: TokenCount): TokenCount {
+  tokensToBorrow(_view: AllocationView, needed: TokenCount): TokenCount {
     return needed
   }
 
-  giveBack(view: AllocationView): TokenCount {
+  tokensToReturn(view: AllocationView): TokenCount {
     const surplus = view.available - 2 * this.target(view)
     return view.idleMilliseconds > IDLE_MILLISECONDS ? view.available : Math.max(0, surplus)
   }
 
-  lend(view: AllocationView, asked: TokenCount): TokenCount {
+  tokensToLend(view: AllocationView, asked: TokenCount): TokenCount {
     return Math.min(asked, Math.max(0, view.available - this.target(view)))
   }
 }
@@ -116,7 +116,7 @@
 const BORROWED_SECONDS = 10
 
 /** How much one kind of mistake costs against the other. */
-export interface MistakeWeights {
+export interface ErrorCostWeights {
   readonly overspend: number
   readonly falseRefusal: number
 }
@@ -128,51 +128,51 @@
  * and what a peer holds can be lent without the store. Near the end, each holds what it
  * needs at once, and whoever has a request waiting gets what others do not use.
  */
-export class WeighedPolicy implements AllocationPolicy {
+export class CostWeightedPolicy implements AllocationPolicy {
   readonly name = 'weighed'
   readonly patienceMilliseconds: Milliseconds
 
-  constructor(weights: MistakeWeights) {
+  constructor(weights: ErrorCostWeights) {
     const sum = weights.overspend + weights.falseRefusal
     const caution = sum === 0 ? 0.5 : weights.falseRefusal / sum
     this.patienceMilliseconds = Math.round(1500 * caution)
   }
 
   target(view: AllocationView): TokenCount {
-    if (isNearEnd(view)) return boundedByFairPart(view, Math.ceil(view.ratePerSecond))
+    if (isNearExhaustion(view)) return capToFairShare(view, Math.ceil(view.ratePerSecond))
     const unspent = view.limit - view.settled
     return Math.floor((unspent * HELD_SHARE) / Math.max(1, view.instances))
   }
 
-  want(view: AllocationView, needed: TokenCount): TokenCount {
+  tokensToRequest(view: AllocationView, needed: TokenCount): TokenCount {
     return Math.max(needed, this.target(view) - view.available)
   }
 
-  borrow(view: AllocationView, needed: TokenCount): TokenCount {
-    if (isNearEnd(view)) return needed
+  tokensToBorrow(view: AllocationView, needed: TokenCount): TokenCount {
+    if (isNearExhaustion(view)) return needed
     return Math.max(needed, Math.ceil(view.ratePerSecond * BORROWED_SECONDS))
   }
 
-  giveBack(view: AllocationView): TokenCount {
+  tokensToReturn(view: AllocationView): TokenCount {
     const target = this.target(view)
-    const tolerated = isNearEnd(view) ? target : 1.5 * target
+    const tolerated = isNearExhaustion(view) ? target : 1.5 * target
     return Math.max(0, Math.floor(view.available - tolerated))
   }
 
   /** Near the end everything unreserved goes to whoever has a request waiting for it. */
-  lend(view: AllocationView, asked: TokenCount): TokenCount {
-    if (isNearEnd(view)) return Math.min(asked, view.available)
+  tokensToLend(view: AllocationView, asked: TokenCount): TokenCount {
+    if (isNearExhaustion(view)) return Math.min(asked, view.available)
     const kept = Math.ceil(view.ratePerSecond * KEPT_SECONDS)
     return Math.min(asked, Math.max(0, view.available - kept))
   }
 }
 
 /** No instance takes more than half of its equal part of what is left. */
-function boundedByFairPart(view: AllocationView, tokens: TokenCount): TokenCount {
+function capToFairShare(view: AllocationView, tokens: TokenCount): TokenCount {
   const left = view.free + view.available
   return Math.min(tokens, Math.floor(left / (2 * Math.max(1, view.instances))))
 }
 
-function isNearEnd(view: AllocationView): boolean {
+function isNearExhaustion(view: AllocationView): boolean {
   return view.limit - view.settled < view.limit * NEAR_END_SHARE
 }
--- a/packages/coordination/src/budget/budgetLedger.ts
+++ b/packages/coordination/src/budget/budgetLedger.ts
@@ -71,11 +71,11 @@
   readonly allocation: Allocation
   row: BudgetRow | undefined
   /** Whether the table has said that there is no such budget. */
-  absent: boolean
+  isAbsent: boolean
   /** Whether an attempt of the open exchange may still take effect. */
-  exchangeSent: boolean
+  isExchangeUnresolved: boolean
   exchanging: Promise<void> | undefined
-  acquiring: boolean
+  isAcquiring: boolean
   waiters: Waiter[]
   /** Until then a request larger than what is available is refused without asking anew. */
   refuseUntil: Milliseconds
@@ -83,7 +83,7 @@
 }
 
 /** How long a fruitless search for tokens answers for the next requests too. */
-const REFUSAL_MEMORY_MILLISECONDS = 250
+const REFUSAL_CACHE_MILLISECONDS = 250
 /** Time between looks for tokens while a request waits. */
 const SEARCH_INTERVAL_MILLISECONDS = 100
 /** Spending goes to the row at least this often while there is any. */
@@ -113,7 +113,7 @@
     if (this.parts.clock.monotonic() < state.refuseUntil) return this.refuse(state, tokens)
     const waiter: Waiter = { tokens, done: deferred<ReservationResult>() }
     state.waiters.push(waiter)
-    if (!state.acquiring) this.acquire(state).catch(error => this.failWaiters(state, error))
+    if (!state.isAcquiring) this.acquire(state).catch(error => this.failWaiters(state, error))
     return waiter.done.promise
   }
 
@@ -162,7 +162,7 @@
   }
 
   /** Takes a first allocation of each budget ahead of need, so that an outage finds it here. */
-  async warm(budgetIds: readonly BudgetId[]): Promise<void> {
+  async preallocate(budgetIds: readonly BudgetId[]): Promise<void> {
     for (const budgetId of budgetIds) {
       const state = this.stateOf(budgetId)
       if (state.row !== undefined) continue
@@ -172,7 +172,7 @@
   }
 
   /** Folds everything durable and gives back all that is available, for a planned stop. */
-  async giveBackAll(): Promise<void> {
+  async returnAll(): Promise<void> {
     for (const state of this.budgets.values()) {
       await this.exchange(state, 0, state.allocation.available)
     }
@@ -206,34 +206,41 @@
 
   /** Looks for tokens until every waiter is served or the policy's patience ends. */
   private async acquire(state: BudgetState): Promise<void> {
-    state.acquiring = true
+    state.isAcquiring = true
     const giveUpAt = this.parts.clock.monotonic() + this.parts.policy.patienceMilliseconds
     try {
       for (;;) {
         await this.search(state)
         if (state.waiters.length === 0) return
-        if (this.isHopeless(state) || this.parts.clock.monotonic() >= giveUpAt) break
+        if (this.isUncoverable(state) || this.parts.clock.monotonic() >= giveUpAt) break
         await this.pause(SEARCH_INTERVAL_MILLISECONDS)
         this.serveWaiters(state)
       }
     } finally {
-      state.acquiring = false
+      state.isAcquiring = false
     }
-    state.refuseUntil = this.parts.clock.monotonic() + REFUSAL_MEMORY_MILLISECONDS
+    state.refuseUntil = this.parts.clock.monotonic() + REFUSAL_CACHE_MILLISECONDS
     this.refuseWaiters(state)
   }
 
   /** Asks the row first, then those that hold the rest. */
   private async search(state: BudgetState): Promise<void> {
     if (state.row === undefined) await this.readRow(state)
-    await this.exchange(state, this.parts.policy.want(this.viewOf(state), this.missing(state)))
+    await this.exchange(
+      state,
+      this.parts.policy.tokensToRequest(this.viewOf(state), this.missing(state)),
+    )
     this.serveWaiters(state)
     // Tokens that could not suffice must not be drawn away from where they can be used.
-    if (this.isHopeless(state)) return
+    if (this.isUncoverable(state)) return
     for (const lender of this.lendersOf(state)) {
       const missing = this.missing(state)
       if (missing <= 0) return
-      await this.borrow(state, lender, this.parts.policy.borrow(this.viewOf(state), missing))
+      await this.borrow(
+        state,
+        lender,
+        this.parts.policy.tokensToBorrow(this.viewOf(state), missing),
+      )
       this.serveWaiters(state)
     }
   }
@@ -242,7 +249,7 @@
   private async readRow(state: BudgetState): Promise<void> {
     try {
       state.row = await this.parts.store.read(state.allocation.budgetId)
-      state.absent = state.row === undefined
+      state.isAbsent = state.row === undefined
     } catch (thrown) {
       if (!(thrown instanceof RackwalkError)) throw thrown
     }
@@ -280,12 +287,12 @@
   private async lendOnce(request: PeerRequest<'lend'>): Promise<PeerReply<'lend'>> {
     const state = this.budgets.get(request.budgetId)
     if (state === undefined || !this.parts.journal.hasRoom) return { tokens: 0 }
-    const wished = this.parts.policy.lend(this.viewOf(state), request.tokens)
+    const wished = this.parts.policy.tokensToLend(this.viewOf(state), request.tokens)
     const tokens = Math.max(0, Math.min(wished, state.allocation.available))
     if (tokens === 0) return { tokens: 0 }
     const ticket = this.journalLend(state, request, tokens)
     // Only once the debit outlives this incarnation may the borrower spend the tokens.
-    await ticket.safe
+    await ticket.durableOrHeld
     this.parts.counters.increment('budget_tokens_lent', tokens)
     return { tokens }
   }
@@ -303,7 +310,8 @@
   private needsExchange(state: BudgetState): boolean {
     if (state.allocation.openExchange !== undefined) return true
     const view = this.viewOf(state)
-    if (this.wantedInBackground(state) > 0 || this.parts.policy.giveBack(view) > 0) return true
+    if (this.wantedInBackground(state) > 0 || this.parts.policy.tokensToReturn(view) > 0)
+      return true
     const isFoldDue = this.parts.clock.monotonic() - state.lastFoldAt > FOLD_INTERVAL_MILLISECONDS
     return isFoldDue && state.allocation.unfoldedTokens > 0
   }
@@ -335,21 +343,22 @@
   private async exchangeOnce(state: BudgetState, wanted: TokenCount, returned?: TokenCount) {
     if (this.parts.journal.sealed) return
     const { allocation } = state
-    const givenBack = returned ?? (wanted > 0 ? 0 : this.parts.policy.giveBack(this.viewOf(state)))
+    const givenBack =
+      returned ?? (wanted > 0 ? 0 : this.parts.policy.tokensToReturn(this.viewOf(state)))
     const durableIndex = this.parts.journal.durableIndex
     const request = allocation.beginExchange(durableIndex, Math.max(0, wanted), givenBack)
     const outcome = await this.parts.store.exchange(
       allocation.budgetId,
       request,
-      state.exchangeSent,
+      state.isExchangeUnresolved,
     )
     this.parts.counters.increment('budget_exchanges')
-    state.exchangeSent = outcome.kind === 'lost'
+    state.isExchangeUnresolved = outcome.kind === 'lost'
     if (outcome.kind === 'applied') this.noteApplied(state, outcome.row)
     if (outcome.kind === 'unsent') allocation.cancelExchange()
-    if (outcome.kind === 'needless') this.noteNeedless(state, outcome.row)
+    if (outcome.kind === 'needless') this.applyNoOpExchange(state, outcome.row)
     if (outcome.kind === 'lost') this.parts.counters.increment('budget_exchange_unresolved')
-    if (outcome.kind === 'gone') this.noteGone(state)
+    if (outcome.kind === 'gone') this.applyBudgetDeletion(state)
     if (outcome.kind === 'sealed') this.noteSealed()
   }
 
@@ -365,7 +374,7 @@
     if (holding.lastGranted > 0) state.refuseUntil = 0
   }
 
-  private noteNeedless(state: BudgetState, row: BudgetRow): void {
+  private applyNoOpExchange(state: BudgetState, row: BudgetRow): void {
     state.allocation.cancelExchange()
     state.row = row
     // Found by exploration: a lent answer that got lost showed in the row and stayed there.
@@ -373,10 +382,10 @@
     if (holding !== undefined) state.allocation.reconcile(holding)
   }
 
-  private noteGone(state: BudgetState): void {
+  private applyBudgetDeletion(state: BudgetState): void {
     state.allocation.cancelExchange()
     state.row = undefined
-    state.absent = true
+    state.isAbsent = true
   }
 
   private noteSealed(): void {
@@ -399,7 +408,7 @@
   }
 
   /** Whether even an end of all other requests could not free enough for any waiter. */
-  private isHopeless(state: BudgetState): boolean {
+  private isUncoverable(state: BudgetState): boolean {
     const left = this.leftInBudget(state)
     return state.waiters.every(waiter => waiter.tokens > left)
   }
@@ -430,7 +439,7 @@
 
   private refusalCode(state: BudgetState, tokens: TokenCount): ReservationRefusal {
     if (state.row === undefined) {
-      return state.absent ? ResultCode.NoBudget : ResultCode.BudgetUnavailable
+      return state.isAbsent ? ResultCode.NoBudget : ResultCode.BudgetUnavailable
     }
     const left = this.leftInBudget(state)
     if (left <= 0) return ResultCode.BudgetExhausted
@@ -460,10 +469,10 @@
     const state: BudgetState = {
       allocation,
       row: undefined,
-      absent: false,
-      exchangeSent: false,
+      isAbsent: false,
+      isExchangeUnresolved: false,
       exchanging: undefined,
-      acquiring: false,
+      isAcquiring: false,
       waiters: [],
       refuseUntil: 0,
       lastFoldAt: this.parts.clock.monotonic(),
--- a/packages/coordination/src/budget/budgetRow.ts
+++ b/packages/coordination/src/budget/budgetRow.ts
@@ -5,7 +5,7 @@
 
 import * as z from 'zod'
 import { JsonCodec } from '@rackwalk/stores'
-import { idSchema, sameNames } from '../forms.js'
+import { idSchema, identityMapping } from '../rowCodecs.js'
 import type { BudgetId, IncarnationId, RegionId, TeamId, TokenCount } from '@rackwalk/shared'
 
 /** What one incarnation holds of a budget. */
@@ -191,4 +191,4 @@
 })
 
 /** The stored form of a budget's row. */
-export const budgetRowCodec = new JsonCodec(sameNames<BudgetRow>(budgetSchema))
+export const budgetRowCodec = new JsonCodec(identityMapping<BudgetRow>(budgetSchema))
--- a/packages/coordination/src/budget/budgetStore.ts
+++ b/packages/coordination/src/budget/budgetStore.ts
@@ -7,7 +7,7 @@
 import type { BudgetId, RandomSource, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
-import { valueOf } from '../forms.js'
+import { decodeRowValue } from '../rowCodecs.js'
 import { budgetKey, holdingKey, sealingKey } from '../tableKeys.js'
 import type { BudgetRow, ExchangeRequest } from './budgetRow.js'
 import { applyExchange, budgetRowCodec, freeTokens, wasApplied, wasReclaimed } from './budgetRow.js'
@@ -37,7 +37,7 @@
 
   async read(budgetId: BudgetId): Promise<BudgetRow | undefined> {
     const row = await this.table.get(budgetKey(budgetId))
-    return row && valueOf(budgetRowCodec, row)
+    return row && decodeRowValue(budgetRowCodec, row)
   }
 
   /**
@@ -72,10 +72,10 @@
   ): Promise<ExchangeOutcome | undefined> {
     const stored = await this.readForWrite(budgetId)
     if (stored === undefined) return { kind: 'gone' }
-    const row = valueOf(budgetRowCodec, stored)
+    const row = decodeRowValue(budgetRowCodec, stored)
     if (wasReclaimed(row, request)) return { kind: 'sealed' }
     if (wasApplied(row, request)) return { kind: 'applied', row }
-    if (!mayHaveBeenSent && isNeedless(row, request)) return { kind: 'needless', row }
+    if (!mayHaveBeenSent && isNoOpExchange(row, request)) return { kind: 'needless', row }
     const applied = applyExchange(row, request).row
     const writes = this.writesOf(budgetId, stored.version, applied, request)
     const result = await this.table.transact(this.newId(), writes)
@@ -114,7 +114,7 @@
 }
 
 /** An exhausted budget is asked for often; only a change is worth one of the few writes. */
-function isNeedless(row: BudgetRow, request: ExchangeRequest): boolean {
+function isNoOpExchange(row: BudgetRow, request: ExchangeRequest): boolean {
   const isFirst = request.exchange === 1
   const changesNothing = request.spent === 0 && request.transfers.length === 0
   const isGrantEmpty = request.wanted === 0 || freeTokens(row) === 0
--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -7,7 +7,7 @@
 import type { BudgetId, IncarnationId, RandomSource, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
-import { valueOf } from '../forms.js'
+import { decodeRowValue } from '../rowCodecs.js'
 import { entriesAfter } from '../journal/journalEntry.js'
 import type { JournalEntry, JournalSlot } from '../journal/journalEntry.js'
 import { readJournal } from '../journal/journalReader.js'
@@ -33,7 +33,7 @@
   async reclaim(incarnation: IncarnationId): Promise<ReclaimOutcome> {
     try {
       const journal = await readJournal(this.table, incarnation)
-      if (!journal.sealed) return 'unsealed'
+      if (!journal.isSealed) return 'unsealed'
       for (const budgetId of await this.heldBudgets(incarnation)) {
         await this.reclaimBudget(incarnation, budgetId, journal.slots)
       }
@@ -58,7 +58,7 @@
     for (;;) {
       const stored = await this.table.get(budgetKey(budgetId))
       if (stored === undefined) return
-      const row = valueOf(budgetRowCodec, stored)
+      const row = decodeRowValue(budgetRowCodec, stored)
       const holding = row.holders[incarnation]
       if (holding === undefined || holding.sealed) return
       const rest = entriesAfter(slots, holding.foldedIndex, budgetId)
--- a/packages/coordination/src/claims/claimRow.ts
+++ b/packages/coordination/src/claims/claimRow.ts
@@ -3,7 +3,7 @@
 import * as z from 'zod'
 import { ResultCode } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
-import { idSchema, sameNames } from '../forms.js'
+import { idSchema, identityMapping } from '../rowCodecs.js'
 import type { IncarnationId, Milliseconds, RequestId } from '@rackwalk/shared'
 
 /**
@@ -30,4 +30,4 @@
 })
 
 /** The stored form of a claim. */
-export const claimRowCodec = new JsonCodec(sameNames<ClaimRow>(claimSchema))
+export const claimRowCodec = new JsonCodec(identityMapping<ClaimRow>(claimSchema))
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -13,10 +13,10 @@
   TeamId,
   Version,
 } from '@rackwalk/shared'
-import { versionAfter } from '@rackwalk/stores'
+import { nextRowVersion } from '@rackwalk/stores'
 import type { RowCondition, RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
-import { valueOf } from '../forms.js'
+import { decodeRowValue } from '../rowCodecs.js'
 import type { Journal, JournalTicket } from '../journal/journal.js'
 import type { PeerChannel, PeerReply, PeerRequest } from '../peerMessages.js'
 import { claimKey } from '../tableKeys.js'
@@ -102,7 +102,7 @@
   }
 
   /** Answers a peer that found a claim of this incarnation. */
-  answer(request: PeerRequest<'claimState'>): PeerReply<'claimState'> {
+  answerClaimState(request: PeerRequest<'claimState'>): PeerReply<'claimState'> {
     return { state: this.states.get(request.requestId) ?? 'unknown' }
   }
 
@@ -113,12 +113,12 @@
   ): Promise<ClaimResult> {
     let condition: RowCondition = { kind: 'absent' }
     for (let takeover = 0; takeover < MAXIMUM_TAKEOVERS; takeover += 1) {
-      const claim = { teamId, key, requestId, version: versionAfter(condition) }
+      const claim = { teamId, key, requestId, version: nextRowVersion(condition) }
       const outcome = await this.write(claim, condition)
       if (outcome !== 'lost') return outcome
       const found = await this.readClaim(teamId, key)
       if (found === undefined) break
-      const judged = await this.judge(found.row)
+      const judged = await this.classifyClaim(found.row)
       if (judged !== 'released') return judged
       condition = { kind: 'version', version: found.version }
     }
@@ -186,7 +186,7 @@
     this.parts.counters.increment('claims_lost')
     try {
       const found = await this.parts.table.get(claimKey(teamId, key))
-      return found && { row: valueOf(claimRowCodec, found), version: found.version }
+      return found && { row: decodeRowValue(claimRowCodec, found), version: found.version }
     } catch (thrown) {
       if (thrown instanceof RackwalkError) return undefined
       throw thrown
@@ -194,7 +194,7 @@
   }
 
   /** What an existing claim means for a new request with its key. */
-  private async judge(row: ClaimRow): Promise<ClaimResult | 'released'> {
+  private async classifyClaim(row: ClaimRow): Promise<ClaimResult | 'released'> {
     const { requestId } = row
     if (row.state === 'released') return 'released'
     if (row.state === 'done') return { kind: 'ran', requestId, code: row.code ?? ResultCode.Ok }
--- a/packages/coordination/src/claims/keyRegistrar.ts
+++ b/packages/coordination/src/claims/keyRegistrar.ts
@@ -20,11 +20,11 @@
   readonly fingerprint: string
   readonly state: 'running' | 'partial' | 'complete'
   readonly creditedTokens: TokenCount
-  readonly at: Milliseconds
+  readonly updatedAt: Milliseconds
 }
 
 /** How long the end of a key is remembered, for callers that retry. */
-const KEY_MEMORY_MILLISECONDS = 10 * 60_000
+const KEY_RETENTION_MILLISECONDS = 10 * 60_000
 /** Keys remembered at most; the oldest are forgotten first. */
 const MAXIMUM_KEYS = 100_000
 
@@ -45,7 +45,8 @@
     this.forgetOldKeys()
     const name = nameOf(request.teamId, request.key)
     const known = this.keys.get(name)
-    const answer = known === undefined ? { state: 'first' as const } : this.judge(known, request)
+    const answer =
+      known === undefined ? { state: 'first' as const } : this.classifyKey(known, request)
     if (answer.state === 'running' || answer.state === 'mismatch') return answer
     // It will be refused, so it must not count as running: nobody would report its end.
     if (answer.state === 'ended' && answer.complete && !request.repeatable) return answer
@@ -69,7 +70,7 @@
     return {}
   }
 
-  private judge(known: RegisteredKey, request: PeerRequest<'registerKey'>): KeyRegistration {
+  private classifyKey(known: RegisteredKey, request: PeerRequest<'registerKey'>): KeyRegistration {
     const { requestId, creditedTokens } = known
     if (known.fingerprint !== request.fingerprint) return { state: 'mismatch', requestId }
     const isRunning = known.state === 'running' && requestId !== request.requestId
@@ -81,15 +82,15 @@
     return { state: 'ended', requestId, complete, creditedTokens }
   }
 
-  private remember(name: string, key: Omit<RegisteredKey, 'at'>): void {
+  private remember(name: string, key: Omit<RegisteredKey, 'updatedAt'>): void {
     this.keys.delete(name)
-    this.keys.set(name, { ...key, at: this.clock.monotonic() })
+    this.keys.set(name, { ...key, updatedAt: this.clock.monotonic() })
   }
 
   private forgetOldKeys(): void {
-    const oldest = this.clock.monotonic() - KEY_MEMORY_MILLISECONDS
+    const oldest = this.clock.monotonic() - KEY_RETENTION_MILLISECONDS
     for (const [name, key] of this.keys) {
-      const isOld = key.state !== 'running' && key.at < oldest
+      const isOld = key.state !== 'running' && key.updatedAt < oldest
       const isForgotten = isOld || this.keys.size > MAXIMUM_KEYS
       if (!isForgotten) return
       this.keys.delete(name)
--- a/packages/coordination/src/configuration/configurationChange.ts
+++ b/packages/coordination/src/configuration/configurationChange.ts
@@ -3,12 +3,12 @@
 import * as z from 'zod'
 import type { TransactionId } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
-import { anyJson, idSchema, sameNames } from '../forms.js'
+import { jsonSchema, idSchema, identityMapping } from '../rowCodecs.js'
 import type { ConfigurationChange } from '../peerMessages.js'
 import { resourceCodec } from './resource.js'
 
 /** A resource as JSON; what is none must not pass, since an absent one stands for a deletion. */
-export const resourceJson = anyJson.refine(json => resourceCodec.fromJson(json) !== undefined)
+export const resourceJson = jsonSchema.refine(json => resourceCodec.fromJson(json) !== undefined)
 
 /** A change, whose resource is absent where it was deleted. */
 export const changeSchema: z.ZodType<ConfigurationChange> = z.object({
@@ -22,4 +22,4 @@
 })
 
 /** The stored form of a change. */
-export const changeCodec = new JsonCodec(sameNames<ConfigurationChange>(changeSchema))
+export const changeCodec = new JsonCodec(identityMapping<ConfigurationChange>(changeSchema))
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -6,7 +6,7 @@
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { IncarnationId, Version } from '@rackwalk/shared'
 import type { JsonValue, Row, TableService } from '@rackwalk/stores'
-import { sortKeyOf } from '@rackwalk/stores'
+import { encodeSortKey } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
 import type {
   ConfigurationChange,
@@ -16,7 +16,7 @@
   PeerRequest,
 } from '../peerMessages.js'
 import { CHANGES_PARTITION } from '../tableKeys.js'
-import { valueOf } from '../forms.js'
+import { decodeRowValue } from '../rowCodecs.js'
 import { changeCodec } from './configurationChange.js'
 import type { Resource } from './resource.js'
 import { resourceCodec, resourceId, resourcePartition } from './resource.js'
@@ -51,13 +51,13 @@
   private readonly resources = new Map<string, Resource>()
   private readonly listeners = new Set<ConfigurationListener>()
   private changes: ConfigurationChange[] = []
-  private current: Version = 0
+  private currentRevision: Version = 0
   private loaded = false
 
   constructor(private readonly parts: ConfigurationFollowerParts) {}
 
   get revision(): Version {
-    return this.current
+    return this.currentRevision
   }
 
   /** Whether any configuration was read since the start, an empty one included. */
@@ -90,28 +90,28 @@
 
   /** Changes after a revision, or undefined when they are no longer all in memory. */
   changesSince(revision: Version): readonly ConfigurationChange[] | undefined {
-    if (revision >= this.current) return []
+    if (revision >= this.currentRevision) return []
     const oldest = this.changes[0]
     if (oldest === undefined || oldest.revision > revision + 1) return undefined
     return this.changes.filter(change => change.revision > revision)
   }
 
   /** Answers a peer that is behind. */
-  answer(request: PeerRequest<'configurationSince'>): PeerReply<'configurationSince'> {
+  answerPeer(request: PeerRequest<'configurationSince'>): PeerReply<'configurationSince'> {
     const changes = this.changesSince(request.revision)
     return changes === undefined ? { snapshot: this.snapshot() } : { changes }
   }
 
   private snapshot(): ConfigurationSnapshot {
     const resources = [...this.resources.values()].map(resource => resourceCodec.toJson(resource))
-    return { revision: this.current, resources }
+    return { revision: this.currentRevision, resources }
   }
 
   private async catchUpFromTable(): Promise<void> {
     if (!this.loaded) await this.loadFromTable()
     for (;;) {
       const rows = await this.parts.table.query(CHANGES_PARTITION, {
-        after: sortKeyOf(this.current),
+        after: encodeSortKey(this.currentRevision),
         limit: CHANGES_PER_READ,
       })
       this.applyChanges(rows.map(changeOf))
@@ -138,7 +138,7 @@
   /** Watchers may go on here from a revision that they reached at another instance. */
   private async loadHistory(revision: Version): Promise<void> {
     const rows = await this.parts.table.query(CHANGES_PARTITION, {
-      after: sortKeyOf(Math.max(0, revision - HISTORY_AT_START)),
+      after: encodeSortKey(Math.max(0, revision - HISTORY_AT_START)),
       limit: HISTORY_AT_START,
     })
     this.changes = rows.map(changeOf).filter(change => change.revision <= revision)
@@ -147,12 +147,12 @@
   private async catchUpFromPeers(): Promise<void> {
     for (const peer of this.parts.peersToAsk()) {
       try {
-        const request = { revision: this.current }
+        const request = { revision: this.currentRevision }
         const reply = await this.parts.peers.call(peer, 'configurationSince', request)
         if (reply.snapshot !== undefined) this.applySnapshot(reply.snapshot)
         this.applyChanges(reply.changes ?? [])
         this.parts.counters.increment('configuration_from_peer')
-        this.loaded ||= this.current > 0
+        this.loaded ||= this.currentRevision > 0
       } catch {
         // Unreachable like the table; the next peer may know.
       }
@@ -160,8 +160,8 @@
   }
 
   private applySnapshot(snapshot: ConfigurationSnapshot): void {
-    if (snapshot.revision < this.current) return
-    if (snapshot.revision === this.current && this.loaded) return
+    if (snapshot.revision < this.currentRevision) return
+    if (snapshot.revision === this.currentRevision && this.loaded) return
     // Decoded before anything is cleared: a malformed snapshot leaves what is in force as it is.
     const resources = snapshot.resources.map(resourceOf)
     this.resources.clear()
@@ -169,7 +169,7 @@
       if (!this.parts.kinds.includes(resource.kind)) continue
       this.resources.set(resourceId(resource.kind, resource.metadata.name), resource)
     }
-    this.current = snapshot.revision
+    this.currentRevision = snapshot.revision
     this.changes = []
     this.notify('snapshot')
   }
@@ -177,13 +177,13 @@
   private applyChanges(changes: readonly ConfigurationChange[]): void {
     for (const change of changes) {
       // Anything but the next revision is old news or follows a gap.
-      if (change.revision === this.current + 1) this.applyOne(change)
+      if (change.revision === this.currentRevision + 1) this.applyOne(change)
     }
   }
 
   private applyOne(change: ConfigurationChange): void {
     if (this.parts.kinds.includes(change.kind)) this.applyResource(change)
-    this.current = change.revision
+    this.currentRevision = change.revision
     this.changes.push(change)
     const isOverfull = this.changes.length > KEPT_CHANGES + HISTORY_AT_START
     if (isOverfull) this.changes = this.changes.slice(-KEPT_CHANGES)
@@ -207,7 +207,7 @@
 }
 
 function changeOf(row: Row): ConfigurationChange {
-  return valueOf(changeCodec, row)
+  return decodeRowValue(changeCodec, row)
 }
 
 /** Throws where the JSON is no resource: it must not be taken for a deletion. */
--- a/packages/coordination/src/configuration/resource.ts
+++ b/packages/coordination/src/configuration/resource.ts
@@ -2,7 +2,7 @@
 
 import * as z from 'zod'
 import { JsonCodec } from '@rackwalk/stores'
-import { anyJson, sameNames } from '../forms.js'
+import { jsonSchema, identityMapping } from '../rowCodecs.js'
 import type { Milliseconds, Version } from '@rackwalk/shared'
 import type { JsonValue, RowKey } from '@rackwalk/stores'
 
@@ -46,8 +46,8 @@
     labels: z.record(z.string(), z.string()),
     createdAt: z.number(),
   }),
-  spec: anyJson,
+  spec: jsonSchema,
 })
 
 /** The stored form of a resource. */
-export const resourceCodec = new JsonCodec(sameNames<Resource>(resourceSchema))
+export const resourceCodec = new JsonCodec(identityMapping<Resource>(resourceSchema))
--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -10,7 +10,7 @@
 import type { JsonValue, Row, RowCondition, RowKey, RowWrite, TableService } from '@rackwalk/stores'
 import type { ConfigurationChange } from '../peerMessages.js'
 import { CHANGES_PARTITION, changeKey } from '../tableKeys.js'
-import { sameNames, valueOf } from '../forms.js'
+import { identityMapping, decodeRowValue } from '../rowCodecs.js'
 import { changeCodec } from './configurationChange.js'
 import type { Resource } from './resource.js'
 import { resourceCodec, resourceKey } from './resource.js'
@@ -27,7 +27,7 @@
   readonly content:
     (Pick<Resource, 'spec'> & { readonly labels: Record<string, string> }) | undefined
   /** Rows that must change together with the resource, made anew for each attempt. */
-  readonly companions?: () => Promise<readonly RowWrite[]>
+  readonly companionWrites?: () => Promise<readonly RowWrite[]>
 }
 
 /** A conflict carries the state that the operator did not know of. */
@@ -49,7 +49,7 @@
 
 /** The stored form of the record of a write. */
 export const writeRecordCodec = new JsonCodec(
-  sameNames<WriteRecord>(z.object({ revision: z.number() })),
+  identityMapping<WriteRecord>(z.object({ revision: z.number() })),
 )
 
 function writeRecordKey(writeId: TransactionId): RowKey {
@@ -91,13 +91,13 @@
 
   async read(kind: string, name: string): Promise<Resource | undefined> {
     const row = await this.readRow(kind, name)
-    return row && valueOf(resourceCodec, row)
+    return row && decodeRowValue(resourceCodec, row)
   }
 
   /** What became of a write whose answer was lost; undefined while it is not in force. */
   async findWrite(writeId: TransactionId): Promise<WriteRecord | undefined> {
     const row = await this.table.get(writeRecordKey(writeId))
-    return row && valueOf(writeRecordCodec, row)
+    return row && decodeRowValue(writeRecordCodec, row)
   }
 
   /** Undefined when another operator's change took the revision first. */
@@ -105,7 +105,7 @@
     const done = await this.findWrite(write.writeId)
     if (done !== undefined) return this.acceptedAt(write, done.revision)
     const row = await this.readRow(write.kind, write.name)
-    const current = row && valueOf(resourceCodec, row)
+    const current = row && decodeRowValue(resourceCodec, row)
     if (!isExpected(write.expected, current)) return { kind: 'conflict', current }
     if (write.content === undefined && current === undefined) return { kind: 'conflict', current }
     const revision = (await this.headRevision()) + 1
@@ -117,7 +117,7 @@
 
   private async acceptedAt(write: ResourceWrite, revision: Version): Promise<ResourceWriteResult> {
     const row = await this.table.get(changeKey(revision))
-    const change = row && valueOf(changeCodec, row)
+    const change = row && decodeRowValue(changeCodec, row)
     const resource = resourceCodec.fromJson(change?.resource)
     return { kind: 'accepted', revision, resource }
   }
@@ -157,7 +157,7 @@
       putAbsent(changeKey(revision), changeCodec.toJson(change)),
       resourceRowWrite(write, row, resource),
       putAbsent(writeRecordKey(write.writeId), { revision }),
-      ...((await write.companions?.()) ?? []),
+      ...((await write.companionWrites?.()) ?? []),
     ]
   }
 
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -3,7 +3,7 @@
  * work. Owns the timers and the state of the instance's life; each part owns the rest.
  */
 
-import type { AdviceNews, CrashNews } from '@rackwalk/decisions'
+import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type {
   BudgetId,
@@ -26,23 +26,23 @@
 import { ConfigurationFollower } from './configuration/configurationFollower.js'
 import { CountingTable } from './countingTable.js'
 import type { Counters } from './counters.js'
-import { CommitJoiner, DomainCommitter } from './journal/domainCommitter.js'
-import { HeldArchive } from './journal/heldArchive.js'
-import { HeldItems } from './journal/heldItems.js'
+import { BatchCoalescer, DomainCommitter } from './journal/domainCommitter.js'
+import { HeldEntryArchive } from './journal/heldEntryArchive.js'
+import { HeldEntryStore } from './journal/heldEntryStore.js'
 import { Journal } from './journal/journal.js'
 import type { JournalLimits } from './journal/journal.js'
-import { PeerHold } from './journal/peerHold.js'
+import { JournalReplicator } from './journal/journalReplicator.js'
 import { IncarnationRegistry } from './membership/incarnationRegistry.js'
 import type { IncarnationRecord } from './membership/incarnationRegistry.js'
 import { Membership } from './membership/membership.js'
 import { Reaper } from './membership/reaper.js'
 import { Sealer } from './membership/sealer.js'
-import { createNodeHandlers } from './nodeHandlers.js'
+import { createPeerHandlers } from './peerHandlers.js'
 import { DEFAULT_NODE_TIMINGS } from './nodeTimings.js'
 import type { NodeTimings } from './nodeTimings.js'
 import type { MemberInfo, PeerChannel, PeerHandlers, ServingState } from './peerMessages.js'
 import { rendezvousOrder } from '@rackwalk/decisions'
-import { SegmentArchive } from './segmentArchive.js'
+import { DecisionArchive } from './segmentArchive.js'
 
 /** Who this instance is; an instance learns it from its settings. */
 export interface NodeIdentity {
@@ -69,18 +69,18 @@
   readonly timings?: Partial<NodeTimings>
   readonly journalLimits?: JournalLimits
   /** Peers that must hold an entry before it counts as held. */
-  readonly holdCopies?: number
+  readonly requiredReplicas?: number
   readonly resourceKinds: readonly string[]
   /** Requests in progress, told to peers. */
   readonly inFlight?: () => number
   /** A peer told what endpoints say of themselves. */
-  readonly onAdviceNews?: (news: readonly AdviceNews[]) => void
+  readonly onAdviceNews?: (news: readonly AdviceGossip[]) => void
   /** Endpoints seen leaving here, told to peers. */
   readonly leavingEndpoints?: () => readonly string[]
   /** A peer told of requests that end endpoints. */
-  readonly onCrashNews?: (news: CrashNews) => void
+  readonly onCrashNews?: (news: CrashGossip) => void
   /** Learns peers' addresses from the platform's list, so that the channel can reach them. */
-  readonly onListed?: (listed: readonly ListedInstance[]) => Promise<void> | void
+  readonly onInstancesListed?: (listed: readonly ListedInstance[]) => Promise<void> | void
   /** Called after each round of heartbeats. */
   readonly onHeartbeat?: () => void
   /** Called once when this incarnation was sealed and must stop. */
@@ -89,10 +89,10 @@
   readonly onFault: (error: unknown) => void
 }
 
-const DEFAULT_HOLD_COPIES = 2
+const DEFAULT_REQUIRED_REPLICAS = 2
 const REAPERS_PER_REGION = 2
 /** Time between looks at entries that wait for the table. */
-const HOLD_PERIOD_MILLISECONDS = 50
+const REPLICATION_PERIOD_MILLISECONDS = 50
 
 /**
  * All coordination parts of one instance, wired together. It knows neither HTTP nor any
@@ -106,12 +106,12 @@
   readonly keys: KeyRegistrarClient
   readonly membership: Membership
   readonly configuration: ConfigurationFollower
-  readonly archive: SegmentArchive
+  readonly archive: DecisionArchive
   readonly registry: IncarnationRegistry
   readonly handlers: PeerHandlers
   private readonly timings: NodeTimings
-  private readonly held = new HeldItems()
-  private readonly peerHold: PeerHold
+  private readonly held = new HeldEntryStore()
+  private readonly peerHold: JournalReplicator
   private readonly reaper: Reaper
   private readonly timers = new Set<Timer>()
   private state: ServingState = 'starting'
@@ -127,13 +127,13 @@
     this.timings = { ...DEFAULT_NODE_TIMINGS, ...parts.timings }
     this.membership = new Membership(identity, () => this.describe(), clock, random)
     this.registry = new IncarnationRegistry(table, random)
-    const joiner = new CommitJoiner(table)
-    const liveMembers = () => this.membership.live()
+    const coalescer = new BatchCoalescer(table)
+    const liveMembers = () => this.membership.liveMembers()
     const committer = new DomainCommitter({
       incarnation,
       failureDomain,
       table,
-      joiner,
+      coalescer,
       peers,
       liveMembers,
     })
@@ -146,15 +146,15 @@
       counters,
       limits: parts.journalLimits,
     })
-    const archive = new HeldArchive({ objects, clock, counters })
-    this.peerHold = new PeerHold({
+    const archive = new HeldEntryArchive({ objects, clock, counters })
+    this.peerHold = new JournalReplicator({
       archive,
       incarnation,
       failureDomain,
       journal: this.journal,
       peers,
       candidates: () => this.otherRegionMembers(),
-      copies: parts.holdCopies ?? DEFAULT_HOLD_COPIES,
+      requiredReplicas: parts.requiredReplicas ?? DEFAULT_REQUIRED_REPLICAS,
     })
     this.ledger = new BudgetLedger({
       incarnation,
@@ -167,7 +167,7 @@
       counters,
       policy: parts.policy,
       liveIncarnations: () => this.membership.liveIncarnations(),
-      onSealed: () => this.endSealed(),
+      onSealed: () => this.stopSealed(),
     })
     const isLive = (peer: IncarnationId) => this.membership.isLive(peer)
     this.claims = new Claims({
@@ -191,14 +191,14 @@
       kinds: parts.resourceKinds,
       peersToAsk: () => this.otherMembers().map(member => member.incarnation),
     })
-    this.archive = new SegmentArchive(objects, clock, incarnation)
+    this.archive = new DecisionArchive(objects, clock, incarnation)
     this.reaper = new Reaper({
       incarnation,
       clock,
       registry: this.registry,
       membership: this.membership,
       reclaimer: new Reclaimer(table, random, counters),
-      createSealer: isKnownGone =>
+      createSealer: isConfirmedDead =>
         new Sealer({
           archive,
           incarnation,
@@ -207,11 +207,11 @@
           peers,
           random,
           counters,
-          isKnownGone,
+          isConfirmedDead,
         }),
       listLagMilliseconds: this.timings.listLagMilliseconds,
     })
-    this.handlers = createNodeHandlers({
+    this.handlers = createPeerHandlers({
       membership: this.membership,
       ledger: this.ledger,
       claims: this.claims,
@@ -219,9 +219,9 @@
       archive: this.archive,
       held: this.held,
       registrar,
-      joiner,
+      coalescer,
       describe: () => this.describe(),
-      mayHold: () => this.mayHold(),
+      canHoldEntries: () => this.canHoldEntries(),
       drain: () => this.drain(),
       noteCrashes: news => this.parts.onCrashNews?.(news),
       noteAdvice: news => this.parts.onAdviceNews?.(news),
@@ -263,8 +263,8 @@
       () => this.flushRound(),
     )
     this.every(
-      () => HOLD_PERIOD_MILLISECONDS,
-      () => this.holdRound(),
+      () => REPLICATION_PERIOD_MILLISECONDS,
+      () => this.replicationRound(),
     )
     this.every(
       () => heartbeatMilliseconds,
@@ -296,7 +296,7 @@
   /** Writes the rest of the journal and gives back what is left, then stops. */
   async leave(): Promise<void> {
     await this.flushAll()
-    await this.ledger.giveBackAll()
+    await this.ledger.returnAll()
     await this.archive.writeDue(true)
     this.stop()
   }
@@ -310,7 +310,7 @@
 
   /** Takes first allocations of budgets ahead of need. */
   warm(budgets: readonly BudgetId[]): Promise<void> {
-    return this.registered ? this.ledger.warm(budgets) : Promise.resolve()
+    return this.registered ? this.ledger.preallocate(budgets) : Promise.resolve()
   }
 
   /** One heartbeat to everybody who is due, and the digests that came back looked into. */
@@ -320,7 +320,7 @@
     const calls = this.membership.planHeartbeats().map(async ({ target, digests }) => {
       try {
         const reply = await this.parts.peers.call(target, 'heartbeat', { sender, digests })
-        this.membership.hear(reply.receiver)
+        this.membership.mergeMember(reply.receiver)
         this.parts.counters.increment('heartbeats_sent')
       } catch {
         this.parts.counters.increment('heartbeats_failed')
@@ -335,7 +335,7 @@
 
   private async flushRound(): Promise<void> {
     const outcome = await this.journal.flush()
-    if (outcome === 'sealed') return this.endSealed()
+    if (outcome === 'sealed') return this.stopSealed()
     if (outcome !== 'idle') this.isTableAnswering = outcome === 'committed'
     if (outcome === 'committed') await this.peerHold.release()
   }
@@ -344,9 +344,9 @@
    * Copies what waits too long to peers, beside the flush: waiting for the table's time
    * limit first held the end of each answer back by seconds in an outage.
    */
-  private async holdRound(): Promise<void> {
+  private async replicationRound(): Promise<void> {
     const tolerated = this.isTableAnswering ? this.timings.holdAfterMilliseconds : 0
-    if (this.journal.oldestUnheldAge > tolerated) await this.peerHold.replicate()
+    if (this.journal.oldestUnreplicatedAge > tolerated) await this.peerHold.replicate()
   }
 
   private async flushAll(): Promise<void> {
@@ -394,8 +394,8 @@
   private async reapRound(): Promise<void> {
     try {
       const listed = await this.parts.instances.list()
-      await this.parts.onListed?.(listed)
-      if (this.registered && this.isReaper()) await this.reaper.round(listed)
+      await this.parts.onInstancesListed?.(listed)
+      if (this.registered && this.isReaper()) await this.reaper.reapOnce(listed)
     } catch (thrown) {
       if (!(thrown instanceof RackwalkError)) throw thrown
     }
@@ -411,7 +411,7 @@
     return order.slice(0, REAPERS_PER_REGION).includes(this.parts.identity.incarnation)
   }
 
-  private endSealed(): void {
+  private stopSealed(): void {
     if (this.stopped) return
     this.journal.markSealed()
     this.stop()
@@ -420,7 +420,7 @@
 
   private otherMembers(): readonly MemberInfo[] {
     const { incarnation } = this.parts.identity
-    return this.membership.live().filter(member => member.incarnation !== incarnation)
+    return this.membership.liveMembers().filter(member => member.incarnation !== incarnation)
   }
 
   private otherRegionMembers(): readonly MemberInfo[] {
@@ -428,14 +428,14 @@
   }
 
   /** Only registered instances hold, since only those are asked when a writer is sealed. */
-  private mayHold(): boolean {
+  private canHoldEntries(): boolean {
     return this.registered && !this.journal.sealed && !this.stopped
   }
 
   private async askForMembers(target: IncarnationId, group: string): Promise<void> {
     try {
       const reply = await this.parts.peers.call(target, 'members', { group })
-      this.membership.hearMembers(group, reply.members)
+      this.membership.replaceGroupMembers(group, reply.members)
     } catch {
       // The next digest brings the same question up again.
     }
--- a/packages/coordination/src/countingTable.ts
+++ b/packages/coordination/src/countingTable.ts
@@ -2,7 +2,7 @@
 
 import type { TransactionId } from '@rackwalk/shared'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   QueryRange,
   Row,
   RowKey,
@@ -34,7 +34,7 @@
     return this.table.transact(id, writes)
   }
 
-  transactMany(parts: readonly IdentifiedWrites[]): Promise<TransactResult> {
+  transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     this.counters.increment('table_writes')
     return this.table.transactMany(parts)
   }
--- a/packages/coordination/src/crashes/crashRecords.ts
+++ b/packages/coordination/src/crashes/crashRecordStore.ts
@@ -13,15 +13,15 @@
 import {
   CRASH_PARTITION,
   CRASH_TABLE,
-  KEPT_MILLISECONDS,
+  CRASH_RETENTION_MILLISECONDS,
   crashRowCodec,
-  marksOf,
-  withMarks,
+  crashMarksOf,
+  addCrashMarks,
 } from './crashRow.js'
 import type { CrashRow } from './crashRow.js'
 
 /** What the records work with. */
-export interface CrashRecordsParts {
+export interface CrashRecordStoreParts {
   readonly store: RowStore
   readonly clock: Clock
   /** Rows say so. */
@@ -39,19 +39,19 @@
 }
 
 /** Rows in one transaction; a platform takes 100 entries. */
-const ROWS_A_WRITE = 50
+const ROWS_PER_WRITE = 50
 /** A write that the store did not take is tried again after this time. */
 const RETRY_MILLISECONDS: Milliseconds = 1_000
 
 /** The records of ends, on one instance. */
-export class CrashRecords implements MirrorListener {
+export class CrashRecordStore implements MirrorListener {
   private readonly rows = new Map<RequestFingerprint, KnownRow>()
   private readonly unwritten = new Map<RequestFingerprint, readonly CrashMark[]>()
   private readonly removals = new Set<RequestFingerprint>()
   private isWriting = false
   private retry: Timer | undefined
 
-  constructor(private readonly parts: CrashRecordsParts) {}
+  constructor(private readonly parts: CrashRecordStoreParts) {}
 
   stop(): void {
     this.retry?.cancel()
@@ -85,9 +85,9 @@
     const row = crashRowCodec.decode(changed.value)
     if (row === undefined) return this.parts.onMalformedRow(changed)
     this.rows.set(fingerprint, { row, version: changed.version, isSeen: true })
-    const isExpired = this.parts.clock.wallTime() - row.at > KEPT_MILLISECONDS
+    const isExpired = this.parts.clock.wallTime() - row.at > CRASH_RETENTION_MILLISECONDS
     if (isExpired) this.remove(fingerprint)
-    else this.parts.onMarks(marksOf(fingerprint, row))
+    else this.parts.onMarks(crashMarksOf(fingerprint, row))
   }
 
   private noteMissing(present: ReadonlySet<string>): void {
@@ -119,11 +119,11 @@
 
   /** One transaction; what it could not do stays to be done. */
   private async write(): Promise<void> {
-    const puts = [...this.unwritten].slice(0, ROWS_A_WRITE)
-    const removals = [...this.removals].slice(0, ROWS_A_WRITE)
+    const puts = [...this.unwritten].slice(0, ROWS_PER_WRITE)
+    const removals = [...this.removals].slice(0, ROWS_PER_WRITE)
     const at = this.parts.clock.wallTime()
     const written = puts.map(([fingerprint, marks]) => {
-      return { fingerprint, marks, row: withMarks(this.rows.get(fingerprint)?.row, marks, at) }
+      return { fingerprint, marks, row: addCrashMarks(this.rows.get(fingerprint)?.row, marks, at) }
     })
     const outcome = await this.parts.store.write({
       conditions: [...written.map(({ fingerprint }) => fingerprint), ...removals].map(key => ({
--- a/packages/coordination/src/crashes/crashRow.ts
+++ b/packages/coordination/src/crashes/crashRow.ts
@@ -15,10 +15,10 @@
  * A record is kept for this long after the newest end: a request that comes daily is recognised; one that
  * outlasts it costs two endpoints a week until an operator acts.
  */
-export const KEPT_MILLISECONDS: Milliseconds = 7 * 24 * 3_600_000
+export const CRASH_RETENTION_MILLISECONDS: Milliseconds = 7 * 24 * 3_600_000
 
 /** One end of an endpoint under the request. */
-interface RecordedEnd {
+interface RecordedCrash {
   readonly start: EndpointStart
   /** Whether the request was sent there as suspected. */
   readonly wasIsolated: boolean
@@ -26,7 +26,7 @@
 
 /** What is kept of one request. */
 export interface CrashRow {
-  readonly ends: readonly RecordedEnd[]
+  readonly ends: readonly RecordedCrash[]
   /** Time of day of the newest end, by the clock of who saw it; milliseconds since 1970. */
   readonly at: Milliseconds
 }
@@ -52,12 +52,15 @@
 })
 
 /** What a row says, as marks. */
-export function marksOf(fingerprint: RequestFingerprint, { ends }: CrashRow): readonly CrashMark[] {
+export function crashMarksOf(
+  fingerprint: RequestFingerprint,
+  { ends }: CrashRow,
+): readonly CrashMark[] {
   return ends.map(({ start, wasIsolated }) => ({ fingerprint, start, wasIsolated }))
 }
 
 /** The row with further ends in it. */
-export function withMarks(
+export function addCrashMarks(
   row: CrashRow | undefined,
   marks: readonly CrashMark[],
   at: Milliseconds,
--- a/packages/coordination/src/crashes/crashTable.ts
+++ b/packages/coordination/src/crashes/crashTableSync.ts
@@ -7,12 +7,17 @@
 import { asId, groupBy } from '@rackwalk/shared'
 import type { Clock, RandomSource, RequestFingerprint, TransactionId } from '@rackwalk/shared'
 import type { Row, RowCondition, RowWrite, TableService } from '@rackwalk/stores'
-import { valueOf } from '../forms.js'
+import { decodeRowValue } from '../rowCodecs.js'
 import { CRASHES_PARTITION, crashKey } from '../tableKeys.js'
-import { KEPT_MILLISECONDS, crashRowCodec, marksOf, withMarks } from './crashRow.js'
+import {
+  CRASH_RETENTION_MILLISECONDS,
+  crashRowCodec,
+  crashMarksOf,
+  addCrashMarks,
+} from './crashRow.js'
 
 /** What the records work with. */
-export interface CrashTableParts {
+export interface CrashTableSyncParts {
   readonly table: TableService
   readonly clock: Clock
   readonly random: RandomSource
@@ -23,12 +28,12 @@
 }
 
 /** The records, on one instance of the OpenAI-style kind. */
-export class CrashTable {
+export class CrashTableSync {
   private seen: ReadonlySet<RequestFingerprint> = new Set()
   private unwritten: readonly CrashMark[] = []
   private removals: readonly RequestFingerprint[] = []
 
-  constructor(private readonly parts: CrashTableParts) {}
+  constructor(private readonly parts: CrashTableSyncParts) {}
 
   /** Ends that this instance saw, for the next round. */
   record(marks: readonly CrashMark[]): void {
@@ -42,7 +47,7 @@
   }
 
   /** Writes what is to be written and reads what others wrote; throws where the table does not answer. */
-  async round(): Promise<void> {
+  async synchronize(): Promise<void> {
     await this.writeAll()
     await this.read()
   }
@@ -68,8 +73,8 @@
   ): Promise<boolean> {
     const key = crashKey(fingerprint)
     const row = await this.parts.table.get(key)
-    const before = row && valueOf(crashRowCodec, row)
-    const after = withMarks(before, marks, this.parts.clock.wallTime())
+    const before = row && decodeRowValue(crashRowCodec, row)
+    const after = addCrashMarks(before, marks, this.parts.clock.wallTime())
     const value = crashRowCodec.toJson(after)
     return this.transact({ kind: 'put', key, condition: conditionOf(row), value })
   }
@@ -85,18 +90,18 @@
     for (const row of rows) {
       const fingerprint = asId<RequestFingerprint>(row.key.sort)
       present.add(fingerprint)
-      await this.take(fingerprint, row)
+      await this.applyRow(fingerprint, row)
     }
     const gone = [...this.seen].filter(fingerprint => !present.has(fingerprint))
     this.seen = present
     for (const fingerprint of gone) this.parts.onCleared(fingerprint)
   }
 
-  private async take(fingerprint: RequestFingerprint, row: Row): Promise<void> {
-    const record = valueOf(crashRowCodec, row)
-    const isExpired = this.parts.clock.wallTime() - record.at > KEPT_MILLISECONDS
+  private async applyRow(fingerprint: RequestFingerprint, row: Row): Promise<void> {
+    const record = decodeRowValue(crashRowCodec, row)
+    const isExpired = this.parts.clock.wallTime() - record.at > CRASH_RETENTION_MILLISECONDS
     if (isExpired) await this.transact(deletionOf(row))
-    else this.parts.onMarks(marksOf(fingerprint, record))
+    else this.parts.onMarks(crashMarksOf(fingerprint, record))
   }
 }
 
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -3,15 +3,15 @@
  * with exactly-once bills, claims for at-most-once requests, membership and configuration.
  * It takes the platform and a channel to peers as interfaces.
  */
-export { SEALED_EXIT_CODE, billOf, createBudget, standaloneParts } from './embedding.js'
-export type { NewBudget, ServedRequest, StandaloneOptions } from './embedding.js'
+export { SEALED_EXIT_CODE, createBill, createBudget, standaloneParts } from './standalone.js'
+export type { NewBudget, ServedRequest, StandaloneOptions } from './standalone.js'
 export { CoordinationNode, notServingCode } from './coordinationNode.js'
 export type { CoordinationNodeParts, NodeIdentity } from './coordinationNode.js'
 export { DEFAULT_NODE_TIMINGS } from './nodeTimings.js'
 export type { NodeTimings } from './nodeTimings.js'
-export { CheckedTable } from './checkedTable.js'
+export { ValidatingTable } from './validatingTable.js'
 export { CountingTable } from './countingTable.js'
-export { valueOf } from './forms.js'
+export { decodeRowValue } from './rowCodecs.js'
 export { MemoryCounters } from './counters.js'
 export type { CounterName, Counters } from './counters.js'
 export { committedBound, rendezvousChoice, rendezvousOrder } from '@rackwalk/decisions'
@@ -28,7 +28,7 @@
 } from './journal/journal.js'
 export { entriesAfter, lastIndexOf } from './journal/journalEntry.js'
 export type {
-  HeldItem,
+  HeldEntry,
   IndexedEntry,
   JournalEntry,
   JournalSlot,
@@ -37,11 +37,11 @@
 } from './journal/journalEntry.js'
 export { DirectCommitter } from './journal/batchCommitter.js'
 export type { BatchCommitter } from './journal/batchCommitter.js'
-export { CommitJoiner, DomainCommitter } from './journal/domainCommitter.js'
-export { HeldArchive } from './journal/heldArchive.js'
-export type { HeldArchiveParts } from './journal/heldArchive.js'
-export { HeldItems } from './journal/heldItems.js'
-export { PeerHold } from './journal/peerHold.js'
+export { BatchCoalescer, DomainCommitter } from './journal/domainCommitter.js'
+export { HeldEntryArchive } from './journal/heldEntryArchive.js'
+export type { HeldEntryArchiveParts } from './journal/heldEntryArchive.js'
+export { HeldEntryStore } from './journal/heldEntryStore.js'
+export { JournalReplicator } from './journal/journalReplicator.js'
 export { readJournal } from './journal/journalReader.js'
 
 export { Allocation } from './budget/allocation.js'
@@ -49,9 +49,13 @@
 export {
   EqualSplitPolicy,
   RateProportionalPolicy,
-  WeighedPolicy,
+  CostWeightedPolicy,
+} from './budget/allocationPolicy.js'
+export type {
+  AllocationPolicy,
+  AllocationView,
+  ErrorCostWeights,
 } from './budget/allocationPolicy.js'
-export type { AllocationPolicy, AllocationView, MistakeWeights } from './budget/allocationPolicy.js'
 export { BudgetLedger } from './budget/budgetLedger.js'
 export type {
   BudgetLedgerParts,
@@ -93,7 +97,7 @@
 export type { Resource, ResourceMetadata } from './configuration/resource.js'
 
 export { chooseAddresses } from './membership/callerAddresses.js'
-export type { AddressAnswer } from './membership/callerAddresses.js'
+export type { CallerAddresses } from './membership/callerAddresses.js'
 export { IncarnationRegistry } from './membership/incarnationRegistry.js'
 export type { IncarnationRecord } from './membership/incarnationRegistry.js'
 export { Lease } from './membership/lease.js'
@@ -117,13 +121,13 @@
   PeerRequest,
   ServingState,
 } from './peerMessages.js'
-export { PEER_FORMS } from './peerForms.js'
-export type { PeerForm } from './peerForms.js'
-export { foldBills, readUsage, summarize } from './usage.js'
-export type { Period, UsageLine, UsageReport } from './usage.js'
+export { PEER_MESSAGE_CODECS } from './peerMessageCodecs.js'
+export type { PeerMessageCodecs } from './peerMessageCodecs.js'
+export { foldBills, readUsage, summarizeUsage } from './usage.js'
+export type { UsagePeriod, UsageLine, UsageReport } from './usage.js'
 export {
   DEFAULT_ARCHIVE_LIMITS,
-  SegmentArchive,
+  DecisionArchive,
   createRequestId,
   parseRequestId,
 } from './segmentArchive.js'
@@ -136,12 +140,17 @@
 export { StoreClock } from './rows/storeClock.js'
 export { CRASH_PARTITION, CRASH_TABLE, crashRowCodec } from './crashes/crashRow.js'
 export type { CrashRow } from './crashes/crashRow.js'
-export { CrashTable } from './crashes/crashTable.js'
-export type { CrashTableParts } from './crashes/crashTable.js'
-export { CrashRecords } from './crashes/crashRecords.js'
-export type { CrashRecordsParts } from './crashes/crashRecords.js'
+export { CrashTableSync } from './crashes/crashTableSync.js'
+export type { CrashTableSyncParts } from './crashes/crashTableSync.js'
+export { CrashRecordStore } from './crashes/crashRecordStore.js'
+export type { CrashRecordStoreParts } from './crashes/crashRecordStore.js'
 export { TableMirror } from './rows/tableMirror.js'
-export type { MirrorListener, MirrorPage, NearPeer, TableMirrorParts } from './rows/tableMirror.js'
+export type {
+  MirrorListener,
+  MirrorPage,
+  UpstreamPeer,
+  TableMirrorParts,
+} from './rows/tableMirror.js'
 export { DemandHoldingPolicy, EqualHoldingPolicy } from '@rackwalk/decisions'
 export type { BudgetView, HoldingPolicy } from '@rackwalk/decisions'
 export { HoldingState } from './prepaid/holdingState.js'
--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -6,7 +6,7 @@
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { FailureDomainId, IncarnationId, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService, TransactResult } from '@rackwalk/stores'
-import { MAXIMUM_TRANSACTION_WRITES, rowName } from '@rackwalk/stores'
+import { MAXIMUM_TRANSACTION_WRITES, encodeRowKey } from '@rackwalk/stores'
 import type { MemberInfo, PeerChannel, PeerRequest } from '../peerMessages.js'
 import { rendezvousChoice } from '@rackwalk/decisions'
 import type { BatchCommitter } from './batchCommitter.js'
@@ -25,7 +25,7 @@
  * grow with the number of domains, not of instances. When a joined transaction fails its
  * conditions, each batch is written by itself, so that a sealed writer fails alone.
  */
-export class CommitJoiner {
+export class BatchCoalescer {
   private queue: QueuedBatch[] = []
   private running = false
 
@@ -42,17 +42,17 @@
   private async run(): Promise<void> {
     this.running = true
     while (this.queue.length > 0) {
-      const joined = this.takeJoined()
-      await this.commitJoined(joined)
+      const joined = this.takeCoalescible()
+      await this.commitCoalesced(joined)
     }
     this.running = false
   }
 
-  private takeJoined(): readonly QueuedBatch[] {
+  private takeCoalescible(): readonly QueuedBatch[] {
     const rows = new Set<string>()
     const joined: QueuedBatch[] = []
     for (const batch of this.queue) {
-      const names = batch.request.writes.map(write => rowName(write.key))
+      const names = batch.request.writes.map(write => encodeRowKey(write.key))
       const isTooLarge = rows.size + names.length > MAXIMUM_TRANSACTION_WRITES
       const isClashing = names.some(name => rows.has(name))
       if (joined.length > 0 && (isTooLarge || isClashing)) break
@@ -63,7 +63,7 @@
     return joined
   }
 
-  private async commitJoined(joined: readonly QueuedBatch[]): Promise<void> {
+  private async commitCoalesced(joined: readonly QueuedBatch[]): Promise<void> {
     const [first] = joined
     if (first === undefined) return
     if (joined.length === 1) return this.commitAlone(first)
@@ -91,7 +91,7 @@
   readonly incarnation: IncarnationId
   readonly failureDomain: FailureDomainId
   readonly table: TableService
-  readonly joiner: CommitJoiner
+  readonly coalescer: BatchCoalescer
   readonly peers: PeerChannel
   readonly liveMembers: () => readonly MemberInfo[]
 }
@@ -104,7 +104,7 @@
     const committer = this.chosenCommitter()
     const request = { id, writes }
     if (committer === undefined) return this.parts.table.transact(id, writes)
-    if (committer === this.parts.incarnation) return this.parts.joiner.commit(request)
+    if (committer === this.parts.incarnation) return this.parts.coalescer.commit(request)
     try {
       return await this.parts.peers.call(committer, 'commitBatch', request)
     } catch (thrown) {
--- a/packages/coordination/src/journal/heldArchive.ts
+++ b/packages/coordination/src/journal/heldEntryArchive.ts
@@ -9,23 +9,23 @@
 import { JsonCodec } from '@rackwalk/stores'
 import type { ObjectStore } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
-import { sameNames } from '../forms.js'
-import { heldItemSchema } from './journalEntry.js'
-import type { HeldItem } from './journalEntry.js'
+import { identityMapping } from '../rowCodecs.js'
+import { heldEntrySchema } from './journalEntry.js'
+import type { HeldEntry } from './journalEntry.js'
 
 /** What an archive of held entries works with. */
-export interface HeldArchiveParts {
+export interface HeldEntryArchiveParts {
   readonly objects: ObjectStore
   readonly clock: Clock
   readonly counters: Counters
 }
 
 interface HeldBatch {
-  readonly items: readonly HeldItem[]
+  readonly items: readonly HeldEntry[]
 }
 
 const heldBatchCodec = new JsonCodec(
-  sameNames<HeldBatch>(z.object({ items: z.array(heldItemSchema) })),
+  identityMapping<HeldBatch>(z.object({ items: z.array(heldEntrySchema) })),
 )
 
 const PREFIX = 'held'
@@ -36,13 +36,13 @@
 const RETRY_MILLISECONDS: Milliseconds = 5_000
 
 /** Writes held entries of one instance, and reads those of any. */
-export class HeldArchive {
+export class HeldEntryArchive {
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
-  constructor(private readonly parts: HeldArchiveParts) {}
+  constructor(private readonly parts: HeldEntryArchiveParts) {}
 
   /** Writes the entries as one object; gives up where the store fails, since peers hold them too. */
-  async write(writer: IncarnationId, items: readonly HeldItem[]): Promise<void> {
+  async write(writer: IncarnationId, items: readonly HeldEntry[]): Promise<void> {
     const { objects, clock, counters } = this.parts
     const first = items[0]?.index
     if (first === undefined || clock.monotonic() - this.failedAt < RETRY_MILLISECONDS) return
@@ -57,8 +57,8 @@
   }
 
   /** All entries that were written for this writer; throws where the store does not give them. */
-  async read(writer: IncarnationId): Promise<readonly HeldItem[]> {
-    const items: HeldItem[] = []
+  async read(writer: IncarnationId): Promise<readonly HeldEntry[]> {
+    const items: HeldEntry[] = []
     for (const key of await this.keysOf(writer)) {
       const body = await this.parts.objects.get(key)
       if (body === undefined) continue
--- a/packages/coordination/src/journal/heldItems.ts
+++ b/packages/coordination/src/journal/heldEntryStore.ts
@@ -4,7 +4,7 @@
  */
 
 import type { IncarnationId } from '@rackwalk/shared'
-import type { HeldItem } from './journalEntry.js'
+import type { HeldEntry } from './journalEntry.js'
 
 /**
  * Entries that this instance keeps in memory for peers whose journal cannot be written at
@@ -12,14 +12,14 @@
  * it: from then on that writer cannot get an entry accepted by anybody, so the set that
  * the sealer collects is complete.
  */
-export class HeldItems {
-  private readonly items = new Map<IncarnationId, Map<number, HeldItem>>()
+export class HeldEntryStore {
+  private readonly items = new Map<IncarnationId, Map<number, HeldEntry>>()
   private readonly refused = new Set<IncarnationId>()
 
   /** Keeps entries; false once the writer is being sealed. */
-  hold(writer: IncarnationId, items: readonly HeldItem[]): boolean {
+  hold(writer: IncarnationId, items: readonly HeldEntry[]): boolean {
     if (this.refused.has(writer)) return false
-    const kept = this.items.get(writer) ?? new Map<number, HeldItem>()
+    const kept = this.items.get(writer) ?? new Map<number, HeldEntry>()
     for (const item of items) kept.set(item.index, item)
     this.items.set(writer, kept)
     return true
@@ -36,7 +36,7 @@
   }
 
   /** Hands over everything held for a writer and refuses more. */
-  collect(writer: IncarnationId): readonly HeldItem[] {
+  collect(writer: IncarnationId): readonly HeldEntry[] {
     this.refuse(writer)
     const kept = [...(this.items.get(writer)?.values() ?? [])]
     return kept.sort((left, right) => left.index - right.index)
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -11,13 +11,13 @@
   RandomSource,
   TransactionId,
 } from '@rackwalk/shared'
-import { rowName } from '@rackwalk/stores'
+import { encodeRowKey } from '@rackwalk/stores'
 import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
 import { journalSlotKey } from '../tableKeys.js'
 import type { BatchCommitter } from './batchCommitter.js'
 import { journalSlotCodec } from './journalEntry.js'
-import type { HeldItem, JournalEntry, JournalSlot } from './journalEntry.js'
+import type { HeldEntry, JournalEntry, JournalSlot } from './journalEntry.js'
 
 /** How an entry outlives its writer: in the table, or in the memory of peers. */
 export type Durability = 'durable' | 'held'
@@ -35,7 +35,7 @@
   /** Settles when the record is in the table. */
   readonly durable: Promise<void>
   /** Settles when the record is in the table or held by enough peers. */
-  readonly safe: Promise<Durability>
+  readonly durableOrHeld: Promise<Durability>
 }
 
 /** Bounds of a journal. */
@@ -56,12 +56,12 @@
 /** `retry` means that the table could not be reached or did not answer. */
 export type FlushOutcome = 'idle' | 'committed' | 'retry' | 'sealed'
 
-interface PendingRecord extends HeldItem {
+interface PendingRecord extends HeldEntry {
   /** Peers or the table have it, or it was rejected: no copy is needed any more. */
-  isKept: boolean
+  isResolved: boolean
   readonly appendedAt: Milliseconds
   resolveDurable(): void
-  resolveSafe(durability: Durability): void
+  resolveDurableOrHeld(durability: Durability): void
   reject(error: RackwalkError): void
 }
 
@@ -93,7 +93,7 @@
   private readonly limits: JournalLimits
   private pending: PendingRecord[] = []
   /** Entries in order of which some may still need a copy with peers. */
-  private uncopied: PendingRecord[] = []
+  private unreplicated: PendingRecord[] = []
   private batch: OpenBatch | undefined
   private flushing: Promise<FlushOutcome> | undefined
   private nextIndex = 1
@@ -129,7 +129,7 @@
     if (this.isSealed) throw new RackwalkError(ResultCode.Sealed)
     const { pending, ticket } = this.createRecord(record)
     this.pending.push(pending)
-    if (record.entry !== undefined) this.uncopied.push(pending)
+    if (record.entry !== undefined) this.unreplicated.push(pending)
     this.parts.counters.increment('journal_entries')
     return ticket
   }
@@ -143,41 +143,41 @@
   }
 
   /** Entries that neither the table nor peers have yet, oldest first. */
-  unheld(limit: number): readonly HeldItem[] {
-    this.dropKept()
-    return this.uncopied
+  unreplicatedEntries(limit: number): readonly HeldEntry[] {
+    this.dropResolved()
+    return this.unreplicated
       .slice(0, limit)
-      .filter(record => !record.isKept)
+      .filter(record => !record.isResolved)
       .map(({ index, entry, attachment }) => ({ index, entry, attachment }))
   }
 
   /** How long the oldest entry has waited that neither the table nor peers have. */
-  get oldestUnheldAge(): Milliseconds {
-    this.dropKept()
-    const [oldest] = this.uncopied
+  get oldestUnreplicatedAge(): Milliseconds {
+    this.dropResolved()
+    const [oldest] = this.unreplicated
     return oldest === undefined ? 0 : this.parts.clock.monotonic() - oldest.appendedAt
   }
 
   /** Notes that enough peers hold the records with these indexes. */
-  markHeld(indexes: ReadonlySet<number>): void {
+  markReplicated(indexes: ReadonlySet<number>): void {
     let left = indexes.size
-    for (const record of this.uncopied) {
+    for (const record of this.unreplicated) {
       if (left === 0) break
       if (!indexes.has(record.index)) continue
       left -= 1
-      if (record.isKept) continue
-      record.isKept = true
-      record.resolveSafe('held')
+      if (record.isResolved) continue
+      record.isResolved = true
+      record.resolveDurableOrHeld('held')
       this.parts.counters.increment('journal_held_entries')
     }
-    this.dropKept()
+    this.dropResolved()
   }
 
   /** A long backlog is mostly held, so only its unheld end may be looked at each time. */
-  private dropKept(): void {
-    const firstNeeded = this.uncopied.findIndex(record => !record.isKept)
+  private dropResolved(): void {
+    const firstNeeded = this.unreplicated.findIndex(record => !record.isResolved)
     if (firstNeeded === 0) return
-    this.uncopied = firstNeeded < 0 ? [] : this.uncopied.slice(firstNeeded)
+    this.unreplicated = firstNeeded < 0 ? [] : this.unreplicated.slice(firstNeeded)
   }
 
   /** Stops this incarnation: what is not in the table will not get there. */
@@ -188,7 +188,7 @@
     const lost = [...(this.batch?.records ?? []), ...this.pending]
     this.batch = undefined
     this.pending = []
-    this.uncopied = []
+    this.unreplicated = []
     for (const record of lost) record.reject(new RackwalkError(ResultCode.Sealed))
   }
 
@@ -203,16 +203,16 @@
       index,
       entry: record.entry,
       attachment: record.attachment,
-      isKept: false,
+      isResolved: false,
       appendedAt: this.parts.clock.monotonic(),
       resolveDurable: durable.resolve,
-      resolveSafe: safe.resolve,
+      resolveDurableOrHeld: safe.resolve,
       reject: error => {
         durable.reject(error)
         safe.reject(error)
       },
     }
-    return { pending, ticket: { index, durable: durable.promise, safe: safe.promise } }
+    return { pending, ticket: { index, durable: durable.promise, durableOrHeld: safe.promise } }
   }
 
   private async flushOnce(): Promise<FlushOutcome> {
@@ -233,7 +233,7 @@
     let taken = 0
     for (const record of this.pending) {
       if (!this.fits(record, taken, attached)) break
-      if (record.attachment !== undefined) attached.add(rowName(record.attachment.key))
+      if (record.attachment !== undefined) attached.add(encodeRowKey(record.attachment.key))
       taken += 1
     }
     if (taken === 0) return undefined
@@ -250,7 +250,7 @@
     if (taken >= this.limits.maximumBatchEntries) return false
     if (attachment === undefined) return true
     const isFull = attached.size >= this.limits.maximumBatchAttachments
-    return !isFull && !attached.has(rowName(attachment.key))
+    return !isFull && !attached.has(encodeRowKey(attachment.key))
   }
 
   private async attempt(batch: OpenBatch): Promise<FlushOutcome> {
@@ -313,7 +313,7 @@
     const losers = new Set(conflicts.flatMap(position => attached[position - 1] ?? []))
     batch.records = batch.records.filter(record => !losers.has(record))
     for (const loser of losers) {
-      loser.isKept = true
+      loser.isResolved = true
       loser.reject(new RackwalkError(ResultCode.VersionConflict))
     }
     if (batch.records.length === 0 && batch.attempts.size === 0) this.batch = undefined
@@ -325,12 +325,12 @@
     this.nextSlot += 1
     for (const record of records) {
       this.durableThrough = Math.max(this.durableThrough, record.index)
-      record.isKept = true
+      record.isResolved = true
       record.resolveDurable()
-      record.resolveSafe('durable')
+      record.resolveDurableOrHeld('durable')
     }
     // Here too, or a journal whose owner never copies to peers would keep every entry.
-    this.dropKept()
+    this.dropResolved()
     this.parts.counters.increment('journal_flushes')
     return 'committed'
   }
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod'
 import { ResultCode } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
-import { anyJson, idSchema, sameNames } from '../forms.js'
+import { jsonSchema, idSchema, identityMapping } from '../rowCodecs.js'
 import type {
   BudgetId,
   IdempotencyKey,
@@ -58,7 +58,7 @@
 }
 
 /** An entry as peers keep it while the table is out of reach. */
-export interface HeldItem extends IndexedEntry {
+export interface HeldEntry extends IndexedEntry {
   /** A row that must change in the same transaction as the entry. */
   readonly attachment?: RowWrite
 }
@@ -125,7 +125,7 @@
 ])
 
 /** The stored form of a slot of a journal. */
-export const journalSlotCodec = new JsonCodec(sameNames<JournalSlot>(slotSchema))
+export const journalSlotCodec = new JsonCodec(identityMapping<JournalSlot>(slotSchema))
 
 const keySchema = z.object({ partition: z.string(), sort: z.string() })
 
@@ -140,13 +140,13 @@
     kind: z.literal('put'),
     key: keySchema,
     condition: conditionSchema,
-    value: anyJson,
+    value: jsonSchema,
   }),
   z.object({ kind: z.literal('delete'), key: keySchema, condition: conditionSchema }),
   z.object({ kind: z.literal('check'), key: keySchema, condition: conditionSchema }),
 ])
 
 /** An entry as peers hold it, with the row that changes with it. */
-export const heldItemSchema: z.ZodType<HeldItem> = indexedEntrySchema.extend({
+export const heldEntrySchema: z.ZodType<HeldEntry> = indexedEntrySchema.extend({
   attachment: rowWriteSchema.optional(),
 })
--- a/packages/coordination/src/journal/journalReader.ts
+++ b/packages/coordination/src/journal/journalReader.ts
@@ -3,14 +3,14 @@
 import type { IncarnationId } from '@rackwalk/shared'
 import type { Row, TableService } from '@rackwalk/stores'
 import { journalPartition } from '../tableKeys.js'
-import { valueOf } from '../forms.js'
+import { decodeRowValue } from '../rowCodecs.js'
 import { journalSlotCodec } from './journalEntry.js'
 import type { JournalSlot } from './journalEntry.js'
 
 /** A journal as the table has it. */
 export interface JournalContents {
   readonly slots: readonly JournalSlot[]
-  readonly sealed: boolean
+  readonly isSealed: boolean
 }
 
 /** Reads a whole journal in order. */
@@ -20,10 +20,10 @@
 ): Promise<JournalContents> {
   const rows = await table.query(journalPartition(incarnation))
   const slots = rows.map(slotOf)
-  return { slots, sealed: slots.at(-1)?.kind === 'seal' }
+  return { slots, isSealed: slots.at(-1)?.kind === 'seal' }
 }
 
 /** Decodes the slot that a row holds. */
 function slotOf(row: Row): JournalSlot {
-  return valueOf(journalSlotCodec, row)
+  return decodeRowValue(journalSlotCodec, row)
 }
--- a/packages/coordination/src/membership/callerAddresses.ts
+++ b/packages/coordination/src/membership/callerAddresses.ts
@@ -8,7 +8,7 @@
 import type { MemberInfo } from '../peerMessages.js'
 
 /** What a caller is told: where to connect, in order, and how long to keep it. */
-export interface AddressAnswer {
+export interface CallerAddresses {
   readonly addresses: readonly string[]
   readonly timeToLiveSeconds: number
 }
@@ -26,7 +26,7 @@
 export function chooseAddresses(
   members: readonly MemberInfo[],
   random: RandomSource,
-): AddressAnswer {
+): CallerAddresses {
   const serving = members.filter(member => member.state === 'serving')
   const chosen: MemberInfo[] = []
   while (chosen.length < ADDRESSES_PER_ANSWER && chosen.length < serving.length) {
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -15,7 +15,7 @@
 } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 import type { Row, TableService } from '@rackwalk/stores'
-import { idSchema, sameNames, valueOf } from '../forms.js'
+import { idSchema, identityMapping, decodeRowValue } from '../rowCodecs.js'
 import { INCARNATIONS_PARTITION, SEALING_PARTITION, incarnationKey } from '../tableKeys.js'
 
 /** What the table keeps of a running incarnation. */
@@ -36,7 +36,9 @@
 })
 
 /** The stored form of the record of an incarnation. */
-export const incarnationRecordCodec = new JsonCodec(sameNames<IncarnationRecord>(incarnationSchema))
+export const incarnationRecordCodec = new JsonCodec(
+  identityMapping<IncarnationRecord>(incarnationSchema),
+)
 
 /** Registers this run of an instance and lists the others. */
 export class IncarnationRegistry {
@@ -77,5 +79,5 @@
 }
 
 function recordOf(row: Row): IncarnationRecord {
-  return valueOf(incarnationRecordCodec, row)
+  return decodeRowValue(incarnationRecordCodec, row)
 }
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -14,7 +14,7 @@
 } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 import type { Row, TableService } from '@rackwalk/stores'
-import { idSchema, sameNames, valueOf } from '../forms.js'
+import { idSchema, identityMapping, decodeRowValue } from '../rowCodecs.js'
 import { leaseKey } from '../tableKeys.js'
 
 interface LeaseRow {
@@ -25,7 +25,7 @@
 
 /** The stored form of a lease. */
 export const leaseRowCodec = new JsonCodec(
-  sameNames<LeaseRow>(z.object({ holder: idSchema<IncarnationId>(), epoch: z.number() })),
+  identityMapping<LeaseRow>(z.object({ holder: idSchema<IncarnationId>(), epoch: z.number() })),
 )
 
 interface Observation {
@@ -61,10 +61,10 @@
   }
 
   /** Renews the lease, or takes it when its holder has not renewed it for its duration. */
-  async pursue(): Promise<number | undefined> {
+  async acquireOrRenew(): Promise<number | undefined> {
     try {
       const row = await this.parts.table.get(leaseKey(this.parts.name))
-      const lease = row && valueOf(leaseRowCodec, row)
+      const lease = row && decodeRowValue(leaseRowCodec, row)
       if (lease?.holder === this.parts.incarnation) await this.write(lease.epoch, row)
       else if (this.isLapsed(row)) await this.write((lease?.epoch ?? 0) + 1, row)
     } catch (thrown) {
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -34,7 +34,7 @@
   /** An instance appeared, or began to drain. */
   readonly onStateChange: (instance: string, state: MemberState) => void
   /** The row of a life of an instance stands that did not stand before: this one's, or another's that was read. */
-  readonly onRecorded?: (isSelf: boolean) => void
+  readonly onRegistered?: (isSelf: boolean) => void
   /** A row that is no member's; it is left out, and what was known before stays. */
   readonly onMalformedRow: (row: RowAddress) => void
 }
@@ -59,7 +59,7 @@
  * The others know of an instance this long after its row was there: rows are read every second and a half at the
  * latest while the store answers, and one such read may be missed.
  */
-const MUTUAL_MILLISECONDS = 3_000
+const VISIBILITY_DELAY_MILLISECONDS = 3_000
 /** A stray request, as a check of the configuration sends, does not make an instance one to which callers come. */
 const WORKING_REQUESTS_PER_SECOND = 1
 
@@ -67,7 +67,7 @@
  * An instance waits this long for the rows before it takes itself for the only one: a store or a peer
  * that answers gives them in a tenth of it.
  */
-const FIRST_READ_MILLISECONDS = 1_500
+const FIRST_READ_TIMEOUT_MILLISECONDS = 1_500
 
 /** The members of the fleet, on one instance. */
 export class MemberDirectory {
@@ -83,7 +83,7 @@
    * Time during which this instance read the rows without a gap. Silence is counted in it: an
    * instance that was cut off itself must not take everybody else for gone when it is back.
    */
-  private contactTime: Milliseconds = 0
+  private observedTime: Milliseconds = 0
   private lastReadAt: Milliseconds | undefined
   /** Monotonic time from which the others know of this instance; undefined while its row was not seen. */
   private recordedSince: Milliseconds | undefined
@@ -127,7 +127,7 @@
   noteRead(): void {
     const now = this.parts.clock.monotonic()
     const gap = now - (this.lastReadAt ?? now)
-    this.contactTime += Math.min(gap, LONGEST_COUNTED_GAP_MILLISECONDS)
+    this.observedTime += Math.min(gap, LONGEST_COUNTED_GAP_MILLISECONDS)
     this.lastReadAt = now
   }
 
@@ -135,11 +135,12 @@
    * Whether it is known who else is there: all rows were told once, or nobody told them for a while. Callers who
    * ask before that are told nothing: each of a fleet that starts as one would name itself.
    */
-  get isKnown(): boolean {
+  get isInitialized(): boolean {
     if (this.loaded) return true
     const { startedAt } = this
     return (
-      startedAt !== undefined && this.parts.clock.monotonic() - startedAt >= FIRST_READ_MILLISECONDS
+      startedAt !== undefined &&
+      this.parts.clock.monotonic() - startedAt >= FIRST_READ_TIMEOUT_MILLISECONDS
     )
   }
 
@@ -150,7 +151,7 @@
   get recordedInstances(): readonly RecordedInstance[] | undefined {
     const since = this.recordedSince
     if (!this.loaded || since === undefined) return undefined
-    if (this.parts.clock.monotonic() - since < MUTUAL_MILLISECONDS) return undefined
+    if (this.parts.clock.monotonic() - since < VISIBILITY_DELAY_MILLISECONDS) return undefined
     return [...this.members.values()].map(({ row }) => ({
       instance: row.instance,
       isWorking: row.requestsPerSecond >= WORKING_REQUESTS_PER_SECOND,
@@ -158,7 +159,7 @@
   }
 
   /** Whether there is a row of this life of an instance, whatever its state. */
-  knows(instance: string, incarnation: string): boolean {
+  hasIncarnation(instance: string, incarnation: string): boolean {
     return this.members.get(instance)?.row.incarnation === incarnation
   }
 
@@ -179,7 +180,7 @@
   }
 
   /** How many times slower than in a small fleet heartbeats are, so that the store bears them. */
-  private get slowness(): number {
+  private get heartbeatSlowdown(): number {
     const { heartbeatMilliseconds, partitionWritesPerSecond } = this.parts
     const perSecond = (this.members.size * 1000) / heartbeatMilliseconds
     return Math.max(1, perSecond / (HEARTBEAT_SHARE * partitionWritesPerSecond))
@@ -195,14 +196,14 @@
     if (known?.version === row.version) return
     const parsed = memberRowCodec.decode(row.value)
     if (parsed === undefined) return this.parts.onMalformedRow(row)
-    this.members.set(row.key, { row: parsed, version: row.version, changedAt: this.contactTime })
-    this.tellOfChange(known?.row, parsed)
+    this.members.set(row.key, { row: parsed, version: row.version, changedAt: this.observedTime })
+    this.notifyChange(known?.row, parsed)
   }
 
-  private tellOfChange(before: MemberRow | undefined, row: MemberRow): void {
-    const { self, onRecorded, onStateChange } = this.parts
+  private notifyChange(before: MemberRow | undefined, row: MemberRow): void {
+    const { self, onRegistered, onStateChange } = this.parts
     const isNew = before?.incarnation !== row.incarnation
-    if (isNew && row.instance !== self.instance) onRecorded?.(false)
+    if (isNew && row.instance !== self.instance) onRegistered?.(false)
     if (before?.state !== row.state) onStateChange(row.instance, row.state)
   }
 
@@ -216,18 +217,18 @@
 
   private isServing(member: KnownMember): boolean {
     if (member.row.state !== 'serving') return false
-    return this.contactTime - member.changedAt < this.silenceOf(member)
+    return this.observedTime - member.changedAt < this.silenceTimeoutOf(member)
   }
 
   /** After this time without a change a member counts as gone. */
-  private silenceOf({ row }: KnownMember): Milliseconds {
+  private silenceTimeoutOf({ row }: KnownMember): Milliseconds {
     const { silenceMilliseconds, heartbeatMilliseconds } = this.parts
     return (silenceMilliseconds / heartbeatMilliseconds) * row.renewalMilliseconds
   }
 
   private async renew(): Promise<void> {
     await this.write()
-    await this.removeAbandoned()
+    await this.removeStaleRow()
     const { random, clock } = this.parts
     const delay = this.renewalMilliseconds * (0.9 + 0.2 * random.next())
     this.timer = clock.after(delay, () => void this.renew())
@@ -237,23 +238,24 @@
     this.heartbeat += 1
     const { store, clock, storeClock, isActive, heartbeatMilliseconds } = this.parts
     const factor = isActive() ? 1 : STANDBY_FACTOR
-    this.renewalMilliseconds = heartbeatMilliseconds * this.slowness * factor
+    this.renewalMilliseconds = heartbeatMilliseconds * this.heartbeatSlowdown * factor
     const value = memberRowCodec.encode(this.self)
     const sentAt = clock.monotonic()
     const puts = [{ ...this.address(), value }]
     const outcome = await store.write({ conditions: [], puts, removals: [] })
     if (outcome.kind !== 'done') return
-    storeClock.note(outcome.storeTime, sentAt)
+    storeClock.recordAnswer(outcome.storeTime, sentAt)
     if (this.wasWritten) return
     this.wasWritten = true
-    this.parts.onRecorded?.(true)
+    this.parts.onRegistered?.(true)
   }
 
   /** One instance in turn removes rows that nobody renews, so that they do not pile up. */
-  private async removeAbandoned(): Promise<void> {
+  private async removeStaleRow(): Promise<void> {
     const abandoned = [...this.members].find(
       ([, member]) =>
-        this.contactTime - member.changedAt > REMOVE_AFTER_SILENCES * this.silenceOf(member),
+        this.observedTime - member.changedAt >
+        REMOVE_AFTER_SILENCES * this.silenceTimeoutOf(member),
     )
     if (abandoned === undefined) return
     const [key, { version }] = abandoned
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -29,7 +29,7 @@
 const DEFAULT_MEMBERSHIP_TIMINGS: MembershipTimings = { silenceMilliseconds: 5_000 }
 
 /** Where a member is; that never changes. */
-export type MemberPlace = Pick<MemberInfo, 'incarnation' | 'region' | 'failureDomain'>
+export type MemberLocation = Pick<MemberInfo, 'incarnation' | 'region' | 'failureDomain'>
 
 interface KnownMember {
   info: MemberInfo
@@ -48,9 +48,9 @@
 }
 
 /** A member that was silent for longer than so many silences shares no bound any more. */
-const REMEMBERED_SILENCES = 12
+const RETENTION_SILENCES = 12
 /** Age up to which a view of the live members is used again. */
-const VIEW_MILLISECONDS = 50
+const VIEW_CACHE_MILLISECONDS = 50
 
 /** One heartbeat to send. */
 export interface PlannedHeartbeat {
@@ -68,11 +68,11 @@
   private readonly groups = new Map<string, KnownGroup>()
   /** Known members of each region, so that a group is found without looking at them all. */
   private readonly regionSizes = new Map<RegionId, number>()
-  private beat = 0
+  private roundNumber = 0
   private cached: LiveView | undefined
 
   constructor(
-    private readonly place: MemberPlace,
+    private readonly place: MemberLocation,
     private readonly describeSelf: () => MemberInfo,
     private readonly clock: Clock,
     private readonly random: RandomSource,
@@ -84,7 +84,7 @@
   }
 
   /** Takes in what a member says of itself; older news than known is ignored. */
-  hear(info: MemberInfo): void {
+  mergeMember(info: MemberInfo): void {
     if (info.incarnation === this.place.incarnation) return
     const known = this.members.get(info.incarnation)
     if (known !== undefined && known.info.heartbeat >= info.heartbeat) return
@@ -93,23 +93,23 @@
   }
 
   /** Takes in digests; gives the groups whose members have to be asked for. */
-  hearDigests(digests: readonly GroupDigest[]): readonly string[] {
-    return digests.filter(digest => this.hearDigest(digest)).map(digest => digest.group)
+  mergeDigests(digests: readonly GroupDigest[]): readonly string[] {
+    return digests.filter(digest => this.mergeDigest(digest)).map(digest => digest.group)
   }
 
   /** Replaces what is known of a group by what one of its members lists. */
-  hearMembers(group: string, infos: readonly MemberInfo[]): void {
+  replaceGroupMembers(group: string, infos: readonly MemberInfo[]): void {
     const listed = new Set(infos.map(info => info.incarnation))
     for (const [incarnation, known] of this.members) {
       if (this.groupOf(known.info) === group && !listed.has(incarnation)) {
         this.forget(incarnation)
       }
     }
-    for (const info of infos) this.hear(info)
+    for (const info of infos) this.mergeMember(info)
   }
 
   /** Live members, this instance included, in a stable order. */
-  live(): readonly MemberInfo[] {
+  liveMembers(): readonly MemberInfo[] {
     return this.view().members
   }
 
@@ -124,7 +124,7 @@
   isLive(incarnation: IncarnationId): boolean {
     if (incarnation === this.place.incarnation) return true
     const known = this.members.get(incarnation)
-    return known !== undefined && this.isHeard(known)
+    return known !== undefined && this.isRecentlyHeard(known)
   }
 
   /** What was last heard of a member, live or not. */
@@ -135,39 +135,41 @@
 
   /** The live incarnation of an instance. */
   findInstance(instanceId: InstanceId): MemberInfo | undefined {
-    return this.live().find(member => member.instanceId === instanceId)
+    return this.liveMembers().find(member => member.instanceId === instanceId)
   }
 
   /**
    * Instances that may be there though nothing was heard of them lately, this one included: those that share bounds of the
    * whole fleet, whichever parts of it hear each other.
    */
-  get rememberedInstances(): readonly InstanceId[] {
-    const oldest = this.clock.monotonic() - REMEMBERED_SILENCES * this.timings.silenceMilliseconds
+  get recentInstances(): readonly InstanceId[] {
+    const oldest = this.clock.monotonic() - RETENTION_SILENCES * this.timings.silenceMilliseconds
     const others = [...this.members.values()].filter(({ heardAt }) => heardAt >= oldest)
     return [...new Set([this.self, ...others.map(({ info }) => info)].map(info => info.instanceId))]
   }
 
   liveInRegion(region: RegionId): readonly MemberInfo[] {
-    return this.live().filter(member => member.region === region)
+    return this.liveMembers().filter(member => member.region === region)
   }
 
   /** Newest configuration revision that anybody is known to have in force. */
   newestRevision(): number {
-    const fromMembers = this.live().map(member => member.configurationRevision)
+    const fromMembers = this.liveMembers().map(member => member.configurationRevision)
     const fromGroups = [...this.groups.values()].map(known => known.digest.configurationRevision)
     return Math.max(0, ...fromMembers, ...fromGroups)
   }
 
   /** The heartbeats of this round: all of the own group, one of another group. */
   planHeartbeats(): readonly PlannedHeartbeat[] {
-    this.beat += 1
-    const others = this.live().filter(member => member.incarnation !== this.place.incarnation)
+    this.roundNumber += 1
+    const others = this.liveMembers().filter(
+      member => member.incarnation !== this.place.incarnation,
+    )
     const ownGroup = this.ownGroup
     const near = others.filter(member => this.groupOf(member) === ownGroup)
     const far = others.filter(member => this.groupOf(member) !== ownGroup)
     const digests = this.digests()
-    const nearDigests = this.beat % DIGEST_PERIOD === 0 ? digests : []
+    const nearDigests = this.roundNumber % DIGEST_PERIOD === 0 ? digests : []
     const planned = near.map(member => ({ target: member.incarnation, digests: nearDigests }))
     const chosen = far[randomBelow(this.random, far.length)]
     if (chosen === undefined) return planned
@@ -183,14 +185,15 @@
 
   /** Live members of a group. */
   membersOf(group: string): readonly MemberInfo[] {
-    return this.live().filter(member => this.groupOf(member) === group)
+    return this.liveMembers().filter(member => this.groupOf(member) === group)
   }
 
   /** Decisions ask for this often; liveness changes over seconds. */
   private view(): LiveView {
     const now = this.clock.monotonic()
-    if (this.cached !== undefined && now - this.cached.at < VIEW_MILLISECONDS) return this.cached
-    const others = [...this.members.values()].filter(known => this.isHeard(known))
+    if (this.cached !== undefined && now - this.cached.at < VIEW_CACHE_MILLISECONDS)
+      return this.cached
+    const others = [...this.members.values()].filter(known => this.isRecentlyHeard(known))
     const members = [this.self, ...others.map(known => known.info)].sort(byIncarnation)
     this.cached = { at: now, members, incarnations: members.map(member => member.incarnation) }
     return this.cached
@@ -225,7 +228,7 @@
   }
 
   /** True when the group's members are not the ones known here. */
-  private hearDigest(digest: GroupDigest): boolean {
+  private mergeDigest(digest: GroupDigest): boolean {
     if (digest.group === this.ownGroup) return false
     const known = this.groups.get(digest.group)
     const isNews = known === undefined || digest.beat !== known.digest.beat
@@ -235,7 +238,7 @@
     return isNews && hashOf(this.membersOf(digest.group)) !== digest.membersHash
   }
 
-  private isHeard(known: KnownMember): boolean {
+  private isRecentlyHeard(known: KnownMember): boolean {
     const oldest = this.clock.monotonic() - this.timings.silenceMilliseconds
     const group = this.groups.get(this.groupOf(known.info))
     const isGroupMate = this.groupOf(known.info) === this.ownGroup
@@ -257,7 +260,7 @@
     return this.groupOf(this.place)
   }
 
-  private groupOf(member: MemberPlace): string {
+  private groupOf(member: MemberLocation): string {
     return this.isRegionSmall(member.region) ? member.region : member.failureDomain
   }
 
--- a/packages/coordination/src/membership/reaper.ts
+++ b/packages/coordination/src/membership/reaper.ts
@@ -30,54 +30,54 @@
  * instances lost power at once, nearly all tokens of every budget are held by such processes.
  */
 export class Reaper {
-  private readonly missedSince = new Map<IncarnationId, Milliseconds>()
+  private readonly missingSince = new Map<IncarnationId, Milliseconds>()
   /** Incarnations whose addresses other incarnations of their instances serve. */
-  private succeeded: ReadonlySet<IncarnationId> = new Set()
+  private superseded: ReadonlySet<IncarnationId> = new Set()
   private readonly sealer: Sealer
 
   constructor(private readonly parts: ReaperParts) {
-    this.sealer = parts.createSealer(incarnation => this.isKnownGone(incarnation))
+    this.sealer = parts.createSealer(incarnation => this.isConfirmedDead(incarnation))
   }
 
   /** One look at all registered incarnations. */
-  async round(listed: readonly ListedInstance[]): Promise<void> {
+  async reapOnce(listed: readonly ListedInstance[]): Promise<void> {
     const records = await this.parts.registry.list()
-    this.noteMissing(records, listed)
-    this.noteSucceeded(records)
+    this.updateMissing(records, listed)
+    this.updateSuperseded(records)
     for (const record of records) {
-      if (this.isKnownGone(record.incarnation)) await this.reap(record)
+      if (this.isConfirmedDead(record.incarnation)) await this.reap(record)
     }
   }
 
   /** Whether the platform has long enough said that this incarnation is no more. */
-  isKnownGone(incarnation: IncarnationId): boolean {
+  isConfirmedDead(incarnation: IncarnationId): boolean {
     if (this.parts.membership.isLive(incarnation)) return false
-    if (this.succeeded.has(incarnation)) return true
-    const since = this.missedSince.get(incarnation)
+    if (this.superseded.has(incarnation)) return true
+    const since = this.missingSince.get(incarnation)
     if (since === undefined) return false
     return this.parts.clock.monotonic() - since >= this.parts.listLagMilliseconds
   }
 
-  private noteMissing(
+  private updateMissing(
     records: readonly IncarnationRecord[],
     listed: readonly ListedInstance[],
   ): void {
     const present = new Set(listed.map(instance => instance.instanceId))
     for (const record of records) {
       const isMissing = !present.has(record.instanceId) || this.isReplaced(record)
-      if (!isMissing) this.missedSince.delete(record.incarnation)
-      else if (!this.missedSince.has(record.incarnation)) {
-        this.missedSince.set(record.incarnation, this.parts.clock.monotonic())
+      if (!isMissing) this.missingSince.delete(record.incarnation)
+      else if (!this.missingSince.has(record.incarnation)) {
+        this.missingSince.set(record.incarnation, this.parts.clock.monotonic())
       }
     }
   }
 
-  private noteSucceeded(records: readonly IncarnationRecord[]): void {
+  private updateSuperseded(records: readonly IncarnationRecord[]): void {
     const succeeded = records.filter(record => {
       const current = this.parts.membership.findInstance(record.instanceId)
       return this.isReplaced(record) && current?.peerAddress === record.peerAddress
     })
-    this.succeeded = new Set(succeeded.map(({ incarnation }) => incarnation))
+    this.superseded = new Set(succeeded.map(({ incarnation }) => incarnation))
   }
 
   private isReplaced(record: IncarnationRecord): boolean {
@@ -89,6 +89,6 @@
     const { incarnation } = record
     if ((await this.sealer.seal(record)) !== 'sealed') return
     const outcome = await this.parts.reclaimer.reclaim(incarnation)
-    if (outcome === 'reclaimed') this.missedSince.delete(incarnation)
+    if (outcome === 'reclaimed') this.missingSince.delete(incarnation)
   }
 }
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -7,8 +7,8 @@
 import type { IncarnationId, RandomSource, TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService } from '@rackwalk/stores'
 import type { Counters } from '../counters.js'
-import type { HeldArchive } from '../journal/heldArchive.js'
-import type { HeldItem, JournalSlot } from '../journal/journalEntry.js'
+import type { HeldEntryArchive } from '../journal/heldEntryArchive.js'
+import type { HeldEntry, JournalSlot } from '../journal/journalEntry.js'
 import { journalSlotCodec, lastIndexOf } from '../journal/journalEntry.js'
 import { readJournal } from '../journal/journalReader.js'
 import type { PeerChannel } from '../peerMessages.js'
@@ -35,9 +35,9 @@
   readonly random: RandomSource
   readonly counters: Counters
   /** Whether the platform has said that this incarnation's machine no longer exists. */
-  readonly isKnownGone: (incarnation: IncarnationId) => boolean
+  readonly isConfirmedDead: (incarnation: IncarnationId) => boolean
   /** Has entries of writers whose holders may be gone. */
-  readonly archive?: HeldArchive
+  readonly archive?: HeldEntryArchive
 }
 
 /**
@@ -77,15 +77,15 @@
   }
 
   /** Undefined when a peer that may hold something did not answer. */
-  private async collect(target: IncarnationRecord): Promise<readonly HeldItem[] | undefined> {
+  private async collect(target: IncarnationRecord): Promise<readonly HeldEntry[] | undefined> {
     const registered = await this.parts.registry.list()
     const holders = registered.filter(
       record =>
         record.region === target.region &&
         record.incarnation !== target.incarnation &&
-        !this.parts.isKnownGone(record.incarnation),
+        !this.parts.isConfirmedDead(record.incarnation),
     )
-    const collected = new Map<number, HeldItem>()
+    const collected = new Map<number, HeldEntry>()
     for (const holder of holders) {
       const items = await this.collectFrom(holder.incarnation, target.incarnation)
       if (items === undefined) return undefined
@@ -107,11 +107,11 @@
   }
 
   /** Writes held entries and the seal; ends when the journal's last slot is a seal. */
-  private async write(target: IncarnationId, held: readonly HeldItem[]): Promise<void> {
+  private async write(target: IncarnationId, held: readonly HeldEntry[]): Promise<void> {
     const outdated = new Set<number>()
     for (;;) {
       const journal = await readJournal(this.parts.table, target)
-      if (journal.sealed) return
+      if (journal.isSealed) return
       const last = lastIndexOf(journal.slots)
       const missing = held.filter(item => item.index > last)
       const part = takePart(missing)
@@ -128,7 +128,7 @@
     }
   }
 
-  private slotOf(part: readonly HeldItem[], isLast: boolean): JournalSlot {
+  private slotOf(part: readonly HeldEntry[], isLast: boolean): JournalSlot {
     const entries = part.map(({ index, entry }) => ({ index, entry }))
     if (!isLast) return { kind: 'batch', entries }
     return { kind: 'seal', sealedBy: this.parts.incarnation, entries }
@@ -143,7 +143,7 @@
   target: IncarnationId,
   number: number,
   slot: JournalSlot,
-  attached: readonly HeldItem[],
+  attached: readonly HeldEntry[],
 ): readonly RowWrite[] {
   const put: RowWrite = {
     kind: 'put',
@@ -155,9 +155,9 @@
 }
 
 /** As many items as one slot and one transaction take. */
-function takePart(items: readonly HeldItem[]): readonly HeldItem[] {
+function takePart(items: readonly HeldEntry[]): readonly HeldEntry[] {
   let attachments = 0
-  const part: HeldItem[] = []
+  const part: HeldEntry[] = []
   for (const item of items.slice(0, ENTRIES_PER_SLOT)) {
     if (item.attachment !== undefined) attachments += 1
     if (attachments > ATTACHMENTS_PER_SLOT) break
--- a/packages/coordination/src/nodeHandlers.ts
+++ b/packages/coordination/src/peerHandlers.ts
@@ -1,16 +1,16 @@
 /** One handler for each kind of message between instances of the OpenAI-style kind. */
 
-import type { AdviceNews, CrashNews } from '@rackwalk/decisions'
+import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
 import type { IncarnationId } from '@rackwalk/shared'
 import type { BudgetLedger } from './budget/budgetLedger.js'
 import type { Claims } from './claims/claims.js'
 import type { KeyRegistrar } from './claims/keyRegistrar.js'
 import type { ConfigurationFollower } from './configuration/configurationFollower.js'
-import type { CommitJoiner } from './journal/domainCommitter.js'
-import type { HeldItems } from './journal/heldItems.js'
+import type { BatchCoalescer } from './journal/domainCommitter.js'
+import type { HeldEntryStore } from './journal/heldEntryStore.js'
 import type { Membership } from './membership/membership.js'
 import type { MemberInfo, PeerHandlers } from './peerMessages.js'
-import type { SegmentArchive } from './segmentArchive.js'
+import type { DecisionArchive } from './segmentArchive.js'
 
 /** What the messages of peers reach. */
 export interface NodeHandlerParts {
@@ -18,42 +18,42 @@
   readonly ledger: BudgetLedger
   readonly claims: Claims
   readonly configuration: ConfigurationFollower
-  readonly archive: SegmentArchive
-  readonly held: HeldItems
+  readonly archive: DecisionArchive
+  readonly held: HeldEntryStore
   readonly registrar: KeyRegistrar
-  readonly joiner: CommitJoiner
+  readonly coalescer: BatchCoalescer
   readonly describe: () => MemberInfo
-  readonly mayHold: () => boolean
+  readonly canHoldEntries: () => boolean
   readonly drain: () => Promise<void>
-  readonly noteCrashes: (news: CrashNews) => void
-  readonly noteAdvice: (news: readonly AdviceNews[]) => void
+  readonly noteCrashes: (news: CrashGossip) => void
+  readonly noteAdvice: (news: readonly AdviceGossip[]) => void
   readonly askForMembers: (target: IncarnationId, group: string) => Promise<void>
 }
 
 /** One handler for each kind of message between instances. */
-export function createNodeHandlers(parts: NodeHandlerParts): PeerHandlers {
-  const { membership, ledger, claims, configuration, archive, held, registrar, joiner } = parts
+export function createPeerHandlers(parts: NodeHandlerParts): PeerHandlers {
+  const { membership, ledger, claims, configuration, archive, held, registrar, coalescer } = parts
   return {
     heartbeat: ({ sender, digests }) => {
-      membership.hear(sender)
-      for (const group of membership.hearDigests(digests)) {
+      membership.mergeMember(sender)
+      for (const group of membership.mergeDigests(digests)) {
         void parts.askForMembers(sender.incarnation, group)
       }
       return { receiver: parts.describe() }
     },
     members: ({ group }) => ({ members: membership.membersOf(group) }),
-    hold: ({ writer, items }) => ({ held: parts.mayHold() && held.hold(writer, items) }),
+    hold: ({ writer, items }) => ({ held: parts.canHoldEntries() && held.hold(writer, items) }),
     releaseHeld: ({ writer, throughIndex }) => {
       held.release(writer, throughIndex)
       return {}
     },
     collectHeld: ({ writer }) => ({ items: held.collect(writer) }),
     lend: request => ledger.lend(request),
-    claimState: request => claims.answer(request),
+    claimState: request => claims.answerClaimState(request),
     registerKey: request => registrar.register(request),
     endKey: request => registrar.end(request),
-    commitBatch: request => joiner.commit(request),
-    configurationSince: request => configuration.answer(request),
+    commitBatch: request => coalescer.commit(request),
+    configurationSince: request => configuration.answerPeer(request),
     crashNews: news => {
       parts.noteCrashes(news)
       return {}
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -3,7 +3,7 @@
  * them. Their forms on the wire stand in peerForms.ts.
  */
 
-import type { AdviceNews, CrashNews } from '@rackwalk/decisions'
+import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
 import type {
   BudgetId,
   FailureDomainId,
@@ -19,7 +19,7 @@
   TransferId,
 } from '@rackwalk/shared'
 import type { JsonValue, RowWrite, TransactResult } from '@rackwalk/stores'
-import type { HeldItem } from './journal/journalEntry.js'
+import type { HeldEntry } from './journal/journalEntry.js'
 import type { ClaimState } from './claims/claimRow.js'
 
 /** What an instance does with new requests. */
@@ -84,7 +84,7 @@
     reply: { readonly members: readonly MemberInfo[] }
   }
   hold: {
-    request: { readonly writer: IncarnationId; readonly items: readonly HeldItem[] }
+    request: { readonly writer: IncarnationId; readonly items: readonly HeldEntry[] }
     reply: { readonly held: boolean }
   }
   releaseHeld: {
@@ -93,7 +93,7 @@
   }
   collectHeld: {
     request: { readonly writer: IncarnationId }
-    reply: { readonly items: readonly HeldItem[] }
+    reply: { readonly items: readonly HeldEntry[] }
   }
   lend: {
     request: {
@@ -144,12 +144,12 @@
   }
   /** Tells of requests that end endpoints, at once; heartbeats would be too late. */
   crashNews: {
-    request: CrashNews
+    request: CrashGossip
     reply: Record<string, never>
   }
   /** Tells what endpoints say of themselves, at once. */
   adviceNews: {
-    request: { readonly news: readonly AdviceNews[] }
+    request: { readonly news: readonly AdviceGossip[] }
     reply: Record<string, never>
   }
   /** Asks an instance to take no new requests. */
--- a/packages/coordination/src/prepaid/accountReport.ts
+++ b/packages/coordination/src/prepaid/accountReport.ts
@@ -29,7 +29,7 @@
 export class AccountReport {
   private readonly shortage: BudgetShortage
   /** Monotonic time at which rows of the budget were last told here. */
-  private sightedAt: Milliseconds | undefined
+  private rowsSeenAt: Milliseconds | undefined
 
   constructor(private readonly parts: AccountReportParts) {
     this.shortage = new BudgetShortage(parts.clock)
@@ -41,19 +41,19 @@
   }
 
   /** Rows of the budget were told here. */
-  noteSight(): void {
-    this.sightedAt = this.parts.clock.monotonic()
+  recordRowsSeen(): void {
+    this.rowsSeenAt = this.parts.clock.monotonic()
   }
 
   /** A caller was refused tokens that other instances hold, or that are out of reach. */
-  noteRefused(): void {
-    if (this.shortage.noteRefused()) this.tell('budget_short', this.describe())
+  recordRefusal(): void {
+    if (this.shortage.recordRefusal()) this.emitEvent('budget_short', this.describe())
   }
 
   /** Tells the end of an episode that is over; call it now and then. */
-  tellEnded(): void {
+  reportEndedShortage(): void {
     const ended = this.shortage.takeEnded()
-    if (ended !== undefined) this.tell('budget_covered', { ...ended })
+    if (ended !== undefined) this.emitEvent('budget_covered', { ...ended })
   }
 
   /** What is known here, for decision records and logs. */
@@ -70,21 +70,21 @@
       assumedSpent: view.pool?.assumedSpent ?? 0,
       othersUnspent: view.unspentOf(others),
       demand: Math.round(demandPerSecond()),
-      toldDemand: view.demandOfAll,
+      toldDemand: view.totalDemandPerSecond,
       sharers: others.length + 1,
-      sightAge: this.sightAge,
+      sightAge: this.rowsAge,
       callAge: callAge(),
     }
   }
 
   /** Tells an event of this budget. */
-  tell(event: string, fields: Readonly<Record<string, unknown>>): void {
+  emitEvent(event: string, fields: Readonly<Record<string, unknown>>): void {
     this.parts.onEvent(event, { budget: this.parts.budget, ...fields })
   }
 
   /** Time since rows of the budget were last told here. */
-  get sightAge(): Milliseconds | undefined {
-    if (this.sightedAt === undefined) return undefined
-    return Math.round(this.parts.clock.monotonic() - this.sightedAt)
+  get rowsAge(): Milliseconds | undefined {
+    if (this.rowsSeenAt === undefined) return undefined
+    return Math.round(this.parts.clock.monotonic() - this.rowsSeenAt)
   }
 }
--- a/packages/coordination/src/prepaid/borrower.ts
+++ b/packages/coordination/src/prepaid/borrower.ts
@@ -26,7 +26,7 @@
 }
 
 /** What came of borrowing for one request. */
-export interface Borrowing {
+export interface BorrowResult {
   /** Undefined where the loans do not add up; they are repaid then. */
   readonly loans: readonly Loan[] | undefined
   /** Every lender that was asked, in order. */
@@ -34,9 +34,9 @@
 }
 
 /** A lender that gave no answer is not asked again for this long. */
-const SILENT_MILLISECONDS = 1_000
+const SILENT_BACKOFF_MILLISECONDS = 1_000
 /** A lender that had too little of a budget is not asked for it again for this long. */
-const SHORT_MILLISECONDS = 200
+const SHORT_BACKOFF_MILLISECONDS = 200
 /** Lenders that one request asks at most. */
 const LENDERS_ASKED = 6
 /** Time that a lender may take for a transaction of its own. */
@@ -49,7 +49,7 @@
   private readonly silentUntil = new Map<string, Milliseconds>()
   private readonly shortUntil = new Map<string, Milliseconds>()
   /** Questions to each lender that are not answered yet. */
-  private readonly openQuestions = new Map<string, number>()
+  private readonly inFlightRequests = new Map<string, number>()
   private loans = 0
 
   constructor(private readonly parts: BorrowerParts) {}
@@ -63,12 +63,12 @@
     tokens: TokenCount,
     lenders: readonly string[],
     patience: Milliseconds,
-  ): Promise<Borrowing> {
+  ): Promise<BorrowResult> {
     const endsAt = this.parts.clock.monotonic() + patience
     const loans: Loan[] = []
     const answers: LenderAnswer[] = []
     let missing = tokens
-    for (const lender of this.worthAsking(budget, lenders)) {
+    for (const lender of this.eligibleLenders(budget, lenders)) {
       const askedAt = this.parts.clock.monotonic()
       if (askedAt >= endsAt) break
       const asked = missing
@@ -86,7 +86,7 @@
 
   /** Tells the lender what of a loan was spent; a lender never reached counts all of it. */
   repay(budget: string, loan: Loan, spent: TokenCount): void {
-    void this.repayUntilTaken(budget, loan, spent)
+    void this.repayWithRetries(budget, loan, spent)
   }
 
   /**
@@ -94,13 +94,13 @@
    * come together would all wait for the first one, and then all take it for silent. Those that give no sign of life come
    * last: waiting for one of them takes longer than a request may borrow, so that nobody else would be asked.
    */
-  private worthAsking(budget: string, lenders: readonly string[]): readonly string[] {
+  private eligibleLenders(budget: string, lenders: readonly string[]): readonly string[] {
     const now = this.parts.clock.monotonic()
     const isRested = (time: Milliseconds | undefined) => time === undefined || time <= now
     return lenders
       .filter(lender => isRested(this.silentUntil.get(lender)))
       .filter(lender => isRested(this.shortUntil.get(`${lender}/${budget}`)))
-      .sort((left, right) => this.questionsTo(left) - this.questionsTo(right))
+      .sort((left, right) => this.inFlightTo(left) - this.inFlightTo(right))
       .sort((left, right) => Number(this.isSilent(left)) - Number(this.isSilent(right)))
       .slice(0, LENDERS_ASKED)
   }
@@ -110,18 +110,18 @@
     this.loans += 1
     const id = `${this.parts.incarnation}/${this.loans}`
     const patienceMilliseconds = LENDER_PATIENCE_MILLISECONDS
-    const lent = await this.counted(
+    const lent = await this.trackInFlight(
       lender,
-      this.parts.channel.ask(lender, { id, budget, tokens, patienceMilliseconds }),
+      this.parts.channel.requestLoan(lender, { id, budget, tokens, patienceMilliseconds }),
     )
     const now = this.parts.clock.monotonic()
     if (lent === undefined) {
-      this.silentUntil.set(lender, now + SILENT_MILLISECONDS)
+      this.silentUntil.set(lender, now + SILENT_BACKOFF_MILLISECONDS)
       // The loan may have been given although the answer was lost.
       this.repay(budget, { lender, id, tokens }, 0)
       return undefined
     }
-    if (lent < tokens) this.shortUntil.set(`${lender}/${budget}`, now + SHORT_MILLISECONDS)
+    if (lent < tokens) this.shortUntil.set(`${lender}/${budget}`, now + SHORT_BACKOFF_MILLISECONDS)
     return { lender, id, tokens: Math.min(lent, tokens) }
   }
 
@@ -129,21 +129,21 @@
     return this.parts.channel.isSilent?.(lender) === true
   }
 
-  private questionsTo(lender: string): number {
-    return this.openQuestions.get(lender) ?? 0
+  private inFlightTo(lender: string): number {
+    return this.inFlightRequests.get(lender) ?? 0
   }
 
   /** Counts a question to a lender until it is answered. */
-  private async counted<Answer>(lender: string, question: Promise<Answer>): Promise<Answer> {
-    this.openQuestions.set(lender, this.questionsTo(lender) + 1)
+  private async trackInFlight<Answer>(lender: string, question: Promise<Answer>): Promise<Answer> {
+    this.inFlightRequests.set(lender, this.inFlightTo(lender) + 1)
     try {
       return await question
     } finally {
-      this.openQuestions.set(lender, this.questionsTo(lender) - 1)
+      this.inFlightRequests.set(lender, this.inFlightTo(lender) - 1)
     }
   }
 
-  private async repayUntilTaken(budget: string, loan: Loan, spent: TokenCount): Promise<void> {
+  private async repayWithRetries(budget: string, loan: Loan, spent: TokenCount): Promise<void> {
     for (let attempt = 0; attempt < REPAY_ATTEMPTS; attempt += 1) {
       if (await this.parts.channel.repay(loan.lender, { id: loan.id, budget, spent })) return
       await sleep(this.parts.clock, REPAY_RETRY_MILLISECONDS * 2 ** attempt)
--- a/packages/coordination/src/prepaid/budgetShortage.ts
+++ b/packages/coordination/src/prepaid/budgetShortage.ts
@@ -34,7 +34,7 @@
   }
 
   /** A caller was refused tokens that exist; true where an episode begins with it. */
-  noteRefused(): boolean {
+  recordRefusal(): boolean {
     const now = this.clock.monotonic()
     if (this.episode !== undefined) {
       this.episode.lastAt = now
--- a/packages/coordination/src/prepaid/demandMeter.ts
+++ b/packages/coordination/src/prepaid/demandMeter.ts
@@ -8,11 +8,11 @@
 /** After so long without demand the next one is taken for the beginning of another. */
 const IDLE_MILLISECONDS = 2 * DEMAND_WINDOW_MILLISECONDS
 /** A single request is not taken for the demand of less time than this. */
-const SHORTEST_SEEN_MILLISECONDS = 2_000
+const MINIMUM_WINDOW_MILLISECONDS = 2_000
 
 /** Measures tokens a second with exponential forgetting. */
 export class DemandMeter {
-  private weighted = 0
+  private decayedTotal = 0
   private countedAt: Milliseconds
   private addedAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** Beginning of the present demand. */
@@ -21,36 +21,38 @@
   constructor(
     private readonly clock: Clock,
     /** The longer, the less a single request says; the window's length takes each for one of many. */
-    private readonly shortestSeen: Milliseconds = SHORTEST_SEEN_MILLISECONDS,
+    private readonly shortestSeen: Milliseconds = MINIMUM_WINDOW_MILLISECONDS,
   ) {
     this.startedAt = clock.monotonic()
     this.countedAt = this.startedAt
   }
 
   add(tokens: TokenCount): void {
-    this.forget()
+    this.decay()
     if (this.countedAt - this.addedAt > IDLE_MILLISECONDS) this.startedAt = this.countedAt
     this.addedAt = this.countedAt
-    this.weighted = Math.max(0, this.weighted + tokens)
+    this.decayedTotal = Math.max(0, this.decayedTotal + tokens)
   }
 
   get perSecond(): number {
-    this.forget()
-    return (this.weighted * 1000) / Math.max(this.shortestSeen, this.seenMilliseconds)
+    this.decay()
+    return (
+      (this.decayedTotal * 1000) / Math.max(this.shortestSeen, this.effectiveWindowMilliseconds)
+    )
   }
 
   /**
    * What the window has seen of the present demand, weighted as the demand is. Counted from the start of
    * the process instead, the first second of demand reads as a sixth of it.
    */
-  private get seenMilliseconds(): Milliseconds {
+  private get effectiveWindowMilliseconds(): Milliseconds {
     const age = this.countedAt - this.startedAt
     return DEMAND_WINDOW_MILLISECONDS * (1 - Math.exp(-age / DEMAND_WINDOW_MILLISECONDS))
   }
 
-  private forget(): void {
+  private decay(): void {
     const now = this.clock.monotonic()
-    this.weighted *= Math.exp((this.countedAt - now) / DEMAND_WINDOW_MILLISECONDS)
+    this.decayedTotal *= Math.exp((this.countedAt - now) / DEMAND_WINDOW_MILLISECONDS)
     this.countedAt = now
   }
 }
--- a/packages/coordination/src/prepaid/holdingState.ts
+++ b/packages/coordination/src/prepaid/holdingState.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Clock, Milliseconds, TokenCount, Version } from '@rackwalk/shared'
-import { committedBound, timeOfBound } from '@rackwalk/decisions'
+import { committedBound, timeUntilCommitted } from '@rackwalk/decisions'
 import type { HolderRow } from './prepaidRows.js'
 
 /** A holder row of this incarnation that is, or may come to be, in the store. */
@@ -14,7 +14,7 @@
   readonly ahead: TokenCount
   readonly sentAt: Milliseconds
   /** The version that the row must replace; with any other it can never take effect. */
-  readonly replaces: Version
+  readonly expectedVersion: Version
 }
 
 /**
@@ -69,7 +69,7 @@
     if (rows.length === 0 || tokens > this.unspent) return undefined
     const now = this.clock.monotonic()
     const waits = rows.map(({ row, sentAt }) => {
-      const time = timeOfBound(row, this.committedTokens + tokens)
+      const time = timeUntilCommitted(row, this.committedTokens + tokens)
       return time === undefined ? undefined : Math.max(0, time - (now - sentAt))
     })
     return waits.includes(undefined) ? undefined : Math.max(...waits.filter(isNumber))
@@ -109,19 +109,19 @@
   }
 
   /** A row is about to be sent; from now on its bounds hold as well. */
-  send(row: HolderRow, ahead: TokenCount, replaces: Version): void {
+  recordSent(row: HolderRow, ahead: TokenCount, expectedVersion: Version): void {
     this.sequence = row.sequence
-    this.unresolved.push({ row, ahead, sentAt: this.clock.monotonic(), replaces })
+    this.unresolved.push({ row, ahead, sentAt: this.clock.monotonic(), expectedVersion })
   }
 
   /**
    * The store was seen to have the row of this sequence, as this version. Rows sent to replace
    * an earlier version are resolved by that; one sent since may still take effect.
    */
-  observe(sequence: number, version: Version): void {
+  confirmRow(sequence: number, version: Version): void {
     const taken = this.unresolved.find(({ row }) => row.sequence === sequence)
     if (taken !== undefined) this.confirmed = taken
-    this.unresolved = this.unresolved.filter(({ replaces }) => replaces >= version)
+    this.unresolved = this.unresolved.filter(({ expectedVersion }) => expectedVersion >= version)
   }
 
   /** The store did not take the row of this sequence and never will. */
@@ -130,7 +130,7 @@
   }
 
   /** The row in the store is no longer this incarnation's: nothing may be spent. */
-  lose(): void {
+  invalidate(): void {
     this.confirmed = undefined
     this.unresolved = []
   }
--- a/packages/coordination/src/prepaid/loan.ts
+++ b/packages/coordination/src/prepaid/loan.ts
@@ -35,7 +35,7 @@
 /** Carries loans between instances; both calls may fail without an error. */
 export interface LoanChannel {
   /** Tokens lent, 0 where none; undefined where no answer came. */
-  ask(lender: string, request: LoanRequest): Promise<TokenCount | undefined>
+  requestLoan(lender: string, request: LoanRequest): Promise<TokenCount | undefined>
   /** True once the lender has taken note. */
   repay(lender: string, repayment: LoanRepayment): Promise<boolean>
   /** Whether a lender gives no sign of life any more; none does where this is left out. */
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -104,7 +104,7 @@
   }
 
   /** Tokens a second that callers of all holders ask for, as their rows tell. */
-  get demandOfAll(): number {
+  get totalDemandPerSecond(): number {
     let demand = 0
     for (const { row } of this.holders.values()) demand += row?.demandPerSecond ?? 0
     return demand
@@ -114,7 +114,7 @@
    * Other holders whose callers ask for tokens, by rows written at or after `since` (time of the
    * store). Membership learns seconds later that callers come to an instance that stands by.
    */
-  askersSince(since: Milliseconds): readonly string[] {
+  requestersSince(since: Milliseconds): readonly string[] {
     const askers: string[] = []
     for (const [instance, { row }] of this.holders) {
       if (instance === this.instance || row === undefined) continue
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -4,7 +4,7 @@
  * PartitionView for what the others hold, and on writePlan for what the next write says.
  */
 
-import { askingSince, budgetLenders, budgetSharers } from '@rackwalk/decisions'
+import { demandValidSince, budgetLenders, budgetSharers } from '@rackwalk/decisions'
 import type { BudgetView, HoldingPolicy } from '@rackwalk/decisions'
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -24,7 +24,7 @@
   poolRowCodec,
 } from './prepaidRows.js'
 import type { PoolRow } from './prepaidRows.js'
-import { StoreContact } from './storeContact.js'
+import { StoreHealth } from './storeHealth.js'
 import type { PrepaidOutcome, RefusedOutcome, ReservedOutcome } from './prepaidOutcome.js'
 import { PartitionView } from './partitionView.js'
 import type { RowUpdate } from './partitionView.js'
@@ -70,7 +70,7 @@
  * Age of the rows at which an instance that stands by reads them again: what others hold and ask for
  * decides how much it holds; whether the pool has enough each write finds out by itself.
  */
-const STANDBY_SIGHT_MILLISECONDS = 1_000
+const STANDBY_STALENESS_MILLISECONDS = 1_000
 /** Tokens a second below which an instance that stands by asks for no holding: as rows round. */
 const LEAST_DEMAND_PER_SECOND = 1
 /** Tries to give everything back at a planned stop; the grace time ends them earlier. */
@@ -88,9 +88,9 @@
   private configurationVersion = 0
   private readonly waiting: WaitingRequests
   private writing: Promise<void> | undefined
-  private readonly contact: StoreContact
+  private readonly storeHealth: StoreHealth
   private largest: TokenCount = 0
-  private left = false
+  private isClosed = false
   private readonly report: AccountReport
 
   constructor(private readonly parts: PrepaidAccountParts) {
@@ -100,8 +100,8 @@
     this.view = new PartitionView(parts.instance, key => parts.onMalformedRow(this.addressOf(key)))
     this.waiting = new WaitingRequests(parts.clock)
     this.report = this.createReport()
-    this.contact = new StoreContact(parts.clock, reason => {
-      this.report.tell('prepaid_store_lost', { reason })
+    this.storeHealth = new StoreHealth(parts.clock, reason => {
+      this.report.emitEvent('prepaid_store_lost', { reason })
     })
   }
 
@@ -111,23 +111,23 @@
     this.configurationVersion = configurationVersion
     if (this.limit === limit) return
     this.limit = limit
-    if (this.parts.isActive()) this.kick()
+    if (this.parts.isActive()) this.startWrite()
   }
 
   /** Takes in rows of this partition; with `isWhole` they are all that there are. */
   observe(rows: readonly RowUpdate[], isWhole: boolean): void {
-    this.sight(rows, isWhole)
+    this.applyRows(rows, isWhole)
     this.noteOwnRow()
   }
 
   /** Sets tokens aside, waiting at most `patience` for the store. */
   reserve(tokens: TokenCount, patience: Milliseconds): Promise<PrepaidOutcome> {
-    this.noteDemand(tokens)
-    return this.setAside(tokens, patience)
+    this.recordDemand(tokens)
+    return this.reserveLocally(tokens, patience)
   }
 
   /** A caller here asks for tokens, whoever may hold them. */
-  noteDemand(tokens: TokenCount): void {
+  recordDemand(tokens: TokenCount): void {
     this.demand.add(tokens)
     this.largest = Math.max(tokens, this.largest * LARGEST_DECAY)
   }
@@ -139,7 +139,7 @@
 
   /** Commits what may be committed at once, at most the tokens asked for. */
   takeAvailable(tokens: TokenCount): TokenCount {
-    if (this.left) return 0
+    if (this.isClosed) return 0
     const taken = Math.min(tokens, this.holding.allowance)
     this.holding.commit(taken)
     this.spending.add(taken)
@@ -149,30 +149,31 @@
   async lend(tokens: TokenCount, patience: Milliseconds): Promise<TokenCount> {
     const within = Math.min(tokens, this.reachable)
     if (within <= 0) return 0
-    const outcome = await this.setAside(within, patience)
+    const outcome = await this.reserveLocally(within, patience)
     return outcome.kind === 'reserved' ? within : this.takeAvailable(tokens)
   }
 
   /** Instances to ask for tokens of this budget, the likeliest first. */
   get lenders(): readonly string[] {
-    return budgetLenders(this.view.lenders, this.others, this.report.sightAge)
+    return budgetLenders(this.view.lenders, this.others, this.report.rowsAge)
   }
 
   /** Sets tokens aside in this holding, for whoever asks. */
-  setAside(tokens: TokenCount, patience: Milliseconds): Promise<PrepaidOutcome> {
-    if (!this.left && tokens <= this.holding.allowance) {
+  reserveLocally(tokens: TokenCount, patience: Milliseconds): Promise<PrepaidOutcome> {
+    if (!this.isClosed && tokens <= this.holding.allowance) {
       this.holding.commit(tokens)
       return Promise.resolve(this.reserved(tokens, 'held'))
     }
-    if (this.contact.isOutOfReach || this.left) return Promise.resolve(this.refused(tokens))
-    if (this.contact.isSlowerThan(patience)) {
+    if (this.storeHealth.isUnavailable || this.isClosed)
+      return Promise.resolve(this.refused(tokens))
+    if (this.storeHealth.isSlowerThan(patience)) {
       // The write that would cover it raises what later ones find.
-      this.kick()
+      this.startWrite()
       return Promise.resolve(this.refused(tokens))
     }
     // A request is answered in its time, also while a write that covers it hangs.
     const outcome = this.waiting.add(tokens, patience, request => this.finishFromHolding(request))
-    this.kick()
+    this.startWrite()
     return outcome
   }
 
@@ -184,14 +185,14 @@
   }
 
   /** A caller asked for more tokens than it needed: the difference is no demand. */
-  noteUnused(tokens: TokenCount): void {
+  subtractDemand(tokens: TokenCount): void {
     this.demand.add(-tokens)
   }
 
   /** Called a few times a second: records, takes and gives back. */
   maintain(): void {
-    if (this.isWriteDue()) this.kick()
-    this.report.tellEnded()
+    if (this.isWriteDue()) this.startWrite()
+    this.report.reportEndedShortage()
   }
 
   /** The number of instances that share the budget, this one included. */
@@ -205,29 +206,29 @@
   }
 
   /** A caller was refused tokens that other instances hold, or that are out of reach. */
-  noteRefused(): void {
-    this.report.noteRefused()
+  recordRefusal(): void {
+    this.report.recordRefusal()
   }
 
   /** Whether the store last failed to answer; nothing is written until it answers a probe. */
-  get isLost(): boolean {
-    return this.contact.isLost && !this.left
+  get isStoreFailing(): boolean {
+    return this.storeHealth.isFailing && !this.isClosed
   }
 
   /** Asks a store that was out of reach by a read; true once it answered. */
   async probe(): Promise<boolean> {
     const isReached = await this.read()
-    if (isReached) this.kick()
+    if (isReached) this.startWrite()
     return isReached
   }
 
   /** Settles what was spent and gives the rest back; true once the store has it. */
   async leave(): Promise<boolean> {
-    this.left = true
+    this.isClosed = true
     await this.writing
     // Found by exploration: a request whose write had met a conflict was served from the
     // holding after that had been given back.
-    for (const request of this.waiting.takeAll()) request.finish(this.refused(request.tokens))
+    for (const request of this.waiting.removeAll()) request.finish(this.refused(request.tokens))
     for (let attempt = 0; attempt < LEAVE_ATTEMPTS; attempt += 1) {
       if (await this.leaveOnce()) return true
       await sleep(this.parts.clock, LEAVE_RETRY_MILLISECONDS)
@@ -250,29 +251,29 @@
       limit: () => this.limit,
       demandPerSecond: () => this.demand.perSecond,
       others: () => this.others,
-      callAge: () => this.contact.callAge,
+      callAge: () => this.storeHealth.callAge,
       onEvent,
     })
   }
 
-  private sight(rows: readonly RowUpdate[], isWhole: boolean): void {
-    if (this.view.apply(rows, isWhole)) this.report.noteSight()
+  private applyRows(rows: readonly RowUpdate[], isWhole: boolean): void {
+    if (this.view.apply(rows, isWhole)) this.report.recordRowsSeen()
   }
 
   /** Tokens that this holding can come to commit, with a transaction where the store answers. */
   private get reachable(): TokenCount {
-    const free = this.contact.isOutOfReach ? 0 : freeInPool(this.view.pool ?? NO_POOL)
+    const free = this.storeHealth.isUnavailable ? 0 : freeInPool(this.view.pool ?? NO_POOL)
     return this.holding.unspent + Math.max(0, free)
   }
 
   /** The other instances with which this one shares the budget. */
   private get others(): readonly string[] {
-    const askers = this.view.askersSince(askingSince(this.parts.storeClock.lowerBound))
+    const askers = this.view.requestersSince(demandValidSince(this.parts.storeClock.lowerBound))
     return budgetSharers(this.parts.otherInstances(), askers)
   }
 
   private isWriteDue(): boolean {
-    if (this.limit === undefined || this.left) return false
+    if (this.limit === undefined || this.isClosed) return false
     if (!this.waiting.isEmpty || this.holding.hasUnresolved) return true
     if (!this.holding.isRegistered) {
       return this.parts.isActive() || this.hasPredecessor || this.hasCallers
@@ -297,48 +298,48 @@
     return row !== undefined && row.incarnation !== this.parts.incarnation
   }
 
-  private kick(): void {
+  private startWrite(): void {
     // A row on its way bounds what may be spent, so a store out of reach is tried by reads.
-    if (this.writing !== undefined || this.left || this.isLost) return
-    if (this.contact.isThrottled) return
+    if (this.writing !== undefined || this.isClosed || this.isStoreFailing) return
+    if (this.storeHealth.isThrottled) return
     this.writing = this.writeWhileDue().finally(() => {
       this.writing = undefined
     })
   }
 
   /** An instance that stands by follows no budgets: it looks at the rows before it writes. */
-  private get isSightOld(): boolean {
-    return !this.parts.isActive() && (this.report.sightAge ?? 0) > STANDBY_SIGHT_MILLISECONDS
+  private get hasStaleRows(): boolean {
+    return !this.parts.isActive() && (this.report.rowsAge ?? 0) > STANDBY_STALENESS_MILLISECONDS
   }
 
   private async writeWhileDue(): Promise<void> {
     do {
       const succeeded = await this.writeOnce()
       if (!succeeded) return
-    } while (!this.waiting.isEmpty && !this.left)
+    } while (!this.waiting.isEmpty && !this.isClosed)
   }
 
   /** One write, or the read that has to come before it; false where it should be put off. */
   private async writeOnce(): Promise<boolean> {
     if (this.limit === undefined) return false
-    if (!this.view.isLoaded || this.holding.hasUnresolved || this.isSightOld) {
+    if (!this.view.isLoaded || this.holding.hasUnresolved || this.hasStaleRows) {
       if (!(await this.reload())) return false
     }
     const plan = planWrite(this.writeInputs(this.waiting.tokens))
     const admitted = this.takeAdmitted(plan)
-    this.holding.send(plan.holder, plan.ahead, this.view.ownVersion)
+    this.holding.recordSent(plan.holder, plan.ahead, this.view.ownVersion)
     const sentAt = this.parts.clock.monotonic()
-    const outcome = await this.contact.timed(this.parts.store.write(this.transactionOf(plan)))
+    const outcome = await this.storeHealth.timed(this.parts.store.write(this.transactionOf(plan)))
     this.noteOutcome(plan, outcome, sentAt)
     if (outcome.kind === 'done') {
       for (const request of admitted) this.finishWritten(request)
-      this.refuseHopeless()
+      this.refuseUncoverable()
       // Who came while the write was on its way need not wait for another one.
-      this.waiting.finishAllowed(this.holding, request => this.finishFromHolding(request))
+      this.waiting.finishCovered(this.holding, request => this.finishFromHolding(request))
       return true
     }
     for (const request of admitted) this.holding.settle(request.tokens, 0)
-    this.waiting.putBack(admitted)
+    this.waiting.requeue(admitted)
     if (outcome.kind !== 'conflict') this.serveFromHolding()
     return outcome.kind === 'conflict'
   }
@@ -346,38 +347,38 @@
   private noteOutcome(plan: WritePlan, outcome: RowWriteOutcome, sentAt: Milliseconds): void {
     const { sequence } = plan.holder
     if (outcome.kind === 'done') {
-      this.parts.storeClock.note(outcome.storeTime, sentAt)
+      this.parts.storeClock.recordAnswer(outcome.storeTime, sentAt)
       this.view.applyWrite(plan, outcome.version)
       this.noteTakeover(plan)
-      this.holding.observe(sequence, outcome.version)
-      this.contact.noteReached()
+      this.holding.confirmRow(sequence, outcome.version)
+      this.storeHealth.recordSuccess()
       return
     }
     if (outcome.kind === 'conflict') {
-      this.parts.storeClock.note(outcome.storeTime, sentAt)
+      this.parts.storeClock.recordAnswer(outcome.storeTime, sentAt)
       this.holding.withdraw(sequence)
-      this.view.applyConflict(outcome.rows, plan.restsOnPool)
+      this.view.applyConflict(outcome.rows, plan.dependsOnPool)
       this.noteOwnRow()
-      this.contact.noteReached()
+      this.storeHealth.recordSuccess()
       return
     }
     if (outcome.kind === 'not-done') this.holding.withdraw(sequence)
     if (outcome.kind === 'not-done' && outcome.reason === 'throttled') {
       // The store answers: it needs fewer calls, not a question whether it is back.
-      this.contact.noteThrottled()
+      this.storeHealth.recordThrottling()
       return
     }
-    this.contact.noteFailure(outcome.kind === 'not-done' ? outcome.reason : 'no answer')
+    this.storeHealth.recordFailure(outcome.kind === 'not-done' ? outcome.reason : 'no answer')
   }
 
   private noteTakeover({ takeover }: WritePlan): void {
     if (takeover === undefined) return
-    this.report.tell('prepaid_taken_over', { ...takeover })
+    this.report.emitEvent('prepaid_taken_over', { ...takeover })
     this.parts.onTakeover?.(this.parts.budget, takeover)
   }
 
   private async reload(): Promise<boolean> {
-    const isReached = await this.contact.timed(this.read())
+    const isReached = await this.storeHealth.timed(this.read())
     if (!isReached) this.serveFromHolding()
     return isReached
   }
@@ -387,13 +388,13 @@
     const sentAt = this.parts.clock.monotonic()
     const outcome = await this.parts.store.readPartition(PREPAID_TABLE, this.parts.budget)
     if (outcome.kind === 'failed') {
-      this.contact.noteFailure(outcome.reason)
+      this.storeHealth.recordFailure(outcome.reason)
       return false
     }
-    this.parts.storeClock.note(outcome.storeTime, sentAt)
-    this.sight(outcome.rows, true)
+    this.parts.storeClock.recordAnswer(outcome.storeTime, sentAt)
+    this.applyRows(outcome.rows, true)
     this.noteOwnRow()
-    this.contact.noteReached()
+    this.storeHealth.recordSuccess()
     return true
   }
 
@@ -402,12 +403,12 @@
     const row = this.view.ownHolder
     if (row === undefined) return
     if (row.incarnation === this.parts.incarnation) {
-      this.holding.observe(row.sequence, this.view.ownVersion)
+      this.holding.confirmRow(row.sequence, this.view.ownVersion)
       return
     }
     if (!this.holding.isRegistered) return
-    this.holding.lose()
-    this.report.tell('prepaid_holding_lost', {})
+    this.holding.invalidate()
+    this.report.emitEvent('prepaid_holding_lost', {})
   }
 
   /** What the row that the next write replaces grants to this incarnation. */
@@ -459,15 +460,15 @@
 
   /** Takes the requests that the plan covers out of the queue and commits their tokens. */
   private takeAdmitted(plan: WritePlan): readonly WaitingRequest[] {
-    const admitted = this.waiting.takeAt(plan.admitted)
+    const admitted = this.waiting.removeAt(plan.admitted)
     for (const request of admitted) this.holding.commit(request.tokens)
     return admitted
   }
 
   /** After a write nothing more can be found in the pool: requests that still wait are refused. */
-  private refuseHopeless(): void {
+  private refuseUncoverable(): void {
     const reachable = this.holding.unspent + Math.max(0, freeInPool(this.view.pool ?? NO_POOL))
-    const hopeless = this.waiting.takeWhere(request => request.tokens > reachable)
+    const hopeless = this.waiting.removeWhere(request => request.tokens > reachable)
     for (const request of hopeless) request.finish(this.refused(request.tokens))
   }
 
@@ -476,7 +477,7 @@
     const pool = this.addressOf(POOL_KEY)
     const conditions = [{ ...own, version: this.view.ownVersion }]
     const puts = [{ ...own, value: holderRowCodec.encode(plan.holder) }]
-    if (plan.restsOnPool) conditions.push({ ...pool, version: this.view.poolVersion })
+    if (plan.dependsOnPool) conditions.push({ ...pool, version: this.view.poolVersion })
     if (plan.changesPool) puts.push({ ...pool, value: poolRowCodec.encode(plan.pool) })
     return { conditions, puts, removals: [] }
   }
@@ -504,7 +505,7 @@
 
   /** Until the store answers again, requests can be given no more than is held. */
   private serveFromHolding(): void {
-    for (const request of this.waiting.takeAll()) this.finishFromHolding(request)
+    for (const request of this.waiting.removeAll()) this.finishFromHolding(request)
   }
 
   /** A request that has gone meanwhile gives its tokens back. */
@@ -515,7 +516,8 @@
 
   private finishFromHolding(request: WaitingRequest): void {
     const { tokens } = request
-    if (this.left || tokens > this.holding.allowance) return request.finish(this.refused(tokens))
+    if (this.isClosed || tokens > this.holding.allowance)
+      return request.finish(this.refused(tokens))
     this.holding.commit(tokens)
     request.finish(this.reserved(tokens, 'held'))
   }
@@ -528,7 +530,7 @@
 
   private refused(tokens: TokenCount): RefusedOutcome {
     const left = Math.max(0, this.free) + this.holding.unspent + this.view.unspentOf(this.others)
-    const isKnown = this.view.isLoaded && !this.contact.isOutOfReach
+    const isKnown = this.view.isLoaded && !this.storeHealth.isUnavailable
     const reason = isKnown && tokens > left ? 'exhausted' : 'unavailable'
     const waitMilliseconds = this.holding.waitFor(tokens)
     return { kind: 'refused', reason, waitMilliseconds, lenders: [] }
