--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -60,9 +60,9 @@
 }
 
 /** Time between two looks at what is due. */
-const MAINTAIN_MILLISECONDS = 125
+const MAINTENANCE_PERIOD_MILLISECONDS = 125
 /** Looks at what is due between two reckonings of how often holdings are recorded. */
-const LOOKS_A_RECKONING = 4
+const TICKS_PER_UPDATE = 4
 /** Longest time in which other instances are asked for tokens, for one request. */
 const BORROW_MILLISECONDS = 60
 
@@ -85,14 +85,14 @@
   readonly lender = new Lender(budget => this.accounts.get(budget))
   private timer: Timer | undefined
   private probeTurn = 0
-  private recordEvery: Milliseconds = 0
+  private recordPeriod: Milliseconds = 0
   /** Looks at what is due until the time between two records is reckoned anew. */
-  private looksToReckoning = 0
+  private ticksUntilUpdate = 0
 
   constructor(private readonly parts: PrepaidLedgerParts) {
     const { loanChannel, clock, incarnation } = parts
     this.borrower = loanChannel && new Borrower({ channel: loanChannel, clock, incarnation })
-    this.reckonRecordInterval()
+    this.updateRecordInterval()
   }
 
   /** Budgets in force; one that is no longer named is kept, since its rows still count. */
@@ -131,14 +131,14 @@
       if (outcome.kind === 'reserved') return outcome
       const { reserved, answers } = await this.borrow(account, budget, tokens)
       if (reserved !== undefined) return reserved
-      const last = await this.waitOn(account, tokens, outcome, startedAt + lastPatience)
+      const last = await this.awaitPoolWrite(account, tokens, outcome, startedAt + lastPatience)
       return last.kind === 'reserved' ? last : this.refuse(account, last, answers)
     }
-    account.noteDemand(tokens)
+    account.recordDemand(tokens)
     const { reserved, answers } = await this.borrow(account, budget, tokens)
     if (reserved !== undefined) return reserved
     const left = Math.max(0, startedAt + patience - this.parts.clock.monotonic())
-    const outcome = await account.setAside(tokens, left)
+    const outcome = await account.reserveLocally(tokens, left)
     return outcome.kind === 'reserved' ? outcome : this.refuse(account, outcome, answers)
   }
 
@@ -153,7 +153,7 @@
     const account = this.accounts.get(budget)
     const lent = loans.reduce((sum, loan) => sum + loan.tokens, 0)
     account?.settle(tokens - lent, spent)
-    account?.noteUnused(Math.max(0, tokens - spent))
+    account?.subtractDemand(Math.max(0, tokens - spent))
     let rest = Math.max(0, spent - (tokens - lent))
     for (const loan of loans) {
       const part = Math.min(rest, loan.tokens)
@@ -167,10 +167,10 @@
   }
 
   start(): void {
-    this.timer = this.parts.clock.after(MAINTAIN_MILLISECONDS, () => {
-      this.reckonRecordInterval()
+    this.timer = this.parts.clock.after(MAINTENANCE_PERIOD_MILLISECONDS, () => {
+      this.updateRecordInterval()
       for (const account of this.accounts.values()) account.maintain()
-      this.probeLost()
+      this.probeFailing()
       this.start()
     })
   }
@@ -207,7 +207,7 @@
   }
 
   /** Nobody lends: a write may still cover the tokens, where the pool has them. */
-  private async waitOn(
+  private async awaitPoolWrite(
     account: PrepaidAccount,
     tokens: TokenCount,
     refusal: RefusedOutcome,
@@ -215,7 +215,7 @@
   ): Promise<PrepaidOutcome> {
     const left = endsAt - this.parts.clock.monotonic()
     if (refusal.reason === 'exhausted' || left <= 0) return refusal
-    return account.isLikelyToCover(tokens) ? account.setAside(tokens, left) : refusal
+    return account.isLikelyToCover(tokens) ? account.reserveLocally(tokens, left) : refusal
   }
 
   private refuse(
@@ -223,7 +223,7 @@
     outcome: RefusedOutcome,
     lenders: readonly LenderAnswer[],
   ): RefusedOutcome {
-    if (outcome.reason === 'unavailable') account.noteRefused()
+    if (outcome.reason === 'unavailable') account.recordRefusal()
     return { ...outcome, lenders }
   }
 
@@ -231,30 +231,30 @@
    * One budget in turn asks a store that is out of reach; when it answers, all others do at
    * once: until they have recorded what they spent, a death would count the most they may have.
    */
-  private probeLost(): void {
-    const lost = [...this.accounts.values()].filter(account => account.isLost)
+  private probeFailing(): void {
+    const lost = [...this.accounts.values()].filter(account => account.isStoreFailing)
     this.probeTurn += 1
     const next = lost[this.probeTurn % Math.max(1, lost.length)]
     void next?.probe().then(isReached => {
       if (!isReached) return
-      for (const other of lost) if (other.isLost) void other.probe()
+      for (const other of lost) if (other.isStoreFailing) void other.probe()
     })
   }
 
   /** Time between two records of one holding. */
   recordMilliseconds(): Milliseconds {
-    return this.recordEvery
+    return this.recordPeriod
   }
 
   /** Who shares a budget changes within seconds, and there may be very many of them. */
-  private reckonRecordInterval(): void {
-    this.looksToReckoning -= 1
-    if (this.looksToReckoning > 0) return
-    this.looksToReckoning = LOOKS_A_RECKONING
+  private updateRecordInterval(): void {
+    this.ticksUntilUpdate -= 1
+    if (this.ticksUntilUpdate > 0) return
+    this.ticksUntilUpdate = TICKS_PER_UPDATE
     const sharers = [...this.accounts.values()].map(account => account.sharers)
     const inAll = sharers.reduce((sum, count) => sum + count, 0)
     const inOneBudget = sharers.reduce((most, count) => Math.max(most, count), 0)
-    this.recordEvery = recordInterval({ inAll, inOneBudget }, this.parts.limits)
+    this.recordPeriod = recordInterval({ inAll, inOneBudget }, this.parts.limits)
   }
 
   private accountOf(budget: string): PrepaidAccount {
--- a/packages/coordination/src/prepaid/storeContact.ts
+++ b/packages/coordination/src/prepaid/storeHealth.ts
@@ -14,10 +14,10 @@
  * A store that failed is told of again only after no call failed for this long: one that turns away every other call is
  * one episode, and not a line for each loss.
  */
-const STEADY_MILLISECONDS: Milliseconds = 5_000
+const RECOVERY_MILLISECONDS: Milliseconds = 5_000
 
 /** The store as the calls of one budget find it. */
-export class StoreContact {
+export class StoreHealth {
   private failures = 0
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
   private throttledUntil: Milliseconds = 0
@@ -32,7 +32,7 @@
   ) {}
 
   /** Whether the store last failed to answer; it is asked by reads until it does. */
-  get isLost(): boolean {
+  get isFailing(): boolean {
     return this.failures > 0
   }
 
@@ -42,8 +42,8 @@
   }
 
   /** Whether nothing can be had from the store within the patience of a request. */
-  get isOutOfReach(): boolean {
-    return this.isThrottled || this.isLost || (this.callAge ?? 0) > SLOW_CALL_MILLISECONDS
+  get isUnavailable(): boolean {
+    return this.isThrottled || this.isFailing || (this.callAge ?? 0) > SLOW_CALL_MILLISECONDS
   }
 
   /**
@@ -70,18 +70,18 @@
     return outcome
   }
 
-  noteReached(): void {
+  recordSuccess(): void {
     this.failures = 0
   }
 
-  noteThrottled(): void {
+  recordThrottling(): void {
     this.throttledUntil = this.clock.monotonic() + THROTTLED_MILLISECONDS
   }
 
-  noteFailure(reason: string): void {
+  recordFailure(reason: string): void {
     this.failures += 1
     const now = this.clock.monotonic()
-    const isNews = now - this.failedAt > STEADY_MILLISECONDS
+    const isNews = now - this.failedAt > RECOVERY_MILLISECONDS
     this.failedAt = now
     if (isNews) this.onLost(reason)
   }
--- a/packages/coordination/src/prepaid/waitingRequests.ts
+++ b/packages/coordination/src/prepaid/waitingRequests.ts
@@ -54,7 +54,7 @@
     return new Promise(resolve => {
       const request = new WaitingRequest(tokens, resolve)
       request.expireAfter(this.clock, patience, () => {
-        this.takeWhere(other => other === request)
+        this.removeWhere(other => other === request)
         onExpired(request)
       })
       this.requests = [...this.requests, request]
@@ -62,35 +62,35 @@
   }
 
   /** Takes out the requests at these positions. */
-  takeAt(positions: readonly number[]): readonly WaitingRequest[] {
+  removeAt(positions: readonly number[]): readonly WaitingRequest[] {
     const wanted = new Set(positions.map(position => this.requests[position]))
-    return this.takeWhere(request => wanted.has(request))
+    return this.removeWhere(request => wanted.has(request))
   }
 
-  takeWhere(isWanted: (request: WaitingRequest) => boolean): readonly WaitingRequest[] {
+  removeWhere(isWanted: (request: WaitingRequest) => boolean): readonly WaitingRequest[] {
     const taken = this.requests.filter(isWanted)
     this.requests = this.requests.filter(request => !taken.includes(request))
     return taken
   }
 
   /** Takes out and finishes, first come first, those that may be given tokens; each changes what the next may have. */
-  finishAllowed(
+  finishCovered(
     holding: { readonly allowance: TokenCount },
     finish: (request: WaitingRequest) => void,
   ): void {
     for (const request of this.requests) {
       if (request.tokens > holding.allowance) continue
-      this.takeWhere(other => other === request)
+      this.removeWhere(other => other === request)
       finish(request)
     }
   }
 
-  takeAll(): readonly WaitingRequest[] {
-    return this.takeWhere(() => true)
+  removeAll(): readonly WaitingRequest[] {
+    return this.removeWhere(() => true)
   }
 
   /** Requests whose write did not come about wait on, but for those answered meanwhile. */
-  putBack(requests: readonly WaitingRequest[]): void {
+  requeue(requests: readonly WaitingRequest[]): void {
     this.requests = [...requests.filter(request => !request.isAnswered), ...this.requests]
   }
 }
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -4,12 +4,12 @@
  */
 
 import {
-  CUT_AFTER_MILLISECONDS,
-  cutAllowance,
-  holdingTolerance,
-  secondsLeft,
-  strictSpan,
-  writtenAhead,
+  DISCONNECTED_AFTER_MILLISECONDS,
+  disconnectedAllowance,
+  rebalanceTolerance,
+  secondsToExhaustion,
+  strictWindowMilliseconds,
+  precommittedTokens,
 } from '@rackwalk/decisions'
 import type { BudgetView, HoldingPolicy } from '@rackwalk/decisions'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -58,7 +58,7 @@
    * Whether the plan is right only for the pool that it knows: it changes the pool, or finds too
    * little there. A write that rests on no version of the pool never learns that it has filled.
    */
-  readonly restsOnPool: boolean
+  readonly dependsOnPool: boolean
   /** Set where the write ends an earlier incarnation's holding. */
   readonly takeover: Takeover | undefined
   /** Positions in `requests` that the write covers. */
@@ -78,7 +78,7 @@
 export function planWrite(inputs: WriteInputs): WritePlan {
   const { takeover, admission, pool, granted, changesPool } = planPool(inputs)
   const committed = inputs.committed + admission.tokens
-  const ahead = writtenAhead(granted - committed, inputs.budgetView)
+  const ahead = precommittedTokens(granted - committed, inputs.budgetView)
   return {
     pool,
     holder: {
@@ -89,7 +89,8 @@
     },
     ahead,
     changesPool,
-    restsOnPool: changesPool || admission.missing > 0 || isShort(inputs, pool, granted - committed),
+    dependsOnPool:
+      changesPool || admission.missing > 0 || isBelowTarget(inputs, pool, granted - committed),
     takeover,
     admitted: admission.positions,
   }
@@ -138,7 +139,7 @@
 function holdingChange(inputs: WriteInputs, pool: PoolRow, rest: TokenCount): TokenCount {
   const { policy, budgetView } = inputs
   const free = freeInPool(pool)
-  const tolerance = holdingTolerance(budgetView)
+  const tolerance = rebalanceTolerance(budgetView)
   const needed = Math.max(0, -rest)
   const target = Math.max(0, policy.target({ ...budgetView, free }))
   const floor =
@@ -154,19 +155,23 @@
   const excess = after - target * (isShortElsewhere ? 1 : 1 + tolerance)
   const tolerated = target > 0 ? Math.max(1, target * tolerance) : 0
   if (excess > tolerated) return needed - Math.floor(after - target)
-  if (inputs.othersWant > free) return needed - lendable(inputs, after, free)
+  if (inputs.othersWant > free) return needed - tokensToRelease(inputs, after, free)
   return needed
 }
 
 /** Whether the holding stays below its target, since the pool has no more. */
-function isShort({ policy, budgetView }: WriteInputs, pool: PoolRow, unspent: TokenCount): boolean {
-  const tolerance = holdingTolerance(budgetView)
+function isBelowTarget(
+  { policy, budgetView }: WriteInputs,
+  pool: PoolRow,
+  unspent: TokenCount,
+): boolean {
+  const tolerance = rebalanceTolerance(budgetView)
   const target = policy.target({ ...budgetView, free: freeInPool(pool), ownUnspent: unspent })
   return unspent < target * (1 - tolerance)
 }
 
 /** Another instance lacks tokens for a request at hand: half of what is unspent may go. */
-function lendable(inputs: WriteInputs, after: TokenCount, free: TokenCount): TokenCount {
+function tokensToRelease(inputs: WriteInputs, after: TokenCount, free: TokenCount): TokenCount {
   const holders = inputs.budgetView.others.length
   const missing = inputs.othersWant - free
   const part = Math.ceil((2 * missing) / Math.max(1, holders))
@@ -182,7 +187,10 @@
   const { ownDemandPerSecond } = inputs.budgetView
   const unspent = Math.max(0, granted - committed)
   const strictRate = Math.ceil(STRICT_DEMAND_FACTOR * strictDemand(inputs, unspent))
-  const strictMilliseconds = strictSpan(secondsLeft(inputs.budgetView), inputs.recordMilliseconds)
+  const strictMilliseconds = strictWindowMilliseconds(
+    secondsToExhaustion(inputs.budgetView),
+    inputs.recordMilliseconds,
+  )
   const strictTokens = (strictRate * strictMilliseconds) / 1000
   return {
     incarnation: inputs.incarnation,
@@ -192,8 +200,8 @@
     base: inputs.storeTime,
     strictRate,
     strictMilliseconds,
-    cutAfterMilliseconds: CUT_AFTER_MILLISECONDS,
-    ...cutAllowance(inputs.budgetView, unspent, strictTokens),
+    cutAfterMilliseconds: DISCONNECTED_AFTER_MILLISECONDS,
+    ...disconnectedAllowance(inputs.budgetView, unspent, strictTokens),
     demandPerSecond: Math.round(ownDemandPerSecond),
     wanted,
   }
--- a/packages/coordination/src/forms.ts
+++ b/packages/coordination/src/rowCodecs.ts
@@ -13,10 +13,10 @@
 }
 
 /** JSON of which this package only passes on what it holds. */
-export const anyJson = z.json() as z.ZodType<JsonValue>
+export const jsonSchema = z.json() as z.ZodType<JsonValue>
 
 /** A codec whose names on the outside are those of the type at present. */
-export function sameNames<Value>(schema: z.ZodType<Value>) {
+export function identityMapping<Value>(schema: z.ZodType<Value>) {
   return { schema, toWire: (value: Value) => value, fromWire: (wire: Value) => wire }
 }
 
@@ -24,14 +24,14 @@
  * The value that a row holds. Throws `PlatformUnavailable` where the row is not of its form: it
  * is as good as not given, and nothing of it may be read as zero. `CheckedTable` counts it.
  */
-export function valueOf<Wire, Value>(codec: JsonCodec<Wire, Value>, row: Row): Value {
+export function decodeRowValue<Wire, Value>(codec: JsonCodec<Wire, Value>, row: Row): Value {
   const value = codec.fromJson(row.value)
-  if (value === undefined) throw malformedRow(row)
+  if (value === undefined) throw malformedRowError(row)
   return value
 }
 
 /** The error of a row that is not of its form: it is as good as not given by the table. */
-export function malformedRow({ key }: Row): RackwalkError {
+export function malformedRowError({ key }: Row): RackwalkError {
   const detail = `malformed row ${key.partition}/${key.sort}`
   return new RackwalkError(ResultCode.PlatformUnavailable, detail)
 }
--- a/packages/coordination/src/rows/storeClock.ts
+++ b/packages/coordination/src/rows/storeClock.ts
@@ -15,7 +15,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Notes an answer that has just been received. */
-  note(storeTime: Milliseconds, sentAt: Milliseconds): void {
+  recordAnswer(storeTime: Milliseconds, sentAt: Milliseconds): void {
     if (storeTime <= 0) return
     this.earliest = storeTime - this.clock.monotonic()
     this.latest = storeTime - sentAt
--- a/packages/coordination/src/rows/tableMirror.ts
+++ b/packages/coordination/src/rows/tableMirror.ts
@@ -5,7 +5,7 @@
 
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import type { ChangedRow, RowFeedOutcome, RowStore } from '@rackwalk/stores'
+import type { ChangedRow, ChangeFeedOutcome, RowStore } from '@rackwalk/stores'
 
 /** What a mirror tells its owner. */
 export interface MirrorListener {
@@ -19,7 +19,7 @@
   /** The listener itself failed on rows; the mirror goes on with the next ones. */
   onFault?(error: unknown): void
   /** The store began or ceased to answer this mirror. */
-  onReachable?(isReachable: boolean): void
+  onReachabilityChange?(isReachable: boolean): void
 }
 
 /** Rows that one mirror gives another. */
@@ -44,12 +44,12 @@
  * A peer that follows the table at the store and is asked before it. Hundreds of instances that read each
  * change themselves cost the store bytes that grow with the square of their number.
  */
-export interface NearPeer {
+export interface UpstreamPeer {
   /** Whether it is asked at present. */
   readonly isPreferred: () => boolean
   readonly ask: AskPeer
   /** What it tells counts only where it is no older than this. */
-  readonly oldestMilliseconds: Milliseconds
+  readonly maximumAgeMilliseconds: Milliseconds
 }
 
 /** What a mirror works with. */
@@ -63,7 +63,7 @@
   /** Asked for newer rows while the store does not answer. */
   readonly askPeers?: AskPeer
   /** Absent where the store alone is asked. */
-  readonly nearPeer?: NearPeer
+  readonly upstreamPeer?: UpstreamPeer
   /** How long one call may wait for a change at the store. */
   readonly waitMilliseconds: Milliseconds
   /** Least time between two calls; bounds the calls on a table that changes all the time. */
@@ -78,9 +78,9 @@
 const FIRST_RETRY_MILLISECONDS = 100
 const LONGEST_RETRY_MILLISECONDS = 800
 /** A near peer that did not tell anything new enough is not asked again for this long. */
-const NEAR_PEER_REST_MILLISECONDS = 2_000
+const UPSTREAM_BACKOFF_MILLISECONDS = 2_000
 /** Time between two looks whether changes are wanted again: no call is made. */
-const UNWANTED_MILLISECONDS = 200
+const UNWANTED_POLL_MILLISECONDS = 200
 
 /** Follows a table: one whole read, then changes; again whole when the store forgot some. */
 export class TableMirror {
@@ -102,9 +102,9 @@
   /** Ends the pause between two calls; undefined during a call, and while the store does not answer. */
   private endPause: (() => void) | undefined
   /** The table is read again at once after the call on its way: that may have missed what is wanted. */
-  private isHurried = false
+  private isReadRequested = false
   /** Until then the near peer is left alone. */
-  private nearPeerRestsUntil: Milliseconds = Number.NEGATIVE_INFINITY
+  private upstreamBackoffUntil: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: TableMirrorParts) {}
 
@@ -122,8 +122,8 @@
   }
 
   /** Reads the table now and not after the pause; while the store does not answer it is asked as before. */
-  readSoon(): void {
-    this.isHurried = true
+  requestRead(): void {
+    this.isReadRequested = true
     this.endPause?.()
   }
 
@@ -150,7 +150,7 @@
     const sentAt = clock.sinceStart()
     const page = await askPeers?.(table, this.position ?? 0, patienceMilliseconds)
     if (page === undefined || this.stopped) return false
-    this.takePage(page)
+    this.applyPage(page)
     this.noteConfirmed(page, sentAt)
     return true
   }
@@ -165,11 +165,11 @@
     while (!this.stopped) {
       if (this.isUnwanted) {
         this.forgetPosition()
-        await sleep(this.parts.clock, UNWANTED_MILLISECONDS)
+        await sleep(this.parts.clock, UNWANTED_POLL_MILLISECONDS)
         continue
       }
-      this.isHurried = false
-      if (await this.followNearPeer()) {
+      this.isReadRequested = false
+      if (await this.readFromUpstream()) {
         await this.pause()
         continue
       }
@@ -188,7 +188,7 @@
   }
 
   private async pause(): Promise<void> {
-    if (this.isHurried) return
+    if (this.isReadRequested) return
     const { clock, pauseMilliseconds } = this.parts
     await new Promise<void>(resolve => {
       const timer = clock.after(pauseMilliseconds(), resolve)
@@ -223,7 +223,7 @@
   }
 
   /** Takes in what the store answered after so long. */
-  private apply(outcome: RowFeedOutcome, took: Milliseconds): boolean {
+  private apply(outcome: ChangeFeedOutcome, took: Milliseconds): boolean {
     const { waitMilliseconds } = this.parts
     if (outcome.kind === 'failed') return false
     if (outcome.kind === 'history-gone') {
@@ -233,17 +233,17 @@
     // The store answers before the wait has passed only where something changed.
     if (outcome.rows.length === 0) this.quietMilliseconds = Math.min(waitMilliseconds, took)
     this.position = outcome.version
-    this.take(outcome.rows, false)
+    this.applyRows(outcome.rows, false)
     return true
   }
 
   /** Takes what a near peer has read of the store lately; false where the store is to be asked. */
-  private async followNearPeer(): Promise<boolean> {
+  private async readFromUpstream(): Promise<boolean> {
     const sentAt = this.parts.clock.sinceStart()
-    const page = await this.askNearPeer()
+    const page = await this.queryUpstream()
     if (page?.age === undefined) return false
     if (this.stopped) return true
-    this.takePage(page)
+    this.applyPage(page)
     this.noteReachable(true)
     this.noteConfirmed(page, sentAt)
     this.parts.listener.onRead?.()
@@ -251,25 +251,26 @@
   }
 
   /** What a near peer tells, where it is asked and its sight of the store is new enough. */
-  private async askNearPeer(): Promise<MirrorPage | undefined> {
-    const { nearPeer, clock, table } = this.parts
-    if (nearPeer === undefined || this.position === undefined) return undefined
-    if (!nearPeer.isPreferred() || clock.sinceStart() < this.nearPeerRestsUntil) return undefined
-    const page = await nearPeer.ask(table, this.position)
-    if (page?.age !== undefined && page.age <= nearPeer.oldestMilliseconds) return page
-    this.nearPeerRestsUntil = clock.sinceStart() + NEAR_PEER_REST_MILLISECONDS
+  private async queryUpstream(): Promise<MirrorPage | undefined> {
+    const { upstreamPeer, clock, table } = this.parts
+    if (upstreamPeer === undefined || this.position === undefined) return undefined
+    if (!upstreamPeer.isPreferred() || clock.sinceStart() < this.upstreamBackoffUntil)
+      return undefined
+    const page = await upstreamPeer.ask(table, this.position)
+    if (page?.age !== undefined && page.age <= upstreamPeer.maximumAgeMilliseconds) return page
+    this.upstreamBackoffUntil = clock.sinceStart() + UPSTREAM_BACKOFF_MILLISECONDS
     return undefined
   }
 
-  private takePage(page: MirrorPage): void {
+  private applyPage(page: MirrorPage): void {
     if (page.version <= (this.position ?? -1)) return
     if (page.isWhole || this.position === undefined) this.completeAfter = page.version
     this.position = page.version
     for (const partition of this.parts.partitions()) this.readPartitions.add(partition)
-    this.take(page.rows, page.isWhole)
+    this.applyRows(page.rows, page.isWhole)
   }
 
-  private take(rows: readonly ChangedRow[], isWhole: boolean): void {
+  private applyRows(rows: readonly ChangedRow[], isWhole: boolean): void {
     for (const row of rows) this.rows.set(`${row.partition}/${row.key}`, row)
     if (rows.length === 0 && !isWhole) return
     try {
@@ -291,7 +292,7 @@
       this.everRead.add(partitions[index] ?? '')
       versions.push(outcome.version)
       this.completeAfter = Math.max(this.completeAfter, outcome.version)
-      this.take(outcome.rows, true)
+      this.applyRows(outcome.rows, true)
     }
     if (versions.length > 0) this.position = Math.min(...versions)
     return true
@@ -301,7 +302,7 @@
     this.failures = isReachable ? 0 : this.failures + 1
     if (this.reachable === isReachable) return
     this.reachable = isReachable
-    this.parts.listener.onReachable?.(isReachable)
+    this.parts.listener.onReachabilityChange?.(isReachable)
   }
 
   private retryDelay(): Milliseconds {
--- a/packages/coordination/src/segmentArchive.ts
+++ b/packages/coordination/src/segmentArchive.ts
@@ -8,7 +8,7 @@
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 import type { JsonValue, ObjectStore } from '@rackwalk/stores'
-import { anyJson, idSchema, sameNames } from './forms.js'
+import { jsonSchema, idSchema, identityMapping } from './rowCodecs.js'
 
 /** A record that can be found by its request. */
 export interface ArchivedRecord {
@@ -16,10 +16,10 @@
   readonly record: JsonValue
 }
 
-const archivedSchema = z.object({ requestId: idSchema<RequestId>(), record: anyJson })
+const archivedSchema = z.object({ requestId: idSchema<RequestId>(), record: jsonSchema })
 
 /** The form of one line of a segment. */
-const archivedRecordCodec = new JsonCodec(sameNames<ArchivedRecord>(archivedSchema))
+const archivedRecordCodec = new JsonCodec(identityMapping<ArchivedRecord>(archivedSchema))
 
 /** Bounds of the archive. */
 export interface ArchiveLimits {
@@ -46,7 +46,7 @@
  * with the same two, so that a search reads few segments. Records not yet written die with
  * the instance; the journal still has the bill.
  */
-export class SegmentArchive {
+export class DecisionArchive {
   private readonly recent = new Map<RequestId, JsonValue>()
   private unwritten: ArchivedRecord[] = []
   private firstUnwrittenAt: Milliseconds = 0
--- a/packages/coordination/src/embedding.ts
+++ b/packages/coordination/src/standalone.ts
@@ -91,7 +91,7 @@
 }
 
 /** The bill of a request that ran well; the request's id is the identity of the bill. */
-export function billOf({ budgetId, teamId, requestId, tokens }: ServedRequest): SettleEntry {
+export function createBill({ budgetId, teamId, requestId, tokens }: ServedRequest): SettleEntry {
   return {
     kind: 'settle',
     budgetId,
--- a/packages/coordination/src/tableKeys.ts
+++ b/packages/coordination/src/tableKeys.ts
@@ -8,7 +8,7 @@
   TeamId,
 } from '@rackwalk/shared'
 import type { RowKey } from '@rackwalk/stores'
-import { sortKeyOf } from '@rackwalk/stores'
+import { encodeSortKey } from '@rackwalk/stores'
 
 /** Partition of the incarnations that are open or not yet reclaimed. */
 export const INCARNATIONS_PARTITION = 'incarnations'
@@ -38,7 +38,7 @@
 
 /** The key of one slot of a journal; slots count from 1. */
 export function journalSlotKey(incarnation: IncarnationId, slot: number): RowKey {
-  return { partition: journalPartition(incarnation), sort: sortKeyOf(slot) }
+  return { partition: journalPartition(incarnation), sort: encodeSortKey(slot) }
 }
 
 /** The key of the record of a running incarnation. */
@@ -78,7 +78,7 @@
 
 /** The key of a change; revisions count from 1. */
 export function changeKey(revision: number): RowKey {
-  return { partition: CHANGES_PARTITION, sort: sortKeyOf(revision) }
+  return { partition: CHANGES_PARTITION, sort: encodeSortKey(revision) }
 }
 
 /** The key of a lease. */
--- a/packages/coordination/src/usage.ts
+++ b/packages/coordination/src/usage.ts
@@ -30,7 +30,7 @@
 }
 
 /** A period of wall time, its end excluded. */
-export interface Period {
+export interface UsagePeriod {
   readonly from: Milliseconds
   readonly to: Milliseconds
 }
@@ -62,7 +62,7 @@
 }
 
 /** Reads every journal and adds up the bills of a period. */
-export async function readUsage(table: TableService, period: Period): Promise<UsageReport> {
+export async function readUsage(table: TableService, period: UsagePeriod): Promise<UsageReport> {
   const incarnations = await listIncarnations(table)
   const journals = await Promise.all(incarnations.map(id => readJournal(table, id)))
   const { bills, excessTokens } = foldBills(journals.map(journal => journal.slots))
@@ -70,11 +70,11 @@
   const progress = Object.fromEntries(
     incarnations.map((id, position) => [id, journals[position]?.slots.length ?? 0]),
   )
-  return { lines: summarize(inPeriod), progress, excessTokens }
+  return { lines: summarizeUsage(inPeriod), progress, excessTokens }
 }
 
 /** Adds bills up for each team and model, in a stable order. */
-export function summarize(bills: readonly SettleEntry[]): readonly UsageLine[] {
+export function summarizeUsage(bills: readonly SettleEntry[]): readonly UsageLine[] {
   const lines = new Map<string, UsageLine>()
   for (const bill of bills) {
     const name = `${bill.teamId}\0${bill.modelId ?? ''}`
--- a/packages/coordination/src/checkedTable.ts
+++ b/packages/coordination/src/validatingTable.ts
@@ -6,7 +6,7 @@
 
 import type { TransactionId } from '@rackwalk/shared'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   QueryRange,
   Row,
   RowKey,
@@ -20,7 +20,7 @@
 import { changeCodec } from './configuration/configurationChange.js'
 import { resourceCodec } from './configuration/resource.js'
 import { writeRecordCodec } from './configuration/resourceStore.js'
-import { malformedRow } from './forms.js'
+import { malformedRowError } from './rowCodecs.js'
 import { journalSlotCodec } from './journal/journalEntry.js'
 import { incarnationRecordCodec } from './membership/incarnationRegistry.js'
 import { leaseRowCodec } from './membership/lease.js'
@@ -33,12 +33,12 @@
 } from './tableKeys.js'
 
 /** What a form says of a row's value. */
-interface RowForm {
+interface RowDecoder {
   fromJson(json: unknown): unknown
 }
 
 /** The form of each partition, by the part of its name before a slash. */
-const FORMS: Readonly<Record<string, RowForm>> = {
+const ROW_CODECS: Readonly<Record<string, RowDecoder>> = {
   [BUDGETS_PARTITION]: budgetRowCodec,
   [CHANGES_PARTITION]: changeCodec,
   [CRASHES_PARTITION]: crashRowCodec,
@@ -51,7 +51,7 @@
 }
 
 /** Counts and refuses rows that are not of their form; all other calls pass through. */
-export class CheckedTable implements TableService {
+export class ValidatingTable implements TableService {
   constructor(
     private readonly table: TableService,
     /** Told of each malformed row; must not throw. */
@@ -76,15 +76,15 @@
     return this.table.transact(id, writes)
   }
 
-  transactMany(parts: readonly IdentifiedWrites[]): Promise<TransactResult> {
+  transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     return this.table.transactMany(parts)
   }
 
   private check(row: Row): void {
-    const form = FORMS[row.key.partition.split('/')[0] ?? '']
+    const form = ROW_CODECS[row.key.partition.split('/')[0] ?? '']
     // Rows without a form are markers: only their keys say something.
     if (form === undefined || form.fromJson(row.value) !== undefined) return
     this.onMalformedRow(row.key)
-    throw malformedRow(row)
+    throw malformedRowError(row)
   }
 }
--- a/packages/daemon/__tests__/acceptProbe.spec.ts
+++ b/packages/daemon/__tests__/acceptProbe.spec.ts
@@ -16,17 +16,17 @@
     const address = `127.0.0.1:${(listener.address() as AddressInfo).port}`
     const clock = new SystemClock()
     const probe = new AcceptProbe(listener, address, clock)
-    probe.look()
+    probe.measure()
     // A loop that is busy takes nothing.
     const busyUntil = clock.monotonic() + 150
     while (clock.monotonic() < busyUntil);
     await sleep(clock, 60)
-    expect(probe.look()).toBeGreaterThanOrEqual(100)
+    expect(probe.measure()).toBeGreaterThanOrEqual(100)
     // Later ones are taken at once again, however busy the machine is meanwhile.
-    let waited = probe.look()
+    let waited = probe.measure()
     while (waited >= 100) {
       await sleep(clock, 50)
-      waited = probe.look()
+      waited = probe.measure()
     }
     const status = await new Promise(resolve =>
       get(`http://${address}/`, response => resolve(response.statusCode)),
@@ -48,10 +48,10 @@
     // The listener never sees it: something else listens at the address.
     const probe = new AcceptProbe(createServer(), address, clock)
     for (let look = 0; look < 10; look += 1) {
-      probe.look()
+      probe.measure()
       await sleep(clock, 50)
     }
-    expect(probe.look()).toBe(0)
+    expect(probe.measure()).toBe(0)
     expect(taken).toBeGreaterThan(1)
     stranger.close()
   })
@@ -65,11 +65,11 @@
     // Callers come between the probe's two sides all the time.
     const callers = Array.from({ length: 20 }, () => connect({ host: '127.0.0.1', port }))
     for (let look = 0; look < 20; look += 1) {
-      probe.look()
+      probe.measure()
       callers.push(connect({ host: '127.0.0.1', port }))
       await sleep(clock, 30)
     }
-    expect(probe.look()).toBeLessThan(200)
+    expect(probe.measure()).toBeLessThan(200)
     for (const caller of callers) caller.destroy()
     listener.closeAllConnections()
     listener.close()
@@ -78,8 +78,8 @@
   it('says nothing where nobody listens', async () => {
     const clock = new SystemClock()
     const probe = new AcceptProbe(createServer(), '127.0.0.1:9', clock)
-    probe.look()
+    probe.measure()
     await sleep(clock, 50)
-    expect(probe.look()).toBe(0)
+    expect(probe.measure()).toBe(0)
   })
 })
--- a/packages/daemon/__tests__/waitingConnections.spec.ts
+++ b/packages/daemon/__tests__/acceptQueue.spec.ts
@@ -6,7 +6,7 @@
 import { constants } from 'node:os'
 import { setTimeout as passed } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
-import { PausableListener, WaitingConnections } from '@rackwalk/daemon'
+import { PausableListener, AcceptQueue } from '@rackwalk/daemon'
 import { SystemClock } from '@rackwalk/shared'
 import { NativeSocketsMissing, loadNativeSockets } from '../src/callers/nativeSockets.js'
 import type { NativeSockets } from '../src/callers/nativeSockets.js'
@@ -30,13 +30,13 @@
   readonly taken: number[] = []
   readonly untaken: string[] = []
   readonly changes: (readonly [boolean, string])[] = []
-  noteTaken(count: number): void {
+  noteAccepted(count: number): void {
     this.taken.push(count)
   }
-  noteUntaken(cause: string): void {
+  noteUnaccepted(cause: string): void {
     this.untaken.push(cause)
   }
-  noteTakingChange(isTaken: boolean, detail: string): void {
+  noteDrainingChange(isTaken: boolean, detail: string): void {
     this.changes.push([isTaken, detail])
   }
 }
@@ -54,7 +54,7 @@
 /** Calls that give these outcomes, then that nothing waits. */
 function scripted(outcomes: readonly number[], bound = 0): NativeSockets {
   const left = [...outcomes]
-  return { accept: () => left.shift() ?? -EAGAIN, boundQueue: () => bound }
+  return { accept: () => left.shift() ?? -EAGAIN, limitBacklog: () => bound }
 }
 
 async function closesWith(
@@ -63,16 +63,16 @@
 ): Promise<{ readonly told: Told; readonly handedOver: number }> {
   const told = new Told()
   let calls = scripted([], bound)
-  const waiting = new WaitingConnections(told, () => ({
+  const waiting = new AcceptQueue(told, () => ({
     accept: listener => calls.accept(listener),
-    boundQueue: (listener, length) => calls.boundQueue(listener, length),
+    limitBacklog: (listener, length) => calls.limitBacklog(listener, length),
   }))
   let handedOver = 0
   for (const script of scripts) {
     const { server } = await listen()
     server.on('connection', () => (handedOver += 1))
     calls = scripted(script, bound)
-    waiting.takeAndClose(server, () => server.close())
+    waiting.drainAndClose(server, () => server.close())
     expect(server.listening).toBe(false)
   }
   return { told, handedOver }
@@ -120,16 +120,16 @@
 
   it('loads the library at the first close of an open listener, and once', async () => {
     let loads = 0
-    const waiting = new WaitingConnections(undefined, () => {
+    const waiting = new AcceptQueue(undefined, () => {
       loads += 1
       return scripted([])
     })
     const closed = createServer()
-    waiting.takeAndClose(closed, () => {})
+    waiting.drainAndClose(closed, () => {})
     expect(loads).toBe(0)
     for (let close = 0; close < 2; close += 1) {
       const { server } = await listen()
-      waiting.takeAndClose(server, () => server.close())
+      waiting.drainAndClose(server, () => server.close())
     }
     expect(loads).toBe(1)
   })
@@ -137,13 +137,13 @@
   it('closes as ever without the library, says so once and counts each time', async () => {
     const told = new Told()
     let loads = 0
-    const waiting = new WaitingConnections(told, () => {
+    const waiting = new AcceptQueue(told, () => {
       loads += 1
       throw new NativeSocketsMissing('no such library')
     })
     for (let close = 0; close < 3; close += 1) {
       const { server } = await listen()
-      waiting.takeAndClose(server, () => server.close())
+      waiting.drainAndClose(server, () => server.close())
       expect(server.listening).toBe(false)
     }
     expect([loads, told.untaken]).toEqual([1, ['library', 'library', 'library']])
@@ -155,11 +155,11 @@
     const socket = connect(port, '127.0.0.1')
     ends.push(() => socket.destroy())
     const told = new Told()
-    const waiting = new WaitingConnections(told)
+    const waiting = new AcceptQueue(told)
     await waitingOne()
     const failure = new Error('no close')
     expect(() =>
-      waiting.takeAndClose(server, () => {
+      waiting.drainAndClose(server, () => {
         throw failure
       }),
     ).toThrow(failure)
@@ -176,7 +176,7 @@
     const told = new Told()
     const native = loadNativeSockets()
     let calls = 0
-    const waiting = new WaitingConnections(told, () => ({
+    const waiting = new AcceptQueue(told, () => ({
       ...native,
       [call]: (listener: number) => {
         if (calls++ < count) return native.accept(listener)
@@ -184,7 +184,7 @@
       },
     }))
     await waitingOne()
-    waiting.takeAndClose(server, () => server.close())
+    waiting.drainAndClose(server, () => server.close())
     expect(server.listening).toBe(false)
     expect([told.taken, told.untaken]).toEqual([count === 1 ? [1] : [], ['library']])
     expect(told.changes).toEqual([[false, 'Error: no call']])
@@ -202,10 +202,10 @@
     ends.push(() => callers.forEach(caller => caller.destroy()))
     const answers = callers.map(caller => converse(caller).ask())
     const told = new Told()
-    const waiting = new WaitingConnections(told)
+    const waiting = new AcceptQueue(told)
     await waitingOne()
-    expect(() => waiting.takeAndClose(server, () => server.close())).toThrow(failure)
-    expect([sockets.length, told.taken, waiting.told]).toEqual([3, [2], { taken: 2 }])
+    expect(() => waiting.drainAndClose(server, () => server.close())).toThrow(failure)
+    expect([sockets.length, told.taken, waiting.logFields]).toEqual([3, [2], { taken: 2 }])
     expect(sockets.map(({ destroyed }) => destroyed)).toEqual([true, false, false])
     expect((await Promise.all(answers)).sort()).toEqual(['200', '200', 'closed'])
   })
@@ -214,7 +214,7 @@
 describe('the calls of the system', () => {
   it('give the error of a call as its negative number', () => {
     const native = loadNativeSockets()
-    expect([native.accept(-1), native.boundQueue(-1, 0)]).toEqual([
+    expect([native.accept(-1), native.limitBacklog(-1, 0)]).toEqual([
       -constants.errno.EBADF,
       -constants.errno.EBADF,
     ])
@@ -250,7 +250,7 @@
   async function openTaken(close: 'pause' | 'close') {
     const server = createServer((_, response) => response.end('served'))
     const told = new Told()
-    const waiting = new WaitingConnections(told)
+    const waiting = new AcceptQueue(told)
     const clock = new SystemClock()
     const listener = new PausableListener(server, '127.0.0.1:0', clock, () => {}, waiting)
     await listener.open()
@@ -262,7 +262,7 @@
     const conversation = converse(socket)
     await waitingOne()
     listener[close]()
-    expect([told.taken, waiting.told]).toEqual([[1], { taken: 1 }])
+    expect([told.taken, waiting.logFields]).toEqual([[1], { taken: 1 }])
     return { server, listener, connections, conversation }
   }
 
--- a/packages/daemon/__tests__/activeFleet.spec.ts
+++ b/packages/daemon/__tests__/activeFleet.spec.ts
@@ -42,11 +42,11 @@
     isServing: () => state.self !== undefined,
     self: () => state.self ?? member('a1'),
     others: () => others,
-    hears: ({ instance }) => !state.silent.has(instance),
+    hasRecentHeartbeat: ({ instance }) => !state.silent.has(instance),
     silenceMilliseconds: () => SILENCE_MILLISECONDS,
-    isUsing: ({ instance }) => using.includes(instance),
+    hasEndpointLoad: ({ instance }) => using.includes(instance),
     isCutOff: ({ instance }) => state.cutOff.has(instance),
-    isSelfUsing: () => using.includes('a1'),
+    hasOwnEndpointLoad: () => using.includes('a1'),
     clock,
     bounds: { minimumInDomain: 1, headroom: 2 },
     onChange: (isActive, count) => changes.push([isActive, count]),
@@ -122,7 +122,7 @@
     const strong = member('a1', { capacity: 100 })
     expect(setUp({ self: weak }).fleet.sharers).toBe(6)
     expect(setUp({ self: strong }).fleet.sharers).toBe(2)
-    expect(setUp({ self: strong }).fleet.cautiousSharers).toBe(3)
+    expect(setUp({ self: strong }).fleet.worstCaseSharers).toBe(3)
   })
 
   it('shares bounds as a user where it has work though it stands by', () => {
--- a/packages/daemon/__tests__/adviceNews.spec.ts
+++ b/packages/daemon/__tests__/adviceGossip.spec.ts
@@ -1,6 +1,12 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { adviceNewsOf, adviceReportsOf, decodeReport, encodeReport, newsOf } from '@rackwalk/daemon'
+import {
+  decodeAdviceGossip,
+  encodeAdviceGossip,
+  decodeReport,
+  encodeReport,
+  decodeCrashGossip,
+} from '@rackwalk/daemon'
 import { asId } from '@rackwalk/shared'
 import type { EndpointStart } from '@rackwalk/shared'
 
@@ -21,11 +27,11 @@
   it('come as they were told, each datagram under what a link passes on whole', () => {
     fc.assert(
       fc.property(fc.array(news, { maxLength: 40 }), all => {
-        const received = adviceReportsOf(all, SENDER).flatMap(report => {
+        const received = encodeAdviceGossip(all, SENDER).flatMap(report => {
           const bytes = encodeReport(report)
           expect(bytes.length).toBeLessThan(6_000)
           const decoded = decodeReport(bytes)
-          return decoded === undefined ? [] : adviceNewsOf(decoded)
+          return decoded === undefined ? [] : decodeAdviceGossip(decoded)
         })
         expect(received).toEqual(all)
       }),
@@ -35,7 +41,7 @@
 
   it('have the form of a report that an earlier version drops as too late', () => {
     const start = asId<EndpointStart>('endpoint-1@17')
-    const reports = adviceReportsOf(
+    const reports = encodeAdviceGossip(
       [
         { start, requestsPerSecond: 1.3, ageMilliseconds: 12 },
         { start, ageMilliseconds: 12 },
@@ -47,11 +53,11 @@
         "["instance-1","life-1",0,false,[["says endpoint-1@17",0,12,[["rate",1.3]]],["says endpoint-1@17",0,12,[]]]]",
       ]
     `)
-    expect(reports.map(report => newsOf(report))).toEqual([{ marks: [], cleared: [] }])
+    expect(reports.map(report => decodeCrashGossip(report))).toEqual([{ marks: [], cleared: [] }])
   })
 
   it('name no rate where a datagram says that nothing is taken at all', () => {
     const report = decodeReport(Buffer.from('["a","b",0,false,[["says e",0,5,[["rate",0]]]]]'))
-    expect(report && adviceNewsOf(report)).toEqual([{ start: 'e', ageMilliseconds: 5 }])
+    expect(report && decodeAdviceGossip(report)).toEqual([{ start: 'e', ageMilliseconds: 5 }])
   })
 })
--- a/packages/daemon/__tests__/endpointFollower.spec.ts
+++ b/packages/daemon/__tests__/endpointFollower.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { UNTOLD_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
+import { UNKNOWN_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
 import { EndpointDirectory } from '@rackwalk/router'
 import type { EndpointRecord } from '@rackwalk/router'
 import { EndpointFollower } from '@rackwalk/daemon'
@@ -22,7 +22,7 @@
     service: SERVICE,
     address: '127.0.0.1:1',
     failureDomain: 'hall-a',
-    softwareVersion: UNTOLD_SOFTWARE_VERSION,
+    softwareVersion: UNKNOWN_SOFTWARE_VERSION,
     slots: 8,
     isLeaving: false,
     coldMilliseconds: 0,
@@ -54,11 +54,11 @@
   it('keeps servers whose entries lapsed in an outage until they are listed again', async () => {
     const { clock, changes, follower, list, drop, available } = setUp()
     list('s1', 's2')
-    follower.onReachable(false)
+    follower.onReachabilityChange(false)
     // The first answer after the outage tells of both, before the word that it is over.
     drop('s1')
     drop('s2')
-    follower.onReachable(true)
+    follower.onReachabilityChange(true)
     expect(available()).toEqual(['s1', 's2'])
     await clock.advance(1_000)
     list('s1')
@@ -78,8 +78,8 @@
   it('waits only for what is left of the time since the store is back', async () => {
     const { clock, follower, list, drop, available } = setUp()
     list('s1', 's2')
-    follower.onReachable(false)
-    follower.onReachable(true)
+    follower.onReachabilityChange(false)
+    follower.onReachabilityChange(true)
     await clock.advance(1_500)
     drop('s1')
     expect(available()).toEqual(['s1', 's2'])
--- a/packages/daemon/__tests__/plannedStop.spec.ts
+++ b/packages/daemon/__tests__/gracefulShutdown.spec.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest'
 import { VirtualClock } from '@rackwalk/shared'
-import { stopAsPlanned } from '@rackwalk/daemon'
+import { shutDownGracefully } from '@rackwalk/daemon'
 
 const GRACE_MILLISECONDS = 8_000
 
 function setUp(settle: () => Promise<boolean>) {
   const clock = new VirtualClock()
   const state = { inFlight: 3, isRefusing: false, isClosed: false }
-  const stopped = stopAsPlanned({
+  const stopped = shutDownGracefully({
     clock,
     graceMilliseconds: () => GRACE_MILLISECONDS,
     inFlight: () => state.inFlight,
--- a/packages/daemon/__tests__/listenerPauses.spec.ts
+++ b/packages/daemon/__tests__/listenerPauses.spec.ts
@@ -1,10 +1,10 @@
 import { createServer } from 'node:http'
 import { describe, expect, it } from 'vitest'
 import { ListenerPauses, PausableListener } from '@rackwalk/daemon'
-import type { HeardInstances } from '@rackwalk/decisions'
+import type { PeerOverload } from '@rackwalk/decisions'
 import { SeededRandom, VirtualClock } from '@rackwalk/shared'
 
-const ROOM: HeardInstances = { count: 7, overloaded: 0 }
+const ROOM: PeerOverload = { count: 7, overloaded: 0 }
 
 /** Notes when it is paused and resumed instead of listening. */
 class NotedListener extends PausableListener {
@@ -37,7 +37,7 @@
     refusedShare: () => state.share,
     others: () => state.others,
     isServing: () => state.isServing,
-    tellOverload: () => note('tell'),
+    gossipOverload: () => note('tell'),
     onPause: () => {},
     onChange: isPausing => note(isPausing ? 'begin' : 'cease'),
     onFault: () => note('fault'),
--- a/packages/daemon/__tests__/overloadNews.spec.ts
+++ b/packages/daemon/__tests__/overloadGossip.spec.ts
@@ -5,12 +5,12 @@
 import {
   LoadExchange,
   OverloadedInstances,
-  adviceNewsOf,
+  decodeAdviceGossip,
   decodeReport,
   encodeReport,
-  newsOf,
-  overloadReports,
-  tellsOverload,
+  decodeCrashGossip,
+  encodeOverloadGossip,
+  reportsOverload,
 } from '@rackwalk/daemon'
 import { VirtualClock } from '@rackwalk/shared'
 
@@ -25,14 +25,14 @@
 
 describe('the news that an instance is overloaded', () => {
   it('has the form of a report that an earlier version drops as too late', () => {
-    const [report] = overloadReports(SENDER)
+    const [report] = encodeOverloadGossip(SENDER)
     const bytes = report === undefined ? Buffer.of() : encodeReport(report)
     expect(bytes.toString()).toMatchInlineSnapshot(
       `"["instance-1","life-1",0,false,[["instance overloaded",0,0,[]]]]"`,
     )
     const decoded = decodeReport(bytes)
-    expect(decoded && tellsOverload(decoded)).toBe(true)
-    expect(decoded && [newsOf(decoded), adviceNewsOf(decoded)]).toEqual([
+    expect(decoded && reportsOverload(decoded)).toBe(true)
+    expect(decoded && [decodeCrashGossip(decoded), decodeAdviceGossip(decoded)]).toEqual([
       { marks: [], cleared: [] },
       [],
     ])
@@ -69,28 +69,28 @@
     })
     const exchange = new LoadExchange({
       address: '127.0.0.1:0',
-      usingPeers: () => peers,
-      idlePeers: () => [],
+      reportPeers: () => peers,
+      heartbeatPeers: () => [],
       fleetLoad: IDLE_LOAD as unknown as FleetLoad,
       identity: SENDER,
-      onCrashNews: () => {},
-      onAdviceNews: () => {},
+      onCrashGossip: () => {},
+      onAdviceGossip: () => {},
       onOverloaded: () => {},
       onCutOff: () => {},
       onSender: () => {},
       standingAdvice: () => [],
       standingCrashes: () => ({ marks: [], cleared: [] }),
       standingVersions: () => [],
-      onStreamNews: () => {},
+      onStreamGossip: () => {},
       clock,
       onMalformed: () => {},
     })
     exchange.start()
-    const overloaded = new OverloadedInstances(clock, () => exchange.overloadNewsMilliseconds)
+    const overloaded = new OverloadedInstances(clock, () => exchange.overloadGossipMilliseconds)
     sink.on('message', () => overloaded.note(SENDER.instance))
     let unbelieved = 0
     for (let second = 0; second < SPAN_SECONDS; second += 1) {
-      exchange.tellOverload()
+      exchange.gossipOverload()
       // The sockets are real: on a busy machine the first datagram takes longer than any fixed time.
       if (second === 0) await once(sink, 'message')
       await new Promise(resolve => setTimeout(resolve, 20))
--- a/packages/daemon/__tests__/peerProtocol.spec.ts
+++ b/packages/daemon/__tests__/peerProtocol.spec.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import type { PeerMessageKind } from '@rackwalk/coordination'
 import { GrpcPeerChannel, PeerServer } from '@rackwalk/daemon'
-import type { MalformedForm } from '@rackwalk/daemon'
+import type { MalformedInput } from '@rackwalk/daemon'
 
 /**
  * How messages between OpenAI-style instances travel: method names, the metadata that carries
@@ -70,7 +70,7 @@
   server?.stop()
 })
 
-const malformed: MalformedForm[] = []
+const malformed: MalformedInput[] = []
 
 /** Handlers that note what they are asked and reply as listed. */
 async function start(asked: unknown[] = []): Promise<number> {
--- a/packages/daemon/__tests__/resetsAtClose.spec.ts
+++ b/packages/daemon/__tests__/resetsAtClose.spec.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from 'node:net'
 import { Worker } from 'node:worker_threads'
 import { afterEach, describe, expect, it } from 'vitest'
-import { PausableListener, WaitingConnections, stopAsPlanned } from '@rackwalk/daemon'
+import { PausableListener, AcceptQueue, shutDownGracefully } from '@rackwalk/daemon'
 import { SystemClock, VirtualClock } from '@rackwalk/shared'
 import { CallerServer } from '../src/callers/callerServer.js'
 import type { CallerServerParts } from '../src/callers/callerServer.js'
@@ -97,7 +97,7 @@
   }
 }
 
-async function openPausable(server: Server, waiting = new WaitingConnections()) {
+async function openPausable(server: Server, waiting = new AcceptQueue()) {
   const clock = new SystemClock()
   const listener = new PausableListener(server, '127.0.0.1:0', clock, () => {}, waiting)
   await listener.open()
@@ -138,7 +138,7 @@
 async function openOpenAiStyle() {
   const limits = { headerBytes: 16_384, headerMilliseconds: 10_000, connections: 100 }
   const addresses = () => ({ addresses: [], timeToLiveSeconds: 1 })
-  const waiting = new WaitingConnections()
+  const waiting = new AcceptQueue()
   const server = new CallerServer({ limits, addresses, waiting } as unknown as CallerServerParts)
   const port = await server.listen('127.0.0.1:0')
   ends.push(() => server.stop())
@@ -169,7 +169,7 @@
     const { listener, port } = await openPausable(server)
     const callers = await startCallers(port, GET('/'), isSilent)
     const clock = new VirtualClock()
-    const stopped = stopAsPlanned({
+    const stopped = shutDownGracefully({
       clock,
       graceMilliseconds: () => GRACE_MILLISECONDS,
       inFlight: () => 0,
--- a/packages/daemon/__tests__/streamNews.spec.ts
+++ b/packages/daemon/__tests__/streamGossip.spec.ts
@@ -1,8 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import { asId } from '@rackwalk/shared'
 import type { SoftwareVersion, StreamKey } from '@rackwalk/shared'
-import { begunReports, streamNewsOf, versionReports } from '../src/gateway/streamNews.js'
-import { newsOf } from '../src/gateway/crashNews.js'
+import {
+  encodeStreamStarts,
+  decodeStreamGossip,
+  encodeVersionGossip,
+} from '../src/gateway/streamGossip.js'
+import { decodeCrashGossip } from '../src/gateway/crashGossip.js'
 import { decodeReport, encodeReport } from '../src/gateway/loadReport.js'
 
 const IDENTITY = { instance: 'instance-1', incarnation: 'first' }
@@ -20,8 +24,8 @@
 describe('news of streams', () => {
   it('has a form that an earlier version drops as a report that comes too late', () => {
     const reports = [
-      ...begunReports(streams(1), IDENTITY),
-      ...versionReports([{ service: 'models', softwareVersion: asId('v 2') }], IDENTITY),
+      ...encodeStreamStarts(streams(1), IDENTITY),
+      ...encodeVersionGossip([{ service: 'models', softwareVersion: asId('v 2') }], IDENTITY),
     ]
     expect(reports.map(report => encodeReport(report).toString())).toMatchInlineSnapshot(`
       [
@@ -29,7 +33,7 @@
         "["instance-1","first",0,false,[["version serves [\\"models\\",\\"v 2\\"]",0,0,[]]]]",
       ]
     `)
-    expect(reports.map(report => newsOf(report))).toEqual([
+    expect(reports.map(report => decodeCrashGossip(report))).toEqual([
       { marks: [], cleared: [] },
       { marks: [], cleared: [] },
     ])
@@ -37,10 +41,10 @@
 
   it('comes whole, each datagram small', () => {
     const begun = [...streams(40), ...streams(2, 'v1')]
-    const datagrams = begunReports(begun, IDENTITY).map(report => encodeReport(report))
+    const datagrams = encodeStreamStarts(begun, IDENTITY).map(report => encodeReport(report))
     const told = datagrams.flatMap(bytes => {
       const report = decodeReport(bytes)
-      return report === undefined ? [] : streamNewsOf(report).begun
+      return report === undefined ? [] : decodeStreamGossip(report).begun
     })
     expect(told).toEqual(begun)
     expect(Math.max(...datagrams.map(({ length }) => length))).toBeLessThan(LARGEST_DATAGRAM_BYTES)
@@ -55,7 +59,7 @@
       'i-1',
     ]
     const loads = endpoints.map(endpoint => ({ endpoint, ...load }))
-    const news = streamNewsOf({ ...IDENTITY, sequence: 0, isWhole: false, loads })
+    const news = decodeStreamGossip({ ...IDENTITY, sequence: 0, isWhole: false, loads })
     expect(news).toEqual({ begun: [], versions: [] })
   })
 })
--- a/packages/daemon/src/callers/waitingConnections.ts
+++ b/packages/daemon/src/callers/acceptQueue.ts
@@ -13,52 +13,52 @@
 import type { NativeSockets } from './nativeSockets.js'
 
 /** Who is told of what was taken and what could not be. */
-export interface WaitingObserver {
+export interface AcceptQueueObserver {
   /** This many connections that waited were taken, and are served. */
-  readonly noteTaken: (count: number) => void
+  readonly noteAccepted: (count: number) => void
   /**
    * Connections that waited may have been reset, for this cause: the system's word of an error, `library` (there is none to take
    * with, or it failed), `many` (more than are taken at a time) or `descriptor` (no socket could be made of one).
    */
-  readonly noteUntaken: (cause: string) => void
+  readonly noteUnaccepted: (cause: string) => void
   /** From now on what waits is taken, or is reset for this cause. */
-  readonly noteTakingChange: (isTaken: boolean, detail: string) => void
+  readonly noteDrainingChange: (isTaken: boolean, detail: string) => void
 }
 
 /** More come while some are taken; this bounds the time and the memory that one close may cost. */
-const MOST_TAKEN = 1_024
+const MAXIMUM_ACCEPTED = 1_024
 
 const { EAGAIN, EINTR, ECONNABORTED, EPROTO } = constants.errno
 /** Errors of one connection; others may wait behind it. */
-const PASSING: ReadonlySet<number> = new Set([EINTR, ECONNABORTED, EPROTO])
+const TRANSIENT_ERRORS: ReadonlySet<number> = new Set([EINTR, ECONNABORTED, EPROTO])
 
 /** For programs and tests that ask for nothing. */
-const NOBODY: WaitingObserver = {
-  noteTaken: () => {},
-  noteUntaken: () => {},
-  noteTakingChange: () => {},
+const NOOP_OBSERVER: AcceptQueueObserver = {
+  noteAccepted: () => {},
+  noteUnaccepted: () => {},
+  noteDrainingChange: () => {},
 }
 
 /** Takes what waits before a listener that closes. */
-export class WaitingConnections {
+export class AcceptQueue {
   private native: NativeSockets | undefined
   /** Why there is no library; a load that failed is not tried again. */
   private missing: string | undefined
-  private isTaken = true
-  private takenCount = 0
+  private isDrainable = true
+  private acceptedCount = 0
 
   constructor(
-    private readonly observer: WaitingObserver = NOBODY,
+    private readonly observer: AcceptQueueObserver = NOOP_OBSERVER,
     private readonly load: () => NativeSockets = loadNativeSockets,
   ) {}
 
   /** How many were taken so far, as a field of a line. */
-  get told(): { readonly taken: number } {
-    return { taken: this.takenCount }
+  get logFields(): { readonly taken: number } {
+    return { taken: this.acceptedCount }
   }
 
   /** Closes a listener by `close`; what waited before it is served by it as any other connection is. */
-  takeAndClose(server: Server, close: () => void): void {
+  drainAndClose(server: Server, close: () => void): void {
     const taken: number[] = []
     // In the same turn and before they are made sockets: whatever comes in between is reset.
     try {
@@ -81,8 +81,8 @@
       return
     }
     try {
-      const bound = native.boundQueue(listener, 0)
-      if (bound < 0) this.observer.noteUntaken(errorWord(bound))
+      const bound = native.limitBacklog(listener, 0)
+      if (bound < 0) this.observer.noteUnaccepted(errorWord(bound))
       this.noteOutcome(takeAll(native, listener, taken))
     } catch (error) {
       this.noteOutcome('library', String(error))
@@ -100,20 +100,20 @@
   }
 
   private noteOutcome(cause: string | undefined, detail = cause): void {
-    if (cause !== undefined) this.observer.noteUntaken(cause)
+    if (cause !== undefined) this.observer.noteUnaccepted(cause)
     const isTaken = cause === undefined
-    if (isTaken === this.isTaken) return
-    this.isTaken = isTaken
-    this.observer.noteTakingChange(isTaken, detail ?? '')
+    if (isTaken === this.isDrainable) return
+    this.isDrainable = isTaken
+    this.observer.noteDrainingChange(isTaken, detail ?? '')
   }
 
   private handOverAll(server: Server, taken: readonly number[]): void {
-    const before = this.takenCount
+    const before = this.acceptedCount
     try {
       this.handOverEach(server, taken.values())
     } finally {
-      const count = this.takenCount - before
-      if (count > 0) this.observer.noteTaken(count)
+      const count = this.acceptedCount - before
+      if (count > 0) this.observer.noteAccepted(count)
     }
   }
 
@@ -140,7 +140,7 @@
       socket.destroy()
       throw error
     }
-    this.takenCount += 1
+    this.acceptedCount += 1
   }
 
   /** With the properties that an HTTP server gives its own; closes a descriptor of which none can be made. */
@@ -164,11 +164,11 @@
 
 /** Takes until nothing waits; tells why some may be left. */
 function takeAll(native: NativeSockets, listener: number, taken: number[]): string | undefined {
-  for (let tries = 0; tries < MOST_TAKEN; tries += 1) {
+  for (let tries = 0; tries < MAXIMUM_ACCEPTED; tries += 1) {
     const outcome = native.accept(listener)
     if (outcome === -EAGAIN) return undefined
     if (outcome >= 0) taken.push(outcome)
-    else if (!PASSING.has(-outcome)) return errorWord(outcome)
+    else if (!TRANSIENT_ERRORS.has(-outcome)) return errorWord(outcome)
   }
   return 'many'
 }
--- a/packages/daemon/src/callers/callerServer.ts
+++ b/packages/daemon/src/callers/callerServer.ts
@@ -8,12 +8,12 @@
 import type { Duplex } from 'node:stream'
 import { NotRunError, ResultCode, asId, toRackwalkError } from '@rackwalk/shared'
 import type { RackwalkError, RequestId } from '@rackwalk/shared'
-import type { AddressAnswer } from '@rackwalk/coordination'
-import { continueWhenRead } from '@rackwalk/router'
+import type { CallerAddresses } from '@rackwalk/coordination'
+import { sendContinueOnRead } from '@rackwalk/router'
 import type {
   Catalogue,
   DecisionRecord,
-  RefusedBodies,
+  RefusedBodyHandler,
   RequestPipeline,
   Team,
 } from '@rackwalk/router'
@@ -21,17 +21,17 @@
 import { answerJson, errorAnswer, refuseMalformed } from '../observe/httpAnswer.js'
 import type { Settings } from '../settings/schema.js'
 import { incomingRequest } from './httpCallerConnection.js'
-import type { WaitingConnections } from './waitingConnections.js'
+import type { AcceptQueue } from './acceptQueue.js'
 
 /** Parts that the callers' listener works with. */
 export interface CallerServerParts {
   readonly pipeline: RequestPipeline
   readonly catalogue: Catalogue
-  readonly addresses: () => AddressAnswer
+  readonly addresses: () => CallerAddresses
   readonly explain: (requestId: RequestId) => Promise<DecisionRecord | undefined>
   readonly limits: Settings['limits']
-  readonly refusedBodies: RefusedBodies
-  readonly waiting: WaitingConnections
+  readonly refusedBodies: RefusedBodyHandler
+  readonly waiting: AcceptQueue
 }
 
 const BEARER = /^Bearer +(\S+)$/i
@@ -64,7 +64,7 @@
     this.server.maxConnections = HARD_LIMIT_FACTOR * limits.connections
     this.server.on('connection', socket => this.count(socket))
     refuseMalformed(this.server)
-    continueWhenRead(this.server)
+    sendContinueOnRead(this.server)
   }
 
   listen(address: string): Promise<number> {
@@ -73,7 +73,7 @@
 
   /** Takes no new connections; idle ones are closed, those in use stay, and those that wait are taken and answered. */
   refuseNew(): void {
-    this.parts.waiting.takeAndClose(this.server, () => this.server.close())
+    this.parts.waiting.drainAndClose(this.server, () => this.server.close())
     this.server.closeIdleConnections()
   }
 
--- a/packages/daemon/src/callers/createRefusedBodies.ts
+++ b/packages/daemon/src/callers/createRefusedBodies.ts
@@ -1,8 +1,8 @@
 /** Refusals of an instance of the OpenAI-style kind, on the link that its settings name. Owns nothing. */
 
 import type { Clock } from '@rackwalk/shared'
-import { LinkBudget } from '@rackwalk/decisions'
-import { RefusedBodies } from '@rackwalk/router'
+import { LinkBandwidthBudget } from '@rackwalk/decisions'
+import { RefusedBodyHandler } from '@rackwalk/router'
 import type { RefusedBodyCounters } from '@rackwalk/router'
 import { linkBytesPerSecond } from '../gateway/instanceCapacity.js'
 import type { Settings } from '../settings/schema.js'
@@ -12,6 +12,10 @@
   limits: Settings['limits'],
   clock: Clock,
   counters: RefusedBodyCounters,
-): RefusedBodies {
-  return new RefusedBodies({ clock, link: new LinkBudget(linkBytesPerSecond(limits)), counters })
+): RefusedBodyHandler {
+  return new RefusedBodyHandler({
+    clock,
+    link: new LinkBandwidthBudget(linkBytesPerSecond(limits)),
+    counters,
+  })
 }
--- a/packages/daemon/src/callers/httpCallerConnection.ts
+++ b/packages/daemon/src/callers/httpCallerConnection.ts
@@ -6,8 +6,8 @@
 import type {
   CallerConnection,
   IncomingRequest,
-  RefusalAfter,
-  RefusedBodies,
+  RefusalFactory,
+  RefusedBodyHandler,
 } from '@rackwalk/router'
 
 /** The caller's side of one HTTP exchange. */
@@ -16,28 +16,28 @@
 
   constructor(
     private readonly response: ServerResponse,
-    private readonly refusedBodies: RefusedBodies,
+    private readonly refusedBodies: RefusedBodyHandler,
   ) {
     response.once('close', () => {
       if (!response.writableFinished) this.controller.abort()
     })
   }
 
-  get left(): AbortSignal {
+  get disconnectSignal(): AbortSignal {
     return this.controller.signal
   }
 
-  get hasBegun(): boolean {
+  get hasSentHead(): boolean {
     return this.response.headersSent
   }
 
-  begin(status: number, headers: Readonly<Record<string, string>>, isDelimited = true): void {
+  writeHead(status: number, headers: Readonly<Record<string, string>>, isDelimited = true): void {
     if (this.response.destroyed) return
     if (!isDelimited) this.response.useChunkedEncodingByDefault = false
     this.response.writeHead(status, headers)
   }
 
-  refuse(refusal: RefusalAfter): Promise<void> {
+  refuse(refusal: RefusalFactory): Promise<void> {
     if (this.response.destroyed) return Promise.resolve()
     this.refusedBodies.refuse(this.response, refusal)
     // One whose body is still coming stays open for a while, and nobody waits for that.
@@ -62,7 +62,7 @@
     this.response.destroy()
   }
 
-  drained(): Promise<void> {
+  waitForDrain(): Promise<void> {
     if (this.response.destroyed || !this.response.writableNeedDrain) return Promise.resolve()
     return this.settled(['drain', 'close'])
   }
@@ -83,7 +83,7 @@
 export function incomingRequest(
   request: IncomingMessage,
   response: ServerResponse,
-  refusedBodies: RefusedBodies,
+  refusedBodies: RefusedBodyHandler,
 ): IncomingRequest {
   const headers = new Map<string, string>()
   for (const [name, value] of Object.entries(request.headers)) {
@@ -91,7 +91,7 @@
   }
   return {
     method: request.method ?? 'GET',
-    target: request.url ?? '/',
+    requestTarget: request.url ?? '/',
     headers,
     body: request,
     caller: new HttpCallerConnection(response, refusedBodies),
--- a/packages/daemon/src/callers/nativeSockets.ts
+++ b/packages/daemon/src/callers/nativeSockets.ts
@@ -10,7 +10,7 @@
   /** Takes one connection that waits and gives its descriptor. */
   readonly accept: (listener: number) => number
   /** Bounds how many connections may wait from now on; those that do stay. */
-  readonly boundQueue: (listener: number, length: number) => number
+  readonly limitBacklog: (listener: number, length: number) => number
 }
 
 /** The calls can't be made here. */
@@ -43,7 +43,7 @@
     const flags = NONBLOCKING | CLOSED_AT_EXECUTION
     return {
       accept: listener => outcome(accept(listener, null, null, flags)),
-      boundQueue: (listener, length) => outcome(listen(listener, length)),
+      limitBacklog: (listener, length) => outcome(listen(listener, length)),
     }
   } catch (error) {
     // The library says that its binary is missing by an error without a code.
--- a/packages/daemon/src/explainer.ts
+++ b/packages/daemon/src/decisionRecordFinder.ts
@@ -14,7 +14,7 @@
  * of the instance that decided, or in the object store, where it stays after that instance
  * died. What an instance had not written when it died is missing.
  */
-export class Explainer {
+export class DecisionRecordFinder {
   constructor(
     private readonly node: CoordinationNode,
     private readonly peers: PeerChannel,
--- a/packages/daemon/src/gateway/acceptProbe.ts
+++ b/packages/daemon/src/gateway/acceptProbe.ts
@@ -15,7 +15,7 @@
 export class AcceptProbe {
   private probe: Socket | undefined
   /** Connections that were taken while the probe was not yet connected on its own side. */
-  private early: { readonly socket: Socket; readonly takenAt: Milliseconds }[] = []
+  private acceptedEarly: { readonly socket: Socket; readonly takenAt: Milliseconds }[] = []
   private madeAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** How long the last probe waited. */
   private waited: Milliseconds = 0
@@ -31,18 +31,18 @@
   }
 
   /** How long the last probe waited, or the one that still waits has; makes the next one where it is due. */
-  look(): Milliseconds {
+  measure(): Milliseconds {
     const age = this.clock.monotonic() - this.madeAt
     if (this.probe !== undefined) return age
-    if (age >= PROBE_MILLISECONDS) this.make()
+    if (age >= PROBE_MILLISECONDS) this.startProbe()
     return this.waited
   }
 
-  private make(): void {
+  private startProbe(): void {
     const [host = '', port] = this.address.split(':')
     const probe = connect({ host, port: Number(port) })
     this.probe = probe
-    this.early = []
+    this.acceptedEarly = []
     this.madeAt = this.clock.monotonic()
     probe.on('connect', () => this.noteConnected(probe))
     // A listener that is closed, or a queue that is full, says nothing of how long others wait; nor does a probe that ended
@@ -57,14 +57,14 @@
     const { probe } = this
     if (probe === undefined) return
     const takenAt = this.clock.monotonic()
-    if (probe.connecting) this.early.push({ socket, takenAt })
+    if (probe.connecting) this.acceptedEarly.push({ socket, takenAt })
     else this.match(probe, socket, takenAt)
   }
 
   /** The listener may have had its side first. */
   private noteConnected(probe: Socket): void {
-    const taken = this.early
-    this.early = []
+    const taken = this.acceptedEarly
+    this.acceptedEarly = []
     for (const { socket, takenAt } of taken) this.match(probe, socket, takenAt)
   }
 
@@ -81,7 +81,7 @@
   private end(waited: Milliseconds): void {
     this.probe?.destroy()
     this.probe = undefined
-    this.early = []
+    this.acceptedEarly = []
     this.waited = waited
   }
 }
--- a/packages/daemon/src/gateway/configurationInForce.ts
+++ b/packages/daemon/src/gateway/activeConfiguration.ts
@@ -9,7 +9,7 @@
 import type { PlatformAdapter } from './platformAdapter.js'
 
 /** What follows a change. */
-export interface ConfigurationInForceParts {
+export interface ActiveConfigurationParts {
   readonly source: PlatformAdapter['configuration']
   /** A newer version is in force. */
   readonly onConfiguration: (routes: RouteTable, before: number) => void
@@ -25,11 +25,11 @@
 const NO_VERSION = -1
 
 /** Follows the rows in which the operator says what is in force. */
-export class ConfigurationInForce {
+export class ActiveConfiguration {
   private known: RouteTable | undefined
   private readonly evacuated = new Set<string>()
 
-  constructor(private readonly parts: ConfigurationInForceParts) {}
+  constructor(private readonly parts: ActiveConfigurationParts) {}
 
   /** Undefined until one is known. */
   get routes(): RouteTable | undefined {
--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -4,8 +4,13 @@
  * datagrams for who was heard of, and on decisions/placing/activeInstances.
  */
 
-import { ActiveInstances, SilentInstances, cautiousSharersOf, sharersOf } from '@rackwalk/decisions'
-import type { ActiveBounds, FleetUse } from '@rackwalk/decisions'
+import {
+  ActiveInstances,
+  SilenceDetector,
+  partitionSafeShareCount,
+  fleetShareCount,
+} from '@rackwalk/decisions'
+import type { ActiveBounds, FleetUsage } from '@rackwalk/decisions'
 import type { MemberRow } from '@rackwalk/coordination'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
@@ -17,13 +22,13 @@
   /** Other instances that serve, as the store has them. */
   readonly others: () => readonly MemberRow[]
   /** Whether an instance was heard of lately; true where nothing is ever heard of it. */
-  readonly hears: (member: MemberRow) => boolean
+  readonly hasRecentHeartbeat: (member: MemberRow) => boolean
   /** An instance that is heard of was heard of within this time. */
   readonly silenceMilliseconds: () => Milliseconds
   /** Whether an instance told of work at endpoints lately. */
-  readonly isUsing: (member: MemberRow) => boolean
+  readonly hasEndpointLoad: (member: MemberRow) => boolean
   /** The same for this instance. */
-  readonly isSelfUsing: () => boolean
+  readonly hasOwnEndpointLoad: () => boolean
   /** Whether an instance, or this one, reaches no endpoint of some service. */
   readonly isCutOff: (member: MemberRow) => boolean
   readonly clock: Clock
@@ -47,7 +52,7 @@
 /** Age up to which a view of the fleet is used again: members change within seconds. */
 const VIEW_MILLISECONDS = 100
 /** Other instances that started at the same time are known after this time. */
-const SETTLING_MILLISECONDS = 2_000
+const DISCOVERY_MILLISECONDS = 2_000
 
 function activeCountOf({ isSelfActive, activeOthers }: FleetView): number {
   return activeOthers.length + (isSelfActive ? 1 : 0)
@@ -55,26 +60,26 @@
 
 /** The fleet as this instance sees it. */
 export class ActiveFleet {
-  private readonly choice: ActiveInstances
-  private readonly silent = new SilentInstances()
+  private readonly selection: ActiveInstances
+  private readonly silent = new SilenceDetector()
   private view: FleetView | undefined
   /** Set where the view lacks somebody who is known by now. */
-  private isOutdated = false
+  private isInvalidated = false
   /** Time at which this instance began to serve. */
   private selfSince: Milliseconds = 0
 
   constructor(private readonly parts: ActiveFleetParts) {
-    this.choice = new ActiveInstances(parts.bounds)
+    this.selection = new ActiveInstances(parts.bounds)
   }
 
   /** The members have changed: the next question is answered by a new view. */
-  lookAgain(): void {
-    this.isOutdated = true
+  invalidate(): void {
+    this.isInvalidated = true
   }
 
   /** Whether callers are sent here. */
   get isSelfActive(): boolean {
-    return this.current().isSelfActive
+    return this.currentView().isSelfActive
   }
 
   /**
@@ -82,13 +87,13 @@
    * knows few of the others yet, and so always takes itself for active.
    */
   get isSelfSettled(): boolean {
-    const { at, isSelfActive } = this.current()
-    return isSelfActive && at - this.selfSince >= SETTLING_MILLISECONDS
+    const { at, isSelfActive } = this.currentView()
+    return isSelfActive && at - this.selfSince >= DISCOVERY_MILLISECONDS
   }
 
   /** Other instances to which callers are sent. */
   get activeOthers(): readonly MemberRow[] {
-    return this.current().activeOthers
+    return this.currentView().activeOthers
   }
 
   /**
@@ -96,44 +101,44 @@
    * are not sent to them.
    */
   get usingOthers(): readonly MemberRow[] {
-    return this.current().usingOthers
+    return this.currentView().usingOthers
   }
 
   /** Other instances that use nothing of the fleet's at present, or have fallen silent. */
   get idleOthers(): readonly MemberRow[] {
-    return this.current().idleOthers
+    return this.currentView().idleOthers
   }
 
   /** Whether another instance has fallen silent. */
   isSilent(instance: string): boolean {
-    return this.current().silentOthers.has(instance)
+    return this.currentView().silentOthers.has(instance)
   }
 
   /** How many instances take callers, this one counted where it does. */
   get activeCount(): number {
-    return activeCountOf(this.current())
+    return activeCountOf(this.currentView())
   }
 
   /** The number of instances that share a bound of the whole fleet, this one included. */
   get sharers(): number {
-    return sharersOf(this.use)
+    return fleetShareCount(this.use)
   }
 
   /** The same for a bound that must hold while parts of the fleet cannot hear each other. */
-  get cautiousSharers(): number {
-    return cautiousSharersOf(this.use)
+  get worstCaseSharers(): number {
+    return partitionSafeShareCount(this.use)
   }
 
   /** Addresses for a caller of a region; of all regions where it has no instance. */
   addresses(region: string | undefined): readonly string[] {
-    const { self, isSelfActive, activeOthers } = this.current()
+    const { self, isSelfActive, activeOthers } = this.currentView()
     const active = isSelfActive && self !== undefined ? [self, ...activeOthers] : activeOthers
     const near = active.filter(member => member.region === region)
-    return this.useful(near.length > 0 ? near : active).map(member => member.callerAddress)
+    return this.preferReaching(near.length > 0 ? near : active).map(member => member.callerAddress)
   }
 
   /** Those that reach endpoints: the active ones, or else any other; all where nobody says that it does. */
-  private useful(active: readonly MemberRow[]): readonly MemberRow[] {
+  private preferReaching(active: readonly MemberRow[]): readonly MemberRow[] {
     const reaches = (member: MemberRow) => !this.parts.isCutOff(member)
     const reaching = active.filter(reaches)
     if (reaching.length > 0) return reaching
@@ -144,48 +149,50 @@
   }
 
   /** Addresses for peers of the active others in a failure domain. */
-  nearAddresses(failureDomain: string): readonly string[] {
+  failureDomainAddresses(failureDomain: string): readonly string[] {
     return this.activeOthers
       .filter(member => member.failureDomain === failureDomain && member.peerAddress !== '')
       .map(({ peerAddress }) => peerAddress)
   }
 
-  private get use(): FleetUse {
-    const { isSelfActive, usingOthers, idleOthers } = this.current()
+  private get use(): FleetUsage {
+    const { isSelfActive, usingOthers, idleOthers } = this.currentView()
     return {
-      isSelfUsing: isSelfActive || this.parts.isSelfUsing(),
+      isSelfUsing: isSelfActive || this.parts.hasOwnEndpointLoad(),
       usingOthers: usingOthers.length,
       others: usingOthers.length + idleOthers.length,
     }
   }
 
-  private current(): FleetView {
+  private currentView(): FleetView {
     const before = this.view
     const isServing = this.parts.isServing()
     const now = this.parts.clock.monotonic()
     const isSame = (before?.self !== undefined) === isServing
     const isFresh = before !== undefined && now - before.at < VIEW_MILLISECONDS
-    if (isFresh && isSame && !this.isOutdated) return before
-    this.isOutdated = false
+    if (isFresh && isSame && !this.isInvalidated) return before
+    this.isInvalidated = false
     if (!isSame) this.selfSince = now
-    const view = { at: now, ...this.look(isServing ? this.parts.self() : undefined) }
+    const view = { at: now, ...this.computeView(isServing ? this.parts.self() : undefined) }
     this.view = view
-    if (before?.isSelfActive !== view.isSelfActive) this.tell(view)
+    if (before?.isSelfActive !== view.isSelfActive) this.notifyChange(view)
     return view
   }
 
-  private tell(view: FleetView): void {
+  private notifyChange(view: FleetView): void {
     this.parts.onChange(view.isSelfActive, activeCountOf(view))
   }
 
-  private look(self: MemberRow | undefined): Omit<FleetView, 'at'> {
+  private computeView(self: MemberRow | undefined): Omit<FleetView, 'at'> {
     const all = this.parts.others()
     const others = this.reachable(all)
     const candidates = self === undefined ? others : [self, ...others]
-    const active = this.choice.choose(candidates, this.parts.clock.monotonic())
+    const active = this.selection.choose(candidates, this.parts.clock.monotonic())
     const activeOthers = active.filter(member => member !== self)
-    const { isUsing } = this.parts
-    const standbyUsers = others.filter(other => isUsing(other) && !activeOthers.includes(other))
+    const { hasEndpointLoad } = this.parts
+    const standbyUsers = others.filter(
+      other => hasEndpointLoad(other) && !activeOthers.includes(other),
+    )
     const usingOthers = [...activeOthers, ...standbyUsers]
     return {
       self,
@@ -204,9 +211,14 @@
    * its row shows it, unless this instance hears nobody and may be the one that is cut off.
    */
   private reachable(others: readonly MemberRow[]): readonly MemberRow[] {
-    const { hears, clock, silenceMilliseconds } = this.parts
+    const { hasRecentHeartbeat, clock, silenceMilliseconds } = this.parts
     const now = clock.monotonic()
-    const audible = this.silent.audible(others, hears, now, silenceMilliseconds())
-    return others.some(member => hears(member)) ? audible : others
+    const audible = this.silent.selectNonSilent(
+      others,
+      hasRecentHeartbeat,
+      now,
+      silenceMilliseconds(),
+    )
+    return others.some(member => hasRecentHeartbeat(member)) ? audible : others
   }
 }
--- a/packages/daemon/src/gateway/adviceWatch.ts
+++ b/packages/daemon/src/gateway/adviceCoordinator.ts
@@ -3,20 +3,20 @@
  * the log. Owns the memory and the permits; relies on the exchange of datagrams to tell at once.
  */
 
-import type { AdviceNews, RecordedInstance, WarmUpBounds } from '@rackwalk/decisions'
-import { EndpointAdvices, SendPermits, TurnAwayGuard } from '@rackwalk/router'
+import type { AdviceGossip, RecordedInstance, WarmUpBounds } from '@rackwalk/decisions'
+import { EndpointAdviceStore, SendAdmission, RejectionGuard } from '@rackwalk/router'
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
 
 /** What the watch works with. */
-export interface AdviceWatchParts {
+export interface AdviceCoordinatorParts {
   readonly clock: Clock
   readonly instance: string
   readonly recordedInstances: () => readonly RecordedInstance[] | undefined
   /** Undefined where the endpoints of a service need no warm-up. */
   readonly boundsOf: (service: string) => WarmUpBounds | undefined
   /** Tells all other instances, whether or not they use endpoints. */
-  readonly tell: (news: readonly AdviceNews[]) => void
+  readonly tell: (news: readonly AdviceGossip[]) => void
   readonly telemetry: GatewayTelemetry
 }
 
@@ -24,19 +24,19 @@
 const REPEAT_MILLISECONDS: Milliseconds = 250
 
 /** What one instance does about what endpoints say of themselves. */
-export class AdviceWatch {
-  readonly advices: EndpointAdvices
-  readonly permits: SendPermits
-  readonly turnAways: TurnAwayGuard
+export class AdviceCoordinator {
+  readonly advices: EndpointAdviceStore
+  readonly permits: SendAdmission
+  readonly turnAways: RejectionGuard
 
-  constructor(private readonly parts: AdviceWatchParts) {
-    this.advices = new EndpointAdvices({
+  constructor(private readonly parts: AdviceCoordinatorParts) {
+    this.advices = new EndpointAdviceStore({
       clock: parts.clock,
       onChange: (start, said) => this.noteChange(start, said),
-      onNews: news => this.share(news),
+      broadcast: news => this.share(news),
     })
-    this.turnAways = new TurnAwayGuard(parts)
-    this.permits = new SendPermits({
+    this.turnAways = new RejectionGuard(parts)
+    this.permits = new SendAdmission({
       ...parts,
       instance: () => parts.instance,
       advices: this.advices,
@@ -44,16 +44,16 @@
   }
 
   /** Another instance told what endpoints say. */
-  observe(news: readonly AdviceNews[]): void {
+  observe(news: readonly AdviceGossip[]): void {
     for (const one of news) this.advices.observe(one)
   }
 
   /** Another instance has requests in progress at an endpoint; undefined where none is listed under its id. */
   noteAsked(start: EndpointStart | undefined): void {
-    if (start !== undefined) this.advices.noteAsked(start)
+    if (start !== undefined) this.advices.notePeerRequests(start)
   }
 
-  private share(news: AdviceNews): void {
+  private share(news: AdviceGossip): void {
     const { clock, tell } = this.parts
     tell([news])
     clock.after(REPEAT_MILLISECONDS, () => {
--- a/packages/daemon/src/gateway/adviceNews.ts
+++ b/packages/daemon/src/gateway/adviceGossip.ts
@@ -4,10 +4,10 @@
  */
 
 import { asId } from '@rackwalk/shared'
-import type { AdviceNews } from '@rackwalk/decisions'
+import type { AdviceGossip } from '@rackwalk/decisions'
 import type { PeerLoadReport } from '@rackwalk/router'
-import { newsReports } from './crashNews.js'
-import type { NewsEntry } from './crashNews.js'
+import { gossipReports } from './crashGossip.js'
+import type { GossipEntry } from './crashGossip.js'
 
 /** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
 const SAYS_PREFIX = 'says '
@@ -17,15 +17,15 @@
 const LEAVING_PART = 'leaving'
 
 /** The reports that tell this. */
-export function adviceReportsOf(
-  news: readonly AdviceNews[],
+export function encodeAdviceGossip(
+  news: readonly AdviceGossip[],
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
-  return newsReports(news.map(entryOf), identity)
+  return gossipReports(news.map(entryOf), identity)
 }
 
 /** What such a report tells; entries of any other kind are passed over. */
-export function adviceNewsOf({ loads }: PeerLoadReport): readonly AdviceNews[] {
+export function decodeAdviceGossip({ loads }: PeerLoadReport): readonly AdviceGossip[] {
   return loads.flatMap(({ endpoint, pendingTokens, parts }) => {
     if (!endpoint.startsWith(SAYS_PREFIX)) return []
     const rate = parts.find(({ id }) => id === RATE_PART)?.tokens ?? 0
@@ -42,7 +42,12 @@
   })
 }
 
-function entryOf({ start, requestsPerSecond, isLeaving, ageMilliseconds }: AdviceNews): NewsEntry {
+function entryOf({
+  start,
+  requestsPerSecond,
+  isLeaving,
+  ageMilliseconds,
+}: AdviceGossip): GossipEntry {
   const parts = [
     ...(requestsPerSecond === undefined ? [] : [{ id: RATE_PART, tokens: requestsPerSecond }]),
     ...(isLeaving === true ? [{ id: LEAVING_PART, tokens: 1 }] : []),
--- a/packages/daemon/src/gateway/gatewayAnswers.ts
+++ b/packages/daemon/src/gateway/auxiliaryListeners.ts
@@ -8,18 +8,18 @@
 import type { StreamOrigins } from '@rackwalk/router'
 import type { ActiveFleet } from './activeFleet.js'
 import { createPlainListener } from './gatewayListeners.js'
-import type { PlainAnswerer } from './gatewayListeners.js'
+import type { PlainHandler } from './gatewayListeners.js'
 import type { GatewayMetrics } from './gatewayMetrics.js'
 import type { GatewaySettings } from './gatewaySettings.js'
-import { answerOrigin } from './originQuestions.js'
-import { answerLoan } from './peerLoans.js'
-import { answerRows } from './peerRows.js'
+import { handleOriginRequest } from './streamOriginClient.js'
+import { handleLoanRequest } from './peerLoanClient.js'
+import { handleRowsRequest } from './peerRowClient.js'
 import { createPeerListener } from './peerListener.js'
 import type { RelayHandler } from './peerListener.js'
 import type { PlainAnswer, PlatformAdapter } from './platformAdapter.js'
 
 /** What the answers rest on. */
-export interface GatewayAnswersParts {
+export interface AuxiliaryListenersParts {
   readonly adapter: PlatformAdapter
   readonly isReady: () => boolean
   readonly fleet: ActiveFleet
@@ -40,12 +40,12 @@
 }
 
 /** Answers short questions, a listener for each kind. */
-export class GatewayAnswers {
-  constructor(private readonly parts: GatewayAnswersParts) {}
+export class AuxiliaryListeners {
+  constructor(private readonly parts: AuxiliaryListenersParts) {}
 
   /** A listener for each kind of question that has an address in the settings. */
   listeners(listen: GatewaySettings['listen']): readonly AddressedListener[] {
-    const answerers: readonly [string | undefined, PlainAnswerer][] = [
+    const answerers: readonly [string | undefined, PlainHandler][] = [
       [listen.readiness, url => this.readiness(url)],
       [listen.directory, url => this.directory(url)],
       [listen.metrics, () => this.metrics()],
@@ -57,7 +57,7 @@
   }
 
   private peerListener(address: string): AddressedListener {
-    const answer: PlainAnswerer = (url, body) => this.peer(url, body)
+    const answer: PlainHandler = (url, body) => this.peer(url, body)
     return { server: createPeerListener(answer, this.parts.relayed), address }
   }
 
@@ -77,8 +77,8 @@
 
   private async peer(url: string, body: string): Promise<PlainAnswer> {
     const { lender, mirrors, streams } = this.parts
-    const loan = await answerLoan(url, body, lender)
-    return loan ?? answerOrigin(url, body, streams) ?? answerRows(url, mirrors)
+    const loan = await handleLoanRequest(url, body, lender)
+    return loan ?? handleOriginRequest(url, body, streams) ?? handleRowsRequest(url, mirrors)
   }
 
   private async metrics(): Promise<PlainAnswer> {
--- a/packages/daemon/src/gateway/crashWatch.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -3,31 +3,31 @@
  * store, the log. Owns the guard and the records; relies on the exchange of datagrams to tell at once.
  */
 
-import { CrashRecords } from '@rackwalk/coordination'
+import { CrashRecordStore } from '@rackwalk/coordination'
 import {
   CrashGuard,
   forgetRecord,
   marksOfPart,
   observeRecords,
-  probeReached,
+  probeWithLinkCheck,
   recordKeyOf,
 } from '@rackwalk/router'
-import type { CrashNews } from '@rackwalk/decisions'
-import type { EndpointDirectory, EndpointState, LinkWatch } from '@rackwalk/router'
+import type { CrashGossip } from '@rackwalk/decisions'
+import type { EndpointDirectory, EndpointState, LinkMonitor } from '@rackwalk/router'
 import type { Clock, Milliseconds, PromptPartKey, RequestFingerprint } from '@rackwalk/shared'
 import type { RowStore } from '@rackwalk/stores'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
 
 /** What the watch works with. */
-export interface CrashWatchParts {
+export interface CrashCoordinatorParts {
   readonly clock: Clock
   readonly store: RowStore
   readonly directory: () => EndpointDirectory
-  readonly links: LinkWatch<EndpointState>
+  readonly links: LinkMonitor<EndpointState>
   /** Tells all other instances, whether or not they use endpoints. */
-  readonly tell: (news: CrashNews) => void
+  readonly broadcast: (news: CrashGossip) => void
   /** How many instances that reaches. */
-  readonly listenerCount: () => number
+  readonly gossipPeerCount: () => number
   readonly telemetry: GatewayTelemetry
 }
 
@@ -35,22 +35,22 @@
 const REPEAT_MILLISECONDS: Milliseconds = 250
 
 /** What one instance does about requests that end endpoints. */
-export class CrashWatch {
+export class CrashCoordinator {
   readonly guard: CrashGuard
-  readonly records: CrashRecords
+  readonly records: CrashRecordStore
 
-  constructor(private readonly parts: CrashWatchParts) {
+  constructor(private readonly parts: CrashCoordinatorParts) {
     const { clock, store, telemetry } = parts
     this.guard = new CrashGuard({
       clock,
-      probe: endpoint => probeReached(endpoint, parts.links),
-      onEnd: end => telemetry.noteEndpointEnd(end, parts.listenerCount()),
+      probe: endpoint => probeWithLinkCheck(endpoint, parts.links),
+      onCrash: end => telemetry.noteEndpointEnd(end, parts.gossipPeerCount()),
       onUnreachable: start => parts.directory().noteUnreachable(start),
-      onNews: news => this.share(news),
+      broadcast: news => this.share(news),
       onVerdict: (fingerprint, isRefused) => this.noteVerdict(fingerprint, isRefused),
-      onPart: (part, isRefused) => this.notePart(part, isRefused),
+      onPromptPartVerdict: (part, isRefused) => this.notePart(part, isRefused),
     })
-    this.records = new CrashRecords({
+    this.records = new CrashRecordStore({
       store,
       clock,
       onMarks: marks => observeRecords(this.guard, marks),
@@ -65,32 +65,32 @@
   }
 
   /** Takes in what another instance found out. */
-  observe(news: CrashNews): void {
-    this.guard.observe(news)
+  observe(news: CrashGossip): void {
+    this.guard.applyNews(news)
     this.noteAway(news)
   }
 
-  private noteAway({ away = [] }: CrashNews): void {
-    for (const start of away) this.parts.directory().noteAway(start)
+  private noteAway({ away = [] }: CrashGossip): void {
+    for (const start of away) this.parts.directory().noteUnresponsive(start)
   }
 
-  private share(news: CrashNews): void {
-    this.parts.tell(news)
+  private share(news: CrashGossip): void {
+    this.parts.broadcast(news)
     this.noteAway(news)
     if (news.marks.length + news.cleared.length === 0) return this.repeatParts(news)
-    this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.tell(news))
+    this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(news))
     this.records.record(news.marks)
     for (const { fingerprint } of news.cleared) this.records.remove(fingerprint)
   }
 
-  private repeatParts(news: CrashNews): void {
+  private repeatParts(news: CrashGossip): void {
     const { partEnds, deadlyParts, soundParts } = news
     const isWorthIt = [partEnds, deadlyParts, soundParts].some(told => told !== undefined)
     const ends = partEnds?.map(end => {
       return { ...end, ageMilliseconds: end.ageMilliseconds + REPEAT_MILLISECONDS }
     })
     const again = ends === undefined ? news : { ...news, partEnds: ends }
-    if (isWorthIt) this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.tell(again))
+    if (isWorthIt) this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(again))
   }
 
   /** A part that is refused is kept as a request is, under a key that no request has. */
--- a/packages/daemon/src/gateway/crashNews.ts
+++ b/packages/daemon/src/gateway/crashGossip.ts
@@ -3,13 +3,13 @@
  * late (sequence 0), so that an earlier version, which knows nothing of them, drops them as such. Owns nothing.
  */
 
-import type { CrashMark, CrashNews } from '@rackwalk/decisions'
+import type { CrashMark, CrashGossip } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { PromptPartKey } from '@rackwalk/shared'
 import type { PeerLoadReport } from '@rackwalk/router'
 
 /** Of all reports that tell news; no report of load has it, since their sequences count from 1. */
-const NEWS_SEQUENCE = 0
+const GOSSIP_SEQUENCE = 0
 /** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
 const ENDED_PREFIX = 'ended '
 const SUSPECTED_PREFIX = 'suspected '
@@ -21,21 +21,21 @@
 const SOUND_PARTS_ENTRY = 'parts sound'
 const TRIED_PARTS_ENTRY = 'parts tried'
 /** Parts in one entry: a prompt may have many. */
-export const PARTS_AN_ENTRY = 8
+export const PARTS_PER_ENTRY = 8
 /** Entries in one datagram, each part beyond the first of one counted as well: it stays under 1,300 bytes with ids of 40 characters. */
-const ENTRIES_A_DATAGRAM = 12
+const ENTRIES_PER_DATAGRAM = 12
 
 /** One piece of news, in the form of an entry of load. */
-export type NewsEntry = PeerLoadReport['loads'][number]
+export type GossipEntry = PeerLoadReport['loads'][number]
 
 /** Whether a report tells news, and not of load. */
-export function isNews({ sequence }: PeerLoadReport): boolean {
-  return sequence === NEWS_SEQUENCE
+export function isGossip({ sequence }: PeerLoadReport): boolean {
+  return sequence === GOSSIP_SEQUENCE
 }
 
 /** The reports that tell this. */
-export function reportsOf(
-  news: CrashNews,
+export function encodeCrashGossip(
+  news: CrashGossip,
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
   const away = (news.away ?? []).map(start => startEntry(AWAY_PREFIX, start))
@@ -45,27 +45,27 @@
   const parts = partEntries(news)
   const cleared = news.cleared.map(clearedEntry)
   const entries = [...marks, ...suspected, ...cleared, ...away, ...lives, ...parts]
-  return newsReports(entries, identity)
+  return gossipReports(entries, identity)
 }
 
 /** Reports that carry news, each small enough for one datagram. */
-export function newsReports(
-  entries: readonly NewsEntry[],
+export function gossipReports(
+  entries: readonly GossipEntry[],
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
   return datagramsOf(entries).map(loads => {
-    return { ...identity, sequence: NEWS_SEQUENCE, isWhole: false, loads }
+    return { ...identity, sequence: GOSSIP_SEQUENCE, isWhole: false, loads }
   })
 }
 
-function datagramsOf(entries: readonly NewsEntry[]): readonly (readonly NewsEntry[])[] {
-  const datagrams: NewsEntry[][] = []
+function datagramsOf(entries: readonly GossipEntry[]): readonly (readonly GossipEntry[])[] {
+  const datagrams: GossipEntry[][] = []
   let room = 0
   for (const entry of entries) {
     const weight = Math.max(1, entry.parts.length)
     if (weight > room) {
       datagrams.push([])
-      room = ENTRIES_A_DATAGRAM
+      room = ENTRIES_PER_DATAGRAM
     }
     datagrams.at(-1)?.push(entry)
     room -= weight
@@ -74,7 +74,7 @@
 }
 
 /** What such a report tells; entries of any other kind are passed over. */
-export function newsOf({ loads }: PeerLoadReport): CrashNews {
+export function decodeCrashGossip({ loads }: PeerLoadReport): CrashGossip {
   const away = loads.flatMap(({ endpoint }) => startsOf(AWAY_PREFIX, endpoint))
   const lives = loads.flatMap(({ endpoint }) => startsOf(LIVES_PREFIX, endpoint))
   const suspected = loads.flatMap(entry => marksOf(SUSPECTED_PREFIX, entry))
@@ -92,7 +92,7 @@
   }
 }
 
-function partEntries(news: CrashNews): readonly NewsEntry[] {
+function partEntries(news: CrashGossip): readonly GossipEntry[] {
   const { partEnds = [], deadlyParts = [], soundParts = [], triedParts = [] } = news
   return [
     ...partEnds.flatMap(({ start, parts, wasIsolated = false, ageMilliseconds }) =>
@@ -111,17 +111,17 @@
 function keyEntries(
   endpoint: string,
   keys: readonly PromptPartKey[],
-  load: Pick<NewsEntry, 'running' | 'pendingTokens'> = { running: 0, pendingTokens: 0 },
-): readonly NewsEntry[] {
-  const entries: NewsEntry[] = []
-  for (let from = 0; from < keys.length; from += PARTS_AN_ENTRY) {
-    const parts = keys.slice(from, from + PARTS_AN_ENTRY).map(id => ({ id, tokens: 0 }))
+  load: Pick<GossipEntry, 'running' | 'pendingTokens'> = { running: 0, pendingTokens: 0 },
+): readonly GossipEntry[] {
+  const entries: GossipEntry[] = []
+  for (let from = 0; from < keys.length; from += PARTS_PER_ENTRY) {
+    const parts = keys.slice(from, from + PARTS_PER_ENTRY).map(id => ({ id, tokens: 0 }))
     entries.push({ endpoint, ...load, parts })
   }
   return entries
 }
 
-function partNewsOf(loads: PeerLoadReport['loads']): Partial<CrashNews> {
+function partNewsOf(loads: PeerLoadReport['loads']): Partial<CrashGossip> {
   const partEnds = loads.flatMap(({ endpoint, running, pendingTokens, parts }) =>
     startsOf(PART_END_PREFIX, endpoint).map(start => {
       const wasIsolated = running > 0
@@ -141,11 +141,11 @@
   }
 }
 
-function keysOf(parts: NewsEntry['parts']): readonly PromptPartKey[] {
+function keysOf(parts: GossipEntry['parts']): readonly PromptPartKey[] {
   return parts.map(({ id }) => asId<PromptPartKey>(id))
 }
 
-function startEntry(prefix: string, start: CrashMark['start']): NewsEntry {
+function startEntry(prefix: string, start: CrashMark['start']): GossipEntry {
   return { endpoint: `${prefix}${start}`, running: 0, pendingTokens: 0, parts: [] }
 }
 
@@ -153,17 +153,17 @@
   return name.startsWith(prefix) ? [asId(name.slice(prefix.length))] : []
 }
 
-function markEntry(prefix: string, { fingerprint, start, wasIsolated }: CrashMark): NewsEntry {
+function markEntry(prefix: string, { fingerprint, start, wasIsolated }: CrashMark): GossipEntry {
   const parts = [{ id: fingerprint, tokens: Number(wasIsolated) }]
   return { endpoint: `${prefix}${start}`, running: 0, pendingTokens: 0, parts }
 }
 
-function clearedEntry({ fingerprint, starts }: CrashNews['cleared'][number]): NewsEntry {
+function clearedEntry({ fingerprint, starts }: CrashGossip['cleared'][number]): GossipEntry {
   const parts = starts.map(start => ({ id: start, tokens: 0 }))
   return { endpoint: `${CLEARED_PREFIX}${fingerprint}`, running: 0, pendingTokens: 0, parts }
 }
 
-function marksOf(prefix: string, { endpoint, parts }: NewsEntry): readonly CrashMark[] {
+function marksOf(prefix: string, { endpoint, parts }: GossipEntry): readonly CrashMark[] {
   if (!endpoint.startsWith(prefix)) return []
   const start = asId<CrashMark['start']>(endpoint.slice(prefix.length))
   return parts.map(({ id, tokens }) => ({ fingerprint: asId(id), start, wasIsolated: tokens > 0 }))
--- a/packages/daemon/src/gateway/createActiveFleet.ts
+++ b/packages/daemon/src/gateway/createActiveFleet.ts
@@ -1,18 +1,18 @@
 /** Where the view of the fleet is read from. Owns nothing. */
 
 import type { MemberDirectory, MemberRow } from '@rackwalk/coordination'
-import type { HeardInstances } from '@rackwalk/decisions'
+import type { PeerOverload } from '@rackwalk/decisions'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import { ActiveFleet } from './activeFleet.js'
 import type { ActiveFleetParts } from './activeFleet.js'
-import type { EndpointKnowledge } from './endpointKnowledge.js'
+import type { EndpointSubsystem } from './endpointSubsystem.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
 /** The parts that know of the fleet. */
 export interface ActiveFleetSources extends Pick<ActiveFleetParts, 'onChange'> {
   readonly settings: GatewaySettings
   readonly members: MemberDirectory
-  readonly known: () => EndpointKnowledge
+  readonly known: () => EndpointSubsystem
   readonly isReady: () => boolean
   readonly clock: Clock
 }
@@ -25,13 +25,14 @@
   const { settings, members, known, isReady, clock, onChange } = sources
   const { activeInDomain, headroom } = settings.membership
   return new ActiveFleet({
-    isServing: () => isReady() && members.isKnown,
+    isServing: () => isReady() && members.isInitialized,
     self: () => members.self,
     others: () => members.others,
-    hears: ({ instance, loadAddress }) => loadAddress === '' || known().fleetLoad.hears(instance),
+    hasRecentHeartbeat: ({ instance, loadAddress }) =>
+      loadAddress === '' || known().fleetLoad.hasRecentHeartbeat(instance),
     silenceMilliseconds: () => known().exchange?.silenceMilliseconds ?? 0,
-    isUsing: ({ instance }) => known().fleetLoad.isUsing(instance),
-    isSelfUsing: () => known().fleetLoad.isSelfUsing,
+    hasEndpointLoad: ({ instance }) => known().fleetLoad.isUsing(instance),
+    hasOwnEndpointLoad: () => known().fleetLoad.isSelfUsing,
     isCutOff: ({ instance }) => known().cutOff.hasAny(instance),
     clock,
     bounds: { minimumInDomain: activeInDomain, headroom },
@@ -41,11 +42,11 @@
 
 /** Of the other active instances those that are heard, to which callers may go. */
 export function heardInstances(
-  { fleetLoad, overloaded }: EndpointKnowledge,
+  { fleetLoad, overloaded }: EndpointSubsystem,
   activeOthers: readonly MemberRow[],
-): HeardInstances {
+): PeerOverload {
   if (fleetLoad.heardAgoMilliseconds > CUT_OFF_MILLISECONDS) return { count: 0, overloaded: 0 }
-  const heard = activeOthers.filter(({ instance }) => fleetLoad.hears(instance))
+  const heard = activeOthers.filter(({ instance }) => fleetLoad.hasRecentHeartbeat(instance))
   const overloadedOnes = heard.filter(({ instance }) => overloaded.has(instance))
   return { count: heard.length, overloaded: overloadedOnes.length }
 }
--- a/packages/daemon/src/gateway/peerCalls.ts
+++ b/packages/daemon/src/gateway/createPeerClients.ts
@@ -5,16 +5,16 @@
 import type { ActiveFleet } from './activeFleet.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
-import { PeerLoans } from './peerLoans.js'
-import { PeerRows } from './peerRows.js'
+import { PeerLoanClient } from './peerLoanClient.js'
+import { PeerRowClient } from './peerRowClient.js'
 
 /** Wait for a peer's answer. */
-const PEER_MILLISECONDS: Milliseconds = 400
+const ROWS_TIMEOUT_MILLISECONDS: Milliseconds = 400
 /** The same where a request waits for it; the peer itself may ask the store first. */
-const LOAN_MILLISECONDS: Milliseconds = 90
+const LOAN_TIMEOUT_MILLISECONDS: Milliseconds = 90
 
 /** What such calls rest on. */
-export interface PeerCallSources {
+export interface PeerClientSources {
   readonly settings: GatewaySettings
   readonly members: MemberDirectory
   readonly telemetry: GatewayTelemetry
@@ -22,30 +22,30 @@
 
 /** Asks other instances for tokens. */
 export function createPeerLoans(
-  { members, telemetry }: PeerCallSources,
+  { members, telemetry }: PeerClientSources,
   fleet: ActiveFleet,
-): PeerLoans {
-  return new PeerLoans({
+): PeerLoanClient {
+  return new PeerLoanClient({
     addressOf: instance => members.others.find(member => member.instance === instance)?.peerAddress,
     isSilent: instance => fleet.isSilent(instance),
-    timeoutMilliseconds: LOAN_MILLISECONDS,
+    timeoutMilliseconds: LOAN_TIMEOUT_MILLISECONDS,
     onMalformed: form => telemetry.noteMalformed(form),
   })
 }
 
 /** Asks other instances for rows of the store. */
 export function createPeerRows(
-  { settings, members, telemetry }: PeerCallSources,
+  { settings, members, telemetry }: PeerClientSources,
   fleet: ActiveFleet,
   random: RandomSource,
-): PeerRows {
-  return new PeerRows({
+): PeerRowClient {
+  return new PeerRowClient({
     own: settings.listen.peers,
     seeds: settings.seeds,
     knownAddresses: () => members.others.map(member => member.peerAddress),
-    nearAddresses: () => fleet.nearAddresses(settings.instance.failureDomain),
+    nearAddresses: () => fleet.failureDomainAddresses(settings.instance.failureDomain),
     random,
-    timeoutMilliseconds: PEER_MILLISECONDS,
+    timeoutMilliseconds: ROWS_TIMEOUT_MILLISECONDS,
     onMalformed: form => telemetry.noteMalformed(form),
   })
 }
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -36,13 +36,13 @@
       const { key, value } = row
       const record = value === undefined ? undefined : parse(key, value)
       if (record !== undefined) directory.set(record)
-      else if (value === undefined) directory.lapse(key, this.lapseMilliseconds)
+      else if (value === undefined) directory.removeAfter(key, this.lapseMilliseconds)
       else this.leaveOut(row)
     }
     if (!isWhole) return
     const present = new Set(rows.map(row => row.key))
     const missing = directory.ids.filter(id => !present.has(id))
-    for (const id of missing) directory.lapse(id, this.lapseMilliseconds)
+    for (const id of missing) directory.removeAfter(id, this.lapseMilliseconds)
   }
 
   /**
@@ -54,7 +54,7 @@
     this.parts.directory.remove(row.key)
   }
 
-  onReachable(isReachable: boolean): void {
+  onReachabilityChange(isReachable: boolean): void {
     if (isReachable && !this.isReachable) this.regainedAt = this.parts.clock.monotonic()
     this.isReachable = isReachable
   }
--- a/packages/daemon/src/gateway/endpointKnowledge.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -4,23 +4,23 @@
  * instances; decides nothing.
  */
 
-import { EndpointDirectory, FleetLoad, LinkWatch } from '@rackwalk/router'
+import { EndpointDirectory, FleetLoad, LinkMonitor } from '@rackwalk/router'
 import type { EndpointRecord, EndpointState, GatewayService } from '@rackwalk/router'
 import type { MemberDirectory } from '@rackwalk/coordination'
 import type { Clock, EndpointStart, RandomSource } from '@rackwalk/shared'
 import type { RowStore } from '@rackwalk/stores'
 import type { ActiveFleet } from './activeFleet.js'
-import { AdviceWatch } from './adviceWatch.js'
-import { CrashWatch } from './crashWatch.js'
-import { CutOffInstances } from './cutOffNews.js'
+import { AdviceCoordinator } from './adviceCoordinator.js'
+import { CrashCoordinator } from './crashCoordinator.js'
+import { CutOffInstances } from './cutOffGossip.js'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
-import { LoadExchange, OVERLOAD_NEWS_MILLISECONDS, loadPeersOf } from './loadExchange.js'
-import { NewcomerWatch } from './newcomerWatch.js'
-import { OverloadedInstances } from './overloadNews.js'
-import { StreamWatch } from './streamWatch.js'
+import { LoadExchange, OVERLOAD_GOSSIP_MILLISECONDS, loadPeersOf } from './loadExchange.js'
+import { UnknownSenderMonitor } from './unknownSenderMonitor.js'
+import { OverloadedInstances } from './overloadGossip.js'
+import { StreamCoordinator } from './streamCoordinator.js'
 
 /** What the knowledge rests on. */
-export interface EndpointKnowledgeParts {
+export interface EndpointSubsystemParts {
   readonly instance: string
   readonly incarnation: string
   /** IP:PORT for datagrams; undefined where this instance takes none. */
@@ -40,22 +40,22 @@
 }
 
 /** The parts that know of endpoints. */
-export class EndpointKnowledge {
+export class EndpointSubsystem {
   readonly directory: EndpointDirectory
-  readonly crashes: CrashWatch
-  readonly advice: AdviceWatch
+  readonly crashes: CrashCoordinator
+  readonly advice: AdviceCoordinator
   readonly fleetLoad: FleetLoad
   readonly exchange: LoadExchange | undefined
   /** Other instances that get more than they bear. */
   readonly overloaded: OverloadedInstances
   /** Which endpoints this instance reaches. */
-  readonly links: LinkWatch<EndpointState>
+  readonly links: LinkMonitor<EndpointState>
   /** Instances that reach no endpoint of some service. */
   readonly cutOff: CutOffInstances
   /** Where streams began. */
-  readonly streams: StreamWatch
+  readonly streams: StreamCoordinator
 
-  constructor(private readonly parts: EndpointKnowledgeParts) {
+  constructor(private readonly parts: EndpointSubsystemParts) {
     this.directory = this.createDirectory()
     this.streams = this.createStreams()
     this.links = this.createLinks()
@@ -65,13 +65,13 @@
     this.fleetLoad = this.createFleetLoad()
     this.overloaded = new OverloadedInstances(
       parts.clock,
-      () => this.exchange?.overloadNewsMilliseconds ?? OVERLOAD_NEWS_MILLISECONDS,
+      () => this.exchange?.overloadGossipMilliseconds ?? OVERLOAD_GOSSIP_MILLISECONDS,
     )
     this.exchange = this.createExchange()
   }
 
   /** What the way of a request asks and tells of endpoints. */
-  get ofRequests() {
+  get gatewayParts() {
     const { directory, fleetLoad, links, crashes, streams, advice } = this
     const { advices, permits, turnAways } = advice
     return {
@@ -100,7 +100,7 @@
 
   /** An instance is on record: this one can be known to others now, or another is told what holds. */
   noteRecorded(isSelf: boolean): void {
-    this.parts.fleet().lookAgain()
+    this.parts.fleet().invalidate()
     if (isSelf) this.exchange?.announce()
     else this.exchange?.noteNewcomer()
   }
@@ -118,9 +118,9 @@
     })
   }
 
-  private createStreams(): StreamWatch {
+  private createStreams(): StreamCoordinator {
     const { instance, incarnation, clock, fleet, telemetry, isListFresh } = this.parts
-    return new StreamWatch({
+    return new StreamCoordinator({
       clock,
       identity: { instance, incarnation },
       directory: () => this.directory,
@@ -131,16 +131,16 @@
     })
   }
 
-  private createLinks(): LinkWatch<EndpointState> {
+  private createLinks(): LinkMonitor<EndpointState> {
     const { clock, random, telemetry } = this.parts
-    return new LinkWatch({
+    return new LinkMonitor({
       clock,
       random,
-      listed: service => this.directory.listed(service),
-      listedElsewhere: service => this.directory.listedElsewhere(service),
+      endpointsOf: service => this.directory.listed(service),
+      endpointsOfOthers: service => this.directory.listedElsewhere(service),
       onCutOff: (service, isCutOff) => {
         telemetry.note('links_state', { service, isCutOff })
-        this.cutOff.noteOwn()
+        this.cutOff.refreshOwn()
       },
     })
   }
@@ -150,9 +150,10 @@
     return new CutOffInstances({
       instance,
       clock,
-      newsMilliseconds: () => this.exchange?.overloadNewsMilliseconds ?? OVERLOAD_NEWS_MILLISECONDS,
+      gossipMilliseconds: () =>
+        this.exchange?.overloadGossipMilliseconds ?? OVERLOAD_GOSSIP_MILLISECONDS,
       ownServices: () => this.links.cutOffServices,
-      tell: services => this.exchange?.tellCutOff(services),
+      broadcast: services => this.exchange?.gossipCutOff(services),
     })
   }
 
@@ -168,27 +169,27 @@
     this.advice.advices.forget(start)
   }
 
-  private createCrashes(): CrashWatch {
+  private createCrashes(): CrashCoordinator {
     const { clock, store, telemetry } = this.parts
-    return new CrashWatch({
+    return new CrashCoordinator({
       clock,
       store,
       directory: () => this.directory,
       links: this.links,
-      tell: news => this.exchange?.tellCrashes(news),
-      listenerCount: () => this.exchange?.listenerCount ?? 0,
+      broadcast: news => this.exchange?.gossipCrashes(news),
+      gossipPeerCount: () => this.exchange?.gossipPeerCount ?? 0,
       telemetry,
     })
   }
 
-  private createAdvice(): AdviceWatch {
+  private createAdvice(): AdviceCoordinator {
     const { clock, instance, members, service, telemetry } = this.parts
-    return new AdviceWatch({
+    return new AdviceCoordinator({
       clock,
       instance,
       recordedInstances: () => members.recordedInstances,
       boundsOf: name => service(name)?.warmUp,
-      tell: news => this.exchange?.tellAdvice(news),
+      tell: news => this.exchange?.gossipAdvice(news),
       telemetry,
     })
   }
@@ -216,29 +217,29 @@
     const newcomers = this.createNewcomers()
     return new LoadExchange({
       address: loadAddress,
-      usingPeers: () => loadPeersOf(fleet().usingOthers),
-      idlePeers: () => loadPeersOf(fleet().idleOthers),
+      reportPeers: () => loadPeersOf(fleet().usingOthers),
+      heartbeatPeers: () => loadPeersOf(fleet().idleOthers),
       fleetLoad: this.fleetLoad,
       identity: { instance, incarnation },
-      onCrashNews: news => this.crashes.observe(news),
-      onAdviceNews: news => this.advice.observe(news),
+      onCrashGossip: news => this.crashes.observe(news),
+      onAdviceGossip: news => this.advice.observe(news),
       onOverloaded: instance => this.overloaded.note(instance),
       onCutOff: (...told) => this.cutOff.note(...told),
-      onStreamNews: news => this.streams.origins.observe(news),
+      onStreamGossip: news => this.streams.origins.observe(news),
       onSender: sender => newcomers.note(sender),
-      standingAdvice: () => this.advice.advices.standingNews,
-      standingCrashes: () => this.crashes.guard.standingNews,
-      standingVersions: () => this.streams.origins.standingVersions,
+      standingAdvice: () => this.advice.advices.newsSnapshot,
+      standingCrashes: () => this.crashes.guard.newsSnapshot,
+      standingVersions: () => this.streams.origins.versionsSnapshot,
       clock,
       onMalformed: form => telemetry.noteMalformed(form),
     })
   }
 
-  private createNewcomers(): NewcomerWatch {
+  private createNewcomers(): UnknownSenderMonitor {
     const { instance, members, readMembers, telemetry, clock } = this.parts
-    return new NewcomerWatch({
+    return new UnknownSenderMonitor({
       instance,
-      knows: (...life) => members.knows(...life),
+      knows: (...life) => members.hasIncarnation(...life),
       readMembers,
       onUnknown: () => telemetry.noteUnknownSender(),
       clock,
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import { longestFeedWait } from '@rackwalk/decisions'
+import { maximumFeedWait } from '@rackwalk/decisions'
 import type { ChangedRow, RowAddress, RowStore } from '@rackwalk/stores'
 import {
   CRASH_PARTITION,
@@ -15,14 +15,14 @@
   TableMirror,
 } from '@rackwalk/coordination'
 import type {
-  CrashRecords,
+  CrashRecordStore,
   MemberDirectory,
   MirrorListener,
-  NearPeer,
+  UpstreamPeer,
   PrepaidLedger,
 } from '@rackwalk/coordination'
 import type { EndpointDirectory } from '@rackwalk/router'
-import type { PeerRows } from './peerRows.js'
+import type { PeerRowClient } from './peerRowClient.js'
 import type { PlatformAdapter } from './platformAdapter.js'
 import { EndpointFollower } from './endpointFollower.js'
 
@@ -66,8 +66,8 @@
   readonly endpoints: EndpointDirectory
   readonly members: MemberDirectory
   readonly ledger: PrepaidLedger
-  readonly crashRecords: CrashRecords
-  readonly peerRows: PeerRows
+  readonly crashRecords: CrashRecordStore
+  readonly peerRows: PeerRowClient
   /** Whether callers are sent to this instance. */
   readonly isActive: () => boolean
   readonly freshness: FreshnessBounds
@@ -87,9 +87,9 @@
   /** How long a question for changes may wait at the store; 0 where they come all the time. */
   readonly waitMilliseconds: Milliseconds
   /** Whether peers may tell of it while the store is away. */
-  readonly isToldByPeers: boolean
+  readonly isServedByPeers: boolean
   /** A near peer may tell what is no older than this; where absent the store alone is asked. */
-  readonly nearPeerMilliseconds?: Milliseconds
+  readonly peerStalenessMilliseconds?: Milliseconds
   readonly listener: MirrorListener
 }
 
@@ -97,7 +97,7 @@
 export function followTables(parts: FollowedTablesParts): ReadonlyMap<string, TableMirror> {
   const { members, ledger } = parts
   const tables: readonly FollowedTable[] = [
-    ...othersTables(parts),
+    ...externalTables(parts),
     {
       table: MEMBER_TABLE,
       partitions: () => [MEMBER_PARTITION],
@@ -105,8 +105,8 @@
         parts.isActive() ? MEMBER_PAUSE_MILLISECONDS : STANDBY_MEMBER_PAUSE_MILLISECONDS,
       waitMilliseconds: 0,
       // Who starts while the store is away would take itself for the only one and name itself alone.
-      isToldByPeers: true,
-      nearPeerMilliseconds: NEAR_MEMBER_MILLISECONDS,
+      isServedByPeers: true,
+      peerStalenessMilliseconds: NEAR_MEMBER_MILLISECONDS,
       listener: {
         onRows: (rows, isWhole) => members.observe(rows, isWhole),
         onRead: () => members.noteRead(),
@@ -120,7 +120,7 @@
       isWanted: parts.isActive,
       waitMilliseconds: 0,
       // Holdings mean something only as the store has them.
-      isToldByPeers: false,
+      isServedByPeers: false,
       listener: { onRows: (rows, isWhole) => ledger.observe(rows, isWhole) },
     },
   ]
@@ -131,7 +131,7 @@
 
 /** Reads the members without waiting for their time. */
 export function readMembersSoon(mirrors: ReadonlyMap<string, TableMirror>): void {
-  mirrors.get(MEMBER_TABLE)?.readSoon()
+  mirrors.get(MEMBER_TABLE)?.requestRead()
 }
 
 /** Rows that hardly ever change: instances that are heard tell of the news before the store does. */
@@ -141,7 +141,7 @@
     partitions: () => [CRASH_PARTITION],
     pauseMilliseconds: () => CONFIGURATION_PAUSE_MILLISECONDS,
     waitMilliseconds: CRASH_WAIT_MILLISECONDS,
-    isToldByPeers: true,
+    isServedByPeers: true,
     listener: crashRecords,
   }
 }
@@ -153,11 +153,11 @@
 
 /** How long a question for changes of a table with this bound waits at the store. */
 function feedWait(boundMilliseconds: Milliseconds): Milliseconds {
-  return Math.min(FEED_WAIT_MILLISECONDS, longestFeedWait(boundMilliseconds))
+  return Math.min(FEED_WAIT_MILLISECONDS, maximumFeedWait(boundMilliseconds))
 }
 
 /** What the operator and the endpoints write. */
-function othersTables(parts: FollowedTablesParts): readonly FollowedTable[] {
+function externalTables(parts: FollowedTablesParts): readonly FollowedTable[] {
   const { configuration, endpoints } = parts.adapter
   const { configurationMilliseconds, endpointsMilliseconds } = parts.freshness
   return [
@@ -166,8 +166,8 @@
       partitions: () => [configuration.partition],
       pauseMilliseconds: () => CONFIGURATION_PAUSE_MILLISECONDS,
       waitMilliseconds: feedWait(configurationMilliseconds),
-      isToldByPeers: true,
-      listener: { onRows: parts.onConfiguration, onReachable: parts.onContact },
+      isServedByPeers: true,
+      listener: { onRows: parts.onConfiguration, onReachabilityChange: parts.onContact },
     },
     {
       table: endpoints.table,
@@ -175,8 +175,8 @@
       pauseMilliseconds: () =>
         parts.isActive() ? ENDPOINT_PAUSE_MILLISECONDS : STANDBY_ENDPOINT_PAUSE_MILLISECONDS,
       waitMilliseconds: feedWait(endpointsMilliseconds),
-      isToldByPeers: true,
-      nearPeerMilliseconds: NEAR_ENDPOINT_MILLISECONDS,
+      isServedByPeers: true,
+      peerStalenessMilliseconds: NEAR_ENDPOINT_MILLISECONDS,
       listener: new EndpointFollower({
         directory: parts.endpoints,
         clock: parts.clock,
@@ -197,11 +197,13 @@
     listener: {
       onRows: (rows, isWhole) => listener.onRows(rows, isWhole),
       onRead: () => listener.onRead?.(),
-      onReachable: isReachable => listener.onReachable?.(isReachable),
+      onReachabilityChange: isReachable => listener.onReachabilityChange?.(isReachable),
       onFault: parts.onFault,
     },
-    askPeers: followed.isToldByPeers ? (...question) => parts.peerRows.ask(...question) : undefined,
-    nearPeer: nearPeerOf(parts, followed),
+    askPeers: followed.isServedByPeers
+      ? (...question) => parts.peerRows.ask(...question)
+      : undefined,
+    upstreamPeer: nearPeerOf(parts, followed),
     waitMilliseconds,
     pauseMilliseconds,
     isWanted,
@@ -210,12 +212,12 @@
 
 function nearPeerOf(
   { isActive, peerRows }: FollowedTablesParts,
-  { nearPeerMilliseconds }: FollowedTable,
-): NearPeer | undefined {
-  if (nearPeerMilliseconds === undefined) return undefined
+  { peerStalenessMilliseconds }: FollowedTable,
+): UpstreamPeer | undefined {
+  if (peerStalenessMilliseconds === undefined) return undefined
   return {
     isPreferred: () => !isActive(),
     ask: (table, after) => peerRows.askNear(table, after),
-    oldestMilliseconds: nearPeerMilliseconds,
+    maximumAgeMilliseconds: peerStalenessMilliseconds,
   }
 }
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -18,36 +18,36 @@
 import type { TableMirror } from '@rackwalk/coordination'
 import { Gateway } from '@rackwalk/router'
 import type { RouteTable } from '@rackwalk/router'
-import { WaitingConnections } from '../callers/waitingConnections.js'
+import { AcceptQueue } from '../callers/acceptQueue.js'
 import { AcceptProbe } from './acceptProbe.js'
 import type { ActiveFleet } from './activeFleet.js'
 import { createActiveFleet, heardInstances } from './createActiveFleet.js'
 import type { Logger } from '../observe/logger.js'
-import { GatewayAnswers } from './gatewayAnswers.js'
+import { AuxiliaryListeners } from './auxiliaryListeners.js'
 import { gaugesOf } from './gatewayGauges.js'
-import type { AddressedListener } from './gatewayAnswers.js'
+import type { AddressedListener } from './auxiliaryListeners.js'
 import { applyLimits, createCallerListener, listenAll } from './gatewayListeners.js'
 import type { GatewayMetrics } from './gatewayMetrics.js'
 import { GatewayTelemetry, createGatewayLogger } from './gatewayTelemetry.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 import { ListenerPauses } from './listenerPauses.js'
-import { watchedTables } from './knowledgeWatch.js'
-import { createPeerLoans, createPeerRows } from './peerCalls.js'
-import type { PeerCallSources } from './peerCalls.js'
-import type { PeerLoans } from './peerLoans.js'
-import type { PeerRows } from './peerRows.js'
+import { monitoredTables } from './stalenessMonitor.js'
+import { createPeerLoans, createPeerRows } from './createPeerClients.js'
+import type { PeerClientSources } from './createPeerClients.js'
+import type { PeerLoanClient } from './peerLoanClient.js'
+import type { PeerRowClient } from './peerRowClient.js'
 import { createRelayPeers } from './relayPeers.js'
 import type { FleetRelayPeers } from './relayPeers.js'
-import { ConfigurationInForce } from './configurationInForce.js'
-import { CountedStore } from './countedStore.js'
+import { ActiveConfiguration } from './activeConfiguration.js'
+import { MeteredStore } from './meteredStore.js'
 import { OpenConnections } from './openConnections.js'
 import { PausableListener } from './pausableListener.js'
 import { InstanceHealth } from './instanceHealth.js'
 import { linkBytesPerSecond } from './instanceCapacity.js'
-import { ownMember } from './ownMember.js'
-import { EndpointKnowledge } from './endpointKnowledge.js'
+import { selfMember } from './selfMember.js'
+import { EndpointSubsystem } from './endpointSubsystem.js'
 import { followTables, readMembersSoon } from './followedTables.js'
-import { stopAsPlanned } from './plannedStop.js'
+import { shutDownGracefully } from './gracefulShutdown.js'
 import type { PlatformAdapter } from './platformAdapter.js'
 import type { SettingsOutcome } from './settingsWatcher.js'
 
@@ -68,7 +68,7 @@
   private readonly random: RandomSource
   private readonly telemetry: GatewayTelemetry
   private readonly metrics: GatewayMetrics
-  private readonly store: CountedStore
+  private readonly store: MeteredStore
   private readonly storeClock: StoreClock
   private readonly members: MemberDirectory
   /** Requests that callers send here. */
@@ -76,22 +76,22 @@
   private readonly fleet: ActiveFleet
   private readonly ledger: PrepaidLedger
   /** What is known of endpoints. */
-  private readonly known: EndpointKnowledge
+  private readonly endpoints: EndpointSubsystem
   private readonly gateway: Gateway
   private readonly mirrors: ReadonlyMap<string, TableMirror>
   private readonly health: InstanceHealth
-  private readonly peerRows: PeerRows
-  private readonly peerLoans: PeerLoans
+  private readonly peerRows: PeerRowClient
+  private readonly peerLoans: PeerLoanClient
   private readonly relayPeers: FleetRelayPeers
-  private readonly waiting: WaitingConnections
+  private readonly waiting: AcceptQueue
   private readonly callerListener: PausableListener
   private readonly pauses: ListenerPauses
   private readonly callerConnections: OpenConnections
   private readonly acceptProbe: AcceptProbe
   private readonly otherListeners: readonly AddressedListener[]
-  private readonly configuration: ConfigurationInForce
-  private draining = false
-  private refusing = false
+  private readonly configuration: ActiveConfiguration
+  private isDrainStarted = false
+  private isRefusing = false
   private isMember = false
 
   constructor(
@@ -104,7 +104,7 @@
     const logger = options.logger ?? createGatewayLogger(settings, this.clock)
     this.telemetry = new GatewayTelemetry(logger)
     const store = options.store ?? this.createStore()
-    this.store = new CountedStore(store, this.clock, (call, table, outcome) =>
+    this.store = new MeteredStore(store, this.clock, (call, table, outcome) =>
       this.telemetry.noteStoreCall(call, table, outcome),
     )
     this.storeClock = new StoreClock(this.clock)
@@ -116,13 +116,13 @@
     this.fleet = this.createFleet()
     this.peerLoans = createPeerLoans(this.peerCallSources, this.fleet)
     this.ledger = this.createLedger()
-    this.known = this.createKnown()
-    this.relayPeers = createRelayPeers(this.settings, this.known, this.fleet, this.random)
+    this.endpoints = this.createEndpoints()
+    this.relayPeers = createRelayPeers(this.settings, this.endpoints, this.fleet, this.random)
     this.gateway = this.createGateway()
     this.peerRows = createPeerRows(this.peerCallSources, this.fleet, this.random)
     this.mirrors = this.createMirrors()
     this.health = this.createHealth()
-    this.waiting = new WaitingConnections(this.telemetry)
+    this.waiting = new AcceptQueue(this.telemetry)
     this.callerListener = this.createCallerListener()
     const { server } = this.callerListener
     this.callerConnections = new OpenConnections(server)
@@ -143,14 +143,14 @@
     for (const mirror of this.mirrors.values()) mirror.start()
     this.ledger.start()
     this.health.start()
-    this.known.start()
+    this.endpoints.start()
     this.pauses.start()
     this.note('instance_started', { callers, incarnation: this.incarnation })
   }
 
   /** Whether new requests may begin here. */
   get isReady(): boolean {
-    const isOpen = !this.draining && !this.callerListener.isAddressTaken
+    const isOpen = !this.isDrainStarted && !this.callerListener.isAddressTaken
     return this.configuration.routes !== undefined && isOpen
   }
 
@@ -161,19 +161,19 @@
 
   /** Brings requests in progress to their end, settles and leaves. */
   async drain(): Promise<void> {
-    if (this.draining) return
-    this.draining = true
+    if (this.isDrainStarted) return
+    this.isDrainStarted = true
     this.note('instance_draining', { inFlight: this.gateway.inFlight })
     void this.members.drain()
-    const result = await stopAsPlanned({
+    const result = await shutDownGracefully({
       clock: this.clock,
       graceMilliseconds: () => this.settings.shutdown.graceSeconds * 1000,
       inFlight: () => this.gateway.inFlight,
-      refuse: () => (this.refusing = true),
+      refuse: () => (this.isRefusing = true),
       closeListener: () => this.callerListener.close(),
       settle: () => this.settle(),
     })
-    this.note('instance_left', { ...result, ...this.waiting.told })
+    this.note('instance_left', { ...result, ...this.waiting.logFields })
   }
 
   /** The settings file changed; what can change in a running process does. */
@@ -201,7 +201,7 @@
     this.store.close()
     this.peerLoans.close()
     this.relayPeers.close()
-    this.known.stop()
+    this.endpoints.stop()
     for (const { server } of this.otherListeners) server.close()
     this.pauses.stop()
     this.callerListener.stop()
@@ -226,7 +226,7 @@
   private createMembers(): MemberDirectory {
     const { membership, store } = this.settings
     return new MemberDirectory({
-      self: ownMember(this.settings, this.incarnation),
+      self: selfMember(this.settings, this.incarnation),
       requestsPerSecond: () => this.requestRate.perSecond,
       isActive: () => this.fleet.isSelfActive,
       store: this.store,
@@ -237,7 +237,7 @@
       silenceMilliseconds: membership.silenceMilliseconds,
       partitionWritesPerSecond: store.partitionWritesPerSecond,
       onStateChange: (member, state) => this.telemetry.noteMemberState(member, state),
-      onRecorded: isSelf => this.known.noteRecorded(isSelf),
+      onRegistered: isSelf => this.endpoints.noteRecorded(isSelf),
       onMalformedRow: row => this.telemetry.noteMalformedRow(row),
     })
   }
@@ -246,7 +246,7 @@
     return createActiveFleet({
       settings: this.settings,
       members: this.members,
-      known: () => this.known,
+      known: () => this.endpoints,
       isReady: () => this.isReady,
       clock: this.clock,
       onChange: (isActive, activeInstances) =>
@@ -279,14 +279,14 @@
     })
   }
 
-  private get peerCallSources(): PeerCallSources {
+  private get peerCallSources(): PeerClientSources {
     const { settings, members, telemetry } = this
     return { settings, members, telemetry }
   }
 
-  private createKnown(): EndpointKnowledge {
+  private createEndpoints(): EndpointSubsystem {
     const { settings, incarnation, clock, random, store, telemetry, members } = this
-    return new EndpointKnowledge({
+    return new EndpointSubsystem({
       instance: settings.instance.id,
       incarnation,
       loadAddress: settings.listen.loads,
@@ -306,7 +306,7 @@
     const { requests, retries, instance } = this.settings
     return new Gateway({
       dialect: this.adapter.dialect,
-      ...this.known.ofRequests,
+      ...this.endpoints.gatewayParts,
       relayPeers: this.relayPeers,
       instance: instance.id,
       clock: this.clock,
@@ -316,13 +316,13 @@
       ledger: this.ledger,
       routes: () => this.configuration.routes,
       retryBounds: { ...retries, windowMilliseconds: retries.windowSeconds * 1000 },
-      acceptMilliseconds: () => this.acceptProbe.look(),
+      acceptMilliseconds: () => this.acceptProbe.measure(),
       linkBytesPerSecond: linkBytesPerSecond(instance.capacity),
       refusedBodyCounters: this.telemetry,
-      instances: () => this.fleet.cautiousSharers,
-      checkKnowledge: () => this.health.checkKnowledge(),
-      isDraining: () => this.draining,
-      isRefusing: () => this.refusing,
+      instances: () => this.fleet.worstCaseSharers,
+      checkKnowledge: () => this.health.checkStaleness(),
+      isDraining: () => this.isDrainStarted,
+      isRefusing: () => this.isRefusing,
       onRecord: record => {
         this.telemetry.noteRecord(record)
         this.health.noteRecord(record)
@@ -347,12 +347,17 @@
       random: this.random,
       listener: this.callerListener,
       refusedShare: () => this.gateway.refusedShare,
-      others: () => heardInstances(this.known, this.fleet.activeOthers),
+      others: () => heardInstances(this.endpoints, this.fleet.activeOthers),
       isServing: () => this.isReady,
-      tellOverload: () => this.known.exchange?.tellOverload(),
+      gossipOverload: () => this.endpoints.exchange?.gossipOverload(),
       onPause: () => this.telemetry.noteListenerPause(),
       onChange: (isPausing, refusedShare, others) =>
-        this.note('listener_state', { isPausing, refusedShare, ...others, ...this.waiting.told }),
+        this.note('listener_state', {
+          isPausing,
+          refusedShare,
+          ...others,
+          ...this.waiting.logFields,
+        }),
       onFault: error => this.noteFault(error),
     })
   }
@@ -362,10 +367,10 @@
       store: this.store,
       clock: this.clock,
       adapter: this.adapter,
-      endpoints: this.known.directory,
+      endpoints: this.endpoints.directory,
       members: this.members,
       ledger: this.ledger,
-      crashRecords: this.known.crashes.records,
+      crashRecords: this.endpoints.crashes.records,
       peerRows: this.peerRows,
       freshness: this.settings.freshness,
       onConfiguration: (rows, isWhole) => this.configuration.observe(rows, isWhole),
@@ -381,28 +386,28 @@
       clock: this.clock,
       telemetry: this.telemetry,
       gateway: this.gateway,
-      tables: watchedTables(this.adapter, this.mirrors, this.settings.freshness),
+      tables: monitoredTables(this.adapter, this.mirrors, this.settings.freshness),
       reachability: () => ({
         answeredAgoMilliseconds: this.store.answeredAgoMilliseconds,
-        heardAgoMilliseconds: this.known.fleetLoad.heardAgoMilliseconds,
+        heardAgoMilliseconds: this.endpoints.fleetLoad.heardAgoMilliseconds,
       }),
     })
   }
 
   private createMetrics(): GatewayMetrics {
-    const { gateway, members, fleet, ledger, known, configuration, callerConnections } = this
+    const { gateway, members, fleet, ledger, endpoints, configuration, callerConnections } = this
     return this.telemetry.createMetrics(
       gaugesOf({
         gateway,
         members,
         fleet,
         ledger,
-        endpoints: known.directory,
+        endpoints: endpoints.directory,
         configuration,
         health: this.health,
-        crashes: known.crashes.guard,
-        advices: known.advice.advices,
-        turnAways: known.advice.turnAways,
+        crashes: endpoints.crashes.guard,
+        advices: endpoints.advice.advices,
+        turnAways: endpoints.advice.turnAways,
         callerConnections,
         callerListener: this.callerListener,
         configurationMirror: this.mirrors.get(this.adapter.configuration.table),
@@ -412,12 +417,12 @@
   }
 
   private createOtherListeners(): readonly AddressedListener[] {
-    const answers = new GatewayAnswers({
+    const answers = new AuxiliaryListeners({
       adapter: this.adapter,
       isReady: () => this.isReady,
       fleet: this.fleet,
       lender: this.ledger.lender,
-      streams: this.known.streams.origins,
+      streams: this.endpoints.streams.origins,
       mirrors: this.mirrors,
       metrics: this.metrics,
       relayed: (request, response, relayedBy) =>
@@ -427,12 +432,12 @@
     return answers.listeners(this.settings.listen)
   }
 
-  private createConfiguration(): ConfigurationInForce {
-    return new ConfigurationInForce({
+  private createConfiguration(): ActiveConfiguration {
+    return new ActiveConfiguration({
       source: this.adapter.configuration,
       onConfiguration: (routes, before) => this.noteConfiguration(routes, before),
       onEvacuation: (failureDomain, isEvacuated) => {
-        this.known.directory.setEvacuated(failureDomain, isEvacuated)
+        this.endpoints.directory.setEvacuated(failureDomain, isEvacuated)
         const event = isEvacuated ? 'failure_domain_evacuated' : 'failure_domain_restored'
         this.note(event, { failureDomain })
       },
--- a/packages/daemon/src/gateway/gatewayGauges.ts
+++ b/packages/daemon/src/gateway/gatewayGauges.ts
@@ -3,29 +3,29 @@
 import type { MemberDirectory, PrepaidLedger, TableMirror } from '@rackwalk/coordination'
 import type {
   CrashGuard,
-  EndpointAdvices,
+  EndpointAdviceStore,
   EndpointDirectory,
   Gateway,
-  TurnAwayGuard,
+  RejectionGuard,
 } from '@rackwalk/router'
 import type { ActiveFleet } from './activeFleet.js'
-import type { ConfigurationInForce } from './configurationInForce.js'
+import type { ActiveConfiguration } from './activeConfiguration.js'
 import type { GatewayGauges } from './gatewayMetrics.js'
 import type { InstanceHealth } from './instanceHealth.js'
 import type { OpenConnections } from './openConnections.js'
 import type { PausableListener } from './pausableListener.js'
 
 /** The parts that know the values. */
-export interface GaugeSources {
+export interface GatewayGaugeSources {
   readonly gateway: Gateway
   readonly members: MemberDirectory
   readonly fleet: ActiveFleet
   readonly ledger: PrepaidLedger
   readonly endpoints: EndpointDirectory
   readonly crashes: CrashGuard
-  readonly advices: EndpointAdvices
-  readonly turnAways: TurnAwayGuard
-  readonly configuration: ConfigurationInForce
+  readonly advices: EndpointAdviceStore
+  readonly turnAways: RejectionGuard
+  readonly configuration: ActiveConfiguration
   readonly callerConnections: OpenConnections
   readonly callerListener: PausableListener
   /** Follows the configuration; its age is that of the store's last answer. */
@@ -35,7 +35,7 @@
 }
 
 /** Readers of all gauges. */
-export function gaugesOf(sources: GaugeSources): GatewayGauges {
+export function gaugesOf(sources: GatewayGaugeSources): GatewayGauges {
   const { gateway, members, fleet, ledger, endpoints, configuration } = sources
   return {
     inFlight: () => gateway.inFlight,
@@ -49,8 +49,8 @@
     listening: () => Number(sources.callerListener.isListening),
     endpoints: () => endpoints.size,
     coldEndpoints: () => endpoints.coldCount,
-    limitedEndpoints: () => sources.advices.limitedCount,
-    restingEndpoints: () => sources.advices.restingCount,
+    limitedEndpoints: () => sources.advices.rateLimitedCount,
+    restingEndpoints: () => sources.advices.backingOffCount,
     brittleServices: () => sources.turnAways.boundedServices,
     crashingRequests: () => sources.crashes.refusedCount,
     evacuatedDomains: () => configuration.evacuations.length,
--- a/packages/daemon/src/gateway/gatewayListeners.ts
+++ b/packages/daemon/src/gateway/gatewayListeners.ts
@@ -4,7 +4,7 @@
 
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
-import { continueWhenRead } from '@rackwalk/router'
+import { sendContinueOnRead } from '@rackwalk/router'
 import type { GatewayLimits } from '@rackwalk/router'
 import { refuseMalformed } from '../observe/httpAnswer.js'
 import { listenOn } from '../observe/listenOn.js'
@@ -23,7 +23,7 @@
   server.requestTimeout = 0
   server.headersTimeout = HEADER_MILLISECONDS
   refuseMalformed(server)
-  continueWhenRead(server)
+  sendContinueOnRead(server)
   return server
 }
 
@@ -39,22 +39,22 @@
 const PLAIN_CALL_MILLISECONDS = 10_000
 
 /** Answers a path; `body` is empty for calls without one. */
-export type PlainAnswerer = (url: string, body: string) => PlainAnswer | Promise<PlainAnswer>
+export type PlainHandler = (url: string, body: string) => PlainAnswer | Promise<PlainAnswer>
 
 /** A listener that gives plain answers to short calls. */
-export function createPlainListener(answer: PlainAnswerer): Server {
+export function createPlainListener(answer: PlainHandler): Server {
   const limits = {
     requestTimeout: PLAIN_CALL_MILLISECONDS,
     headersTimeout: PLAIN_CALL_MILLISECONDS,
   }
-  return createServer(limits, (request, response) => answerPlainly(request, response, answer))
+  return createServer(limits, (request, response) => handlePlainRequest(request, response, answer))
 }
 
 /** Reads a short call to its end and answers it. */
-export function answerPlainly(
+export function handlePlainRequest(
   request: IncomingMessage,
   response: ServerResponse,
-  answer: PlainAnswerer,
+  answer: PlainHandler,
 ): void {
   const chunks: Buffer[] = []
   let size = 0
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -292,11 +292,11 @@
     this.listenerPauses.inc()
   }
 
-  noteTakenConnections(count: number): void {
+  noteAcceptedConnections(count: number): void {
     this.takenConnections.inc(count)
   }
 
-  noteUntakenConnections(cause: string): void {
+  noteUnacceptedConnections(cause: string): void {
     this.untakenConnections.inc({ cause })
   }
 
--- a/packages/daemon/src/gateway/gatewayTelemetry.ts
+++ b/packages/daemon/src/gateway/gatewayTelemetry.ts
@@ -8,22 +8,22 @@
 import type { Takeover } from '@rackwalk/coordination'
 import type { RowAddress } from '@rackwalk/stores'
 import type {
-  EndpointEnd,
+  EndpointCrash,
   GatewayRecord,
   RefusedBodyCounters,
   RefusedBodyOutcome,
 } from '@rackwalk/router'
-import type { WaitingObserver } from '../callers/waitingConnections.js'
+import type { AcceptQueueObserver } from '../callers/acceptQueue.js'
 import { BoundedLogger } from '../observe/boundedLogger.js'
 import { ChangeBatch } from '../observe/changeBatch.js'
 import { JsonLogger } from '../observe/logger.js'
 import type { Logger } from '../observe/logger.js'
-import { MalformedForms } from '../observe/malformedForms.js'
-import type { MalformedForm } from '../observe/malformedForms.js'
+import { MalformedInputLog } from '../observe/malformedInputLog.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
 import { GatewayMetrics } from './gatewayMetrics.js'
 import type { GatewayGauges } from './gatewayMetrics.js'
 import type { GatewaySettings } from './gatewaySettings.js'
-import { requestLine } from './requestLine.js'
+import { requestLogFields } from './requestLogFields.js'
 
 type Fields = Readonly<Record<string, unknown>>
 
@@ -34,21 +34,21 @@
 }
 
 /** Counts and tells what an instance does and believes. */
-export class GatewayTelemetry implements RefusedBodyCounters, WaitingObserver {
+export class GatewayTelemetry implements RefusedBodyCounters, AcceptQueueObserver {
   /** Undefined until all parts that gauges read are there. */
-  private gauged: GatewayMetrics | undefined
-  private readonly malformed: MalformedForms
+  private metrics: GatewayMetrics | undefined
+  private readonly malformed: MalformedInputLog
   private readonly changes: ChangeBatch
 
   constructor(private readonly logger: Logger) {
-    this.malformed = new MalformedForms(logger, () => this.count('malformed_form'))
+    this.malformed = new MalformedInputLog(logger, () => this.count('malformed_form'))
     this.changes = new ChangeBatch((event, fields) => logger.info(event, fields))
   }
 
   /** Begins to count; call it once. */
   createMetrics(gauges: GatewayGauges): GatewayMetrics {
-    this.gauged = new GatewayMetrics(gauges)
-    return this.gauged
+    this.metrics = new GatewayMetrics(gauges)
+    return this.metrics
   }
 
   /** An event of which each is a line. */
@@ -70,7 +70,7 @@
 
   /** The holding of a dead instance was ended. */
   noteTakeover(budget: string, takeover: Takeover): void {
-    this.gauged?.noteTakeover(budget, takeover)
+    this.metrics?.noteTakeover(budget, takeover)
   }
 
   /** A fault of the program; what it touched is given up, the rest goes on. */
@@ -80,7 +80,7 @@
     this.logger.warn('fault', { detail })
   }
 
-  noteMalformed(form: MalformedForm): void {
+  noteMalformed(form: MalformedInput): void {
     this.malformed.note(form)
   }
 
@@ -90,15 +90,15 @@
 
   /** A request has ended. */
   noteRecord(record: GatewayRecord): void {
-    this.gauged?.noteRecord(record)
+    this.metrics?.noteRecord(record)
     const isServed = record.code === ResultCode.Ok
-    this.logger[isServed ? 'info' : 'warn']('request', requestLine(record))
+    this.logger[isServed ? 'info' : 'warn']('request', requestLogFields(record))
   }
 
   /** An endpoint ended unannounced; each request that it had not begun to answer is named, and `told` others get to know. */
-  noteEndpointEnd({ endpoint, signs, unanswered }: EndpointEnd, told: number): void {
+  noteEndpointEnd({ endpoint, signs, unanswered }: EndpointCrash, told: number): void {
     const { id, service } = endpoint
-    this.gauged?.noteEndpointEnd(service)
+    this.metrics?.noteEndpointEnd(service)
     const requests = unanswered.map(({ fingerprint }) => fingerprint)
     const parts = [...new Set(unanswered.flatMap(request => request.parts ?? []))]
     const fields = { server: id, service, signs, unanswered: requests, parts, told }
@@ -107,44 +107,44 @@
 
   /** The listener for callers was closed for a moment. */
   noteListenerPause(): void {
-    this.gauged?.noteListenerPause()
+    this.metrics?.noteListenerPause()
   }
 
-  noteTaken(count: number): void {
-    this.gauged?.noteTakenConnections(count)
+  noteAccepted(count: number): void {
+    this.metrics?.noteAcceptedConnections(count)
   }
 
-  noteUntaken(cause: string): void {
-    this.gauged?.noteUntakenConnections(cause)
+  noteUnaccepted(cause: string): void {
+    this.metrics?.noteUnacceptedConnections(cause)
   }
 
-  noteTakingChange(isTaken: boolean, detail: string): void {
+  noteDrainingChange(isTaken: boolean, detail: string): void {
     this.note('waiting_connections', { isTaken, detail })
   }
 
   /** A request of a team that is served next to nothing was not served either. */
   noteStarvedRequest(team: TeamId, code: ResultCode): void {
-    this.gauged?.noteStarvedRequest(team, code)
+    this.metrics?.noteStarvedRequest(team, code)
   }
 
   noteRefusedBody(outcome: RefusedBodyOutcome): void {
-    this.gauged?.noteRefusedBody(outcome)
+    this.metrics?.noteRefusedBody(outcome)
   }
 
-  noteBytesInVain(bytes: Bytes): void {
-    this.gauged?.noteBytesInVain(bytes)
+  noteDiscardedBytes(bytes: Bytes): void {
+    this.metrics?.noteBytesInVain(bytes)
   }
 
   /** A datagram came from an instance whose row was not read yet. */
   noteUnknownSender(): void {
-    this.gauged?.noteUnknownSender()
+    this.metrics?.noteUnknownSender()
   }
 
   noteStoreCall(call: string, table: string, outcome: string): void {
-    this.gauged?.noteStoreCall(call, table, outcome)
+    this.metrics?.noteStoreCall(call, table, outcome)
   }
 
   private count(event: string): void {
-    this.gauged?.noteEvent(event)
+    this.metrics?.noteEvent(event)
   }
 }
--- a/packages/daemon/src/gateway/plannedStop.ts
+++ b/packages/daemon/src/gateway/gracefulShutdown.ts
@@ -3,7 +3,7 @@
  * decisions/stopping/drainPhases.ts. Owns nothing; the daemon gives the acts.
  */
 
-import { LINGER_MILLISECONDS, exitTime, isTimeToSettle } from '@rackwalk/decisions'
+import { LINGER_MILLISECONDS, exitDelay, shouldSettle } from '@rackwalk/decisions'
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
@@ -11,7 +11,7 @@
 const POLL_MILLISECONDS = 20
 
 /** The acts of a planned stop, and what it asks. */
-export interface PlannedStopParts {
+export interface GracefulShutdownParts {
   readonly clock: Clock
   readonly graceMilliseconds: () => Milliseconds
   /** Requests in progress. */
@@ -24,14 +24,16 @@
 }
 
 /** How a planned stop ended. */
-export interface PlannedStopResult {
+export interface GracefulShutdownResult {
   /** Requests that the grace time did not suffice for. */
   readonly cutOff: number
   readonly isSettled: boolean
 }
 
 /** Lets callers go elsewhere, ends what is in progress and settles. */
-export async function stopAsPlanned(parts: PlannedStopParts): Promise<PlannedStopResult> {
+export async function shutDownGracefully(
+  parts: GracefulShutdownParts,
+): Promise<GracefulShutdownResult> {
   const startedAt = parts.clock.monotonic()
   await sleep(parts.clock, LINGER_MILLISECONDS)
   parts.refuse()
@@ -43,17 +45,20 @@
   return { cutOff, isSettled }
 }
 
-async function waitForRequests(parts: PlannedStopParts, startedAt: Milliseconds): Promise<void> {
+async function waitForRequests(
+  parts: GracefulShutdownParts,
+  startedAt: Milliseconds,
+): Promise<void> {
   const grace = parts.graceMilliseconds()
   for (;;) {
     const elapsed = parts.clock.monotonic() - startedAt
-    if (isTimeToSettle({ elapsed, grace, inFlight: parts.inFlight() })) return
+    if (shouldSettle({ elapsed, grace, inFlight: parts.inFlight() })) return
     await sleep(parts.clock, POLL_MILLISECONDS)
   }
 }
 
-async function graceEnd(parts: PlannedStopParts, startedAt: Milliseconds): Promise<boolean> {
-  const end = startedAt + exitTime(parts.graceMilliseconds())
+async function graceEnd(parts: GracefulShutdownParts, startedAt: Milliseconds): Promise<boolean> {
+  const end = startedAt + exitDelay(parts.graceMilliseconds())
   await sleep(parts.clock, Math.max(0, end - parts.clock.monotonic()))
   return false
 }
--- a/packages/daemon/src/gateway/instanceHealth.ts
+++ b/packages/daemon/src/gateway/instanceHealth.ts
@@ -4,12 +4,12 @@
  */
 
 import type { Clock } from '@rackwalk/shared'
-import type { Reachability } from '@rackwalk/decisions'
+import type { ContactAges } from '@rackwalk/decisions'
 import type { Gateway, GatewayRecord } from '@rackwalk/router'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
-import { KnowledgeWatch, knowledgeFields, reachabilityFields } from './knowledgeWatch.js'
-import type { WatchedTable } from './knowledgeWatch.js'
-import { StarvationWatch } from './starvationWatch.js'
+import { StalenessMonitor, stalenessFields, reachabilityFields } from './stalenessMonitor.js'
+import type { MonitoredTable } from './stalenessMonitor.js'
+import { StarvationMonitor } from './starvationMonitor.js'
 
 /** What the watches work with. */
 export interface InstanceHealthParts {
@@ -17,25 +17,25 @@
   readonly telemetry: GatewayTelemetry
   readonly gateway: Pick<Gateway, 'admissionState' | 'inFlight'>
   /** Tables whose changes have to be in force in time, by name. */
-  readonly tables: ReadonlyMap<string, WatchedTable>
-  readonly reachability: () => Reachability
+  readonly tables: ReadonlyMap<string, MonitoredTable>
+  readonly reachability: () => ContactAges
 }
 
 /** The watches of one instance over its own service. */
 export class InstanceHealth {
-  private readonly knowledge: KnowledgeWatch
-  private readonly starvation: StarvationWatch
+  private readonly knowledge: StalenessMonitor
+  private readonly starvation: StarvationMonitor
 
   constructor(private readonly parts: InstanceHealthParts) {
     const { clock, telemetry, tables, reachability } = parts
-    this.knowledge = new KnowledgeWatch({
+    this.knowledge = new StalenessMonitor({
       clock,
       tables,
       reachability,
-      onChange: change => telemetry.note('knowledge_state', knowledgeFields(change)),
+      onChange: change => telemetry.note('knowledge_state', stalenessFields(change)),
       onFault: error => telemetry.noteFault(error),
     })
-    this.starvation = new StarvationWatch({
+    this.starvation = new StarvationMonitor({
       clock,
       ownState: () => this.ownState(),
       onChange: (event, fields) => telemetry.note(event, fields),
@@ -54,7 +54,7 @@
   }
 
   /** Throws where a request may not be served by what is known here. */
-  checkKnowledge(): void {
+  checkStaleness(): void {
     this.knowledge.check()
   }
 
--- a/packages/daemon/src/gateway/listenerPauses.ts
+++ b/packages/daemon/src/gateway/listenerPauses.ts
@@ -3,11 +3,11 @@
  * does. Owns the timer; the rule is in decisions/admitting/listenerPause.
  */
 
-import { ListenerPause, listenerWindow } from '@rackwalk/decisions'
-import type { HeardInstances } from '@rackwalk/decisions'
+import { ListenerPause, listenerOpenMilliseconds } from '@rackwalk/decisions'
+import type { PeerOverload } from '@rackwalk/decisions'
 import type { Clock, Milliseconds, RandomSource, Timer } from '@rackwalk/shared'
 import type { PausableListener } from './pausableListener.js'
-import { OVERLOAD_NEWS_MILLISECONDS } from './loadExchange.js'
+import { OVERLOAD_GOSSIP_MILLISECONDS } from './loadExchange.js'
 
 /** What the pauses rest on. */
 export interface ListenerPausesParts {
@@ -16,14 +16,14 @@
   readonly listener: PausableListener
   /** Share of the requests of the last moments that this instance turned away for reasons of its own. */
   readonly refusedShare: () => number
-  readonly others: () => HeardInstances
+  readonly others: () => PeerOverload
   /** Whether new requests may begin here. */
   readonly isServing: () => boolean
   /** Tells the others that this instance gets more than it bears. */
-  readonly tellOverload: () => void
+  readonly gossipOverload: () => void
   readonly onPause: () => void
   /** The instance began to pause its listener, or ceased to. */
-  readonly onChange: (isPausing: boolean, refusedShare: number, others: HeardInstances) => void
+  readonly onChange: (isPausing: boolean, refusedShare: number, others: PeerOverload) => void
   readonly onFault: (error: unknown) => void
 }
 
@@ -31,7 +31,7 @@
 export class ListenerPauses {
   private readonly rule = new ListenerPause()
   private timer: Timer | undefined
-  private toldAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private overloadSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private isPausing = false
   private isStopped = false
 
@@ -41,7 +41,7 @@
   start(): void {
     if (this.isStopped) return
     const { clock, random } = this.parts
-    this.timer = clock.after(listenerWindow(random.next()), () => this.look())
+    this.timer = clock.after(listenerOpenMilliseconds(random.next()), () => this.evaluate())
   }
 
   /** The listener stays as it is. */
@@ -50,11 +50,11 @@
     this.timer?.cancel()
   }
 
-  private look(): void {
+  private evaluate(): void {
     const { clock, random, refusedShare, isServing } = this.parts
     const now = clock.monotonic()
     const share = refusedShare()
-    this.rule.noteRefused(share, now)
+    this.rule.noteRefusedShare(share, now)
     this.tell(now)
     const others = this.parts.others()
     const pause = isServing() ? this.rule.pauseMilliseconds(others, now, random.next()) : 0
@@ -66,9 +66,10 @@
   }
 
   private tell(now: Milliseconds): void {
-    if (!this.rule.isOverloaded(now) || now - this.toldAt < OVERLOAD_NEWS_MILLISECONDS) return
-    this.toldAt = now
-    this.parts.tellOverload()
+    if (!this.rule.isOverloaded(now) || now - this.overloadSentAt < OVERLOAD_GOSSIP_MILLISECONDS)
+      return
+    this.overloadSentAt = now
+    this.parts.gossipOverload()
   }
 
   private pause(milliseconds: Milliseconds): void {
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -8,33 +8,33 @@
 import type { Socket } from 'node:dgram'
 import type { Clock, Milliseconds, Timer } from '@rackwalk/shared'
 import type { MemberRow } from '@rackwalk/coordination'
-import type { AdviceNews, CrashNews, StreamOrigin } from '@rackwalk/decisions'
-import type { FleetLoad, PeerLoadReport, StreamNews } from '@rackwalk/router'
+import type { AdviceGossip, CrashGossip, StreamOrigin } from '@rackwalk/decisions'
+import type { FleetLoad, PeerLoadReport, StreamGossip } from '@rackwalk/router'
 import { parseAddress } from '../observe/listenOn.js'
-import type { MalformedForm } from '../observe/malformedForms.js'
-import { adviceNewsOf, adviceReportsOf } from './adviceNews.js'
-import { isNews, newsOf, reportsOf } from './crashNews.js'
-import { cutOffReports, cutOffServicesOf } from './cutOffNews.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
+import { decodeAdviceGossip, encodeAdviceGossip } from './adviceGossip.js'
+import { isGossip, decodeCrashGossip, encodeCrashGossip } from './crashGossip.js'
+import { encodeCutOffGossip, decodeCutOffGossip } from './cutOffGossip.js'
 import { decodeReport, encodeReport } from './loadReport.js'
-import { overloadReports, tellsOverload } from './overloadNews.js'
-import { streamNewsOf, versionReports } from './streamNews.js'
+import { encodeOverloadGossip, reportsOverload } from './overloadGossip.js'
+import { decodeStreamGossip, encodeVersionGossip } from './streamGossip.js'
 
 /** Time between two reports in a small fleet, and of what must be told at once in any. */
 const SHORTEST_INTERVAL_MILLISECONDS = 20
 /** Bytes a second that one instance sends in reports, to all that get them together, */
 const REPORT_BYTES_PER_SECOND = 12_000
 /** and in signs of life to the others. */
-const SIGN_BYTES_PER_SECOND = 5_000
+const HEARTBEAT_BYTES_PER_SECOND = 5_000
 /** A report with the head of its datagram, on a calm day, */
 const REPORT_BYTES = 110
 /** and a sign of life. */
-const SIGN_BYTES = 80
+const HEARTBEAT_BYTES = 80
 /** An instance that stays overloaded tells it this often in a small fleet. */
-export const OVERLOAD_NEWS_MILLISECONDS: Milliseconds = 1_000
+export const OVERLOAD_GOSSIP_MILLISECONDS: Milliseconds = 1_000
 /** An instance with nothing new gives a sign of life this often, */
-const SIGN_MILLISECONDS = 250
+const HEARTBEAT_MILLISECONDS = 250
 /** and counts as silent when this many of them are missing. */
-const MISSING_SIGNS = 4
+const MISSED_HEARTBEATS = 4
 
 /** Another instance, as the exchange reaches it. */
 export interface LoadPeer {
@@ -54,7 +54,7 @@
 }
 
 /** Names one life: who starts again at the same address knows nothing of what the one before was told. */
-function lifeOf({ address, incarnation }: LoadPeer): string {
+function incarnationKeyOf({ address, incarnation }: LoadPeer): string {
   return `${address} ${incarnation}`
 }
 
@@ -63,18 +63,18 @@
   /** IP:PORT at which this instance takes reports. */
   readonly address: string
   /** Others that use endpoints: they get every report. */
-  readonly usingPeers: () => readonly LoadPeer[]
+  readonly reportPeers: () => readonly LoadPeer[]
   /** The others: they get signs of life. */
-  readonly idlePeers: () => readonly LoadPeer[]
+  readonly heartbeatPeers: () => readonly LoadPeer[]
   readonly fleetLoad: FleetLoad
   /** Names this instance in news. */
   readonly identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>
   /** Another instance told of requests that end endpoints. */
-  readonly onCrashNews: (news: CrashNews) => void
+  readonly onCrashGossip: (news: CrashGossip) => void
   /** Another instance told what endpoints say of themselves. */
-  readonly onAdviceNews: (news: readonly AdviceNews[]) => void
+  readonly onAdviceGossip: (news: readonly AdviceGossip[]) => void
   /** Another instance told where streams began, or of software versions. */
-  readonly onStreamNews: (news: StreamNews) => void
+  readonly onStreamGossip: (news: StreamGossip) => void
   /** Another instance told that it gets more than it bears. */
   readonly onOverloaded: (instance: string) => void
   /** Another instance told from which services it is cut off. */
@@ -82,13 +82,13 @@
   /** A datagram came in the name of this instance, which may not be known. */
   readonly onSender: (sender: Pick<PeerLoadReport, 'instance' | 'incarnation'>) => void
   /** What holds of endpoints by their own word, for instances that may not have heard it. */
-  readonly standingAdvice: () => readonly AdviceNews[]
+  readonly standingAdvice: () => readonly AdviceGossip[]
   /** The same of breaks and ends, */
-  readonly standingCrashes: () => CrashNews
+  readonly standingCrashes: () => CrashGossip
   /** and of software versions that serve side by side. */
   readonly standingVersions: () => readonly StreamOrigin[]
   readonly clock: Clock
-  readonly onMalformed: (form: MalformedForm) => void
+  readonly onMalformed: (form: MalformedInput) => void
 }
 
 /** Sends this instance's reports and takes those of others. */
@@ -100,21 +100,21 @@
   /** Set while newcomers wait to be told what holds. */
   private newcomerTimer: Timer | undefined
   private sentAt: Milliseconds = Number.NEGATIVE_INFINITY
-  private signedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  private overloadToldAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private heartbeatSentAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private overloadSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** An instance that is heard of was heard of within this time; reckoned at each report. */
-  silenceMilliseconds: Milliseconds = MISSING_SIGNS * SIGN_MILLISECONDS
+  silenceMilliseconds: Milliseconds = MISSED_HEARTBEATS * HEARTBEAT_MILLISECONDS
   /** Lives to which the last report went. */
-  private told: ReadonlySet<string> = new Set()
+  private reportedPeers: ReadonlySet<string> = new Set()
   /** Lives that were told what holds of endpoints, or were there when it was told to all. */
-  private informed: ReadonlySet<string> = new Set()
+  private informedPeers: ReadonlySet<string> = new Set()
 
   constructor(private readonly parts: LoadExchangeParts) {}
 
   start(): void {
     const { host, port } = parseAddress(this.parts.address)
     const socket = createSocket('udp4')
-    socket.on('message', (bytes, { address, port }) => this.take(bytes, `${address}:${port}`))
+    socket.on('message', (bytes, { address, port }) => this.receive(bytes, `${address}:${port}`))
     // Without the socket, choices rest on own requests and on what endpoints tell.
     socket.on('error', () => this.stop())
     socket.bind(port, host, () => this.schedule())
@@ -140,7 +140,7 @@
 
   /** Others can know of this instance now: those that heard it before could not. */
   announce(): void {
-    this.told = new Set()
+    this.reportedPeers = new Set()
     this.noteNewcomer()
   }
 
@@ -149,58 +149,58 @@
     if (this.socket === undefined) return
     this.newcomerTimer ??= this.parts.clock.after(SHORTEST_INTERVAL_MILLISECONDS, () => {
       this.newcomerTimer = undefined
-      this.tellNewcomers()
+      this.reportToNewPeers()
     })
   }
 
   /** Others that are told of news. */
-  get listenerCount(): number {
-    return this.parts.usingPeers().length + this.parts.idlePeers().length
+  get gossipPeerCount(): number {
+    return this.parts.reportPeers().length + this.parts.heartbeatPeers().length
   }
 
   /** Tells all others of requests that end endpoints, at once. */
-  tellCrashes(news: CrashNews): void {
-    this.tellAll(reportsOf(news, this.parts.identity))
+  gossipCrashes(news: CrashGossip): void {
+    this.broadcast(encodeCrashGossip(news, this.parts.identity))
   }
 
   /** Tells all others what endpoints say of themselves, at once. */
-  tellAdvice(news: readonly AdviceNews[]): void {
-    this.tellAll(adviceReportsOf(news, this.parts.identity))
+  gossipAdvice(news: readonly AdviceGossip[]): void {
+    this.broadcast(encodeAdviceGossip(news, this.parts.identity))
   }
 
   /** Tells all others that this instance gets more than it bears, unless it did lately. */
-  tellOverload(): void {
+  gossipOverload(): void {
     const now = this.parts.clock.monotonic()
-    if (now - this.overloadToldAt < this.overloadNewsMilliseconds) return
-    this.overloadToldAt = now
-    this.tellAll(overloadReports(this.parts.identity))
+    if (now - this.overloadSentAt < this.overloadGossipMilliseconds) return
+    this.overloadSentAt = now
+    this.broadcast(encodeOverloadGossip(this.parts.identity))
   }
 
   /** Tells all others from which services this instance is cut off. */
-  tellCutOff(services: readonly string[]): void {
-    this.tellAll(cutOffReports(services, this.parts.identity))
+  gossipCutOff(services: readonly string[]): void {
+    this.broadcast(encodeCutOffGossip(services, this.parts.identity))
   }
 
   /** The news grows rarer with the number of instances that get it, as signs of life do: each may cost as much. */
-  get overloadNewsMilliseconds(): Milliseconds {
-    return Math.max(OVERLOAD_NEWS_MILLISECONDS, this.signSpan)
+  get overloadGossipMilliseconds(): Milliseconds {
+    return Math.max(OVERLOAD_GOSSIP_MILLISECONDS, this.heartbeatBandwidthInterval)
   }
 
   /** Tells all others news, at once. */
-  tellAll(reports: readonly PeerLoadReport[]): void {
-    this.tell([...this.parts.usingPeers(), ...this.parts.idlePeers()], reports)
+  broadcast(reports: readonly PeerLoadReport[]): void {
+    this.sendReports([...this.parts.reportPeers(), ...this.parts.heartbeatPeers()], reports)
   }
 
   /** Tells these others news, at once. */
-  tell(peers: readonly LoadPeer[], reports: readonly PeerLoadReport[]): void {
+  sendReports(peers: readonly LoadPeer[], reports: readonly PeerLoadReport[]): void {
     for (const report of reports) this.sendTo(peers, report)
   }
 
   private schedule(): void {
     this.timer = this.parts.clock.after(this.interval, () => {
       this.sendReport()
-      this.sendSigns()
-      this.silenceMilliseconds = MISSING_SIGNS * this.signInterval
+      this.sendHeartbeats()
+      this.silenceMilliseconds = MISSED_HEARTBEATS * this.heartbeatInterval
       this.parts.fleetLoad.expire(this.silenceMilliseconds)
       this.schedule()
     })
@@ -208,31 +208,31 @@
 
   /** Reports grow rarer with the number of instances that get them, so that their bytes stay bounded. */
   private get interval(): Milliseconds {
-    const bytes = this.parts.usingPeers().length * REPORT_BYTES
+    const bytes = this.parts.reportPeers().length * REPORT_BYTES
     return Math.max(SHORTEST_INTERVAL_MILLISECONDS, (bytes * 1000) / REPORT_BYTES_PER_SECOND)
   }
 
   /** All instances know about the same number of others, and so the interval of their signs. */
-  private get signInterval(): Milliseconds {
-    return Math.max(SIGN_MILLISECONDS, this.interval, this.signSpan)
+  private get heartbeatInterval(): Milliseconds {
+    return Math.max(HEARTBEAT_MILLISECONDS, this.interval, this.heartbeatBandwidthInterval)
   }
 
   /** Time in which the bytes for signs suffice for one to each other instance. */
-  private get signSpan(): Milliseconds {
-    return (this.listenerCount * SIGN_BYTES * 1000) / SIGN_BYTES_PER_SECOND
+  private get heartbeatBandwidthInterval(): Milliseconds {
+    return (this.gossipPeerCount * HEARTBEAT_BYTES * 1000) / HEARTBEAT_BYTES_PER_SECOND
   }
 
   private sendReport(): void {
     const now = this.parts.clock.monotonic()
-    this.tellNewcomers()
-    const report = this.parts.fleetLoad.nextReport(now - this.sentAt >= this.signInterval)
+    this.reportToNewPeers()
+    const report = this.parts.fleetLoad.nextReport(now - this.sentAt >= this.heartbeatInterval)
     if (report === undefined) return
     this.sentAt = now
-    this.sendTo(this.parts.usingPeers(), report)
+    this.sendTo(this.parts.reportPeers(), report)
   }
 
   private sendUrgent(): void {
-    const peers = this.parts.usingPeers()
+    const peers = this.parts.reportPeers()
     const reports = this.parts.fleetLoad.urgentReports(peers.map(({ instance }) => instance))
     for (const peer of peers) {
       const report = reports.get(peer.instance)
@@ -241,33 +241,33 @@
   }
 
   /** Who begins to use endpoints would know only of changes until the next whole report. */
-  private tellNewcomers(): void {
-    const peers = this.parts.usingPeers()
-    const newcomers = peers.filter(peer => !this.told.has(lifeOf(peer)))
-    this.told = new Set(peers.map(lifeOf))
-    if (newcomers.length > 0) this.sendTo(newcomers, this.parts.fleetLoad.wholeReport())
+  private reportToNewPeers(): void {
+    const peers = this.parts.reportPeers()
+    const newcomers = peers.filter(peer => !this.reportedPeers.has(incarnationKeyOf(peer)))
+    this.reportedPeers = new Set(peers.map(incarnationKeyOf))
+    if (newcomers.length > 0) this.sendTo(newcomers, this.parts.fleetLoad.fullReport())
     this.informNewcomers()
   }
 
   /** Who wasn't there when an endpoint said something, broke off or ended would send there until it finds out itself. */
   private informNewcomers(): void {
-    const { usingPeers, idlePeers, identity, standingAdvice, standingCrashes } = this.parts
+    const { reportPeers, heartbeatPeers, identity, standingAdvice, standingCrashes } = this.parts
     const { standingVersions } = this.parts
-    const peers = [...usingPeers(), ...idlePeers()]
-    const newcomers = peers.filter(peer => !this.informed.has(lifeOf(peer)))
-    this.informed = new Set(peers.map(lifeOf))
+    const peers = [...reportPeers(), ...heartbeatPeers()]
+    const newcomers = peers.filter(peer => !this.informedPeers.has(incarnationKeyOf(peer)))
+    this.informedPeers = new Set(peers.map(incarnationKeyOf))
     if (newcomers.length === 0) return
-    const advice = adviceReportsOf(standingAdvice(), identity)
-    const crashes = reportsOf(standingCrashes(), identity)
-    const versions = versionReports(standingVersions(), identity)
-    this.tell(newcomers, [...advice, ...crashes, ...versions])
+    const advice = encodeAdviceGossip(standingAdvice(), identity)
+    const crashes = encodeCrashGossip(standingCrashes(), identity)
+    const versions = encodeVersionGossip(standingVersions(), identity)
+    this.sendReports(newcomers, [...advice, ...crashes, ...versions])
   }
 
-  private sendSigns(): void {
+  private sendHeartbeats(): void {
     const now = this.parts.clock.monotonic()
-    if (now - this.signedAt < this.signInterval) return
-    this.signedAt = now
-    this.sendTo(this.parts.idlePeers(), this.parts.fleetLoad.sign())
+    if (now - this.heartbeatSentAt < this.heartbeatInterval) return
+    this.heartbeatSentAt = now
+    this.sendTo(this.parts.heartbeatPeers(), this.parts.fleetLoad.heartbeatReport())
   }
 
   private sendTo(peers: readonly LoadPeer[], report: PeerLoadReport): void {
@@ -278,22 +278,22 @@
     }
   }
 
-  private take(bytes: Buffer, source: string): void {
+  private receive(bytes: Buffer, source: string): void {
     const report = decodeReport(bytes)
     if (report === undefined) {
       this.parts.onMalformed({ form: 'load report', source })
       return
     }
     this.parts.onSender(report)
-    if (isNews(report)) this.takeNews(report)
+    if (isGossip(report)) this.receiveGossip(report)
     else this.parts.fleetLoad.observe(report)
   }
 
-  private takeNews(report: PeerLoadReport): void {
-    this.parts.onCrashNews(newsOf(report))
-    this.parts.onAdviceNews(adviceNewsOf(report))
-    this.parts.onStreamNews(streamNewsOf(report))
-    if (tellsOverload(report)) this.parts.onOverloaded(report.instance)
-    this.parts.onCutOff(report.instance, cutOffServicesOf(report))
+  private receiveGossip(report: PeerLoadReport): void {
+    this.parts.onCrashGossip(decodeCrashGossip(report))
+    this.parts.onAdviceGossip(decodeAdviceGossip(report))
+    this.parts.onStreamGossip(decodeStreamGossip(report))
+    if (reportsOverload(report)) this.parts.onOverloaded(report.instance)
+    this.parts.onCutOff(report.instance, decodeCutOffGossip(report))
   }
 }
--- a/packages/daemon/src/gateway/countedStore.ts
+++ b/packages/daemon/src/gateway/meteredStore.ts
@@ -2,7 +2,7 @@
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type {
-  RowFeedOutcome,
+  ChangeFeedOutcome,
   RowReadOutcome,
   RowStore,
   RowTransaction,
@@ -12,13 +12,17 @@
 /** What a call to the store was for. */
 export type StoreCall = 'write' | 'read' | 'feed'
 
-type OutcomeKind = (RowWriteOutcome | RowReadOutcome | RowFeedOutcome)['kind']
+type OutcomeKind = (RowWriteOutcome | RowReadOutcome | ChangeFeedOutcome)['kind']
 
 /** Outcomes that do not show that the store serves this instance. */
-const NO_ANSWERS: ReadonlySet<OutcomeKind> = new Set<OutcomeKind>(['failed', 'not-done', 'unknown'])
+const FAILED_OUTCOMES: ReadonlySet<OutcomeKind> = new Set<OutcomeKind>([
+  'failed',
+  'not-done',
+  'unknown',
+])
 
 /** Counts the calls to the store by table and outcome: each has a price and a limit. */
-export class CountedStore implements RowStore {
+export class MeteredStore implements RowStore {
   private answeredAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(
@@ -49,7 +53,7 @@
     table: string,
     after: number,
     waitMilliseconds: number,
-  ): Promise<RowFeedOutcome> {
+  ): Promise<ChangeFeedOutcome> {
     const outcome = await this.store.readChanges(table, after, waitMilliseconds)
     this.note('feed', table, outcome.kind)
     return outcome
@@ -60,7 +64,7 @@
   }
 
   private note(call: StoreCall, table: string, outcome: OutcomeKind): void {
-    if (!NO_ANSWERS.has(outcome)) this.answeredAt = this.clock.sinceStart()
+    if (!FAILED_OUTCOMES.has(outcome)) this.answeredAt = this.clock.sinceStart()
     this.count(call, table, outcome)
   }
 }
--- a/packages/daemon/src/gateway/overloadNews.ts
+++ b/packages/daemon/src/gateway/overloadGossip.ts
@@ -6,50 +6,50 @@
 
 import type { PeerLoadReport } from '@rackwalk/router'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import { newsReports } from './crashNews.js'
+import { gossipReports } from './crashGossip.js'
 
 /** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
 const OVERLOADED_ENTRY = 'instance overloaded'
 /** An instance counts as overloaded for so many intervals of its news: two may be lost. */
-const BELIEVED_INTERVALS = 3.5
+const EXPIRY_INTERVALS = 3.5
 
 /** The reports that tell that this instance is overloaded. */
-export function overloadReports(
+export function encodeOverloadGossip(
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
-  return newsReports(
+  return gossipReports(
     [{ endpoint: OVERLOADED_ENTRY, running: 0, pendingTokens: 0, parts: [] }],
     identity,
   )
 }
 
 /** Whether a report that carries news tells that its instance is overloaded. */
-export function tellsOverload({ loads }: PeerLoadReport): boolean {
+export function reportsOverload({ loads }: PeerLoadReport): boolean {
   return loads.some(({ endpoint }) => endpoint === OVERLOADED_ENTRY)
 }
 
 /** Instances that said lately that they get more than they bear. */
 export class OverloadedInstances {
-  private readonly toldAt = new Map<string, Milliseconds>()
+  private readonly reportedAt = new Map<string, Milliseconds>()
 
   constructor(
     private readonly clock: Clock,
     /** Time between two datagrams of an instance that stays overloaded. */
-    private readonly newsMilliseconds: () => Milliseconds,
+    private readonly gossipMilliseconds: () => Milliseconds,
   ) {}
 
   /** An instance told it. */
   note(instance: string): void {
-    this.toldAt.set(instance, this.clock.monotonic())
+    this.reportedAt.set(instance, this.clock.monotonic())
   }
 
   /** Whether it did lately. */
   has(instance: string): boolean {
-    const toldAt = this.toldAt.get(instance)
+    const toldAt = this.reportedAt.get(instance)
     if (toldAt === undefined) return false
-    const believed = BELIEVED_INTERVALS * this.newsMilliseconds()
+    const believed = EXPIRY_INTERVALS * this.gossipMilliseconds()
     if (this.clock.monotonic() - toldAt < believed) return true
-    this.toldAt.delete(instance)
+    this.reportedAt.delete(instance)
     return false
   }
 }
--- a/packages/daemon/src/gateway/pausableListener.ts
+++ b/packages/daemon/src/gateway/pausableListener.ts
@@ -7,7 +7,7 @@
 import type { Server } from 'node:http'
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
-import { WaitingConnections } from '../callers/waitingConnections.js'
+import { AcceptQueue } from '../callers/acceptQueue.js'
 import { listenOn, withPort } from '../observe/listenOn.js'
 
 /** Time between two tries to listen again where the address is taken. */
@@ -16,7 +16,7 @@
 /** A listener that can be paused. */
 export class PausableListener {
   private isClosed = false
-  private isTaken = false
+  private isPortHeld = false
 
   constructor(
     readonly server: Server,
@@ -25,7 +25,7 @@
     private readonly clock: Clock,
     /** The address was taken while the listener was paused; it is tried again. */
     private readonly onTaken: (error: unknown) => void,
-    private readonly waiting = new WaitingConnections(),
+    private readonly waiting = new AcceptQueue(),
   ) {}
 
   /** Whether new connections are taken. */
@@ -35,7 +35,7 @@
 
   /** Whether another process holds the address, so that no caller is taken until it gives it back. */
   get isAddressTaken(): boolean {
-    return this.isTaken
+    return this.isPortHeld
   }
 
   /** Begins to listen; fails with `CannotListen`. */
@@ -47,7 +47,7 @@
   /** Takes no new connections until it is resumed; those that wait are served. */
   pause(): void {
     // Closing it as an HTTP server would end the idle connections as well.
-    this.waiting.takeAndClose(this.server, () => NetServer.prototype.close.call(this.server))
+    this.waiting.drainAndClose(this.server, () => NetServer.prototype.close.call(this.server))
   }
 
   /** Listens again, as soon as the address is free; not after a close. */
@@ -56,19 +56,19 @@
       try {
         await listenOn(this.server, this.address)
       } catch (error) {
-        if (!this.isTaken) this.onTaken(error)
-        this.isTaken = true
+        if (!this.isPortHeld) this.onTaken(error)
+        this.isPortHeld = true
         await sleep(this.clock, REOPEN_MILLISECONDS)
       }
     }
-    this.isTaken = false
+    this.isPortHeld = false
     if (this.isClosed) this.close()
   }
 
   /** Takes no new connections any more, and ends idle ones; those that wait are served. */
   close(): void {
     this.isClosed = true
-    this.waiting.takeAndClose(this.server, () => this.server.close())
+    this.waiting.drainAndClose(this.server, () => this.server.close())
   }
 
   /** Ends at once with all connections, as a death would. */
--- a/packages/daemon/src/gateway/peerListener.ts
+++ b/packages/daemon/src/gateway/peerListener.ts
@@ -6,8 +6,8 @@
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { RELAYED_BY } from '@rackwalk/router'
-import { answerPlainly } from './gatewayListeners.js'
-import type { PlainAnswerer } from './gatewayListeners.js'
+import { handlePlainRequest } from './gatewayListeners.js'
+import type { PlainHandler } from './gatewayListeners.js'
 
 /** Serves a request that the instance of this name handed over. */
 export type RelayHandler = (
@@ -22,7 +22,7 @@
 const LONGEST_HEADER_BYTES = 64 * 1024
 
 /** A listener that answers peers' questions and serves what they hand over. */
-export function createPeerListener(answer: PlainAnswerer, relayed: RelayHandler): Server {
+export function createPeerListener(answer: PlainHandler, relayed: RelayHandler): Server {
   const limits = {
     requestTimeout: CALL_MILLISECONDS,
     headersTimeout: CALL_MILLISECONDS,
@@ -32,6 +32,6 @@
   return createServer(limits, (request, response) => {
     const relayedBy = request.headers[RELAYED_BY]
     if (typeof relayedBy === 'string') relayed(request, response, relayedBy)
-    else answerPlainly(request, response, answer)
+    else handlePlainRequest(request, response, answer)
   })
 }
--- a/packages/daemon/src/gateway/peerLoans.ts
+++ b/packages/daemon/src/gateway/peerLoanClient.ts
@@ -8,7 +8,7 @@
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 import type { Lender, LoanChannel, LoanRepayment, LoanRequest } from '@rackwalk/coordination'
-import type { MalformedForm } from '../observe/malformedForms.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
 import { callPeer } from './peerCall.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
@@ -57,7 +57,7 @@
 })
 
 /** Answers a peer that wants to borrow or repays; undefined where the path is neither. */
-export async function answerLoan(
+export async function handleLoanRequest(
   path: string,
   body: string,
   lender: Lender,
@@ -75,22 +75,22 @@
 }
 
 /** What the calls for loans work with. */
-export interface PeerLoansParts {
+export interface PeerLoanClientParts {
   /** IP:PORT at which an instance takes calls from peers; undefined where it is not known. */
   readonly addressOf: (instance: string) => string | undefined
   /** Whether an instance gives no sign of life any more. */
   readonly isSilent: (instance: string) => boolean
   readonly timeoutMilliseconds: Milliseconds
-  readonly onMalformed: (form: MalformedForm) => void
+  readonly onMalformed: (form: MalformedInput) => void
 }
 
 /** Asks other instances for loans. */
-export class PeerLoans implements LoanChannel {
+export class PeerLoanClient implements LoanChannel {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: MAXIMUM_CONNECTIONS })
 
-  constructor(private readonly parts: PeerLoansParts) {}
+  constructor(private readonly parts: PeerLoanClientParts) {}
 
-  async ask(lender: string, call: LoanRequest): Promise<TokenCount | undefined> {
+  async requestLoan(lender: string, call: LoanRequest): Promise<TokenCount | undefined> {
     const text = await this.post(lender, LEND_PATH, requestCodec.encode(call))
     if (text === undefined) return undefined
     const lent = answerCodec.decode(text)
--- a/packages/daemon/src/gateway/peerRows.ts
+++ b/packages/daemon/src/gateway/peerRowClient.ts
@@ -8,7 +8,7 @@
 import type { Milliseconds, RandomSource } from '@rackwalk/shared'
 import type { MirrorPage, TableMirror } from '@rackwalk/coordination'
 import { JsonCodec } from '@rackwalk/stores'
-import type { MalformedForm } from '../observe/malformedForms.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
 import { callPeer } from './peerCall.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
@@ -58,7 +58,10 @@
 })
 
 /** Answers a peer's question for the rows of a table. */
-export function answerRows(url: string, mirrors: ReadonlyMap<string, TableMirror>): PlainAnswer {
+export function handleRowsRequest(
+  url: string,
+  mirrors: ReadonlyMap<string, TableMirror>,
+): PlainAnswer {
   const { pathname, searchParams } = new URL(url, ANY_ORIGIN)
   const mirror = mirrors.get(decodeURIComponent(pathname.slice(ROWS_PATH.length)))
   if (!pathname.startsWith(ROWS_PATH) || mirror === undefined) return { status: 404 }
@@ -67,7 +70,7 @@
 }
 
 /** What the questions for rows work with. */
-export interface PeerRowsParts {
+export interface PeerRowClientParts {
   /** Where this instance answers such questions itself. */
   readonly own: string | undefined
   /** Addresses that are asked whether or not an instance is known there. */
@@ -78,22 +81,22 @@
   readonly nearAddresses: () => readonly string[]
   readonly random: RandomSource
   readonly timeoutMilliseconds: Milliseconds
-  readonly onMalformed: (form: MalformedForm) => void
+  readonly onMalformed: (form: MalformedInput) => void
 }
 
 /** One question for rows. */
-interface RowsQuestion {
+interface RowsQuery {
   readonly table: string
   /** Rows up to this version are known. */
   readonly after: number
-  readonly patienceMilliseconds: Milliseconds
+  readonly timeoutMilliseconds: Milliseconds
 }
 
 /** Asks other instances for newer rows. */
-export class PeerRows {
+export class PeerRowClient {
   private askedBefore: string | undefined
 
-  constructor(private readonly parts: PeerRowsParts) {}
+  constructor(private readonly parts: PeerRowClientParts) {}
 
   /**
    * Asks any other instance, chosen at random but for the one that was asked before it: that may be silent. Waits the
@@ -102,21 +105,21 @@
   ask(
     table: string,
     after: number,
-    patienceMilliseconds: Milliseconds = this.parts.timeoutMilliseconds,
+    timeoutMilliseconds: Milliseconds = this.parts.timeoutMilliseconds,
   ): Promise<MirrorPage | undefined> {
     const { addresses } = this
     const others = addresses.filter(address => address !== this.askedBefore)
     const candidates = others.length > 0 ? others : addresses
     const address = this.choose(candidates)
     this.askedBefore = address
-    return this.askAt(address, { table, after, patienceMilliseconds })
+    return this.askAt(address, { table, after, timeoutMilliseconds })
   }
 
   /** Asks an active instance nearby, chosen at random. */
   askNear(table: string, after: number): Promise<MirrorPage | undefined> {
-    const patienceMilliseconds = this.parts.timeoutMilliseconds
+    const timeoutMilliseconds = this.parts.timeoutMilliseconds
     const address = this.choose(this.parts.nearAddresses())
-    return this.askAt(address, { table, after, patienceMilliseconds })
+    return this.askAt(address, { table, after, timeoutMilliseconds })
   }
 
   private get addresses(): readonly string[] {
@@ -131,11 +134,11 @@
 
   private async askAt(
     address: string | undefined,
-    { table, after, patienceMilliseconds }: RowsQuestion,
+    { table, after, timeoutMilliseconds }: RowsQuery,
   ): Promise<MirrorPage | undefined> {
     if (address === undefined) return undefined
     const path = `${ROWS_PATH}${encodeURIComponent(table)}?after=${after}`
-    const text = await callPeer({ address, path, timeoutMilliseconds: patienceMilliseconds })
+    const text = await callPeer({ address, path, timeoutMilliseconds })
     if (text === undefined) return undefined
     const page = pageCodec.decode(text)
     if (page === undefined) this.parts.onMalformed({ form: 'rows of a peer', source: address })
--- a/packages/daemon/src/gateway/relayPeers.ts
+++ b/packages/daemon/src/gateway/relayPeers.ts
@@ -9,7 +9,7 @@
 import type { MemberRow } from '@rackwalk/coordination'
 import type { RandomSource } from '@rackwalk/shared'
 import type { ActiveFleet } from './activeFleet.js'
-import type { EndpointKnowledge } from './endpointKnowledge.js'
+import type { EndpointSubsystem } from './endpointSubsystem.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
 /** What the choice rests on. */
@@ -69,7 +69,7 @@
 /** The others of an instance with these settings. */
 export function createRelayPeers(
   { instance }: GatewaySettings,
-  { cutOff, overloaded }: EndpointKnowledge,
+  { cutOff, overloaded }: EndpointSubsystem,
   fleet: ActiveFleet,
   random: RandomSource,
 ): FleetRelayPeers {
--- a/packages/daemon/src/gateway/requestLine.ts
+++ b/packages/daemon/src/gateway/requestLogFields.ts
@@ -4,7 +4,7 @@
 import type { AttemptRecord, GatewayRecord, RelayRecord } from '@rackwalk/router'
 
 /** Fields of the line; those of which nothing is known are left out of its JSON. */
-export function requestLine(record: GatewayRecord): Readonly<Record<string, unknown>> {
+export function requestLogFields(record: GatewayRecord): Readonly<Record<string, unknown>> {
   return {
     request: record.requestId,
     resumes: resumedRequest(record),
--- a/packages/daemon/src/gateway/runGateway.ts
+++ b/packages/daemon/src/gateway/runGateway.ts
@@ -19,7 +19,7 @@
   const leave = () => void daemon.drain().then(() => process.exit(0))
   process.once('SIGINT', leave)
   process.once('SIGTERM', leave)
-  process.on('SIGHUP', () => void watcher.look('signal'))
+  process.on('SIGHUP', () => void watcher.reload('signal'))
   process.on('unhandledRejection', error => daemon.noteFault(error))
   await daemon.start()
   watcher.start()
--- a/packages/daemon/src/gateway/ownMember.ts
+++ b/packages/daemon/src/gateway/selfMember.ts
@@ -5,7 +5,7 @@
 import { capacityOf } from './instanceCapacity.js'
 
 /** The part of the own row that never changes in a life of the instance. */
-export function ownMember(
+export function selfMember(
   { instance, listen }: GatewaySettings,
   incarnation: string,
 ): MemberDirectoryParts['self'] {
--- a/packages/daemon/src/gateway/settingsWatcher.ts
+++ b/packages/daemon/src/gateway/settingsWatcher.ts
@@ -5,7 +5,7 @@
 
 import { readFileSync } from 'node:fs'
 import { SettingsError, formatFault } from '../settings/faults.js'
-import { readSettings } from '../settings/quickSettings.js'
+import { readSettings } from '../settings/readSettings.js'
 import { gatewaySettingsSchema } from './gatewaySettings.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
@@ -16,7 +16,7 @@
   | { readonly kind: 'refused'; readonly faults: readonly string[]; readonly cause: string }
 
 /** The platform may change the file without a signal. */
-const LOOK_MILLISECONDS = 1_000
+const POLL_MILLISECONDS = 1_000
 
 /** Reads the settings anew on a signal and when the file has changed by itself. */
 export class SettingsWatcher {
@@ -30,10 +30,10 @@
 
   start(): void {
     this.text = this.read()
-    setInterval(() => void this.look('file'), LOOK_MILLISECONDS).unref()
+    setInterval(() => void this.reload('file'), POLL_MILLISECONDS).unref()
   }
 
-  async look(cause: string): Promise<void> {
+  async reload(cause: string): Promise<void> {
     const text = this.read()
     if (text === undefined || text === this.text) return
     this.text = text
--- a/packages/daemon/src/gateway/knowledgeWatch.ts
+++ b/packages/daemon/src/gateway/stalenessMonitor.ts
@@ -5,24 +5,29 @@
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
 import type { Clock, Milliseconds, Timer } from '@rackwalk/shared'
-import { confirmationSpan, isTooOld, returnAfterSeconds, shouldAskPeers } from '@rackwalk/decisions'
-import type { KnownRows, Reachability } from '@rackwalk/decisions'
+import {
+  confirmationLifetime,
+  isTooStale,
+  toRetryAfterSeconds,
+  shouldAskPeers,
+} from '@rackwalk/decisions'
+import type { RowStaleness, ContactAges } from '@rackwalk/decisions'
 import type { TableMirror } from '@rackwalk/coordination'
 import type { GatewaySettings } from './gatewaySettings.js'
 import type { PlatformAdapter } from './platformAdapter.js'
 
 /** A table whose changes have to be in force after a time. */
-export interface WatchedTable {
+export interface MonitoredTable {
   readonly mirror: TableMirror
   readonly boundMilliseconds: Milliseconds
 }
 
 /** The tables of an instance whose changes have to be in force in time, by name. */
-export function watchedTables(
+export function monitoredTables(
   { configuration, endpoints }: Pick<PlatformAdapter, 'configuration' | 'endpoints'>,
   mirrors: ReadonlyMap<string, TableMirror>,
   { configurationMilliseconds, endpointsMilliseconds }: GatewaySettings['freshness'],
-): ReadonlyMap<string, WatchedTable> {
+): ReadonlyMap<string, MonitoredTable> {
   const bounds: readonly [string, Milliseconds][] = [
     [configuration.table, configurationMilliseconds],
     [endpoints.table, endpointsMilliseconds],
@@ -35,15 +40,15 @@
 }
 
 /** What the instance went by when it began or ceased to refuse. */
-export interface KnowledgeChange {
+export interface StalenessChange {
   readonly isRefusing: boolean
   readonly table: string
-  readonly rows: KnownRows
-  readonly reachability: Reachability
+  readonly rows: RowStaleness
+  readonly reachability: ContactAges
 }
 
 /** Fields of the line about such a change; an age that is infinite is left out of its JSON. */
-export function knowledgeFields(change: KnowledgeChange): Readonly<Record<string, unknown>> {
+export function stalenessFields(change: StalenessChange): Readonly<Record<string, unknown>> {
   const { isRefusing, table, rows, reachability } = change
   return {
     isRefusing,
@@ -58,7 +63,7 @@
 export function reachabilityFields({
   answeredAgoMilliseconds,
   heardAgoMilliseconds,
-}: Reachability): Readonly<Record<string, unknown>> {
+}: ContactAges): Readonly<Record<string, unknown>> {
   return {
     storeAnsweredAgoMilliseconds: finite(answeredAgoMilliseconds),
     peerHeardAgoMilliseconds: finite(heardAgoMilliseconds),
@@ -70,37 +75,37 @@
 }
 
 /** What the watch works with. */
-export interface KnowledgeWatchParts {
+export interface StalenessMonitorParts {
   readonly clock: Clock
   /** By name, for the text of a refusal. */
-  readonly tables: ReadonlyMap<string, WatchedTable>
-  readonly reachability: () => Reachability
+  readonly tables: ReadonlyMap<string, MonitoredTable>
+  readonly reachability: () => ContactAges
   /** The instance began to refuse by the age of what it knows, or ceased to. */
-  readonly onChange: (change: KnowledgeChange) => void
+  readonly onChange: (change: StalenessChange) => void
   readonly onFault: (error: unknown) => void
 }
 
 /** Time between two looks; a look costs no call unless rows are old, and a bound has ten of them. */
-const LOOK_MILLISECONDS = 200
+const CHECK_INTERVAL_MILLISECONDS = 200
 /** Peers asked at each look: one may be cut off from the store as well. */
-const PEERS_ASKED = 2
+const PEERS_PER_CHECK = 2
 /** Questions for a table that wait at the most: their answers share the link that makes them late. */
-const MOST_WAITING = 16
+const MAXIMUM_PENDING_QUERIES = 16
 
 /** Keeps an instance from serving by rows that are too old through its own fault. */
-export class KnowledgeWatch {
+export class StalenessMonitor {
   /** When the newest question was sent that a peer answered, by table. */
   private readonly confirmedAt = new Map<string, Milliseconds>()
   /** Questions that wait for their answers, by table. */
-  private readonly waiting = new Map<string, number>()
+  private readonly pendingQueries = new Map<string, number>()
   private timer: Timer | undefined
-  private refusedTable: string | undefined
+  private staleTable: string | undefined
 
-  constructor(private readonly parts: KnowledgeWatchParts) {}
+  constructor(private readonly parts: StalenessMonitorParts) {}
 
   start(): void {
-    this.timer = this.parts.clock.after(LOOK_MILLISECONDS, () => {
-      this.look()
+    this.timer = this.parts.clock.after(CHECK_INTERVAL_MILLISECONDS, () => {
+      this.checkTables()
       this.start()
     })
   }
@@ -111,24 +116,24 @@
 
   /** Throws where a request may not be served by what is known here. */
   check(): void {
-    const table = this.tooOldTable()
+    const table = this.findStaleTable()
     if (table === undefined) return
-    throw new NotRunError(ResultCode.KnowledgeTooOld, table, returnAfterSeconds(undefined))
+    throw new NotRunError(ResultCode.KnowledgeTooOld, table, toRetryAfterSeconds(undefined))
   }
 
-  private look(): void {
+  private checkTables(): void {
     for (const [name, watched] of this.parts.tables) {
       if (watched.mirror.isLoaded && shouldAskPeers(this.known(name, watched))) {
         this.ask(name, watched)
       }
     }
-    this.tell(this.tooOldTable())
+    this.reportChange(this.findStaleTable())
   }
 
-  private tell(table: string | undefined): void {
-    if (table === this.refusedTable) return
-    const name = table ?? this.refusedTable ?? ''
-    this.refusedTable = table
+  private reportChange(table: string | undefined): void {
+    if (table === this.staleTable) return
+    const name = table ?? this.staleTable ?? ''
+    this.staleTable = table
     const watched = this.parts.tables.get(name)
     if (watched === undefined) return
     this.parts.onChange({
@@ -140,12 +145,12 @@
   }
 
   /** Questions overlap: one that waits behind a full link must not keep the next from being sent. */
-  private ask(name: string, { mirror, boundMilliseconds }: WatchedTable): void {
-    for (let asked = 0; asked < PEERS_ASKED; asked += 1) {
-      const waiting = this.waiting.get(name) ?? 0
-      if (waiting >= MOST_WAITING) return
-      this.waiting.set(name, waiting + 1)
-      this.askOne(name, mirror.askPeers(confirmationSpan(boundMilliseconds)))
+  private ask(name: string, { mirror, boundMilliseconds }: MonitoredTable): void {
+    for (let asked = 0; asked < PEERS_PER_CHECK; asked += 1) {
+      const waiting = this.pendingQueries.get(name) ?? 0
+      if (waiting >= MAXIMUM_PENDING_QUERIES) return
+      this.pendingQueries.set(name, waiting + 1)
+      this.askOne(name, mirror.askPeers(confirmationLifetime(boundMilliseconds)))
     }
   }
 
@@ -156,7 +161,7 @@
         if (isAnswered) this.noteConfirmed(name, sentAt)
       })
       .catch((error: unknown) => this.parts.onFault(error))
-      .finally(() => this.waiting.set(name, (this.waiting.get(name) ?? 1) - 1))
+      .finally(() => this.pendingQueries.set(name, (this.pendingQueries.get(name) ?? 1) - 1))
   }
 
   private noteConfirmed(name: string, sentAt: Milliseconds): void {
@@ -164,17 +169,17 @@
     this.confirmedAt.set(name, Math.max(before, sentAt))
   }
 
-  private tooOldTable(): string | undefined {
+  private findStaleTable(): string | undefined {
     const reachability = this.parts.reachability()
     for (const [name, watched] of this.parts.tables) {
       // What was never read is waited for: the instance is not ready then.
       if (!watched.mirror.isLoaded) continue
-      if (isTooOld(this.known(name, watched), reachability)) return name
+      if (isTooStale(this.known(name, watched), reachability)) return name
     }
     return undefined
   }
 
-  private known(name: string, { mirror, boundMilliseconds }: WatchedTable): KnownRows {
+  private known(name: string, { mirror, boundMilliseconds }: MonitoredTable): RowStaleness {
     const confirmedAt = this.confirmedAt.get(name) ?? Number.NEGATIVE_INFINITY
     const confirmedAgoMilliseconds = this.parts.clock.sinceStart() - confirmedAt
     return { ageMilliseconds: mirror.age, boundMilliseconds, confirmedAgoMilliseconds }
