--- a/packages/daemon/src/gateway/starvationWatch.ts
+++ b/packages/daemon/src/gateway/starvationMonitor.ts
@@ -10,7 +10,7 @@
 import type { GatewayRecord } from '@rackwalk/router'
 
 /** What the watch works with. */
-export interface StarvationWatchParts {
+export interface StarvationMonitorParts {
   readonly clock: Clock
   /** What this instance knows of itself, for the line. */
   readonly ownState: () => Readonly<Record<string, unknown>>
@@ -24,10 +24,10 @@
 
 const LOOK_MILLISECONDS: Milliseconds = 1_000
 /** Teams told of at one look, so that an outage for all fills no log; the gauge counts every one. */
-const MOST_TOLD = 8
+const MAXIMUM_LOGGED_TEAMS = 8
 
 /** Refusals that a team brings about by itself: no instance would serve such a request. */
-const OWN_DOING: ReadonlySet<ResultCode> = new Set([
+const CLIENT_CAUSED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.MalformedRequest,
   ResultCode.BodyTooLarge,
   ResultCode.RequestTimeout,
@@ -38,11 +38,11 @@
 ])
 
 /** Watches how much of its requests each team is served here. */
-export class StarvationWatch {
+export class StarvationMonitor {
   private readonly teams = new StarvedTeams()
   private timer: Timer | undefined
 
-  constructor(private readonly parts: StarvationWatchParts) {}
+  constructor(private readonly parts: StarvationMonitorParts) {}
 
   /** Starved teams. */
   get size(): number {
@@ -63,7 +63,7 @@
   /** A request has ended. */
   noteRecord(record: GatewayRecord): void {
     const code: ResultCode = record.code ?? ResultCode.Internal
-    if (record.team === undefined || OWN_DOING.has(code)) return
+    if (record.team === undefined || CLIENT_CAUSED_CODES.has(code)) return
     const team = record.team as TeamId
     const isServed = code === ResultCode.Ok
     this.teams.note({ team, code, isServed }, this.parts.clock.monotonic())
@@ -73,7 +73,7 @@
   private look(): void {
     const changes = this.teams.takeChanges(this.parts.clock.monotonic())
     const busiest = [...changes].sort((left, right) => right.requests - left.requests)
-    for (const change of busiest.slice(0, MOST_TOLD)) this.tell(change, changes.length)
+    for (const change of busiest.slice(0, MAXIMUM_LOGGED_TEAMS)) this.tell(change, changes.length)
   }
 
   private tell(change: StarvationChange, changedTeams: number): void {
--- a/packages/daemon/src/gateway/streamWatch.ts
+++ b/packages/daemon/src/gateway/streamCoordinator.ts
@@ -5,10 +5,10 @@
 
 import { DemandMeter } from '@rackwalk/coordination'
 import type { MemberRow } from '@rackwalk/coordination'
-import { originKeeperCount, originKeepers } from '@rackwalk/decisions'
+import { originReplicaCount, rankOriginReplicas } from '@rackwalk/decisions'
 import { StreamOrigins } from '@rackwalk/router'
 import type {
-  BegunStream,
+  StartedStream,
   EndpointDirectory,
   EndpointRecord,
   PeerLoadReport,
@@ -18,11 +18,11 @@
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
 import { loadPeersOf } from './loadExchange.js'
 import type { LoadExchange } from './loadExchange.js'
-import { OriginQuestions } from './originQuestions.js'
-import { begunReports, versionReports } from './streamNews.js'
+import { StreamOriginClient } from './streamOriginClient.js'
+import { encodeStreamStarts, encodeVersionGossip } from './streamGossip.js'
 
 /** What the watch works with. */
-export interface StreamWatchParts {
+export interface StreamCoordinatorParts {
   readonly clock: Clock
   readonly identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>
   readonly directory: () => EndpointDirectory
@@ -34,15 +34,15 @@
 }
 
 /** What one instance does so that streams go on at the software version that began them. */
-export class StreamWatch {
+export class StreamCoordinator {
   readonly origins: StreamOrigins
-  private readonly questions: OriginQuestions
+  private readonly originClient: StreamOriginClient
   /** Streams of which others are told. */
-  private readonly told: DemandMeter
+  private readonly announcedStreams: DemandMeter
 
-  constructor(private readonly parts: StreamWatchParts) {
-    this.told = new DemandMeter(parts.clock)
-    this.questions = new OriginQuestions({
+  constructor(private readonly parts: StreamCoordinatorParts) {
+    this.announcedStreams = new DemandMeter(parts.clock)
+    this.originClient = new StreamOriginClient({
       others: () => this.others,
       onMalformed: form => parts.telemetry.noteMalformed(form),
     })
@@ -50,19 +50,20 @@
       clock: parts.clock,
       listedVersions: service => parts.directory().softwareVersions(service),
       isListFresh: parts.isListFresh,
-      tellKeepers: begun => this.tellKeepers(begun),
-      tellVersions: versions => parts.exchange()?.tellAll(versionReports(versions, parts.identity)),
-      ask: stream => this.questions.ask(stream),
+      replicateStreams: begun => this.tellKeepers(begun),
+      broadcastVersions: versions =>
+        parts.exchange()?.broadcast(encodeVersionGossip(versions, parts.identity)),
+      ask: stream => this.originClient.ask(stream),
     })
   }
 
   close(): void {
-    this.questions.close()
+    this.originClient.close()
   }
 
   /** An endpoint was listed, or is gone. */
   noteChange(record: EndpointRecord, change: string): void {
-    if (change === 'gone') this.origins.noteGone(record)
+    if (change === 'gone') this.origins.noteUnlisted(record)
     else this.origins.noteListed(record)
   }
 
@@ -74,18 +75,20 @@
   }
 
   /** Streams for the same keeper share its datagrams. */
-  private tellKeepers(begun: readonly BegunStream[]): void {
+  private tellKeepers(begun: readonly StartedStream[]): void {
     const { others } = this
-    this.told.add(begun.length)
-    const count = originKeeperCount(this.told.perSecond)
-    const kept = new Map<MemberRow, BegunStream[]>()
+    this.announcedStreams.add(begun.length)
+    const count = originReplicaCount(this.announcedStreams.perSecond)
+    const kept = new Map<MemberRow, StartedStream[]>()
     for (const stream of begun) {
-      for (const keeper of originKeepers(stream.key, others).slice(0, count)) {
+      for (const keeper of rankOriginReplicas(stream.key, others).slice(0, count)) {
         kept.set(keeper, [...(kept.get(keeper) ?? []), stream])
       }
     }
     for (const [keeper, streams] of kept) {
-      this.parts.exchange()?.tell(loadPeersOf([keeper]), begunReports(streams, this.parts.identity))
+      this.parts
+        .exchange()
+        ?.sendReports(loadPeersOf([keeper]), encodeStreamStarts(streams, this.parts.identity))
     }
   }
 }
--- a/packages/daemon/src/gateway/streamNews.ts
+++ b/packages/daemon/src/gateway/streamGossip.ts
@@ -7,9 +7,9 @@
 import type { SoftwareVersion } from '@rackwalk/shared'
 import { parseJson } from '@rackwalk/stores'
 import type { StreamOrigin } from '@rackwalk/decisions'
-import type { BegunStream, PeerLoadReport, StreamNews } from '@rackwalk/router'
-import { PARTS_AN_ENTRY, newsReports } from './crashNews.js'
-import type { NewsEntry } from './crashNews.js'
+import type { StartedStream, PeerLoadReport, StreamGossip } from '@rackwalk/router'
+import { PARTS_PER_ENTRY, gossipReports } from './crashGossip.js'
+import type { GossipEntry } from './crashGossip.js'
 
 /** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
 const BEGUN_PREFIX = 'streams begun at '
@@ -18,30 +18,30 @@
 type Identity = Pick<PeerLoadReport, 'instance' | 'incarnation'>
 
 /** The reports that tell where streams began. */
-export function begunReports(
-  begun: readonly BegunStream[],
+export function encodeStreamStarts(
+  begun: readonly StartedStream[],
   identity: Identity,
 ): readonly PeerLoadReport[] {
   const byOrigin = groupBy(begun, ({ origin }) => originText(origin))
-  return newsReports(
+  return gossipReports(
     [...byOrigin].flatMap(([origin, streams]) => begunEntries(origin, streams)),
     identity,
   )
 }
 
 /** The reports that tell which versions serve. */
-export function versionReports(
+export function encodeVersionGossip(
   versions: readonly StreamOrigin[],
   identity: Identity,
 ): readonly PeerLoadReport[] {
-  return newsReports(
+  return gossipReports(
     versions.map(origin => entry(`${SERVES_PREFIX}${originText(origin)}`)),
     identity,
   )
 }
 
 /** What such a report tells; entries of any other kind are passed over. */
-export function streamNewsOf({ loads }: PeerLoadReport): StreamNews {
+export function decodeStreamGossip({ loads }: PeerLoadReport): StreamGossip {
   return {
     begun: loads.flatMap(({ endpoint, parts }) => {
       const origin = originAfter(BEGUN_PREFIX, endpoint)
@@ -57,10 +57,10 @@
 }
 
 /** The lifetime of each stream stands where a report of load has the tokens of a part. */
-function begunEntries(origin: string, streams: readonly BegunStream[]): readonly NewsEntry[] {
-  const entries: NewsEntry[] = []
-  for (let from = 0; from < streams.length; from += PARTS_AN_ENTRY) {
-    const parts = streams.slice(from, from + PARTS_AN_ENTRY).map(stream => {
+function begunEntries(origin: string, streams: readonly StartedStream[]): readonly GossipEntry[] {
+  const entries: GossipEntry[] = []
+  for (let from = 0; from < streams.length; from += PARTS_PER_ENTRY) {
+    const parts = streams.slice(from, from + PARTS_PER_ENTRY).map(stream => {
       return { id: stream.key, tokens: Math.round(stream.lifetimeMilliseconds) }
     })
     entries.push({ ...entry(`${BEGUN_PREFIX}${origin}`), parts })
@@ -68,7 +68,7 @@
   return entries
 }
 
-function entry(endpoint: string): NewsEntry {
+function entry(endpoint: string): GossipEntry {
   return { endpoint, running: 0, pendingTokens: 0, parts: [] }
 }
 
--- a/packages/daemon/src/gateway/originQuestions.ts
+++ b/packages/daemon/src/gateway/streamOriginClient.ts
@@ -5,13 +5,13 @@
 
 import { Agent } from 'node:http'
 import * as z from 'zod'
-import { ORIGIN_KEEPERS, isMixed, originKeepers } from '@rackwalk/decisions'
+import { MINIMUM_ORIGIN_REPLICAS, hasMixedVersions, rankOriginReplicas } from '@rackwalk/decisions'
 import type { MemberRow } from '@rackwalk/coordination'
 import { asId } from '@rackwalk/shared'
 import type { Milliseconds, StreamKey } from '@rackwalk/shared'
 import { JsonCodec } from '@rackwalk/stores'
 import type { OriginAnswer, ResumedStream, StreamOrigins } from '@rackwalk/router'
-import type { MalformedForm } from '../observe/malformedForms.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
 import { callPeer } from './peerCall.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
@@ -19,7 +19,7 @@
 /** A caller waits for the answers, twice at the most. */
 const ANSWER_MILLISECONDS: Milliseconds = 90
 /** Others that are asked where no keeper knows: the one that served the stream may be among them. */
-const OTHERS_ASKED = 12
+const FALLBACK_PEERS = 12
 /** Connections to one peer. */
 const MAXIMUM_CONNECTIONS = 4
 
@@ -54,7 +54,7 @@
 })
 
 /** Answers a peer that is asked to go on with a stream; undefined where the path is another one. */
-export function answerOrigin(
+export function handleOriginRequest(
   path: string,
   body: string,
   streams: StreamOrigins,
@@ -66,25 +66,25 @@
 }
 
 /** What the questions work with. */
-export interface OriginQuestionsParts {
+export interface StreamOriginClientParts {
   /** Other instances that are heard of. */
   readonly others: () => readonly MemberRow[]
-  readonly onMalformed: (form: MalformedForm) => void
+  readonly onMalformed: (form: MalformedInput) => void
 }
 
 /** Asks other instances where streams began. */
-export class OriginQuestions {
+export class StreamOriginClient {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: MAXIMUM_CONNECTIONS })
 
-  constructor(private readonly parts: OriginQuestionsParts) {}
+  constructor(private readonly parts: StreamOriginClientParts) {}
 
   /** What the others know of a stream; those that do not answer in time are left out. */
   async ask(stream: ResumedStream): Promise<readonly OriginAnswer[]> {
     const reached = this.parts.others().filter(({ peerAddress }) => peerAddress !== '')
-    const others = originKeepers(stream.key ?? '', reached)
-    const kept = await this.askAll(others.slice(0, ORIGIN_KEEPERS), stream)
+    const others = rankOriginReplicas(stream.key ?? '', reached)
+    const kept = await this.askAll(others.slice(0, MINIMUM_ORIGIN_REPLICAS), stream)
     if (!isInDoubt(kept)) return kept
-    const more = others.slice(ORIGIN_KEEPERS, ORIGIN_KEEPERS + OTHERS_ASKED)
+    const more = others.slice(MINIMUM_ORIGIN_REPLICAS, MINIMUM_ORIGIN_REPLICAS + FALLBACK_PEERS)
     return [...kept, ...(await this.askAll(more, stream))]
   }
 
@@ -124,5 +124,5 @@
 function isInDoubt(answers: readonly OriginAnswer[]): boolean {
   const isKnown = answers.some(({ origins }) => origins.length > 0)
   const versions = new Set(answers.flatMap(answer => answer.versions))
-  return !isKnown && (answers.length === 0 || isMixed([...versions]))
+  return !isKnown && (answers.length === 0 || hasMixedVersions([...versions]))
 }
--- a/packages/daemon/src/gateway/newcomerWatch.ts
+++ b/packages/daemon/src/gateway/unknownSenderMonitor.ts
@@ -3,12 +3,12 @@
  * bound on such reads; the rule is in decisions/placing/newcomerReads.
  */
 
-import { NewcomerReads } from '@rackwalk/decisions'
+import { MemberReadLimiter } from '@rackwalk/decisions'
 import type { PeerLoadReport } from '@rackwalk/router'
 import type { Clock } from '@rackwalk/shared'
 
 /** What the watch works with. */
-export interface NewcomerWatchParts {
+export interface UnknownSenderMonitorParts {
   /** The name of this instance. */
   readonly instance: string
   /** Whether there is a row of this life of an instance. */
@@ -21,10 +21,10 @@
 }
 
 /** What one instance does when it hears of others that it does not know. */
-export class NewcomerWatch {
-  private readonly reads = new NewcomerReads()
+export class UnknownSenderMonitor {
+  private readonly reads = new MemberReadLimiter()
 
-  constructor(private readonly parts: NewcomerWatchParts) {}
+  constructor(private readonly parts: UnknownSenderMonitorParts) {}
 
   /** A datagram came in the name of an instance; its address proves nothing, the store's row does. */
   note({ instance, incarnation }: Pick<PeerLoadReport, 'instance' | 'incarnation'>): void {
--- a/packages/daemon/src/observe/unfinishedLine.ts
+++ b/packages/daemon/src/observe/failedRequestFields.ts
@@ -3,7 +3,7 @@
 import type { DecisionRecord } from '@rackwalk/router'
 
 /** Fields of the line: what the caller was told, and how the answers ended that endpoints had begun. */
-export function unfinishedLine(record: DecisionRecord): Readonly<Record<string, unknown>> {
+export function failedRequestFields(record: DecisionRecord): Readonly<Record<string, unknown>> {
   return {
     request: record.requestId,
     team: record.teamId,
--- a/packages/daemon/src/observe/logger.ts
+++ b/packages/daemon/src/observe/logger.ts
@@ -16,23 +16,23 @@
 
 /** One JSON object a line on standard output, so that any collector can read it. */
 export class JsonLogger implements Logger {
-  private readonly tellsInfo: boolean
-  private readonly tellsWarnings: boolean
+  private readonly logsInfo: boolean
+  private readonly logsWarnings: boolean
 
   constructor(
     level: Level,
     private readonly instanceId: string,
   ) {
-    this.tellsInfo = INFO_LEVELS.includes(level)
-    this.tellsWarnings = WARN_LEVELS.includes(level)
+    this.logsInfo = INFO_LEVELS.includes(level)
+    this.logsWarnings = WARN_LEVELS.includes(level)
   }
 
   info(event: string, fields: Readonly<Record<string, unknown>>): void {
-    if (this.tellsInfo) this.write('info', event, fields)
+    if (this.logsInfo) this.write('info', event, fields)
   }
 
   warn(event: string, fields: Readonly<Record<string, unknown>>): void {
-    if (this.tellsWarnings) this.write('warn', event, fields)
+    if (this.logsWarnings) this.write('warn', event, fields)
   }
 
   private write(level: string, event: string, fields: Readonly<Record<string, unknown>>): void {
--- a/packages/daemon/src/observe/malformedForms.ts
+++ b/packages/daemon/src/observe/malformedInputLog.ts
@@ -7,7 +7,7 @@
 import type { Logger } from './logger.js'
 
 /** What was read, and whose word it was. */
-export interface MalformedForm {
+export interface MalformedInput {
   /** What was expected, such as `row` or `loan`. */
   readonly form: string
   /** The row, address or caller that it came from. */
@@ -18,19 +18,19 @@
 const MAXIMUM_SOURCES = 1_000
 
 /** Counts malformed input and tells of each source once. */
-export class MalformedForms {
-  private readonly told = new Set<string>()
+export class MalformedInputLog {
+  private readonly loggedSources = new Set<string>()
 
   constructor(
     private readonly logger: Logger,
     private readonly count: () => void,
   ) {}
 
-  note({ form, source }: MalformedForm): void {
+  note({ form, source }: MalformedInput): void {
     this.count()
     const name = `${form} ${source}`
-    if (this.told.has(name) || this.told.size >= MAXIMUM_SOURCES) return
-    this.told.add(name)
+    if (this.loggedSources.has(name) || this.loggedSources.size >= MAXIMUM_SOURCES) return
+    this.loggedSources.add(name)
     this.logger.warn('malformed_form', { form, source })
   }
 }
--- a/packages/daemon/src/observe/metrics.ts
+++ b/packages/daemon/src/observe/metrics.ts
@@ -146,15 +146,15 @@
     this.refusedBodies.inc({ outcome })
   }
 
-  noteBytesInVain(bytes: Bytes): void {
+  noteDiscardedBytes(bytes: Bytes): void {
     this.bytesInVain.inc(bytes)
   }
 
-  noteTakenConnections(count: number): void {
+  noteAcceptedConnections(count: number): void {
     this.takenConnections.inc(count)
   }
 
-  noteUntakenConnections(cause: string): void {
+  noteUnacceptedConnections(cause: string): void {
     this.untakenConnections.inc({ cause })
   }
 
--- a/packages/daemon/src/openAiKind.ts
+++ b/packages/daemon/src/openAiKind.ts
@@ -6,7 +6,7 @@
 
 import { SEALED_EXIT_CODE } from '@rackwalk/coordination'
 import { RackwalkDaemon } from './rackwalkDaemon.js'
-import { report, reportValid } from './report.js'
+import { reportStartError, reportValid } from './startReport.js'
 import { parseSettings } from './settings/openAiSettings.js'
 
 /** Runs an instance, or only checks its settings. */
@@ -20,6 +20,6 @@
     process.once('SIGINT', leave)
     process.once('SIGTERM', leave)
   } catch (thrown) {
-    await report(thrown)
+    await reportStartError(thrown)
   }
 }
--- a/packages/daemon/src/operators/budgetCompanion.ts
+++ b/packages/daemon/src/operators/budgetRowWrites.ts
@@ -7,7 +7,7 @@
   budgetRowCodec,
   createBudgetRow,
   tableKeys,
-  valueOf,
+  decodeRowValue,
   withLimit,
 } from '@rackwalk/coordination'
 import type { BudgetRow } from '@rackwalk/coordination'
@@ -18,7 +18,7 @@
  * in force for the next allocation anywhere. The row outlives the resource: allocations of
  * a deleted budget still have to be accounted for.
  */
-export async function budgetCompanion(
+export async function budgetRowWrites(
   table: TableService,
   name: string,
   spec: BudgetSpec | undefined,
@@ -33,7 +33,7 @@
       { kind: 'put', key, condition: { kind: 'absent' }, value: budgetRowCodec.toJson(created) },
     ]
   }
-  const current = valueOf(budgetRowCodec, stored)
+  const current = decodeRowValue(budgetRowCodec, stored)
   const changed = spec === undefined ? { ...current, deleted: true } : changedRow(current, spec)
   const condition = { kind: 'version', version: stored.version } as const
   return [{ kind: 'put', key, condition, value: budgetRowCodec.toJson(changed) }]
--- a/packages/daemon/src/operators/operatorAuthentication.ts
+++ b/packages/daemon/src/operators/operatorAuthentication.ts
@@ -2,7 +2,7 @@
 
 import type { IncomingMessage } from 'node:http'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
-import { hashKey } from '@rackwalk/router'
+import { hashApiKey } from '@rackwalk/router'
 import type { Settings } from '../settings/schema.js'
 
 const BEARER = /^Bearer +(\S+)$/i
@@ -13,7 +13,7 @@
   operators: Settings['operators'],
 ): string {
   const token = BEARER.exec(request.headers.authorization ?? '')?.[1]
-  const hash = token === undefined ? undefined : hashKey(token)
+  const hash = token === undefined ? undefined : hashApiKey(token)
   const operator = operators.find(({ tokenHash }) => tokenHash === hash)
   if (operator === undefined) throw new RackwalkError(ResultCode.OperatorUnauthorized)
   return operator.name
--- a/packages/daemon/src/operators/operatorRoutes.ts
+++ b/packages/daemon/src/operators/operatorRoutes.ts
@@ -22,10 +22,10 @@
   freeTokens,
   readUsage,
   tableKeys,
-  valueOf,
+  decodeRowValue,
 } from '@rackwalk/coordination'
 import type {
-  AddressAnswer,
+  CallerAddresses,
   BudgetRow,
   ConfigurationFollower,
   Membership,
@@ -36,7 +36,7 @@
 import { RESOURCE_KINDS, isResourceKind, readBody } from '@rackwalk/router'
 import type { CrashGuard, DecisionRecord, ResourceKind } from '@rackwalk/router'
 import { answerJson } from '../observe/httpAnswer.js'
-import type { InForceTracker } from './inForceTracker.js'
+import type { RolloutTracker } from './rolloutTracker.js'
 import { openApiDescription } from './openApi.js'
 import type { OperatorRequest, OperatorRoute } from './operatorRoute.js'
 import type { ListQuery, ResourceApi, WriteOptions } from './resourceApi.js'
@@ -49,10 +49,10 @@
   readonly table: TableService
   readonly configuration: ConfigurationFollower
   readonly membership: Membership
-  readonly inForce: InForceTracker
+  readonly inForce: RolloutTracker
   readonly peers: PeerChannel
   readonly clock: Clock
-  readonly addresses: () => AddressAnswer
+  readonly addresses: () => CallerAddresses
   readonly explain: (requestId: RequestId) => Promise<DecisionRecord | undefined>
   readonly drainHere: () => Promise<void>
   readonly status: () => JsonValue
@@ -130,7 +130,7 @@
   }
 
   private getInstances({ response }: OperatorRequest): void {
-    answerJson(response, 200, { items: this.parts.membership.live() })
+    answerJson(response, 200, { items: this.parts.membership.liveMembers() })
   }
 
   private async drain({ response }: OperatorRequest, name = ''): Promise<void> {
@@ -184,7 +184,7 @@
     if (stored === undefined) {
       throw new RackwalkError(ResultCode.ResourceNotFound, `budgets/${name}`)
     }
-    answerJson(response, 200, this.describeBudget(valueOf(budgetRowCodec, stored)))
+    answerJson(response, 200, this.describeBudget(decodeRowValue(budgetRowCodec, stored)))
   }
 
   private getCrashes({ response }: OperatorRequest): void {
--- a/packages/daemon/src/operators/operatorServer.ts
+++ b/packages/daemon/src/operators/operatorServer.ts
@@ -6,8 +6,8 @@
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { RackwalkError, ResultCode, toRackwalkError } from '@rackwalk/shared'
-import { continueWhenRead } from '@rackwalk/router'
-import type { RefusedBodies } from '@rackwalk/router'
+import { sendContinueOnRead } from '@rackwalk/router'
+import type { RefusedBodyHandler } from '@rackwalk/router'
 import type { Registry } from 'prom-client'
 import { listenOn } from '../observe/listenOn.js'
 import { errorAnswer, refuseMalformed } from '../observe/httpAnswer.js'
@@ -23,7 +23,7 @@
   readonly registry: Registry
   readonly operators: Settings['operators']
   readonly isServing: () => boolean
-  readonly refusedBodies: RefusedBodies
+  readonly refusedBodies: RefusedBodyHandler
 }
 
 /** The listener for operators, their tools and the metrics. */
@@ -33,7 +33,7 @@
   constructor(private readonly parts: OperatorServerParts) {
     this.server = createServer((request, response) => void this.handle(request, response))
     refuseMalformed(this.server)
-    continueWhenRead(this.server)
+    sendContinueOnRead(this.server)
   }
 
   listen(address: string): Promise<number> {
--- a/packages/daemon/src/operators/resourceApi.ts
+++ b/packages/daemon/src/operators/resourceApi.ts
@@ -6,10 +6,10 @@
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
 import type { RandomSource, TransactionId, Version } from '@rackwalk/shared'
 import type { JsonValue, TableService } from '@rackwalk/stores'
-import { resourceCodec, resourcePartition, valueOf } from '@rackwalk/coordination'
+import { resourceCodec, resourcePartition, decodeRowValue } from '@rackwalk/coordination'
 import type { Resource, ResourceStore, ResourceWriteResult } from '@rackwalk/coordination'
 import type { BudgetSpec, ResourceKind } from '@rackwalk/router'
-import { budgetCompanion } from './budgetCompanion.js'
+import { budgetRowWrites } from './budgetRowWrites.js'
 import { mergePatch, parseResource } from './resourceInput.js'
 import type { ResourceInput } from './resourceInput.js'
 
@@ -68,7 +68,7 @@
       const limit = query.limit
       const rows = await this.table.query(resourcePartition(kind), { after, limit })
       for (const row of rows) {
-        const resource = valueOf(resourceCodec, row)
+        const resource = decodeRowValue(resourceCodec, row)
         after = row.key.sort
         if (hasLabels(resource, query.labels)) items.push(resource)
         if (items.length === query.limit) return { items, next: after }
@@ -115,26 +115,26 @@
       kind,
       name,
       content: undefined,
-      companions: this.companionsOf(kind, name, undefined),
+      companionWrites: this.accompanyingWrites(kind, name, undefined),
     })
     if (result.kind === 'conflict' && result.current === undefined) throw notFound(kind, name)
     checkConflict(result, options)
   }
 
   private async write(kind: ResourceKind, input: ResourceInput, options: WriteOptions) {
-    if (options.dryRun) return this.rehearse(kind, input, options)
+    if (options.dryRun) return this.dryRunWrite(kind, input, options)
     const result = await this.store.write({
       ...options,
       kind,
       name: input.name,
       content: { spec: input.spec, labels: input.labels },
-      companions: this.companionsOf(kind, input.name, input.spec),
+      companionWrites: this.accompanyingWrites(kind, input.name, input.spec),
     })
     return checkConflict(result, options)
   }
 
   /** Checks everything that a write checks, and writes nothing. */
-  private async rehearse(kind: ResourceKind, input: ResourceInput, options: WriteOptions) {
+  private async dryRunWrite(kind: ResourceKind, input: ResourceInput, options: WriteOptions) {
     const current = await this.store.read(kind, input.name)
     const { expected } = options
     const isExpected =
@@ -147,9 +147,9 @@
     return { kind, metadata: { name, version, labels, createdAt }, spec }
   }
 
-  private companionsOf(kind: ResourceKind, name: string, spec: JsonValue | undefined) {
+  private accompanyingWrites(kind: ResourceKind, name: string, spec: JsonValue | undefined) {
     if (kind !== 'budgets') return undefined
-    return () => budgetCompanion(this.table, name, spec as unknown as BudgetSpec | undefined)
+    return () => budgetRowWrites(this.table, name, spec as unknown as BudgetSpec | undefined)
   }
 
   /** An id for a write whose operator gave none. */
--- a/packages/daemon/src/operators/inForceTracker.ts
+++ b/packages/daemon/src/operators/rolloutTracker.ts
@@ -7,7 +7,7 @@
 import type { Membership } from '@rackwalk/coordination'
 
 /** When one instance was first seen with a configuration. */
-export interface InForce {
+export interface RolloutStatus {
   readonly instanceId: InstanceId
   readonly inForce: boolean
   /** Wall time at which this instance learned of it. */
@@ -22,7 +22,7 @@
 const KEPT_SIGHTINGS = 256
 
 /** Notes when each instance was seen to reach each configuration revision. */
-export class InForceTracker {
+export class RolloutTracker {
   private readonly sightings = new Map<IncarnationId, Sighting[]>()
 
   constructor(
@@ -31,8 +31,8 @@
   ) {}
 
   /** Looks at what members say of themselves; called with each heartbeat. */
-  look(): void {
-    const live = this.membership.live()
+  refresh(): void {
+    const live = this.membership.liveMembers()
     for (const member of live) this.note(member.incarnation, member.configurationRevision)
     const present = new Set(live.map(member => member.incarnation))
     for (const incarnation of this.sightings.keys()) {
@@ -41,9 +41,9 @@
   }
 
   /** For each live instance, whether and since when a revision is in force. */
-  report(revision: Version): readonly InForce[] {
-    this.look()
-    return this.membership.live().map(member => {
+  report(revision: Version): readonly RolloutStatus[] {
+    this.refresh()
+    return this.membership.liveMembers().map(member => {
       const inForce = member.configurationRevision >= revision
       const sightings = this.sightings.get(member.incarnation) ?? []
       const first = sightings.find(sighting => sighting.revision >= revision)
--- a/packages/daemon/src/ownIdentity.ts
+++ b/packages/daemon/src/ownIdentity.ts
@@ -12,10 +12,10 @@
 import type { Settings } from './settings/schema.js'
 
 /** Addresses are filled in when the listeners have their ports. */
-export type OwnIdentity = { -readonly [Field in keyof NodeIdentity]: NodeIdentity[Field] }
+export type MutableNodeIdentity = { -readonly [Field in keyof NodeIdentity]: NodeIdentity[Field] }
 
 /** A new incarnation of the instance that the settings name. */
-export function createIdentity(settings: Settings, random: RandomSource): OwnIdentity {
+export function createIdentity(settings: Settings, random: RandomSource): MutableNodeIdentity {
   const { id, region, failureDomain } = settings.instance
   return {
     instanceId: asId<InstanceId>(id),
--- a/packages/daemon/src/peers/grpcPeerChannel.ts
+++ b/packages/daemon/src/peers/grpcPeerChannel.ts
@@ -5,15 +5,15 @@
 
 import { Client, Metadata, credentials } from '@grpc/grpc-js'
 import type { IncarnationId, Milliseconds } from '@rackwalk/shared'
-import { PEER_FORMS } from '@rackwalk/coordination'
+import { PEER_MESSAGE_CODECS } from '@rackwalk/coordination'
 import type {
   PeerChannel,
-  PeerForm,
+  PeerMessageCodecs,
   PeerMessageKind,
   PeerReply,
   PeerRequest,
 } from '@rackwalk/coordination'
-import type { MalformedForm } from '../observe/malformedForms.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
 import {
   MAXIMUM_MESSAGE_BYTES,
   SECRET_METADATA,
@@ -34,7 +34,7 @@
     private readonly addressOf: AddressLookup,
     private readonly timeoutMilliseconds: Milliseconds,
     private readonly secret: string | undefined,
-    private readonly onMalformed: (form: MalformedForm) => void,
+    private readonly onMalformed: (form: MalformedInput) => void,
   ) {}
 
   call<Kind extends PeerMessageKind>(
@@ -53,7 +53,7 @@
     kind: Kind,
     request: PeerRequest<Kind>,
   ): Promise<PeerReply<Kind>> {
-    const form: PeerForm<Kind> = PEER_FORMS[kind]
+    const form: PeerMessageCodecs<Kind> = PEER_MESSAGE_CODECS[kind]
     return new Promise((resolve, reject) => {
       this.clientOf(address).makeUnaryRequest(
         methodPath(kind),
--- a/packages/daemon/src/peers/peerProtocol.ts
+++ b/packages/daemon/src/peers/peerProtocol.ts
@@ -1,7 +1,7 @@
 /** What the two sides of the gRPC connection between OpenAI-style instances share. */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
-import { PEER_FORMS } from '@rackwalk/coordination'
+import { PEER_MESSAGE_CODECS } from '@rackwalk/coordination'
 import type { PeerMessageKind } from '@rackwalk/coordination'
 
 /** Name of the service; it is part of each method's path. */
@@ -12,7 +12,7 @@
 export const MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
 
 /** Kinds of messages, each a unary method of the service. */
-export const PEER_KINDS = Object.keys(PEER_FORMS) as readonly PeerMessageKind[]
+export const PEER_KINDS = Object.keys(PEER_MESSAGE_CODECS) as readonly PeerMessageKind[]
 
 /** The path of a kind's method. */
 export function methodPath(kind: string): string {
--- a/packages/daemon/src/peers/peerServer.ts
+++ b/packages/daemon/src/peers/peerServer.ts
@@ -6,10 +6,15 @@
 import { Server, ServerCredentials, status } from '@grpc/grpc-js'
 import type { ServerUnaryCall, ServiceDefinition, sendUnaryData } from '@grpc/grpc-js'
 import { RackwalkError, toRackwalkError } from '@rackwalk/shared'
-import { PEER_FORMS } from '@rackwalk/coordination'
-import type { PeerForm, PeerHandler, PeerHandlers, PeerMessageKind } from '@rackwalk/coordination'
+import { PEER_MESSAGE_CODECS } from '@rackwalk/coordination'
+import type {
+  PeerMessageCodecs,
+  PeerHandler,
+  PeerHandlers,
+  PeerMessageKind,
+} from '@rackwalk/coordination'
 import { cannotListen } from '../observe/listenOn.js'
-import type { MalformedForm } from '../observe/malformedForms.js'
+import type { MalformedInput } from '../observe/malformedInputLog.js'
 import {
   MAXIMUM_MESSAGE_BYTES,
   PEER_KINDS,
@@ -32,7 +37,7 @@
   constructor(
     handlers: PeerHandlers,
     private readonly secret: string | undefined,
-    private readonly onMalformed: (form: MalformedForm) => void,
+    private readonly onMalformed: (form: MalformedInput) => void,
   ) {
     const implementation: Record<string, UnaryHandler> = {}
     for (const kind of PEER_KINDS) implementation[kind] = this.methodOf(kind, handlers)
@@ -67,7 +72,7 @@
   ): Promise<void> {
     if (!this.isTrusted(call)) return reply({ code: status.UNAUTHENTICATED })
     if (handler === undefined) return reply({ code: status.UNIMPLEMENTED })
-    const form: PeerForm<Kind> = PEER_FORMS[kind]
+    const form: PeerMessageCodecs<Kind> = PEER_MESSAGE_CODECS[kind]
     const request = form.request.decode(call.request)
     if (request === undefined) {
       this.onMalformed({ form: kind, source: call.getPeer() })
--- a/packages/daemon/src/platformClients.ts
+++ b/packages/daemon/src/platformClients.ts
@@ -2,13 +2,13 @@
 
 import { DynamodbTableService, S3ObjectStore } from '@rackwalk/stores'
 import {
-  CheckedTable,
+  ValidatingTable,
   EqualSplitPolicy,
   RateProportionalPolicy,
-  WeighedPolicy,
+  CostWeightedPolicy,
 } from '@rackwalk/coordination'
 import type { AllocationPolicy } from '@rackwalk/coordination'
-import type { MalformedForms } from './observe/malformedForms.js'
+import type { MalformedInputLog } from './observe/malformedInputLog.js'
 import { readSecret } from './settings/sources.js'
 import type { Settings } from './settings/schema.js'
 
@@ -20,7 +20,7 @@
     case 'rate-proportional':
       return new RateProportionalPolicy()
     case 'weighed':
-      return new WeighedPolicy({
+      return new CostWeightedPolicy({
         overspend: policy.overspendWeight,
         falseRefusal: policy.falseRefusalWeight,
       })
@@ -54,9 +54,9 @@
 /** The table as all parts read it: with rows held against their forms. */
 export function createCheckedTable(
   table: DynamodbTableService,
-  malformed: MalformedForms,
-): CheckedTable {
-  return new CheckedTable(table, ({ partition, sort }) =>
+  malformed: MalformedInputLog,
+): ValidatingTable {
+  return new ValidatingTable(table, ({ partition, sort }) =>
     malformed.note({ form: 'row', source: `${partition}/${sort}` }),
   )
 }
--- a/packages/daemon/src/program.ts
+++ b/packages/daemon/src/program.ts
@@ -3,14 +3,14 @@
 import { cac } from 'cac'
 import { gatewaySettingsSchema } from './gateway/gatewaySettings.js'
 import type { PlatformModule } from './gateway/platformAdapter.js'
-import { EXIT_SETTINGS, fail, report, reportValid } from './report.js'
-import { readKind, readSettings } from './settings/quickSettings.js'
+import { EXIT_SETTINGS, exitWithError, reportStartError, reportValid } from './startReport.js'
+import { readKind, readSettings } from './settings/readSettings.js'
 import { readText } from './settings/sources.js'
 
 const GATEWAY_KIND = 'gateway'
 
 /** Adapters that are a part of the program, by the name that settings give them. */
-export type OwnAdapters = Readonly<Record<string, PlatformModule>>
+export type BuiltInAdapters = Readonly<Record<string, PlatformModule>>
 
 interface Flags {
   readonly settings?: string
@@ -20,22 +20,22 @@
 }
 
 /** Reads the words it was started with and does what they say. */
-export function startProgram(adapters: OwnAdapters = {}): void {
+export function startProgram(adapters: BuiltInAdapters = {}): void {
   const program = cac('rackwalkd')
   program
     .command('', 'Run one instance of the router fleet')
     .option('--settings <file>', 'Settings file (YAML)')
     .option('--settings-from <variable>', 'Environment variable that names the settings file')
     .option('--check', 'Check the settings and exit')
-    .action((flags: Flags) => run(flags, adapters).catch(report))
+    .action((flags: Flags) => run(flags, adapters).catch(reportStartError))
   program.help()
   program.version('0.1.0')
   program.parse()
 }
 
-async function run(flags: Flags, adapters: OwnAdapters): Promise<void> {
+async function run(flags: Flags, adapters: BuiltInAdapters): Promise<void> {
   const file = settingsFile(flags)
-  if (file === undefined) return fail('--settings FILE is required', EXIT_SETTINGS)
+  if (file === undefined) return exitWithError('--settings FILE is required', EXIT_SETTINGS)
   const text = readText(file)
   // Each kind loads only what it needs: start-up time and memory are paid on small machines.
   if ((await readKind(text)) === GATEWAY_KIND) return runGatewayKind(file, text, flags, adapters)
@@ -47,7 +47,7 @@
   file: string,
   text: string,
   flags: Flags,
-  adapters: OwnAdapters,
+  adapters: BuiltInAdapters,
 ): Promise<void> {
   const settings = await readSettings(gatewaySettingsSchema, text)
   if (flags.check) return reportValid(file)
--- a/packages/daemon/src/rackwalkDaemon.ts
+++ b/packages/daemon/src/rackwalkDaemon.ts
@@ -16,34 +16,34 @@
   chooseAddresses,
 } from '@rackwalk/coordination'
 import { Catalogue, EndpointClient, EndpointTable, FOLLOWED_KINDS } from '@rackwalk/router'
-import type { ChatHandOver, DecisionRecord, RefusedBodies } from '@rackwalk/router'
+import type { ChatRelay, DecisionRecord, RefusedBodyHandler } from '@rackwalk/router'
 import { CallerServer } from './callers/callerServer.js'
 import { createRefusedBodies } from './callers/createRefusedBodies.js'
-import { createWaitingConnections } from './callers/createWaitingConnections.js'
-import { Explainer } from './explainer.js'
+import { createAcceptQueue } from './callers/createAcceptQueue.js'
+import { DecisionRecordFinder } from './decisionRecordFinder.js'
 import { withPort } from './observe/listenOn.js'
 import { JsonLogger } from './observe/logger.js'
-import { MalformedForms } from './observe/malformedForms.js'
+import { MalformedInputLog } from './observe/malformedInputLog.js'
 import type { Logger } from './observe/logger.js'
-import { unfinishedLine } from './observe/unfinishedLine.js'
+import { failedRequestFields } from './observe/failedRequestFields.js'
 import { Metrics } from './observe/metrics.js'
-import { InForceTracker } from './operators/inForceTracker.js'
+import { RolloutTracker } from './operators/rolloutTracker.js'
 import { OperatorRoutes } from './operators/operatorRoutes.js'
 import { OperatorServer } from './operators/operatorServer.js'
 import { ResourceApi } from './operators/resourceApi.js'
 import { GrpcPeerChannel } from './peers/grpcPeerChannel.js'
 import { PeerServer } from './peers/peerServer.js'
 import { createCheckedTable, createObjects, createPolicy, createTable } from './platformClients.js'
-import { createChatHandOver } from './chatHandOver.js'
+import { createChatRelay } from './createChatRelay.js'
 import { createIdentity } from './ownIdentity.js'
-import type { OwnIdentity } from './ownIdentity.js'
+import type { MutableNodeIdentity } from './ownIdentity.js'
 import { createRequestPath } from './requestPath.js'
 import type { RequestPath } from './requestPath.js'
 import { readSecret } from './settings/sources.js'
 import type { Settings } from './settings/schema.js'
 import { AdviceTask } from './tasks/adviceTask.js'
 import { CrashTask } from './tasks/crashTask.js'
-import { EndpointReachTask } from './tasks/endpointReachTask.js'
+import { EndpointReachabilityTask } from './tasks/endpointReachabilityTask.js'
 import { EndpointMonitor } from './tasks/endpointMonitor.js'
 import { PlacementTask } from './tasks/placementTask.js'
 
@@ -75,8 +75,8 @@
   private readonly random: RandomSource
   private readonly logger: Logger
   private readonly metrics: Metrics
-  private readonly identity: OwnIdentity
-  private readonly malformed: MalformedForms
+  private readonly identity: MutableNodeIdentity
+  private readonly malformed: MalformedInputLog
   private readonly tableClient: DynamodbTableService
   /** The table as all parts read it: with rows held against their forms. */
   private readonly table: TableService
@@ -86,11 +86,11 @@
   private readonly catalogue: Catalogue
   private readonly endpoints: EndpointTable
   private readonly path: RequestPath
-  private readonly explainer: Explainer
-  private readonly inForce: InForceTracker
+  private readonly explainer: DecisionRecordFinder
+  private readonly inForce: RolloutTracker
   private readonly crashes: CrashTask
-  private readonly reach: EndpointReachTask
-  private readonly handOver: ChatHandOver
+  private readonly reach: EndpointReachabilityTask
+  private readonly handOver: ChatRelay
   private readonly advice: AdviceTask
   private readonly monitor: EndpointMonitor
   private readonly tasks: readonly Task[]
@@ -122,8 +122,8 @@
     this.crashes = this.createCrashTask()
     this.handOver = this.createHandOver()
     this.path = this.createPath()
-    this.explainer = new Explainer(this.node, this.peers)
-    this.inForce = new InForceTracker(this.node.membership, this.clock)
+    this.explainer = new DecisionRecordFinder(this.node, this.peers)
+    this.inForce = new RolloutTracker(this.node.membership, this.clock)
     this.monitor = this.createMonitor()
     this.tasks = [this.monitor, this.reach, this.crashes, this.createPlacementTask()]
     this.peerServer = new PeerServer(this.node.handlers, this.peerSecret(), form =>
@@ -242,11 +242,11 @@
       journalLimits: { ...DEFAULT_JOURNAL_LIMITS, maximumBacklog: limits.journalBacklog },
       inFlight: () => this.path.pipeline.inFlight,
       leavingEndpoints: () => this.endpoints.leaving,
-      onCrashNews: news => this.crashes.guard.observe(news),
+      onCrashNews: news => this.crashes.guard.applyNews(news),
       onAdviceNews: news => this.advice.observe(news),
       onHeartbeat: () => this.afterHeartbeat(),
-      onListed: listed => this.noteListed(listed),
-      onSealed: () => this.endSealed(),
+      onInstancesListed: listed => this.noteListed(listed),
+      onSealed: () => this.stopSealed(),
       onFault: error => this.noteFault(error),
     })
   }
@@ -297,23 +297,24 @@
       logger,
       metrics,
       onUnreachable: endpoint => this.endpoints.noteUnreachable(endpoint),
-      onKnownEnd: (id, end) => this.client.noteEnd(id, end, this.endpoints.heard(id).askedAt),
+      onKnownEnd: (id, end) =>
+        this.client.noteTermination(id, end, this.endpoints.lastHeard(id).askedAt),
       onFault: error => this.noteFault(error),
     })
   }
 
-  private createMalformedForms(): MalformedForms {
-    return new MalformedForms(this.logger, () => this.metrics.increment('malformed_forms'))
+  private createMalformedForms(): MalformedInputLog {
+    return new MalformedInputLog(this.logger, () => this.metrics.increment('malformed_forms'))
   }
 
-  private createHandOver(): ChatHandOver {
+  private createHandOver(): ChatRelay {
     const { identity, node, clock, random, metrics } = this
-    return createChatHandOver(identity, node, { clock, random, metrics })
+    return createChatRelay(identity, node, { clock, random, metrics })
   }
 
-  private createReach(): EndpointReachTask {
+  private createReach(): EndpointReachabilityTask {
     const { catalogue, clock, random, logger } = this
-    return new EndpointReachTask({ catalogue, clock, random, logger })
+    return new EndpointReachabilityTask({ catalogue, clock, random, logger })
   }
 
   private createMonitor(): EndpointMonitor {
@@ -353,9 +354,9 @@
     })
   }
 
-  private createCallerServer(refusedBodies: RefusedBodies): CallerServer {
+  private createCallerServer(refusedBodies: RefusedBodyHandler): CallerServer {
     return new CallerServer({
-      waiting: createWaitingConnections(this.metrics, this.logger),
+      waiting: createAcceptQueue(this.metrics, this.logger),
       pipeline: this.path.pipeline,
       catalogue: this.catalogue,
       addresses: () => this.addresses(),
@@ -365,7 +366,7 @@
     })
   }
 
-  private createOperatorServer(refusedBodies: RefusedBodies): OperatorServer {
+  private createOperatorServer(refusedBodies: RefusedBodyHandler): OperatorServer {
     const store = new ResourceStore(this.table, this.clock, this.random)
     const routes = new OperatorRoutes({
       resources: new ResourceApi(store, this.table, this.random),
@@ -394,9 +395,9 @@
   private observe(): void {
     this.metrics.observe({
       inFlight: () => this.path.pipeline.inFlight,
-      queued: () => this.path.admit.queued,
+      queued: () => this.path.admit.queuedRequests,
       journalBacklog: () => this.node.journal.backlog,
-      liveInstances: () => this.node.membership.live().length,
+      liveInstances: () => this.node.membership.liveMembers().length,
       configurationRevision: () => this.node.configuration.revision,
       serving: () => (this.isServing ? 1 : 0),
       crashingRequests: () => this.crashes.guard.refusedCount,
@@ -414,19 +415,19 @@
       isServing: this.isServing,
       journalBacklog: this.node.journal.backlog,
       heldBudgets: this.node.ledger.heldBudgets.length,
-      liveInstances: this.node.membership.live().length,
+      liveInstances: this.node.membership.liveMembers().length,
     } as unknown as JsonValue
   }
 
   private afterHeartbeat(): void {
-    this.inForce.look()
-    this.monitor.notePeers(this.node.membership.live())
+    this.inForce.refresh()
+    this.monitor.notePeers(this.node.membership.liveMembers())
     void this.node.warm(this.catalogue.teamBudgets)
   }
 
   private async noteListed(listed: readonly ListedInstance[]): Promise<void> {
     this.monitor.noteListed(listed)
-    const known = new Set(this.node.membership.live().map(member => member.peerAddress))
+    const known = new Set(this.node.membership.liveMembers().map(member => member.peerAddress))
     const strangers = listed.map(({ peerAddress }) => peerAddress)
     await this.findPeers(strangers.filter(address => !known.has(address)))
   }
@@ -439,7 +440,7 @@
       others.map(async address => {
         try {
           const reply = await this.peers.callAddress(address, 'heartbeat', request)
-          this.node.membership.hear(reply.receiver)
+          this.node.membership.mergeMember(reply.receiver)
         } catch {
           // Not there (yet); the list or a heartbeat will bring it up again.
         }
@@ -452,11 +453,11 @@
     const { requestId } = record
     this.node.archive.add({ requestId, record: record as unknown as JsonValue })
     if (record.code !== ResultCode.Ok) {
-      this.logger.info('request_not_completed', unfinishedLine(record))
+      this.logger.info('request_not_completed', failedRequestFields(record))
     }
   }
 
-  private endSealed(): void {
+  private stopSealed(): void {
     this.logger.warn('incarnation_sealed', { incarnation: this.identity.incarnation })
     this.callerServer.stop()
     this.options.onSealed?.()
--- a/packages/daemon/src/requestPath.ts
+++ b/packages/daemon/src/requestPath.ts
@@ -13,29 +13,29 @@
   DeduplicateFilter,
   DispatchFilter,
   EndpointRouter,
-  HOLD_LIMITS,
-  HoldSpace,
+  ANSWER_BUFFER_LIMITS,
+  AnswerBufferPool,
   ParseFilter,
-  RelayFilter,
+  DeliveryFilter,
   RequestPipeline,
   ReserveFilter,
   RouteFilter,
-  ScreenFilter,
+  CrashScreenFilter,
   SettleFilter,
 } from '@rackwalk/router'
 import type {
   Catalogue,
-  ChatHandOver,
+  ChatRelay,
   CrashGuard,
   DecisionRecord,
-  EndpointAdvices,
+  EndpointAdviceStore,
   EndpointClient,
   EndpointTable,
   ParsedRequest,
   RoutingRecord,
 } from '@rackwalk/router'
 import type { Logger } from './observe/logger.js'
-import type { EndpointReachTask } from './tasks/endpointReachTask.js'
+import type { EndpointReachabilityTask } from './tasks/endpointReachabilityTask.js'
 import type { Metrics } from './observe/metrics.js'
 import type { Settings } from './settings/schema.js'
 
@@ -46,14 +46,14 @@
   readonly endpoints: EndpointTable
   readonly client: EndpointClient
   readonly crashes: CrashGuard
-  readonly advices: EndpointAdvices
+  readonly advices: EndpointAdviceStore
   readonly clock: Clock
   readonly random: RandomSource
   readonly logger: Logger
   readonly metrics: Metrics
   readonly limits: Settings['limits']
-  readonly reach: EndpointReachTask
-  readonly handOver: ChatHandOver
+  readonly reach: EndpointReachabilityTask
+  readonly handOver: ChatRelay
   readonly onRecord: (record: DecisionRecord) => void
   readonly onFault: (error: unknown) => void
 }
@@ -93,13 +93,13 @@
     random,
     firstByteMilliseconds: limits.firstByteMilliseconds,
     onRetry: () => metrics.noteRetry(),
-    onUnconnected: (...failed) => parts.reach.noteUnconnected(...failed),
+    onConnectFailed: (...failed) => parts.reach.noteUnconnected(...failed),
     isCutOff,
   })
   const continuation = new AnswerContinuation({
     dispatch,
     catalogue,
-    space: new HoldSpace(HOLD_LIMITS),
+    space: new AnswerBufferPool(ANSWER_BUFFER_LIMITS),
     clock,
     onContinued: () => metrics.noteContinuation(),
   })
@@ -111,14 +111,14 @@
       defaultDeadlineMilliseconds: limits.defaultDeadlineMilliseconds,
       longestDeadlineMilliseconds: limits.longestRequestMilliseconds,
     }),
-    screen: new ScreenFilter(parts.crashes),
+    screen: new CrashScreenFilter(parts.crashes),
     deduplicate: new DeduplicateFilter(keys, incarnation),
     admit,
     reserve: new ReserveFilter(ledger),
     claim: new ClaimFilter(claims),
     route: new RouteFilter(router),
     dispatch,
-    relay: new RelayFilter({
+    relay: new DeliveryFilter({
       ledger,
       endpoints,
       clock,
--- a/packages/daemon/src/settings/withoutEmpty.ts
+++ b/packages/daemon/src/settings/dropNulls.ts
@@ -1,9 +1,9 @@
 /** Gaps of settings. */
 
 /** A key without a value counts as left out, so that a filled-in template may leave gaps. */
-export function withoutEmpty(value: unknown): unknown {
-  if (Array.isArray(value)) return value.filter(item => item !== null).map(withoutEmpty)
+export function dropNulls(value: unknown): unknown {
+  if (Array.isArray(value)) return value.filter(item => item !== null).map(dropNulls)
   if (typeof value !== 'object' || value === null) return value
   const kept = Object.entries(value).filter(([, child]) => child !== null)
-  return Object.fromEntries(kept.map(([key, child]) => [key, withoutEmpty(child)]))
+  return Object.fromEntries(kept.map(([key, child]) => [key, dropNulls(child)]))
 }
--- a/packages/daemon/src/settings/load.ts
+++ b/packages/daemon/src/settings/load.ts
@@ -5,7 +5,7 @@
 import type { Document } from 'yaml'
 import { ResultCode } from '@rackwalk/shared'
 import { SettingsError } from './faults.js'
-import { withoutEmpty } from './withoutEmpty.js'
+import { dropNulls } from './dropNulls.js'
 
 /** What a settings file says it is; a file without a kind is the OpenAI-style instance's. */
 export function settingsKind(text: string): unknown {
@@ -28,7 +28,7 @@
     }))
     throw new SettingsError(ResultCode.UnreadableSettings, faults)
   }
-  const parsed = schema.safeParse(withoutEmpty(document.toJS()))
+  const parsed = schema.safeParse(dropNulls(document.toJS()))
   if (parsed.success) return parsed.data
   const faults = parsed.error.issues.map(issue => ({
     path: issue.path.join('.'),
--- a/packages/daemon/src/settings/quickSettings.ts
+++ b/packages/daemon/src/settings/readSettings.ts
@@ -4,7 +4,7 @@
  */
 
 import type { z } from 'zod'
-import { withoutEmpty } from './withoutEmpty.js'
+import { dropNulls } from './dropNulls.js'
 
 /** What a settings file says it is; a file without a kind is the OpenAI-style instance's. */
 export async function readKind(text: string): Promise<unknown> {
@@ -19,7 +19,7 @@
   schema: Schema,
   text: string,
 ): Promise<z.infer<Schema>> {
-  const parsed = schema.safeParse(withoutEmpty(parsedJson(text)))
+  const parsed = schema.safeParse(dropNulls(parsedJson(text)))
   if (parsed.success) return parsed.data
   const { parseWith } = await import('./load.js')
   return parseWith(schema, text)
--- a/packages/daemon/src/report.ts
+++ b/packages/daemon/src/startReport.ts
@@ -10,17 +10,17 @@
  * Prints one message and ends the process: listeners that did come up would keep it there,
  * unable to serve, and nobody would start it anew.
  */
-export async function fail(message: string, code: number): Promise<never> {
+export async function exitWithError(message: string, code: number): Promise<never> {
   const { consola } = await import('consola')
   consola.error(message)
   process.exit(code)
 }
 
 /** Prints what was thrown while starting; every fault of a settings file has a line. */
-export async function report(thrown: unknown): Promise<never> {
+export async function reportStartError(thrown: unknown): Promise<never> {
   if (thrown instanceof SettingsError) return reportFaults(thrown)
   const text = thrown instanceof RackwalkError ? `${thrown.code} ${thrown.message}` : String(thrown)
-  return fail(text, EXIT_FAULT)
+  return exitWithError(text, EXIT_FAULT)
 }
 
 /** Tells that the settings were checked. */
--- a/packages/daemon/src/tasks/adviceTask.ts
+++ b/packages/daemon/src/tasks/adviceTask.ts
@@ -3,18 +3,18 @@
  * here, the peers, the log. Owns the memory; a peer that does not hear it is told by the endpoint itself.
  */
 
-import type { AdviceNews, RecordedInstance } from '@rackwalk/decisions'
-import { EndpointAdvices, SendPermits } from '@rackwalk/router'
+import type { AdviceGossip, RecordedInstance } from '@rackwalk/decisions'
+import { EndpointAdviceStore, SendAdmission } from '@rackwalk/router'
 import type { EndpointTable } from '@rackwalk/router'
 import { asId } from '@rackwalk/shared'
 import type { Clock, EndpointId } from '@rackwalk/shared'
 import type { Logger } from '../observe/logger.js'
 import type { Metrics } from '../observe/metrics.js'
-import { tellPeers } from './tellPeers.js'
-import type { TellingParts } from './tellPeers.js'
+import { broadcastToPeers } from './broadcastToPeers.js'
+import type { BroadcastParts } from './broadcastToPeers.js'
 
 /** What the task works with. */
-export interface AdviceTaskParts extends TellingParts {
+export interface AdviceTaskParts extends BroadcastParts {
   readonly clock: Clock
   readonly logger: Logger
   readonly metrics: Metrics
@@ -23,20 +23,20 @@
 
 /** What an instance of the OpenAI-style kind does about what endpoints say of themselves. */
 export class AdviceTask {
-  readonly advices: EndpointAdvices
-  readonly permits: SendPermits
+  readonly advices: EndpointAdviceStore
+  readonly permits: SendAdmission
 
   constructor(private readonly parts: AdviceTaskParts) {
-    this.advices = new EndpointAdvices({
+    this.advices = new EndpointAdviceStore({
       clock: parts.clock,
       onChange: (endpoint, said) => {
         parts.metrics.increment('endpoint_advice')
         parts.logger.info('endpoint_advice', { endpoint, said: said ?? 'nothing' })
       },
-      onNews: news => this.tell(news),
+      broadcast: news => this.tell(news),
     })
     const { advices } = this
-    this.permits = new SendPermits({
+    this.permits = new SendAdmission({
       clock: parts.clock,
       instance: () => parts.membership().self.instanceId,
       recordedInstances: () => this.recordedInstances,
@@ -47,7 +47,7 @@
   }
 
   /** A peer told what endpoints say. */
-  observe(news: readonly AdviceNews[]): void {
+  observe(news: readonly AdviceGossip[]): void {
     for (const one of news) {
       this.advices.observe(one)
       // A start has the name of its endpoint in this kind.
@@ -58,13 +58,13 @@
   }
 
   private get recordedInstances(): readonly RecordedInstance[] {
-    const instances = this.parts.membership().rememberedInstances
+    const instances = this.parts.membership().recentInstances
     // Callers are spread over all of them.
     return instances.map(instance => ({ instance, isWorking: true }))
   }
 
-  private tell(news: AdviceNews): void {
+  private tell(news: AdviceGossip): void {
     const onFailed = () => this.parts.metrics.increment('advice_news_failed')
-    tellPeers(this.parts, 'adviceNews', { news: [news] }, onFailed)
+    broadcastToPeers(this.parts, 'adviceNews', { news: [news] }, onFailed)
   }
 }
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -3,14 +3,14 @@
  * peers at once, the table, the log. Owns the guard and the time between two looks at the table.
  */
 
-import { CrashTable } from '@rackwalk/coordination'
-import type { CrashNews, KnownEnd } from '@rackwalk/decisions'
+import { CrashTableSync } from '@rackwalk/coordination'
+import type { CrashGossip, KnownTermination } from '@rackwalk/decisions'
 import {
   CrashGuard,
   forgetRecord,
   marksOfPart,
   observeRecords,
-  probeReached,
+  probeWithLinkCheck,
   recordKeyOf,
 } from '@rackwalk/router'
 import type {
@@ -26,14 +26,14 @@
 import type { TableService } from '@rackwalk/stores'
 import type { Logger } from '../observe/logger.js'
 import type { Metrics } from '../observe/metrics.js'
-import { tellPeers } from './tellPeers.js'
-import type { TellingParts } from './tellPeers.js'
-import type { EndpointReachTask } from './endpointReachTask.js'
+import { broadcastToPeers } from './broadcastToPeers.js'
+import type { BroadcastParts } from './broadcastToPeers.js'
+import type { EndpointReachabilityTask } from './endpointReachabilityTask.js'
 
 /** What the task works with. */
-export interface CrashTaskParts extends TellingParts {
+export interface CrashTaskParts extends BroadcastParts {
   readonly table: TableService
-  readonly reach: EndpointReachTask
+  readonly reach: EndpointReachabilityTask
   readonly clock: Clock
   readonly random: RandomSource
   readonly logger: Logger
@@ -41,7 +41,7 @@
   /** An endpoint has ended, as this instance saw or was told. */
   readonly onUnreachable: (endpoint: EndpointId) => void
   /** The same, with how it is known. */
-  readonly onKnownEnd: (endpoint: EndpointId, end: KnownEnd) => void
+  readonly onKnownEnd: (endpoint: EndpointId, end: KnownTermination) => void
   readonly onFault: (error: unknown) => void
 }
 
@@ -51,32 +51,32 @@
 /** What an instance of the OpenAI-style kind does about requests that end endpoints. */
 export class CrashTask implements Task {
   readonly guard: CrashGuard
-  private readonly records: CrashTable
+  private readonly records: CrashTableSync
   private timer: Timer | undefined
-  private isAtWork = false
-  private isAgainDue = false
+  private isRoundRunning = false
+  private isRoundRequested = false
   private stopped = false
 
   constructor(private readonly parts: CrashTaskParts) {
     const { clock, table, random, logger, metrics } = parts
     this.guard = new CrashGuard({
       clock,
-      probe: endpoint => probeReached(endpoint, parts.reach.links),
-      onEnd: ({ endpoint, signs, unanswered }) => {
+      probe: endpoint => probeWithLinkCheck(endpoint, parts.reach.links),
+      onCrash: ({ endpoint, signs, unanswered }) => {
         metrics.noteEndpointEnd()
         const requests = unanswered.map(({ fingerprint }) => fingerprint)
         logger.warn('endpoint_ended', { endpoint: endpoint.id, signs, unanswered: requests })
       },
       onUnreachable: start => parts.onUnreachable(endpointOf(start)),
       onKnownEnd: (start, end) => parts.onKnownEnd(endpointOf(start), end),
-      onNews: news => this.share(news),
+      broadcast: news => this.share(news),
       onVerdict: (fingerprint, isRefused) => {
         const event = isRefused ? 'crashing_request_refused' : 'crashing_request_cleared'
         logger.warn(event, { fingerprint })
       },
-      onPart: (part, isRefused) => this.notePart(part, isRefused),
+      onPromptPartVerdict: (part, isRefused) => this.notePart(part, isRefused),
     })
-    this.records = new CrashTable({
+    this.records = new CrashTableSync({
       table,
       clock,
       random,
@@ -86,7 +86,7 @@
   }
 
   async start(): Promise<void> {
-    void this.work()
+    void this.runRound()
   }
 
   async drain(): Promise<void> {
@@ -100,9 +100,9 @@
   }
 
   /** An operator clears a request, or it was answered. */
-  clear(news: CrashNews['cleared']): void {
+  clear(news: CrashGossip['cleared']): void {
     for (const { fingerprint } of news) this.records.remove(fingerprint)
-    void this.work()
+    void this.runRound()
   }
 
   private notePart(part: PromptPartKey, isRefused: boolean): void {
@@ -110,36 +110,36 @@
     this.parts.logger.warn(event, { part })
     if (isRefused) this.records.record(marksOfPart(this.guard, part))
     else this.records.remove(recordKeyOf(part))
-    void this.work()
+    void this.runRound()
   }
 
-  private share(news: CrashNews): void {
+  private share(news: CrashGossip): void {
     this.records.record(news.marks)
     this.clear(news.cleared)
     this.tell(news)
   }
 
   /** A peer that does not hear it reads the table. */
-  private tell(news: CrashNews): void {
+  private tell(news: CrashGossip): void {
     const onFailed = () => this.parts.metrics.increment('crash_news_failed')
-    tellPeers(this.parts, 'crashNews', news, onFailed)
+    broadcastToPeers(this.parts, 'crashNews', news, onFailed)
   }
 
   /** One round at a time; what comes up meanwhile makes another one. */
-  private async work(): Promise<void> {
-    this.isAgainDue = this.isAtWork
-    if (this.isAtWork || this.stopped) return
-    this.isAtWork = true
+  private async runRound(): Promise<void> {
+    this.isRoundRequested = this.isRoundRunning
+    if (this.isRoundRunning || this.stopped) return
+    this.isRoundRunning = true
     this.timer?.cancel()
     try {
-      await this.records.round()
+      await this.records.synchronize()
     } catch (error) {
       // A table that does not answer is tried again; anything else is a fault.
       if (!(error instanceof RackwalkError)) this.parts.onFault(error)
     }
-    this.isAtWork = false
+    this.isRoundRunning = false
     if (this.stopped) return
-    if (this.isAgainDue) return void this.work()
-    this.timer = this.parts.clock.after(LOOK_MILLISECONDS, () => void this.work())
+    if (this.isRoundRequested) return void this.runRound()
+    this.timer = this.parts.clock.after(LOOK_MILLISECONDS, () => void this.runRound())
   }
 }
--- a/packages/daemon/src/tasks/endpointMonitor.ts
+++ b/packages/daemon/src/tasks/endpointMonitor.ts
@@ -8,7 +8,7 @@
 import type { ListedInstance } from '@rackwalk/stores'
 import type { MemberInfo } from '@rackwalk/coordination'
 import { parseCacheEvents, parseLoadReport } from '@rackwalk/router'
-import type { EndpointReachTask } from './endpointReachTask.js'
+import type { EndpointReachabilityTask } from './endpointReachabilityTask.js'
 import type {
   AdmitFilter,
   Catalogue,
@@ -23,7 +23,7 @@
   readonly endpoints: EndpointTable
   readonly client: EndpointClient
   readonly admit: AdmitFilter
-  readonly reach: EndpointReachTask
+  readonly reach: EndpointReachabilityTask
   readonly clock: Clock
   readonly periodMilliseconds: Milliseconds
   readonly onFault: (error: unknown) => void
@@ -84,7 +84,7 @@
     this.parts.endpoints.prune()
     const models = this.parts.catalogue.endpoints.filter(({ spec }) => spec.kind === 'model')
     await Promise.all(models.map(endpoint => this.ask(endpoint)))
-    this.parts.admit.serveAll()
+    this.parts.admit.admitAllWaiting()
   }
 
   private schedule(): void {
@@ -105,7 +105,7 @@
       if (this.rounds % CACHE_EVENT_ROUNDS === 0) await this.askCacheEvents(endpoint)
     } catch {
       // An endpoint that does not report is judged by its requests alone.
-      this.parts.endpoints.noteSilent(endpointId)
+      this.parts.endpoints.noteReportFailed(endpointId)
       this.parts.reach.noteSilent(endpointId)
     } finally {
       this.asking.delete(endpointId)
--- a/packages/daemon/src/tasks/endpointReachTask.ts
+++ b/packages/daemon/src/tasks/endpointReachabilityTask.ts
@@ -1,12 +1,12 @@
 /** Knows which endpoints of the OpenAI-style kind this instance reaches. Owns the watch over its links. */
 
-import { EndpointLinks, LinkWatch } from '@rackwalk/router'
-import type { Catalogue, WatchedEndpoint } from '@rackwalk/router'
+import { EndpointLinks, LinkMonitor } from '@rackwalk/router'
+import type { Catalogue, MonitoredEndpoint } from '@rackwalk/router'
 import type { Clock, EndpointId, RandomSource, Task } from '@rackwalk/shared'
 import type { Logger } from '../observe/logger.js'
 
 /** What the task works with. */
-export interface EndpointReachTaskParts {
+export interface EndpointReachabilityTaskParts {
   readonly catalogue: Catalogue
   readonly clock: Clock
   readonly random: RandomSource
@@ -14,18 +14,18 @@
 }
 
 /** The links from an instance of the OpenAI-style kind to its endpoints. */
-export class EndpointReachTask implements Task {
-  readonly links: LinkWatch<WatchedEndpoint>
+export class EndpointReachabilityTask implements Task {
+  readonly links: LinkMonitor<MonitoredEndpoint>
   private readonly endpoints: EndpointLinks
 
-  constructor(private readonly parts: EndpointReachTaskParts) {
+  constructor(private readonly parts: EndpointReachabilityTaskParts) {
     const { catalogue, clock, random, logger } = parts
     this.endpoints = new EndpointLinks(catalogue, clock)
-    this.links = new LinkWatch({
+    this.links = new LinkMonitor({
       clock,
       random,
-      listed: target => this.endpoints.listed(target),
-      listedElsewhere: target => this.endpoints.listedElsewhere(target),
+      endpointsOf: target => this.endpoints.endpointsOf(target),
+      endpointsOfOthers: target => this.endpoints.endpointsOfOthers(target),
       onCutOff: (target, isCutOff) => logger.warn('links_state', { target, isCutOff }),
     })
   }
@@ -45,12 +45,12 @@
   /** No connection to an endpoint came up for a request. */
   noteUnconnected(target: string, endpointId: EndpointId): void {
     const endpoint = this.endpoints.find(target, endpointId)
-    if (endpoint !== undefined) this.links.noteUnconnected(endpoint)
+    if (endpoint !== undefined) this.links.noteConnectFailed(endpoint)
   }
 
   /** The reports of an endpoint can't be fetched: it, or the way to it, may be gone. */
   noteSilent(endpointId: EndpointId): void {
     const spec = this.parts.catalogue.findEndpoint(endpointId)?.spec
-    if (spec?.kind === 'model') for (const model of spec.models) this.links.lookAt(model)
+    if (spec?.kind === 'model') for (const model of spec.models) this.links.startChecking(model)
   }
 }
--- a/packages/daemon/src/tasks/placementTask.ts
+++ b/packages/daemon/src/tasks/placementTask.ts
@@ -10,7 +10,7 @@
   Catalogue,
   EndpointClient,
   EndpointTable,
-  PlaceableEndpoint,
+  PlannerEndpoint,
   PlacementOrder,
   PlacementSpec,
 } from '@rackwalk/router'
@@ -33,7 +33,7 @@
 const ROUND_MILLISECONDS = 2_000
 const ORDER_TIMEOUT_MILLISECONDS = 2_000
 /** An order not seen fulfilled by then is given again. */
-const ORDER_PATIENCE_MILLISECONDS = 60_000
+const ORDER_RETRY_MILLISECONDS = 60_000
 
 /**
  * Turns placements into orders while this instance holds the planner's lease. Each order
@@ -44,7 +44,7 @@
   private timer: Timer | undefined
   private stopped = false
   /** Loads under way, by endpoint and model, with the time of the order. */
-  private readonly underway = new Map<string, Milliseconds>()
+  private readonly pendingLoads = new Map<string, Milliseconds>()
 
   constructor(private readonly parts: PlacementTaskParts) {}
 
@@ -63,13 +63,13 @@
 
   /** Renews the lease and, as its holder, gives the orders that are due. */
   async round(): Promise<void> {
-    const epoch = await this.parts.lease.pursue()
+    const epoch = await this.parts.lease.acquireOrRenew()
     if (epoch === undefined) return
     this.forgetUnderway()
-    const maximumLoads = Math.max(0, this.parts.maximumLoads - this.underway.size)
+    const maximumLoads = Math.max(0, this.parts.maximumLoads - this.pendingLoads.size)
     const orders = planPlacements(this.placements(), this.placeable(), { maximumLoads })
-    const due = orders.filter(order => !this.underway.has(nameOf(order)))
-    await Promise.all(due.map(order => this.give(order)))
+    const due = orders.filter(order => !this.pendingLoads.has(nameOf(order)))
+    await Promise.all(due.map(order => this.sendOrder(order)))
   }
 
   private schedule(): void {
@@ -87,7 +87,7 @@
     return resources.map(resource => resource.spec as unknown as PlacementSpec)
   }
 
-  private placeable(): readonly PlaceableEndpoint[] {
+  private placeable(): readonly PlannerEndpoint[] {
     const leaving = new Set(this.parts.endpoints.leaving)
     return this.parts.catalogue.endpoints.flatMap(({ endpointId, spec }) => {
       if (spec.kind !== 'model') return []
@@ -96,14 +96,14 @@
     })
   }
 
-  private async give(order: PlacementOrder): Promise<void> {
+  private async sendOrder(order: PlacementOrder): Promise<void> {
     const endpoint = this.parts.catalogue.findEndpoint(order.endpointId)
     // Asked anew for each order: the lease may have lapsed while others were given.
     const epoch = this.parts.lease.epoch
     if (endpoint === undefined || epoch === undefined) return
-    this.underway.set(nameOf(order), this.parts.clock.monotonic())
+    this.pendingLoads.set(nameOf(order), this.parts.clock.monotonic())
     const outcome = await this.send(endpoint.spec.address, order, epoch)
-    if (outcome !== 'accepted') this.underway.delete(nameOf(order))
+    if (outcome !== 'accepted') this.pendingLoads.delete(nameOf(order))
     this.parts.logger.info('placement_decision', { ...order, epoch, outcome })
   }
 
@@ -120,9 +120,9 @@
   }
 
   private forgetUnderway(): void {
-    const oldest = this.parts.clock.monotonic() - ORDER_PATIENCE_MILLISECONDS
-    for (const [name, at] of this.underway) {
-      if (at < oldest || this.isFulfilled(name)) this.underway.delete(name)
+    const oldest = this.parts.clock.monotonic() - ORDER_RETRY_MILLISECONDS
+    for (const [name, at] of this.pendingLoads) {
+      if (at < oldest || this.isFulfilled(name)) this.pendingLoads.delete(name)
     }
   }
 
--- a/packages/decisions/__tests__/abandonedWork.spec.ts
+++ b/packages/decisions/__tests__/abandonedRequests.spec.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
-import { AbandonedWork } from '@rackwalk/decisions'
+import { AbandonedRequests } from '@rackwalk/decisions'
 
 /** Requests read each 10 ms from `from` on; each n-th caller left 13 ms after it was read. */
 function read(
-  work: AbandonedWork,
+  work: AbandonedRequests,
   from: number,
   count: number,
   leaves: (index: number) => boolean,
@@ -18,7 +18,7 @@
 
 describe('the work that nobody waits for', () => {
   it('is suspected once more than a few callers had left, and no longer when they stay', () => {
-    const work = new AbandonedWork()
+    const work = new AbandonedRequests()
     const seen: string[] = []
     const note = (label: string, now: number) => {
       const wait = work.confirmationMilliseconds(now).toFixed(0)
@@ -46,13 +46,13 @@
   })
 
   it('is not suspected by a handful of requests, nor by callers that leave later', () => {
-    const few = new AbandonedWork()
+    const few = new AbandonedRequests()
     read(few, 0, 5, () => true)
-    const late = new AbandonedWork()
+    const late = new AbandonedRequests()
     for (let now = 0; now < 1_000; now += 10) {
       late.noteRead(now)
       late.noteLeft(400, now + 400)
     }
-    expect([few.isSuspect(60), late.isSuspect(1_000)]).toEqual([false, false])
+    expect([few.isElevated(60), late.isElevated(1_000)]).toEqual([false, false])
   })
 })
--- a/packages/decisions/__tests__/answerCompleteness.spec.ts
+++ b/packages/decisions/__tests__/answerCompleteness.spec.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
 import {
-  answerFate,
+  answerDisposition,
   answerFraming,
-  isEndpointsFailure,
-  isProvenWhole,
-  nextStep,
+  isEndpointFailure,
+  isProvenComplete,
+  retryStep,
 } from '@rackwalk/decisions'
-import type { AnswerEnd, AnswerFate, AnswerFraming } from '@rackwalk/decisions'
+import type { AnswerEnd, AnswerDisposition, AnswerFraming } from '@rackwalk/decisions'
 
 /** What becomes of an answer, by its framing, by what it ended with and by what its route allows. */
 
@@ -40,9 +40,9 @@
   row: { framing: AnswerFraming; end: AnswerEnd },
   name: RouteName,
   isReplyStarted: boolean,
-  isBodyOpen = false,
-): AnswerFate {
-  return answerFate({ ...row, isBodyOpen }, { route: ROUTES[name], isReplyStarted })
+  isBodyTruncated = false,
+): AnswerDisposition {
+  return answerDisposition({ ...row, isBodyTruncated }, { route: ROUTES[name], isReplyStarted })
 }
 
 describe('what becomes of an answer', () => {
@@ -59,14 +59,14 @@
 
   it('is never to be framed as complete while its body lacks something', () => {
     for (const row of ROWS) {
-      expect(isProvenWhole({ ...row, isBodyOpen: true })).toBe(false)
+      expect(isProvenComplete({ ...row, isBodyTruncated: true })).toBe(false)
       for (const name of ROUTE_NAMES) expect(fate(row, name, true, true)).not.toBe('whole')
     }
   })
 
   it('tells against its endpoint only where the endpoint or the way to it ended it', () => {
     const blamed = ENDS.filter(end =>
-      isEndpointsFailure({ framing: 'chunks', end, isBodyOpen: true }),
+      isEndpointFailure({ framing: 'chunks', end, isBodyTruncated: true }),
     )
     expect(blamed).toEqual(['complete', 'closed', 'reset', 'silence', 'endpoint-ended'])
   })
@@ -75,12 +75,12 @@
     for (const row of ROWS) {
       for (const name of ROUTE_NAMES) {
         for (const isReplyStarted of [false, true]) {
-          const step = nextStep({
+          const step = retryStep({
             route: { ...ROUTES[name], maximumAttempts: 2 },
             history: [{ kind: 'broke-off', events: 1 }],
             isReplyStarted,
-            isOver: false,
-            hasUntried: true,
+            isAbandoned: false,
+            hasUntriedEndpoint: true,
             takeRetry: () => true,
           })
           const asked = ['continued', 'repeated'].includes(fate(row, name, isReplyStarted))
--- a/packages/decisions/__tests__/budgetSharers.spec.ts
+++ b/packages/decisions/__tests__/budgetSharers.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { askingSince, budgetLenders, budgetSharers } from '@rackwalk/decisions'
+import { demandValidSince, budgetLenders, budgetSharers } from '@rackwalk/decisions'
 
 /** Who shares a budget, and who is asked for tokens. */
 
@@ -9,7 +9,7 @@
   })
 
   it('tell of demand for 15 s, and never before a time of the store is known', () => {
-    expect([askingSince(20_000), askingSince(undefined)]).toEqual([5_000, Infinity])
+    expect([demandValidSince(20_000), demandValidSince(undefined)]).toEqual([5_000, Infinity])
   })
 })
 
--- a/packages/decisions/__tests__/budgetPatience.spec.ts
+++ b/packages/decisions/__tests__/budgetWaitLimit.spec.ts
@@ -1,22 +1,22 @@
 import { describe, expect, it } from 'vitest'
-import { budgetPatience, lastBudgetPatience, returnAfterSeconds } from '@rackwalk/decisions'
+import { budgetWaitLimit, extendedBudgetWaitLimit, toRetryAfterSeconds } from '@rackwalk/decisions'
 
 describe('the wait for a budget', () => {
   it('is a fifth of the goal, and short at most', () => {
     const goals = [100, 500, 600, 5_000]
-    expect(goals.map(budgetPatience)).toEqual([20, 100, 120, 120])
+    expect(goals.map(budgetWaitLimit)).toEqual([20, 100, 120, 120])
   })
 
   // Guards against refusals of tokens that the next write would cover, and against waits beyond goal or deadline.
   it('lasts as long as a call to the store where nobody lends, and leaves time for the answer', () => {
-    expect(lastBudgetPatience(500, 4_000)).toBe(300)
-    expect(lastBudgetPatience(5_000, 1_000)).toBe(300)
-    expect(lastBudgetPatience(200, 4_000)).toBe(160)
-    expect(lastBudgetPatience(500, 50)).toBe(50)
+    expect(extendedBudgetWaitLimit(500, 4_000)).toBe(300)
+    expect(extendedBudgetWaitLimit(5_000, 1_000)).toBe(300)
+    expect(extendedBudgetWaitLimit(200, 4_000)).toBe(160)
+    expect(extendedBudgetWaitLimit(500, 50)).toBe(50)
   })
 
   it('ends with a time to come back at, in hundredths of a second', () => {
     const waits = [undefined, 0, 100, 251, 1_234, 60_000]
-    expect(waits.map(returnAfterSeconds)).toEqual([0.25, 0.25, 0.25, 0.25, 1.23, 60])
+    expect(waits.map(toRetryAfterSeconds)).toEqual([0.25, 0.25, 0.25, 0.25, 1.23, 60])
   })
 })
--- a/packages/decisions/__tests__/freshKnowledge.spec.ts
+++ b/packages/decisions/__tests__/configurationStaleness.spec.ts
@@ -1,21 +1,26 @@
 import { describe, expect, it } from 'vitest'
-import { confirmationSpan, isTooOld, longestFeedWait, shouldAskPeers } from '@rackwalk/decisions'
-import type { KnownRows, Reachability } from '@rackwalk/decisions'
+import {
+  confirmationLifetime,
+  isTooStale,
+  maximumFeedWait,
+  shouldAskPeers,
+} from '@rackwalk/decisions'
+import type { RowStaleness, ContactAges } from '@rackwalk/decisions'
 
 const NEVER = Number.POSITIVE_INFINITY
 
-function rows(ageMilliseconds: number, more: Partial<KnownRows> = {}): KnownRows {
+function rows(ageMilliseconds: number, more: Partial<RowStaleness> = {}): RowStaleness {
   return { ageMilliseconds, boundMilliseconds: 3_000, confirmedAgoMilliseconds: NEVER, ...more }
 }
 
-function reach(heard: number, answered: number): Reachability {
+function reach(heard: number, answered: number): ContactAges {
   return { heardAgoMilliseconds: heard, answeredAgoMilliseconds: answered }
 }
 
 describe('rows that an instance serves by', () => {
   it('are refused by their age only where the instance itself explains it', () => {
     const ages = [1_000, 2_600, 2_701, 8_000]
-    const cases: readonly [string, Partial<KnownRows>, Reachability][] = [
+    const cases: readonly [string, Partial<RowStaleness>, ContactAges][] = [
       ['a peer is heard, and none answers', {}, reach(500, NEVER)],
       ['the store answers other calls', {}, reach(NEVER, 700)],
       ['all fell silent', {}, reach(1_200, 1_200)],
@@ -23,7 +28,7 @@
       ['a peer knew nothing newer earlier', { confirmedAgoMilliseconds: 1_201 }, reach(100, 100)],
     ]
     const decided = cases.map(([name, more, reachability]) => {
-      const refused = ages.filter(age => isTooOld(rows(age, more), reachability))
+      const refused = ages.filter(age => isTooStale(rows(age, more), reachability))
       return `${name}: refused at ${refused.join(', ') || 'none'}`
     })
     expect(decided).toMatchInlineSnapshot(`
@@ -40,13 +45,13 @@
   it('are served by the answer of a peer no longer than leaves a change within its bound', () => {
     // A peer that follows the store may be late itself by a question that waits.
     const bound = 3_000
-    expect(confirmationSpan(bound) + longestFeedWait(bound)).toBeLessThanOrEqual(0.9 * bound)
+    expect(confirmationLifetime(bound) + maximumFeedWait(bound)).toBeLessThanOrEqual(0.9 * bound)
   })
 
   it('are asked of peers before their bound, and not while a question for changes waits', () => {
     const bound = 3_000
-    expect(longestFeedWait(bound)).toBe(1_500)
-    expect(shouldAskPeers(rows(longestFeedWait(bound) + 400))).toBe(false)
+    expect(maximumFeedWait(bound)).toBe(1_500)
+    expect(shouldAskPeers(rows(maximumFeedWait(bound) + 400))).toBe(false)
     expect(shouldAskPeers(rows(2_200))).toBe(true)
   })
 })
--- a/packages/decisions/__tests__/cutAllowance.spec.ts
+++ b/packages/decisions/__tests__/disconnectedAllowance.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { committedBound, cutAllowance } from '@rackwalk/decisions'
+import { committedBound, disconnectedAllowance } from '@rackwalk/decisions'
 import type { BudgetView } from '@rackwalk/decisions'
 
 /** What a holder's row allows once the store is out of reach. */
@@ -27,7 +27,11 @@
     strictMilliseconds: 2_000,
     cutAfterMilliseconds: 2_000,
   }
-  const allowance = cutAllowance(view(unspent, demandPerSecond), unspent, 2 * demandPerSecond)
+  const allowance = disconnectedAllowance(
+    view(unspent, demandPerSecond),
+    unspent,
+    2 * demandPerSecond,
+  )
   return committedBound({ ...row, ...allowance }, seconds * 1_000)
 }
 
--- a/packages/decisions/__tests__/drainPhases.spec.ts
+++ b/packages/decisions/__tests__/drainPhases.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { exitTime, isTimeToSettle } from '@rackwalk/decisions'
+import { exitDelay, shouldSettle } from '@rackwalk/decisions'
 
 const GRACE = 8_000
 
@@ -8,7 +8,7 @@
     const times = [2_600, 3_199, 3_200, 7_099, 7_100]
     const table = times.flatMap(elapsed =>
       [0, 1].map(inFlight => {
-        const settles = isTimeToSettle({ elapsed, grace: GRACE, inFlight })
+        const settles = shouldSettle({ elapsed, grace: GRACE, inFlight })
         return `${elapsed} ms, ${inFlight} in progress: ${settles ? 'settle' : 'wait'}`
       }),
     )
@@ -29,6 +29,6 @@
   })
 
   it('leaves time to end before the kill', () => {
-    expect(exitTime(GRACE)).toBe(7_800)
+    expect(exitDelay(GRACE)).toBe(7_800)
   })
 })
--- a/packages/decisions/__tests__/endpointAdvice.spec.ts
+++ b/packages/decisions/__tests__/endpointAdvice.spec.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { NO_ADVICE_TEXTS, adviceText, readAdvice } from '@rackwalk/decisions'
-import type { AdviceTexts } from '@rackwalk/decisions'
+import { NO_ADVICE_HEADERS, adviceText, parseAdvice } from '@rackwalk/decisions'
+import type { AdviceHeaders } from '@rackwalk/decisions'
 
 const CONTEXT = {
   wallTime: Date.UTC(2026, 0, 4, 8, 0, 0),
   longestRestMilliseconds: 60_000,
 }
 
-function read(texts: Partial<AdviceTexts>) {
-  return readAdvice({ ...NO_ADVICE_TEXTS, ...texts }, CONTEXT)
+function read(texts: Partial<AdviceHeaders>) {
+  return parseAdvice({ ...NO_ADVICE_HEADERS, ...texts }, CONTEXT)
 }
 
 function rate(text: string, windowSeconds = 1) {
@@ -131,7 +131,7 @@
     })
     fc.assert(
       fc.property(anyTexts, texts => {
-        const advice = readAdvice(texts, CONTEXT)
+        const advice = parseAdvice(texts, CONTEXT)
         const rest = advice.restMilliseconds ?? 1
         expect(rest).toBeGreaterThan(0)
         expect(rest).toBeLessThanOrEqual(CONTEXT.longestRestMilliseconds)
--- a/packages/decisions/__tests__/endpointChoice.spec.ts
+++ b/packages/decisions/__tests__/endpointChoice.spec.ts
@@ -15,7 +15,7 @@
   slowness: 1,
   reported: undefined,
   failureShare: 0,
-  isHome: true,
+  isInSubset: true,
 }
 
 function endpoint(id: string, more: Partial<EndpointSnapshot>): EndpointSnapshot {
--- a/packages/decisions/__tests__/endpointReach.spec.ts
+++ b/packages/decisions/__tests__/endpointReachability.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { isCutOff, linksToCheck, unreachedLinks } from '@rackwalk/decisions'
+import { isServiceUnreachable, linksToProbe, unreachableLinks } from '@rackwalk/decisions'
 import type { EndpointLink } from '@rackwalk/decisions'
 
 const NOW = 10_000
@@ -16,7 +16,7 @@
 }
 
 function unreachedOf(text: string, now = NOW): string {
-  return [...unreachedLinks(linksOf(text), now)].map(({ name }) => name).join(' ') || 'none'
+  return [...unreachableLinks(linksOf(text), now)].map(({ name }) => name).join(' ') || 'none'
 }
 
 describe('the links that an instance takes for lost', () => {
@@ -57,19 +57,19 @@
   it('are none where a connection came up after the failures, whichever endpoint took it', () => {
     const failed = linksOf('a- b- c-')
     const recovered = { failureDomain: 'c', connectedAt: NOW, failedAt: LONG_AGO, name: 'c+' }
-    expect(isCutOff(failed, NOW)).toBe(true)
-    expect(isCutOff([...failed, recovered], NOW)).toBe(false)
+    expect(isServiceUnreachable(failed, NOW)).toBe(true)
+    expect(isServiceUnreachable([...failed, recovered], NOW)).toBe(false)
   })
 
   it('are no links where a service has no endpoint', () => {
-    expect(isCutOff([], NOW)).toBe(false)
-    expect(unreachedLinks([], NOW).size).toBe(0)
+    expect(isServiceUnreachable([], NOW)).toBe(false)
+    expect(unreachableLinks([], NOW).size).toBe(0)
   })
 })
 
 describe('the links that are checked after a failure', () => {
   it('are spread over failure domains, those that did not fail first', () => {
-    const chosen = linksToCheck(linksOf('a- a. a. b. b. c- c.'), NOW, 0)
+    const chosen = linksToProbe(linksOf('a- a. a. b. b. c- c.'), NOW, 0)
     expect(chosen.map(({ name }) => name)).toMatchInlineSnapshot(`
       [
         "a.",
--- a/packages/decisions/__tests__/homeEndpoints.spec.ts
+++ b/packages/decisions/__tests__/endpointSubsets.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { HomeEndpoints, rankEndpoints } from '@rackwalk/decisions'
+import { EndpointSubsets, rankEndpoints } from '@rackwalk/decisions'
 import type { EndpointSnapshot } from '@rackwalk/decisions'
 
 /** Where instances are at home, and what that is worth in a choice. */
@@ -12,9 +12,9 @@
 
 /** How many of the instances are at home at each endpoint. */
 function homesOf(count: number): number[] {
-  const homes = new HomeEndpoints()
+  const homes = new EndpointSubsets()
   return ENDPOINTS.map(
-    endpoint => instances(count).filter(name => homes.isHome(name, endpoint, count)).length,
+    endpoint => instances(count).filter(name => homes.isInSubset(name, endpoint, count)).length,
   )
 }
 
@@ -32,9 +32,9 @@
   })
 
   it('stay homes when others cease to use the endpoints', () => {
-    const homes = new HomeEndpoints()
-    const isKept = ENDPOINTS.filter(endpoint => homes.isHome('instance-1', endpoint, 26)).every(
-      endpoint => homes.isHome('instance-1', endpoint, 13),
+    const homes = new EndpointSubsets()
+    const isKept = ENDPOINTS.filter(endpoint => homes.isInSubset('instance-1', endpoint, 26)).every(
+      endpoint => homes.isInSubset('instance-1', endpoint, 13),
     )
     expect(isKept).toBe(true)
   })
@@ -52,7 +52,7 @@
     slowness: 1,
     reported: undefined,
     failureShare: 0,
-    isHome: false,
+    isInSubset: false,
     ...more,
   })
 
@@ -63,7 +63,7 @@
     ['one that would read a long prompt again', { uncachedTokens: 5_000 }, 'away'],
   ] as const)('prefers home: %s', (_, more, expected) => {
     const [best] = rankEndpoints({
-      open: [snapshot('away', {}), snapshot('home', { isHome: true, ...more })],
+      open: [snapshot('away', {}), snapshot('home', { isInSubset: true, ...more })],
       serviceIds: ['away', 'home'],
       sharedPartId: undefined,
       answerTokens: 0,
--- a/packages/decisions/__tests__/finalError.spec.ts
+++ b/packages/decisions/__tests__/finalError.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { finalError } from '@rackwalk/decisions'
-import type { AttemptOutcome, NoChoice } from '@rackwalk/decisions'
+import type { AttemptOutcome, NoEndpointReason } from '@rackwalk/decisions'
 import { RESULT_TABLE, ResultCode } from '@rackwalk/shared'
 
 /** What a caller is told whose request came to no whole answer. */
@@ -27,7 +27,7 @@
 
 function told(
   history: readonly AttemptOutcome[],
-  more: { isCallerGone?: boolean; isLate?: boolean; noChoice?: NoChoice } = {},
+  more: { isCallerGone?: boolean; isLate?: boolean; noChoice?: NoEndpointReason } = {},
 ): string {
   const error = finalError({
     service: 'models',
--- a/packages/decisions/__tests__/fleetSharers.spec.ts
+++ b/packages/decisions/__tests__/fleetSharers.spec.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest'
-import { cautiousSharersOf, recordInterval, sharersOf } from '@rackwalk/decisions'
-import type { FleetUse } from '@rackwalk/decisions'
+import { partitionSafeShareCount, recordInterval, fleetShareCount } from '@rackwalk/decisions'
+import type { FleetUsage } from '@rackwalk/decisions'
 
 /** Among how many a bound of the fleet is divided, and how often holdings are recorded. */
 
-const CASES: readonly (readonly [string, FleetUse])[] = [
+const CASES: readonly (readonly [string, FleetUsage])[] = [
   ['a single instance', { isSelfUsing: true, usingOthers: 0, others: 0 }],
   ['one of seven, all active', { isSelfUsing: true, usingOthers: 6, others: 6 }],
   ['one of twelve active of 195', { isSelfUsing: true, usingOthers: 11, others: 194 }],
@@ -15,7 +15,7 @@
 describe('a bound of the whole fleet', () => {
   it('is divided among those that use it', () => {
     const shares = CASES.map(
-      ([name, use]) => `${name}: ${sharersOf(use)}, ${cautiousSharersOf(use)}`,
+      ([name, use]) => `${name}: ${fleetShareCount(use)}, ${partitionSafeShareCount(use)}`,
     )
     expect(shares).toMatchInlineSnapshot(`
       [
@@ -30,8 +30,9 @@
 
   it('is never used in more than whole by those that use it and one that begins', () => {
     const users = 13
-    const using = users / sharersOf({ isSelfUsing: true, usingOthers: users - 1, others: 194 })
-    const beginner = 1 / sharersOf({ isSelfUsing: false, usingOthers: users, others: 194 })
+    const using =
+      users / fleetShareCount({ isSelfUsing: true, usingOthers: users - 1, others: 194 })
+    const beginner = 1 / fleetShareCount({ isSelfUsing: false, usingOthers: users, others: 194 })
     expect(using).toBeLessThanOrEqual(1)
     expect(beginner).toBeLessThan(0.01)
   })
--- a/packages/decisions/__tests__/suspectedChoice.spec.ts
+++ b/packages/decisions/__tests__/isolationEndpoint.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { rendezvousChoice, rendezvousOrder, suspectedChoice } from '@rackwalk/decisions'
+import { rendezvousChoice, rendezvousOrder, chooseIsolationEndpoint } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 
@@ -16,10 +16,10 @@
   doubted: readonly string[],
   brokeOffOnce = tried,
 ) {
-  return suspectedChoice(FINGERPRINT, candidates, {
+  return chooseIsolationEndpoint(FINGERPRINT, candidates, {
     tried: new Set(tried),
-    brokeOffOnce: new Set(brokeOffOnce),
-    isInDoubt: candidate => doubted.includes(candidate),
+    resetOnce: new Set(brokeOffOnce),
+    isSuspect: candidate => doubted.includes(candidate),
   })
 }
 
--- a/packages/decisions/__tests__/linkBudget.spec.ts
+++ b/packages/decisions/__tests__/linkBudget.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { LinkBudget } from '@rackwalk/decisions'
+import { LinkBandwidthBudget } from '@rackwalk/decisions'
 
 /** What an instance's own link carries, here of a million bytes a second. */
 
@@ -8,7 +8,7 @@
 
 describe('the budget of a link', () => {
   it('takes a burst, then says when the next body fits', () => {
-    const budget = new LinkBudget(LINK)
+    const budget = new LinkBandwidthBudget(LINK)
     const answers = [
       budget.take(100_000, 0),
       budget.take(40_000, 0),
@@ -19,16 +19,16 @@
   })
 
   it('always takes small bodies, and lets the others wait for them', () => {
-    const budget = new LinkBudget(LINK)
+    const budget = new LinkBandwidthBudget(LINK)
     budget.take(140_000, 0)
     expect(Array.from({ length: 10 }, () => budget.take(3_500, 0))).toEqual(Array(10).fill(0))
     expect(budget.take(7_000, 0)).toBeCloseTo(120)
   })
 
   it('lets bodies of unknown size in by what such bodies were before', () => {
-    const budget = new LinkBudget(LINK)
+    const budget = new LinkBandwidthBudget(LINK)
     const first = budget.take(undefined, 0)
-    budget.noteRead(130_000, 0)
+    budget.noteBodyRead(130_000, 0)
     expect([first, budget.take(undefined, 0), budget.take(undefined, 400)]).toMatchInlineSnapshot(`
       [
         0,
@@ -39,7 +39,7 @@
   })
 
   it('takes a body larger than all of it when untouched', () => {
-    const budget = new LinkBudget(LINK)
+    const budget = new LinkBandwidthBudget(LINK)
     expect(budget.take(5_000_000, 1_000)).toBe(0)
     expect(budget.take(10_000, 1_000)).toBeGreaterThan(0)
   })
@@ -48,7 +48,7 @@
     const bodies = fc.array(fc.integer({ min: 0, max: 400_000 }), { maxLength: 50 })
     fc.assert(
       fc.property(bodies, sizes => {
-        const budget = new LinkBudget(LINK)
+        const budget = new LinkBandwidthBudget(LINK)
         let now = 0
         for (const size of sizes) {
           const wait = budget.take(size, now)
@@ -61,7 +61,7 @@
   })
 
   it('takes no more than its share of a link over any second', () => {
-    const budget = new LinkBudget(LINK)
+    const budget = new LinkBandwidthBudget(LINK)
     let taken = 0
     for (let now = 0; now < 10_000; now += 10) if (budget.take(18_000, now) === 0) taken += 18_000
     expect(taken / 10).toBeLessThanOrEqual(1.05 * 0.35 * LINK)
--- a/packages/decisions/__tests__/listenerPause.spec.ts
+++ b/packages/decisions/__tests__/listenerPause.spec.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest'
 import { ListenerPause } from '@rackwalk/decisions'
-import type { HeardInstances } from '@rackwalk/decisions'
+import type { PeerOverload } from '@rackwalk/decisions'
 
-const ROOM: HeardInstances = { count: 7, overloaded: 0 }
+const ROOM: PeerOverload = { count: 7, overloaded: 0 }
 const LOOK_MILLISECONDS = 250
 
 /** A rule that has been overloaded for long enough to pause for as long as it ever does. */
 function overloadedRule(): ListenerPause {
   const rule = new ListenerPause()
   for (let now = -3_000; now < 0; now += LOOK_MILLISECONDS) {
-    rule.noteRefused(1, now)
+    rule.noteRefusedShare(1, now)
     rule.pauseMilliseconds(ROOM, now, 0.5)
   }
   return rule
@@ -18,12 +18,12 @@
 /** Pauses at looks that each show such a share of refused requests. */
 function pauses(
   shares: readonly number[],
-  others: HeardInstances = ROOM,
+  others: PeerOverload = ROOM,
   rule = overloadedRule(),
 ): readonly number[] {
   return shares.map((share, index) => {
     const now = index * LOOK_MILLISECONDS
-    rule.noteRefused(share, now)
+    rule.noteRefusedShare(share, now)
     return Math.round(rule.pauseMilliseconds(others, now, 0.5))
   })
 }
@@ -103,7 +103,7 @@
 
   it('vary, so that instances do not close together', () => {
     const rule = overloadedRule()
-    rule.noteRefused(0.5, 0)
+    rule.noteRefusedShare(0.5, 0)
     const [least, most] = [0, 0.999].map(chance => rule.pauseMilliseconds(ROOM, 0, chance))
     expect([Math.round(least ?? 0), Math.round(most ?? 0)]).toMatchInlineSnapshot(`
       [
--- a/packages/decisions/__tests__/endSigns.spec.ts
+++ b/packages/decisions/__tests__/livenessProbe.spec.ts
@@ -1,17 +1,22 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { hasOutlived, judgeEnd, livedAt } from '@rackwalk/decisions'
-import type { EndSign } from '@rackwalk/decisions'
+import { wasAliveAfterReset, judgeLiveness, lastAliveAt } from '@rackwalk/decisions'
+import type { ProbeResult } from '@rackwalk/decisions'
 
 /** What looks at an endpoint that broke a request off say of it. */
 
-const SIGNS: readonly EndSign[] = ['nobody-listens', 'lives', 'does-not-answer', 'no-connection']
+const SIGNS: readonly ProbeResult[] = [
+  'nobody-listens',
+  'lives',
+  'does-not-answer',
+  'no-connection',
+]
 
 describe('an endpoint that broke a request off', () => {
   it('has ended, lives, or is looked at again, by what the looks show', () => {
-    const one = SIGNS.map(sign => `${sign}: ${judgeEnd([sign], false)}`)
+    const one = SIGNS.map(sign => `${sign}: ${judgeLiveness([sign], false)}`)
     const two = SIGNS.map(
-      sign => `does-not-answer, ${sign}: ${judgeEnd(['does-not-answer', sign], false)}`,
+      sign => `does-not-answer, ${sign}: ${judgeLiveness(['does-not-answer', sign], false)}`,
     )
     expect([...one, ...two]).toMatchInlineSnapshot(`
       [
@@ -29,21 +34,21 @@
 
   // Own marks of an end that another instance saw were never told: a proven request stayed suspected only.
   it('has ended by what another instance told, where the looks here show nothing and nothing else came', () => {
-    const told = SIGNS.map(sign => `${sign}: ${judgeEnd([sign], false, true)}`)
+    const told = SIGNS.map(sign => `${sign}: ${judgeLiveness([sign], false, true)}`)
     expect(told).toEqual([
       'nobody-listens: ended',
       'lives: lives',
       'does-not-answer: look-again',
       'no-connection: ended',
     ])
-    expect(judgeEnd(['no-connection'], true, true)).toBe('lives')
+    expect(judgeLiveness(['no-connection'], true, true)).toBe('lives')
   })
 
   it('has not ended by looks alone while other requests from here go on there', () => {
     const looks = fc.array(fc.constantFrom(...SIGNS.filter(sign => sign !== 'nobody-listens')))
     fc.assert(
       fc.property(looks, signs => {
-        expect(judgeEnd(signs, true)).not.toBe('ended')
+        expect(judgeLiveness(signs, true)).not.toBe('ended')
       }),
       { seed: 7 },
     )
@@ -53,7 +58,7 @@
     const looks = fc.array(fc.constantFrom(...SIGNS), { minLength: 1 })
     fc.assert(
       fc.property(looks, signs => {
-        const isEnded = judgeEnd(signs, false) === 'ended'
+        const isEnded = judgeLiveness(signs, false) === 'ended'
         const newest = signs.slice(-2)
         const isTwice = newest.length === 2 && newest.every(sign => sign === 'does-not-answer')
         expect(isEnded).toBe(signs.at(-1) === 'nobody-listens' || isTwice)
@@ -69,8 +74,8 @@
 
   it('proves life by when it was asked for, or where it was read after a look', () => {
     const proofs = [100, 101, 130, 131].map(at => [
-      hasOutlived(looked, { askedAt: at, readAt: never }),
-      hasOutlived(looked, { askedAt: never, readAt: at }),
+      wasAliveAfterReset(looked, { askedAt: at, readAt: never }),
+      wasAliveAfterReset(looked, { askedAt: never, readAt: at }),
     ])
     expect(proofs).toEqual([
       [false, false],
@@ -81,7 +86,7 @@
   })
 
   it('proves life by reading alone only as of a second before', () => {
-    expect(livedAt({ askedAt: never, readAt: 2_000 })).toBe(1_000)
-    expect(livedAt({ askedAt: 1_500, readAt: 2_000 })).toBe(1_500)
+    expect(lastAliveAt({ askedAt: never, readAt: 2_000 })).toBe(1_000)
+    expect(lastAliveAt({ askedAt: 1_500, readAt: 2_000 })).toBe(1_500)
   })
 })
--- a/packages/decisions/__tests__/newcomerReads.spec.ts
+++ b/packages/decisions/__tests__/memberReadLimiter.spec.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest'
-import { NewcomerReads, READS_AHEAD } from '@rackwalk/decisions'
+import { MemberReadLimiter, READ_BURST } from '@rackwalk/decisions'
 
 /** Times at which members are read ahead of time, where unknown instances are heard of at these times. */
 function readsAt(times: readonly number[]): readonly number[] {
-  const rule = new NewcomerReads()
+  const rule = new MemberReadLimiter()
   return times.flatMap(now => {
     const delay = rule.take(now)
     return delay === undefined ? [] : [now + delay]
@@ -26,16 +26,16 @@
   // Whoever sends datagrams with names that nobody has would make each instance read without end.
   it('stay at one a second in a flood of names that nobody has', () => {
     const reads = readsAt(flood(10_000, 60_000))
-    expect(reads.length).toBeLessThanOrEqual(READS_AHEAD + 60)
+    expect(reads.length).toBeLessThanOrEqual(READ_BURST + 60)
     for (const from of flood(10, 59_000)) {
       const within = reads.filter(at => at >= from && at < from + 1_000)
-      expect(within.length).toBeLessThanOrEqual(READS_AHEAD + 1)
+      expect(within.length).toBeLessThanOrEqual(READ_BURST + 1)
     }
   })
 
   // The store would get hundreds of reads for each instance of a large fleet that comes back at once.
   it('are few for each instance of a fleet of 360 that starts within two seconds', () => {
-    expect(readsAt(flood(359 / 2, 2_000)).length).toBeLessThanOrEqual(READS_AHEAD + 2)
+    expect(readsAt(flood(359 / 2, 2_000)).length).toBeLessThanOrEqual(READ_BURST + 2)
   })
 
   it('are made at once again after a quiet time', () => {
--- a/packages/decisions/__tests__/originKeepers.spec.ts
+++ b/packages/decisions/__tests__/originKeepers.spec.ts
@@ -1,6 +1,10 @@
 import { describe, expect, it } from 'vitest'
-import { ORIGIN_KEEPERS, originKeeperCount, originKeepers } from '@rackwalk/decisions'
-import type { OriginKeeper } from '@rackwalk/decisions'
+import {
+  MINIMUM_ORIGIN_REPLICAS,
+  originReplicaCount,
+  rankOriginReplicas,
+} from '@rackwalk/decisions'
+import type { OriginReplica } from '@rackwalk/decisions'
 import { SeededRandom } from '@rackwalk/shared'
 
 /** Who still knows where a stream began after instances ended together, by how many were told of it. */
@@ -10,7 +14,7 @@
 /** Questions that one caller's try may cost, to those that keep it and to others. */
 const QUESTIONS = 15
 
-function fleetOf(size: number): readonly OriginKeeper[] {
+function fleetOf(size: number): readonly OriginReplica[] {
   return Array.from({ length: size }, (_, index) => ({
     instance: `instance-${index}`,
     failureDomain: `domain-${index % 3}`,
@@ -25,10 +29,10 @@
   let found = 0
   for (let stream = 0; stream < STREAMS; stream += 1) {
     const key = `stream-${stream}`
-    const keepers = originKeepers(key, others).slice(0, told)
+    const keepers = rankOriginReplicas(key, others).slice(0, told)
     const living = others.filter(() => random.next() >= endedShare)
     const [asked] = living
-    const asks = originKeepers(
+    const asks = rankOriginReplicas(
       key,
       living.filter(other => other !== asked),
     ).slice(0, QUESTIONS)
@@ -42,7 +46,9 @@
   it('are found by the more, the more instances were told, whatever the size of the fleet', () => {
     const rows = [3, 8, 30, 100, 360].flatMap(size =>
       [0.3, 0.6].map(ended => {
-        const shares = [1, 2, ORIGIN_KEEPERS, 5, 8].map(told => foundShare(size, ended, told))
+        const shares = [1, 2, MINIMUM_ORIGIN_REPLICAS, 5, 8].map(told =>
+          foundShare(size, ended, told),
+        )
         return `${size} instances, ${100 * ended}% ended: ${shares.join(', ')} (1, 2, 3, 5, 8 told)`
       }),
     )
@@ -51,7 +57,7 @@
 
   it('are told to fewer, the more of them begin in a second', () => {
     const rates = [0, 1, 5, 7, 10, 16, 40, 1_000]
-    const rows = rates.map(rate => `${rate} streams a second: ${originKeeperCount(rate)}`)
+    const rows = rates.map(rate => `${rate} streams a second: ${originReplicaCount(rate)}`)
     expect(rows).toMatchInlineSnapshot(`
       [
         "0 streams a second: 8",
@@ -67,7 +73,7 @@
   })
 
   it('are found nearly always where a third of the fleet ends at once', () => {
-    const shares = [8, 30, 100, 360].map(size => foundShare(size, 0.3, ORIGIN_KEEPERS))
+    const shares = [8, 30, 100, 360].map(size => foundShare(size, 0.3, MINIMUM_ORIGIN_REPLICAS))
     expect(Math.min(...shares)).toBeGreaterThanOrEqual(0.95)
   })
 })
--- a/packages/decisions/__tests__/overloadedFleet.spec.ts
+++ b/packages/decisions/__tests__/overloadedFleet.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { ListenerPause, listenerWindow } from '@rackwalk/decisions'
+import { ListenerPause, listenerOpenMilliseconds } from '@rackwalk/decisions'
 import { SeededRandom, VirtualClock } from '@rackwalk/shared'
 
 /** All instances of a fleet get more than they bear from the same moment on, and each tells the others once a second. */
@@ -42,13 +42,13 @@
 
   private open(instance: number, rule: ListenerPause, toldAt = Number.NEGATIVE_INFINITY): void {
     this.closed.delete(instance)
-    const wait = listenerWindow(this.random.next())
+    const wait = listenerOpenMilliseconds(this.random.next())
     this.clock.after(wait, () => this.look(instance, rule, toldAt))
   }
 
   private look(instance: number, rule: ListenerPause, toldAt: number): void {
     const now = this.clock.monotonic()
-    rule.noteRefused(now >= OVERLOADED_FROM_MILLISECONDS ? 1 : 0, now)
+    rule.noteRefusedShare(now >= OVERLOADED_FROM_MILLISECONDS ? 1 : 0, now)
     const mustTell = rule.isOverloaded(now) && now - toldAt >= TELL_MILLISECONDS
     if (mustTell) this.tell(instance)
     const others = { count: this.size - 1, overloaded: this.heardOverloaded(instance, now) }
--- a/packages/decisions/__tests__/writtenAhead.spec.ts
+++ b/packages/decisions/__tests__/precommittedTokens.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { writtenAhead } from '@rackwalk/decisions'
+import { precommittedTokens } from '@rackwalk/decisions'
 import type { BudgetView } from '@rackwalk/decisions'
 
 /** A budget of which this instance and one other hold as much, with so many seconds left at their demand. */
@@ -21,7 +21,7 @@
     const table = [30_000, 190_000, 900_000].flatMap(unspent =>
       [6, 8, 11, 14, 60].map(
         seconds =>
-          `${unspent} for ${seconds} s: ${writtenAhead(unspent, viewOf(unspent, seconds))}`,
+          `${unspent} for ${seconds} s: ${precommittedTokens(unspent, viewOf(unspent, seconds))}`,
       ),
     )
     expect(table).toMatchInlineSnapshot(`
@@ -46,11 +46,11 @@
   })
 
   it('is taken back when nobody asks any more', () => {
-    expect(writtenAhead(900_000, viewOf(900_000, 60, { ownDemandPerSecond: 0 }))).toBe(0)
+    expect(precommittedTokens(900_000, viewOf(900_000, 60, { ownDemandPerSecond: 0 }))).toBe(0)
   })
 
   it('is never more than is unspent, also where that is nothing', () => {
-    expect(writtenAhead(0, viewOf(1, 60))).toBe(0)
-    expect(writtenAhead(-5, viewOf(1, 60))).toBe(0)
+    expect(precommittedTokens(0, viewOf(1, 60))).toBe(0)
+    expect(precommittedTokens(-5, viewOf(1, 60))).toBe(0)
   })
 })
--- a/packages/decisions/__tests__/processorBudget.spec.ts
+++ b/packages/decisions/__tests__/processorLoadShedder.spec.ts
@@ -1,16 +1,16 @@
 import { describe, expect, it } from 'vitest'
 import { SeededRandom } from '@rackwalk/shared'
-import { DELAY_LOOK_MILLISECONDS, ProcessorBudget } from '@rackwalk/decisions'
-import type { ProcessorLook, WorkRank } from '@rackwalk/decisions'
+import { SAMPLE_INTERVAL_MILLISECONDS, ProcessorLoadShedder } from '@rackwalk/decisions'
+import type { ProcessorSample, ShedRank } from '@rackwalk/decisions'
 
 /**
  * The callers of one team stay with a weak instance and send twice what its processor bears: replayed as
  * one queue on virtual time, each request with its work and the time after which it helps nobody.
  */
 
-const URGENT: WorkRank = { priority: 0, answerTokens: 30 }
-const LONG: WorkRank = { priority: 2, answerTokens: 280 }
-const PLAIN: WorkRank = { priority: 2, answerTokens: 0 }
+const URGENT: ShedRank = { priority: 0, answerTokens: 30 }
+const LONG: ShedRank = { priority: 2, answerTokens: 280 }
+const PLAIN: ShedRank = { priority: 2, answerTokens: 0 }
 const KINDS = [
   { name: 'urgent', rank: URGENT, work: 6, share: 0.3 },
   { name: 'plain', rank: PLAIN, work: 4, share: 0.4 },
@@ -20,7 +20,7 @@
 const RUN_MILLISECONDS = 20_000
 
 /** A look that shows nothing but the delay of a timer. */
-function lookOf(delayMilliseconds: number): ProcessorLook {
+function lookOf(delayMilliseconds: number): ProcessorSample {
   return { delayMilliseconds, acceptMilliseconds: 0, abandonedShare: 0 }
 }
 
@@ -32,22 +32,22 @@
 }
 
 /** Requests come at `load` times what the processor bears; without a budget all are taken. */
-function replay(load: number, budget: ProcessorBudget | undefined) {
+function replay(load: number, budget: ProcessorLoadShedder | undefined) {
   const random = new SeededRandom(7)
   const outcomes: Record<string, Outcome> = {}
   const meanWork = KINDS.reduce((sum, { work, share }) => sum + work * share, 0)
   const pause = meanWork / load
   let freeAt = 0
-  let lookAt = DELAY_LOOK_MILLISECONDS
+  let lookAt = SAMPLE_INTERVAL_MILLISECONDS
   for (let now = 0; now < RUN_MILLISECONDS; now += pause) {
-    for (; lookAt <= now; lookAt += DELAY_LOOK_MILLISECONDS) {
-      budget?.noteLook(lookOf(Math.max(0, freeAt - lookAt)))
+    for (; lookAt <= now; lookAt += SAMPLE_INTERVAL_MILLISECONDS) {
+      budget?.noteSample(lookOf(Math.max(0, freeAt - lookAt)))
     }
     const drawn = random.next()
     const kind = drawn < 0.3 ? KINDS[0] : drawn < 0.7 ? KINDS[1] : KINDS[2]
     const outcome = (outcomes[kind.name] ??= { asked: 0, inTime: 0, late: 0, refused: 0 })
     outcome.asked += 1
-    if (budget?.takes(kind.rank, random.next()) === false) {
+    if (budget?.admits(kind.rank, random.next()) === false) {
       outcome.refused += 1
       freeAt = Math.max(freeAt, now) + 1
       continue
@@ -66,7 +66,7 @@
 
 describe('a processor to which twice comes what it bears', () => {
   it('serves urgent work in time, and lets the longest of the least urgent go', () => {
-    const outcomes = replay(2, new ProcessorBudget())
+    const outcomes = replay(2, new ProcessorLoadShedder())
     // All are late after the first second where nothing is let go.
     expect(share(replay(2, undefined), 'urgent', 'inTime')).toBeLessThan(0.1)
     expect(share(outcomes, 'urgent', 'inTime')).toBeGreaterThan(0.8)
@@ -76,29 +76,30 @@
   })
 
   it('keeps few waiting for an answer that comes late', () => {
-    const outcomes = replay(2, new ProcessorBudget())
+    const outcomes = replay(2, new ProcessorLoadShedder())
     for (const { name } of KINDS) expect(share(outcomes, name, 'late')).toBeLessThan(0.15)
   })
 })
 
 describe('a processor that bears what comes', () => {
   it('refuses nothing', () => {
-    const outcomes = replay(0.7, new ProcessorBudget())
+    const outcomes = replay(0.7, new ProcessorLoadShedder())
     for (const { name } of KINDS) expect(share(outcomes, name, 'refused')).toBe(0)
   })
 
   it('refuses nothing because it was paused once', () => {
-    const budget = new ProcessorBudget()
-    for (const delay of [0, 0, 5_000, 0, 0, 0]) budget.noteLook(lookOf(delay))
-    expect([budget.refusedPart, budget.takes(LONG, 0)]).toEqual([0, true])
+    const budget = new ProcessorLoadShedder()
+    for (const delay of [0, 0, 5_000, 0, 0, 0]) budget.noteSample(lookOf(delay))
+    expect([budget.shedShare, budget.admits(LONG, 0)]).toEqual([0, true])
   })
 
   it('takes everything again some time after a queue has gone', () => {
-    const budget = new ProcessorBudget()
-    for (let look = 0; look < 20; look += 1) budget.noteLook(lookOf(300))
-    const relief = budget.reliefMilliseconds
-    expect(budget.refusedPart).toBeGreaterThan(0.5)
-    for (let time = 0; time < relief; time += DELAY_LOOK_MILLISECONDS) budget.noteLook(lookOf(0))
-    expect(budget.refusedPart).toBeCloseTo(0)
+    const budget = new ProcessorLoadShedder()
+    for (let look = 0; look < 20; look += 1) budget.noteSample(lookOf(300))
+    const relief = budget.recoveryMilliseconds
+    expect(budget.shedShare).toBeGreaterThan(0.5)
+    for (let time = 0; time < relief; time += SAMPLE_INTERVAL_MILLISECONDS)
+      budget.noteSample(lookOf(0))
+    expect(budget.shedShare).toBeCloseTo(0)
   })
 })
--- a/packages/decisions/__tests__/deadlyParts.spec.ts
+++ b/packages/decisions/__tests__/promptPartQuarantine.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
-import { DeadlyParts } from '@rackwalk/decisions'
-import type { CrashVerdict } from '@rackwalk/decisions'
+import { PromptPartQuarantine } from '@rackwalk/decisions'
+import type { QuarantineVerdict } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { EndpointStart, PromptPartKey } from '@rackwalk/shared'
 
@@ -12,7 +12,7 @@
 
 /** A believer whose clock the test sets by its steps. */
 class Play {
-  readonly parts = new DeadlyParts()
+  readonly parts = new PromptPartQuarantine()
   private now = 0
   private starts = 0
 
@@ -26,7 +26,7 @@
     this.now += after
     this.starts += 1
     const start = asId<EndpointStart>(`start-${this.starts}`)
-    this.parts.noteEnd({ start, parts: keys(text), ageMilliseconds: 0 }, this.now)
+    this.parts.noteCrash({ start, parts: keys(text), ageMilliseconds: 0 }, this.now)
     return this
   }
 
@@ -36,7 +36,7 @@
     return this
   }
 
-  verdict(text: string): CrashVerdict {
+  verdict(text: string): QuarantineVerdict {
     return this.parts.verdict(keys(text), this.now)
   }
 }
@@ -77,7 +77,7 @@
       ageMilliseconds: 0,
     })
     play.end('topic', 10).answer('other', 5)
-    for (const count of [1, 2]) play.parts.noteEnd(isolated(count), 20 * count)
+    for (const count of [1, 2]) play.parts.noteCrash(isolated(count), 20 * count)
     expect(play.verdict('topic')).toBe('refuse')
   })
 
@@ -101,7 +101,7 @@
     const play = new Play().end('topic').end('topic').answer('topic')
     const again = ['start-1', 'start-2'].map(start => asId<EndpointStart>(start))
     for (const start of again) {
-      play.parts.noteEnd({ start, parts: keys('topic'), ageMilliseconds: 0 }, 10 * SECOND)
+      play.parts.noteCrash({ start, parts: keys('topic'), ageMilliseconds: 0 }, 10 * SECOND)
     }
     expect(play.end('topic').answer('other', 9).verdict('topic')).toBe('send')
   })
@@ -153,7 +153,7 @@
 
   it('is refused at once where another instance found it out', () => {
     const play = new Play()
-    play.parts.noteDeadly(keys('deadly')[0] ?? asId(''), 0)
+    play.parts.noteRefused(keys('deadly')[0] ?? asId(''), 0)
     expect(play.verdict('deadly topic')).toBe('refuse')
     expect(play.verdict('topic')).toBe('send')
   })
@@ -163,9 +163,9 @@
   it('is told with the age of its ends, so that they count as they came', () => {
     const play = new Play()
     for (let count = 0; count < 3; count += 1) play.end('deadly').answer('other', 2)
-    const newcomer = new DeadlyParts()
+    const newcomer = new PromptPartQuarantine()
     const now = 500 * SECOND
-    for (const end of play.parts.evidence(3 * SECOND)) newcomer.noteEnd(end, now)
+    for (const end of play.parts.evidence(3 * SECOND)) newcomer.noteCrash(end, now)
     for (let count = 0; count < 3; count += 1) newcomer.noteAnswered([])
     expect(newcomer.verdict(keys('deadly'), now)).toBe('refuse')
   })
--- a/packages/decisions/__tests__/rateLicence.spec.ts
+++ b/packages/decisions/__tests__/rateQuota.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { licenceAt, licenceRank, rateShares } from '@rackwalk/decisions'
+import { quotaAtRank, quotaRank, divideRate } from '@rackwalk/decisions'
 
 /** What a whole fleet sends at most to one cold endpoint in a second, by the licences that instances hold. */
 function mostInASecond(licence: (instance: string) => number, instances: readonly string[]) {
@@ -13,9 +13,9 @@
 /** Requests that an instance may send in a second, given those that it knows to be recorded. */
 function licensed(instance: string, recorded: readonly string[], perSecond: number, start: string) {
   const rows = recorded.map(other => ({ instance: other, isWorking: true }))
-  const rank = licenceRank(instance, rows, start)
+  const rank = quotaRank(instance, rows, start)
   if (rank === undefined) return 0
-  const licence = licenceAt(rank, rateShares(perSecond, recorded.length), 0)
+  const licence = quotaAtRank(rank, divideRate(perSecond, recorded.length), 0)
   if (licence === undefined) return 0
   return (licence.requests * 1_000) / licence.windowMilliseconds
 }
@@ -26,8 +26,8 @@
   it('is given out in whole requests', () => {
     const table = [0.4, 1, 7.7, 20].flatMap(perSecond =>
       [1, 3, 7, 75].map(instances => {
-        const { holders, licence } = rateShares(perSecond, instances)
-        const { requests, windowMilliseconds } = licence
+        const { holders, quota } = divideRate(perSecond, instances)
+        const { requests, windowMilliseconds } = quota
         return `${perSecond}/s, ${instances}: ${holders} x ${requests} in ${Math.round(windowMilliseconds)} ms`
       }),
     )
--- a/packages/decisions/__tests__/readingHarm.spec.ts
+++ b/packages/decisions/__tests__/readingHarm.spec.ts
@@ -1,6 +1,11 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { harmWeights, isBesideLongReading, nextStretch, readingHarm } from '@rackwalk/decisions'
+import {
+  interferenceWeights,
+  isDuringLongPrefill,
+  nextPauseStretch,
+  prefillInterference,
+} from '@rackwalk/decisions'
 
 /** What reading a prompt costs streams, in prompt tokens, and when it counts. */
 
@@ -21,7 +26,7 @@
     ['long prompts were read and the answer is long', { recentTokens: 6_000 }, 300],
     ['long prompts were read and the answer is short', { recentTokens: 6_000 }, 30],
   ] as const)('where %s', (_, place, answerTokens) => {
-    expect(readingHarm({ ...IDLE, ...place }, answerTokens, FULL)).toMatchSnapshot()
+    expect(prefillInterference({ ...IDLE, ...place }, answerTokens, FULL)).toMatchSnapshot()
   })
 
   it.each([
@@ -33,7 +38,7 @@
     ['too long while all read', [9_000, 9_000, 9_000, 9_000], 1.2],
   ] as const)('counts where pauses are %s', (_, pending, stretch) => {
     const places = pending.map(pendingTokens => ({ pendingTokens }))
-    expect(harmWeights(places, stretch)).toMatchSnapshot()
+    expect(interferenceWeights(places, stretch)).toMatchSnapshot()
   })
 
   it('is never negative, nor more than all streams and what was read lately are worth', () => {
@@ -47,7 +52,7 @@
     })
     fc.assert(
       fc.property(place, tokens, (known, answerTokens) => {
-        const harm = readingHarm(known, answerTokens, FULL)
+        const harm = prefillInterference(known, answerTokens, FULL)
         expect(harm).toBeGreaterThanOrEqual(0)
         expect(harm).toBeLessThanOrEqual(1_181 * known.running + 2 * known.recentTokens)
       }),
@@ -57,7 +62,7 @@
 
 describe('how far long prompts stretch pauses', () => {
   it('is told by pauses beside long prompts only', () => {
-    expect([0, 5_999, 6_000].map(isBesideLongReading)).toEqual([false, false, true])
+    expect([0, 5_999, 6_000].map(isDuringLongPrefill)).toEqual([false, false, true])
   })
 
   it('follows the longest tenth, and settles whatever it began with', () => {
@@ -65,11 +70,11 @@
     const settle = (first: number) => {
       let known: number | undefined = first
       for (let round = 0; round < 40; round += 1) {
-        for (const pause of observed) known = nextStretch(known, pause)
+        for (const pause of observed) known = nextPauseStretch(known, pause)
       }
       return Math.round((known ?? 0) * 100) / 100
     }
-    expect([nextStretch(undefined, 0.7), settle(0.1), settle(5)]).toMatchInlineSnapshot(`
+    expect([nextPauseStretch(undefined, 0.7), settle(0.1), settle(5)]).toMatchInlineSnapshot(`
       [
         0.7,
         1.15,
--- a/packages/decisions/__tests__/holdingTolerance.spec.ts
+++ b/packages/decisions/__tests__/rebalanceTolerance.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { holdingTolerance } from '@rackwalk/decisions'
+import { rebalanceTolerance } from '@rackwalk/decisions'
 
 /** A budget of which one instance holds all, with so many seconds left at its demand. */
 function viewOf(seconds: number) {
@@ -16,7 +16,7 @@
 describe('the share by which a holding may be off its target', () => {
   it('grows as the budget lasts longer', () => {
     const table = [4, 8, 11, 14, 50].map(
-      seconds => `${seconds} s: ${holdingTolerance(viewOf(seconds)).toFixed(2)}`,
+      seconds => `${seconds} s: ${rebalanceTolerance(viewOf(seconds)).toFixed(2)}`,
     )
     expect(table).toMatchInlineSnapshot(`
       [
--- a/packages/decisions/__tests__/refusedBody.spec.ts
+++ b/packages/decisions/__tests__/refusedBody.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { LinkBudget, refusedBodyFate } from '@rackwalk/decisions'
+import { LinkBandwidthBudget, refusedBodyDisposition } from '@rackwalk/decisions'
 import type { RefusedBody } from '@rackwalk/decisions'
 
 /** Bodies of refused requests on a link of a million bytes a second, of which bodies may take 350,000. */
@@ -7,27 +7,27 @@
 const LINK = 1_000_000
 const BODY = 35_000
 const ARRIVED: RefusedBody = {
-  endsConnection: false,
+  mustClose: false,
   isPartlyRead: false,
   isSizeKnown: true,
   bytes: BODY,
   hasArrived: true,
-  isAwaited: false,
+  expectsContinue: false,
   waitMilliseconds: 0,
 }
 
 /** Callers with kept connections come again as soon as they may, for ten seconds; bytes that came a second. */
 function bytesOfEagerCallers(callers: number): number {
-  const link = new LinkBudget(LINK)
+  const link = new LinkBandwidthBudget(LINK)
   const freeAt = Array<number>(callers).fill(0)
   let bytes = 0
   for (let now = 0; now < 10_000; now += 10) {
     for (const [caller, at] of freeAt.entries()) {
       if (at > now) continue
-      const waitMilliseconds = link.refusedWait(BODY, now)
-      link.noteRefused(BODY, now)
+      const waitMilliseconds = link.refusedBodyWait(BODY, now)
+      link.noteRefusedBody(BODY, now)
       bytes += BODY
-      const fate = refusedBodyFate({ ...ARRIVED, waitMilliseconds }, callers)
+      const fate = refusedBodyDisposition({ ...ARRIVED, waitMilliseconds }, callers)
       // Who is told to leave needs some time for another connection.
       freeAt[caller] = now + (fate.kind === 'close' ? 3_000 : fate.holdMilliseconds)
     }
@@ -50,7 +50,7 @@
     ['arrived, many others are held', {}, 512],
     ['still coming, many others are held', { hasArrived: false }, 512],
   ])('%s', (_, body, unreadBodies) => {
-    expect(refusedBodyFate({ ...ARRIVED, ...body }, unreadBodies)).toMatchSnapshot()
+    expect(refusedBodyDisposition({ ...ARRIVED, ...body }, unreadBodies)).toMatchSnapshot()
   })
 
   it('takes no more of the link than bodies may, however many callers come again at once', () => {
@@ -59,28 +59,28 @@
   })
 
   it('takes nothing from admitted bodies', () => {
-    const link = new LinkBudget(LINK)
-    for (let body = 0; body < 100; body += 1) link.noteRefused(BODY, 0)
+    const link = new LinkBandwidthBudget(LINK)
+    for (let body = 0; body < 100; body += 1) link.noteRefusedBody(BODY, 0)
     expect([link.take(140_000, 0), link.take(70_000, 200)]).toEqual([0, 0])
   })
 
   it('waits behind admitted bodies and earlier refused ones', () => {
-    const link = new LinkBudget(LINK)
-    const waits = [link.refusedWait(BODY, 0)]
-    link.noteRefused(BODY, 0)
-    waits.push(link.refusedWait(BODY, 0))
+    const link = new LinkBandwidthBudget(LINK)
+    const waits = [link.refusedBodyWait(BODY, 0)]
+    link.noteRefusedBody(BODY, 0)
+    waits.push(link.refusedBodyWait(BODY, 0))
     link.take(BODY, 0)
-    waits.push(link.refusedWait(BODY, 100), link.refusedWait(BODY, 200))
+    waits.push(link.refusedBodyWait(BODY, 100), link.refusedBodyWait(BODY, 200))
     expect(waits.map(Math.round)).toEqual([100, 200, 200, 100])
   })
 
   it('waits for nothing where it fits into a few packets, and counts all the same', () => {
-    const link = new LinkBudget(LINK)
+    const link = new LinkBandwidthBudget(LINK)
     const waits = Array.from({ length: 20 }, () => {
-      link.noteRefused(3_500, 0)
-      return link.refusedWait(3_500, 0)
+      link.noteRefusedBody(3_500, 0)
+      return link.refusedBodyWait(3_500, 0)
     })
     expect(waits).toEqual(Array(20).fill(0))
-    expect(link.refusedWait(BODY, 0)).toBeCloseTo(300)
+    expect(link.refusedBodyWait(BODY, 0)).toBeCloseTo(300)
   })
 })
--- a/packages/decisions/__tests__/turnAwayRisk.spec.ts
+++ b/packages/decisions/__tests__/rejectionQuota.spec.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest'
-import { isNearlyFull, readTurnAways, turnAwayLicence } from '@rackwalk/decisions'
+import { isNearlyFull, parseRejectionLimit, rejectionQuota } from '@rackwalk/decisions'
 
 const INSTANCES = ['one', 'two', 'three'].map(instance => ({ instance, isWorking: true }))
 
 describe('an endpoint that bears few requests that it turns away', () => {
   it('names them by a whole number, and nothing else is one', () => {
     const texts = ['6', ' 12 ', '0', '', '-1', '1.5', 'many', undefined]
-    expect(texts.map(readTurnAways)).toEqual([
+    expect(texts.map(parseRejectionLimit)).toEqual([
       6,
       12,
       0,
@@ -40,14 +40,14 @@
   it('is sent no more at that risk by all instances together than half of what it bears', () => {
     for (const bound of [1, 2, 5, 6, 40]) {
       const licences = INSTANCES.flatMap(({ instance }) => {
-        return turnAwayLicence(bound, instance, INSTANCES, 'start') ?? []
+        return rejectionQuota(bound, instance, INSTANCES, 'start') ?? []
       })
       const perSecond = licences.reduce((sum, { requests, windowMilliseconds }) => {
         return sum + (requests * 1_000) / windowMilliseconds
       }, 0)
       expect(perSecond).toBeLessThanOrEqual(bound / 2 + 1e-9)
     }
-    expect(turnAwayLicence(0, 'one', INSTANCES, 'start')).toBeUndefined()
-    expect(turnAwayLicence(9, 'unknown', INSTANCES, 'start')).toBeUndefined()
+    expect(rejectionQuota(0, 'one', INSTANCES, 'start')).toBeUndefined()
+    expect(rejectionQuota(9, 'unknown', INSTANCES, 'start')).toBeUndefined()
   })
 })
--- a/packages/decisions/__tests__/crashSuspicion.spec.ts
+++ b/packages/decisions/__tests__/requestQuarantine.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { CrashSuspicions, SCOPE_CHARACTERS } from '@rackwalk/decisions'
+import { RequestQuarantine, SCOPE_PREFIX_LENGTH } from '@rackwalk/decisions'
 import type { CrashMark } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { EndpointStart, RequestFingerprint } from '@rackwalk/shared'
@@ -32,9 +32,9 @@
 })
 const clear = (...starts: string[]): News => ({ kind: 'clear', starts })
 
-function believe(news: readonly News[], suspicions = new CrashSuspicions()): CrashSuspicions {
+function believe(news: readonly News[], suspicions = new RequestQuarantine()): RequestQuarantine {
   for (const item of news) {
-    if (item.kind === 'end') suspicions.note(item.mark)
+    if (item.kind === 'end') suspicions.noteMark(item.mark)
     else suspicions.clear(REQUEST, item.starts.map(start))
   }
   return suspicions
@@ -107,9 +107,9 @@
     )
     fc.assert(
       fc.property(ended, marks => {
-        const suspicions = new CrashSuspicions()
+        const suspicions = new RequestQuarantine()
         for (const [fingerprint, name, was] of marks) {
-          suspicions.note(mark(name, was, requestNamed(fingerprint)))
+          suspicions.noteMark(mark(name, was, requestNamed(fingerprint)))
         }
         const seen = new Set<string>(marks.map(([fingerprint]) => fingerprint))
         for (const fingerprint of ['x', 'y', 'z', 'another']) {
@@ -126,21 +126,21 @@
   it('is bounded, and a refused request outlasts those that are only suspected', () => {
     const suspicions = believe([end('a', false), end('b', true)])
     for (let count = 0; count < 10_000; count += 1) {
-      suspicions.note(mark('c', false, requestNamed(`many ${count}`)))
+      suspicions.noteMark(mark('c', false, requestNamed(`many ${count}`)))
     }
     expect(suspicions.fingerprints.length).toBeLessThanOrEqual(4_096)
-    expect(suspicions.mayConcern('many 0')).toBe(false)
+    expect(suspicions.hasSuspectsInScope('many 0')).toBe(false)
     expect(suspicions.verdict(REQUEST)).toBe('refuse')
   })
 
   it('concerns no request of which it is known without the body that it is another one', () => {
-    const scope = REQUEST.slice(0, SCOPE_CHARACTERS)
-    const suspicions = new CrashSuspicions()
-    expect(suspicions.mayConcern(scope)).toBe(false)
+    const scope = REQUEST.slice(0, SCOPE_PREFIX_LENGTH)
+    const suspicions = new RequestQuarantine()
+    expect(suspicions.hasSuspectsInScope(scope)).toBe(false)
     believe([end('a', false)], suspicions)
-    expect(suspicions.mayConcern(scope)).toBe(true)
-    expect(suspicions.mayConcern('another')).toBe(false)
+    expect(suspicions.hasSuspectsInScope(scope)).toBe(true)
+    expect(suspicions.hasSuspectsInScope('another')).toBe(false)
     believe([clear('a')], suspicions)
-    expect(suspicions.mayConcern(scope)).toBe(false)
+    expect(suspicions.hasSuspectsInScope(scope)).toBe(false)
   })
 })
--- a/packages/decisions/__tests__/nextStep.spec.ts
+++ b/packages/decisions/__tests__/retryStep.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { nextStep, outcomeLabel, outcomeText } from '@rackwalk/decisions'
+import { retryStep, outcomeLabel, outcomeText } from '@rackwalk/decisions'
 import type { AttemptOutcome } from '@rackwalk/decisions'
 
 /** What happens after each outcome of an attempt, by what the route allows. */
@@ -28,15 +28,15 @@
 const SITUATION = {
   route: ROUTES['may run twice'],
   isReplyStarted: false,
-  isOver: false,
-  hasUntried: true,
+  isAbandoned: false,
+  hasUntriedEndpoint: true,
   takeRetry: () => true,
 }
 
 function table(isReplyStarted: boolean): readonly string[] {
   return OUTCOMES.map(outcome => {
     const steps = Object.entries(ROUTES).map(([name, route]) => {
-      const step = nextStep({ ...SITUATION, route, history: [outcome], isReplyStarted })
+      const step = retryStep({ ...SITUATION, route, history: [outcome], isReplyStarted })
       return `${name}: ${step}`
     })
     return `${outcomeText(outcome)} | ${steps.join(', ')}`
@@ -53,12 +53,12 @@
   })
 
   it.each([
-    ['the caller has left', { isOver: true }],
-    ['all endpoints were asked', { hasUntried: false }],
+    ['the caller has left', { isAbandoned: true }],
+    ['all endpoints were asked', { hasUntriedEndpoint: false }],
     ['the fleet has no retry left', { takeRetry: () => false }],
   ])('is to give up a failed attempt where %s', (_, more) => {
     const history: readonly AttemptOutcome[] = [{ kind: 'failed', reason: 'closed' }]
-    expect(nextStep({ ...SITUATION, history, ...more })).toBe('give-up')
+    expect(retryStep({ ...SITUATION, history, ...more })).toBe('give-up')
   })
 
   it('costs no retry while no connection comes up, for three endpoints at most', () => {
@@ -67,7 +67,7 @@
       throw new Error('asked for a retry')
     }
     const steps = [1, 2, 3].map(count =>
-      nextStep({ ...SITUATION, takeRetry, history: Array(count).fill(failed) }),
+      retryStep({ ...SITUATION, takeRetry, history: Array(count).fill(failed) }),
     )
     expect(steps).toEqual(['try-another', 'try-another', 'give-up'])
   })
@@ -78,7 +78,7 @@
     }
     const history: readonly AttemptOutcome[] = [{ kind: 'failed', reason: 'closed' }]
     const route = ROUTES['runs once']
-    expect(nextStep({ ...SITUATION, history, route, takeRetry })).toBe('give-up')
+    expect(retryStep({ ...SITUATION, history, route, takeRetry })).toBe('give-up')
   })
 })
 
--- a/packages/decisions/__tests__/settledCost.spec.ts
+++ b/packages/decisions/__tests__/settledCost.spec.ts
@@ -5,8 +5,8 @@
 const TOKENS_PER_EVENT = 4
 
 /** Cost of a request that a server may have run, with what the caller was given of its answer. */
-function costOf(isHandedOut: boolean, events: number, isWhole: boolean) {
-  const result = { isHandedOut, events, isWhole }
+function costOf(hasDelivered: boolean, events: number, isWhole: boolean) {
+  const result = { hasDelivered, events, isWhole }
   return settledCost(result, TOKENS, TOKENS_PER_EVENT)
 }
 
@@ -24,7 +24,7 @@
   })
 
   it('is nothing for one that never ran', () => {
-    const result = { isHandedOut: false, events: 0, isWhole: false }
+    const result = { hasDelivered: false, events: 0, isWhole: false }
     expect(settledCost(result, TOKENS, TOKENS_PER_EVENT)).toBe(0)
   })
 })
--- a/packages/decisions/__tests__/slowness.spec.ts
+++ b/packages/decisions/__tests__/slowness.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { nextPace, slownessOf, usualPace } from '@rackwalk/decisions'
+import { nextEventInterval, slownessFactor, baselineEventInterval } from '@rackwalk/decisions'
 
 /** How slow an endpoint is beside the others of its service. */
 
@@ -13,16 +13,16 @@
     ['slow among slow ones', 80, [20, 80, 80, 80]],
     ['not timed yet', undefined, [20, 20]],
   ] as const)('that is %s', (_, pace, paces) => {
-    expect(slownessOf(pace, usualPace(paces))).toMatchSnapshot()
+    expect(slownessFactor(pace, baselineEventInterval(paces))).toMatchSnapshot()
   })
 
   it('is told by the quickest paces, and follows an endpoint that turns slow', () => {
     let pace: number | undefined
     for (let round = 0; round < 50; round += 1) {
-      for (const observed of [20, 24, 60, 22, 90]) pace = nextPace(pace, observed)
+      for (const observed of [20, 24, 60, 22, 90]) pace = nextEventInterval(pace, observed)
     }
     const usual = Math.round(pace ?? 0)
-    for (let count = 0; count < 100; count += 1) pace = nextPace(pace, 80)
+    for (let count = 0; count < 100; count += 1) pace = nextEventInterval(pace, 80)
     expect([usual, Math.round(pace ?? 0)]).toMatchInlineSnapshot(`
       [
         26,
@@ -36,10 +36,10 @@
     fc.assert(
       fc.property(paces, observed => {
         let known: number | undefined
-        for (const pace of observed) known = nextPace(known, pace)
+        for (const pace of observed) known = nextEventInterval(known, pace)
         expect(known).toBeGreaterThanOrEqual(Math.min(...observed) - 1e-9)
         expect(known).toBeLessThanOrEqual(Math.max(...observed) + 1e-9)
-        expect(slownessOf(known, usualPace(observed))).toBeGreaterThanOrEqual(1)
+        expect(slownessFactor(known, baselineEventInterval(observed))).toBeGreaterThanOrEqual(1)
       }),
     )
   })
--- a/packages/decisions/__tests__/spendingBound.spec.ts
+++ b/packages/decisions/__tests__/spendingBound.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { committedBound, strictSpan, timeOfBound } from '@rackwalk/decisions'
+import { committedBound, strictWindowMilliseconds, timeUntilCommitted } from '@rackwalk/decisions'
 
 /** What an instance may spend by its own row while the store is away. */
 
@@ -35,7 +35,7 @@
 
   it('tells when a sum may be committed, or that it never may', () => {
     const sums = [900, 1_100, 1_200, 1_400, 3_000, 10_000, 10_001]
-    const table = sums.map(sum => `${sum}: ${timeOfBound(BOUND, sum)}`)
+    const table = sums.map(sum => `${sum}: ${timeUntilCommitted(BOUND, sum)}`)
     expect(table).toMatchInlineSnapshot(`
       [
         "900: 0",
@@ -53,7 +53,7 @@
     const sums = fc.integer({ min: 1_001, max: 10_000 })
     fc.assert(
       fc.property(sums, sum => {
-        const time = timeOfBound(BOUND, sum) ?? Number.NaN
+        const time = timeUntilCommitted(BOUND, sum) ?? Number.NaN
         expect(committedBound(BOUND, Math.ceil(time) + 1)).toBeGreaterThanOrEqual(sum)
         expect(committedBound(BOUND, time - 1_000)).toBeLessThan(sum)
       }),
@@ -65,7 +65,7 @@
     const bound = { ...BOUND, strictMilliseconds: 750 }
     const times = [750, 1_000, 2_000, 2_001]
     expect(times.map(time => committedBound(bound, time))).toEqual([1_075, 1_075, 1_075, 1_576])
-    expect(timeOfBound(bound, 1_076)).toBe(2_001)
+    expect(timeUntilCommitted(bound, 1_076)).toBe(2_001)
   })
 })
 
@@ -101,7 +101,7 @@
     const sums = fc.integer({ min: 1_001, max: 7_190 })
     fc.assert(
       fc.property(sums, sum => {
-        const time = timeOfBound(bound, sum) ?? Number.NaN
+        const time = timeUntilCommitted(bound, sum) ?? Number.NaN
         expect(committedBound(bound, Math.ceil(time) + 1)).toBeGreaterThanOrEqual(sum)
         expect(committedBound(bound, time - 1_000)).toBeLessThan(sum)
       }),
@@ -110,8 +110,8 @@
   })
 
   it('tells that what it leaves may never be committed', () => {
-    expect(timeOfBound(bound, 7_200)).toBeUndefined()
-    expect(timeOfBound({ ...bound, cutTokens: 0 }, 1_201)).toBeUndefined()
+    expect(timeUntilCommitted(bound, 7_200)).toBeUndefined()
+    expect(timeUntilCommitted({ ...bound, cutTokens: 0 }, 1_201)).toBeUndefined()
     expect(committedBound({ ...bound, cutTokens: 0 }, 60_000)).toBe(1_200)
   })
 })
@@ -126,7 +126,9 @@
       [0, 500],
       [0, 1_600],
     ] as const
-    const table = cases.map(([left, record]) => `${left} s, ${record}: ${strictSpan(left, record)}`)
+    const table = cases.map(
+      ([left, record]) => `${left} s, ${record}: ${strictWindowMilliseconds(left, record)}`,
+    )
     expect(table).toMatchInlineSnapshot(`
       [
         "60 s, 500: 2000",
--- a/packages/decisions/__tests__/starvedTeams.spec.ts
+++ b/packages/decisions/__tests__/starvedTeams.spec.ts
@@ -99,9 +99,9 @@
       }
       teams.note(outcome, (index * 10 * WINDOW_MILLISECONDS) / count)
     }
-    expect(teams.heldTeams).toBeLessThanOrEqual(count / 10)
+    expect(teams.trackedTeams).toBeLessThanOrEqual(count / 10)
     teams.takeChanges(20 * WINDOW_MILLISECONDS)
-    expect(teams.heldTeams).toBe(0)
+    expect(teams.trackedTeams).toBe(0)
     expect(teams.size).toBe(0)
   })
 
--- a/packages/decisions/__tests__/streamResumption.spec.ts
+++ b/packages/decisions/__tests__/streamResumption.spec.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest'
 import {
-  LONGEST_STREAM_MILLISECONDS,
-  ORIGIN_KEEPERS,
-  isMixed,
-  isSettled,
-  originKeepers,
-  resumptionOf,
+  RESUMPTION_WINDOW_MILLISECONDS,
+  MINIMUM_ORIGIN_REPLICAS,
+  hasMixedVersions,
+  hasSingleVersion,
+  rankOriginReplicas,
+  resolveResumption,
 } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { SoftwareVersion } from '@rackwalk/shared'
@@ -34,7 +34,7 @@
     const rows = Object.entries(ORIGINS).flatMap(([told, origins]) =>
       Object.entries(VERSIONS).flatMap(([served, versions]) =>
         [true, false].map(isConfirmed => {
-          const { origin, source } = resumptionOf('models', { origins, versions, isConfirmed })
+          const { origin, source } = resolveResumption('models', { origins, versions, isConfirmed })
           const where = origin === undefined ? 'nowhere' : Object.values(origin).join(' ')
           return `${told}; served: ${served}; ${isConfirmed ? 'heard' : 'alone'}: ${where} (${source})`
         }),
@@ -44,14 +44,18 @@
   })
 
   it('needs no question only where one version has served for as long as a caller may come back', () => {
-    const long = LONGEST_STREAM_MILLISECONDS
+    const long = RESUMPTION_WINDOW_MILLISECONDS
     const rows = [[V1], [V1, V2], []].flatMap(versions =>
       [long, long - 1].flatMap(knownForMilliseconds =>
-        [true, false].map(isFresh => isSettled({ versions, knownForMilliseconds, isFresh })),
+        [true, false].map(isFresh => hasSingleVersion({ versions, knownForMilliseconds, isFresh })),
       ),
     )
     expect(rows).toEqual([true, ...Array<boolean>(11).fill(false)])
-    expect([[], [V1], [V1, V2]].map(versions => isMixed(versions))).toEqual([false, false, true])
+    expect([[], [V1], [V1, V2]].map(versions => hasMixedVersions(versions))).toEqual([
+      false,
+      false,
+      true,
+    ])
   })
 })
 
@@ -61,8 +65,8 @@
     failureDomain: `domain-${index % 3}`,
   }))
   const keepersOf = (key: string, candidates = fleet) =>
-    originKeepers(key, candidates)
-      .slice(0, ORIGIN_KEEPERS)
+    rankOriginReplicas(key, candidates)
+      .slice(0, MINIMUM_ORIGIN_REPLICAS)
       .map(({ instance }) => instance)
 
   it('are found without a word from the one that served it, whoever asks', () => {
@@ -72,18 +76,18 @@
       const found = keepersOf(`stream-${index}`, asking)
       const told = keepersOf(`stream-${index}`, served)
       expect(told.filter(keeper => found.includes(keeper)).length).toBeGreaterThanOrEqual(
-        ORIGIN_KEEPERS - 1,
+        MINIMUM_ORIGIN_REPLICAS - 1,
       )
     }
   })
 
   it('lie in more than one failure domain where there are several', () => {
     for (let index = 0; index < 200; index += 1) {
-      const [first, second] = originKeepers(`stream-${index}`, fleet)
+      const [first, second] = rankOriginReplicas(`stream-${index}`, fleet)
       expect(first?.failureDomain).not.toBe(second?.failureDomain)
     }
-    expect(originKeepers('stream', fleet.slice(0, 1))).toEqual(fleet.slice(0, 1))
-    expect(originKeepers('stream', [])).toEqual([])
+    expect(rankOriginReplicas('stream', fleet.slice(0, 1))).toEqual(fleet.slice(0, 1))
+    expect(rankOriginReplicas('stream', [])).toEqual([])
   })
 
   it('carry about the same number of streams', () => {
@@ -93,7 +97,7 @@
         counts.set(keeper, (counts.get(keeper) ?? 0) + 1)
       }
     }
-    const mean = (2_000 * ORIGIN_KEEPERS) / fleet.length
+    const mean = (2_000 * MINIMUM_ORIGIN_REPLICAS) / fleet.length
     expect(Math.max(...counts.values())).toBeLessThan(1.3 * mean)
     expect(Math.min(...counts.values())).toBeGreaterThan(0.7 * mean)
   })
--- a/packages/decisions/__tests__/endedExchange.spec.ts
+++ b/packages/decisions/__tests__/terminationSigns.spec.ts
@@ -1,32 +1,37 @@
 import { describe, expect, it } from 'vitest'
 import {
-  SILENT_MILLISECONDS,
-  STILL_SILENT_MILLISECONDS,
+  PROBE_TIMEOUT_MILLISECONDS,
+  LONG_PROBE_TIMEOUT_MILLISECONDS,
   isAsked,
-  isAskedAgain,
-  isEndedBy,
-  signOfQuestions,
-  wasThereAtEnd,
+  requiresAnotherProbe,
+  isTerminatedBy,
+  signOfProbes,
+  wasInFlightAtCrash,
 } from '@rackwalk/decisions'
-import type { OpenExchange, StartSign, StateSign } from '@rackwalk/decisions'
+import type { InFlightState, TerminationSign, StateProbeResult } from '@rackwalk/decisions'
 
 /** Which exchanges end when their endpoint is known to have ended, or may have. */
 
 const ASKED_AT = 1_000
-const SENT: OpenExchange = {
+const SENT: InFlightState = {
   sentAt: 500,
-  quietSince: 500,
-  mayGoOn: false,
+  lastReceivedAt: 500,
+  isRetryable: false,
   isReplyStarted: false,
-  isHeldBack: false,
+  isPaused: false,
 }
-const EXCHANGES: Readonly<Record<string, OpenExchange>> = {
-  'may be repeated': { ...SENT, mayGoOn: true },
-  'began, may be resumed': { ...SENT, quietSince: 900, mayGoOn: true, isReplyStarted: true },
+const EXCHANGES: Readonly<Record<string, InFlightState>> = {
+  'may be repeated': { ...SENT, isRetryable: true },
+  'began, may be resumed': {
+    ...SENT,
+    lastReceivedAt: 900,
+    isRetryable: true,
+    isReplyStarted: true,
+  },
   'may run once': SENT,
-  'began, may not be resumed': { ...SENT, quietSince: 900, isReplyStarted: true },
+  'began, may not be resumed': { ...SENT, lastReceivedAt: 900, isReplyStarted: true },
 }
-const SIGNS: readonly StartSign[] = [
+const SIGNS: readonly TerminationSign[] = [
   'replaced',
   'misdirected',
   'silent',
@@ -39,12 +44,12 @@
   'turned-away',
 ]
 /** Signs that say nothing of what came, or was sent, after the question. */
-const QUESTIONED: readonly StartSign[] = ['silent', 'still-silent', 'cut-off']
+const QUESTIONED: readonly TerminationSign[] = ['silent', 'still-silent', 'cut-off']
 const NOT_HEARD = { askedAt: ASKED_AT, heardAt: Number.NEGATIVE_INFINITY }
 
-function endedBy(sign: StartSign, times = NOT_HEARD): readonly string[] {
+function endedBy(sign: TerminationSign, times = NOT_HEARD): readonly string[] {
   return Object.entries(EXCHANGES).flatMap(([name, exchange]) =>
-    isEndedBy(exchange, sign, times) ? name : [],
+    isTerminatedBy(exchange, sign, times) ? name : [],
   )
 }
 
@@ -73,14 +78,14 @@
   it.each(QUESTIONED)('ends nothing that was sent after the question (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
       const later = { ...exchange, sentAt: ASKED_AT + 1, quietSince: ASKED_AT + 1 }
-      expect(isEndedBy(later, sign, NOT_HEARD)).toBe(false)
+      expect(isTerminatedBy(later, sign, NOT_HEARD)).toBe(false)
     }
   })
 
   it.each(QUESTIONED)('ends nothing that had a part since the question (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
       const begun = { ...exchange, quietSince: ASKED_AT + 1 }
-      expect(isEndedBy(begun, sign, NOT_HEARD)).toBe(false)
+      expect(isTerminatedBy(begun, sign, NOT_HEARD)).toBe(false)
     }
   })
 
@@ -90,7 +95,7 @@
 
   it.each(SIGNS)('ends nothing that only its caller holds back (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
-      expect(isEndedBy({ ...exchange, isHeldBack: true }, sign, NOT_HEARD)).toBe(false)
+      expect(isTerminatedBy({ ...exchange, isPaused: true }, sign, NOT_HEARD)).toBe(false)
     }
   })
 
@@ -104,17 +109,17 @@
 /** What must end, and what must not, by what is known to be so. */
 interface Case {
   readonly name: string
-  readonly exchange: OpenExchange
-  readonly sign: StartSign
+  readonly exchange: InFlightState
+  readonly sign: TerminationSign
   readonly heardAt?: number
   readonly isOver: boolean
 }
-type Rule = typeof isEndedBy
+type Rule = typeof isTerminatedBy
 
 const { sentAt } = SENT
 const LATER = { sentAt: ASKED_AT + 1, quietSince: ASKED_AT + 1 }
-const REPEATABLE: OpenExchange = { ...SENT, mayGoOn: true }
-const PART: OpenExchange = { ...SENT, isReplyStarted: true }
+const REPEATABLE: InFlightState = { ...SENT, isRetryable: true }
+const PART: InFlightState = { ...SENT, isReplyStarted: true }
 const CASES: readonly Case[] = [
   { name: 'a front holds it', exchange: REPEATABLE, sign: 'silent', isOver: true },
   { name: 'a front holds it for long', exchange: SENT, sign: 'still-silent', isOver: true },
@@ -129,7 +134,7 @@
   { name: 'busy', exchange: REPEATABLE, sign: 'silent', heardAt: ASKED_AT + 1, isOver: false },
   {
     name: 'a caller that reads slowly',
-    exchange: { ...REPEATABLE, isHeldBack: true },
+    exchange: { ...REPEATABLE, isPaused: true },
     sign: 'silent',
     isOver: false,
   },
@@ -145,26 +150,27 @@
 const BROKEN: Readonly<Record<string, Rule>> = {
   'ends nothing': () => false,
   'ends all at any sign': () => true,
-  'ends at news': (exchange, sign, times) => sign === 'away' || isEndedBy(exchange, sign, times),
+  'ends at news': (exchange, sign, times) =>
+    sign === 'away' || isTerminatedBy(exchange, sign, times),
   'takes a closed listener for an end': (exchange, sign, times) =>
-    sign === 'nobody-listens' || isEndedBy(exchange, sign, times),
+    sign === 'nobody-listens' || isTerminatedBy(exchange, sign, times),
   'takes a missing row for an end': (exchange, sign, times) =>
-    sign === 'unlisted' || isEndedBy(exchange, sign, times),
+    sign === 'unlisted' || isTerminatedBy(exchange, sign, times),
   'takes a reset question for an end': (exchange, sign, times) =>
-    sign === 'turned-away' || isEndedBy(exchange, sign, times),
+    sign === 'turned-away' || isTerminatedBy(exchange, sign, times),
   'forgets the sending time': (exchange, sign, times) =>
-    isEndedBy({ ...exchange, quietSince: 0 }, sign, times),
+    isTerminatedBy({ ...exchange, lastReceivedAt: 0 }, sign, times),
   'forgets what was heard': (exchange, sign, times) =>
-    isEndedBy(exchange, sign, { ...times, heardAt: 0 }),
+    isTerminatedBy(exchange, sign, { ...times, heardAt: 0 }),
   'takes all for repeatable': (exchange, sign, times) =>
-    isEndedBy({ ...exchange, mayGoOn: true }, sign, times),
+    isTerminatedBy({ ...exchange, isRetryable: true }, sign, times),
   'forgets slow callers': (exchange, sign, times) =>
-    isEndedBy({ ...exchange, isHeldBack: false }, sign, times),
+    isTerminatedBy({ ...exchange, isPaused: false }, sign, times),
 }
 
 describe('the rule', () => {
   it('ends what must end, and nothing else', () => {
-    expect(wrongCases(isEndedBy)).toEqual([])
+    expect(wrongCases(isTerminatedBy)).toEqual([])
   })
 
   it.each(Object.entries(BROKEN))('would be caught if it %s', (_, rule) => {
@@ -173,7 +179,7 @@
 })
 
 describe('a question for the state of an endpoint', () => {
-  const ANSWERS: readonly StateSign[] = [
+  const ANSWERS: readonly StateProbeResult[] = [
     'lives',
     'fails',
     'turned-away',
@@ -181,16 +187,20 @@
     'held',
     'no-connection',
   ]
-  const REASONS: readonly StartSign[] = ['away', 'broke-off', 'unlisted']
+  const REASONS: readonly TerminationSign[] = ['away', 'broke-off', 'unlisted']
 
   it('says this of it', () => {
     const table = REASONS.flatMap(why =>
       ANSWERS.map(answer => {
         const says = [1, 2].map(count => {
-          const answers = Array<StateSign>(count).fill(answer)
-          const at = [SILENT_MILLISECONDS - 1, SILENT_MILLISECONDS, STILL_SILENT_MILLISECONDS]
-          const told = at.map(elapsed => signOfQuestions(why, answers, elapsed) ?? 'nothing')
-          const next = isAskedAgain(why, answers) ? 'asked again' : 'over'
+          const answers = Array<StateProbeResult>(count).fill(answer)
+          const at = [
+            PROBE_TIMEOUT_MILLISECONDS - 1,
+            PROBE_TIMEOUT_MILLISECONDS,
+            LONG_PROBE_TIMEOUT_MILLISECONDS,
+          ]
+          const told = at.map(elapsed => signOfProbes(why, answers, elapsed) ?? 'nothing')
+          const next = requiresAnotherProbe(why, answers) ? 'asked again' : 'over'
           return `${told.join(', ')}, ${next}`
         })
         return `${why}, ${answer} | ${says.join(' | ')}`
@@ -224,7 +234,7 @@
 describe('an exchange without a part of an answer', () => {
   it('was there at the end only where it was sent before the first break', () => {
     const known = { brokenAt: 800, knownAt: 1_000 }
-    expect([799, 800, 801].map(sentAt => wasThereAtEnd({ sentAt }, known))).toEqual([
+    expect([799, 800, 801].map(sentAt => wasInFlightAtCrash({ sentAt }, known))).toEqual([
       true,
       true,
       false,
@@ -233,7 +243,7 @@
 
   it('was there, where no break was seen here, only if it was sent before looks and news began', () => {
     const known = { brokenAt: undefined, knownAt: 1_000 }
-    expect([700, 701, 999].map(sentAt => wasThereAtEnd({ sentAt }, known))).toEqual([
+    expect([700, 701, 999].map(sentAt => wasInFlightAtCrash({ sentAt }, known))).toEqual([
       true,
       false,
       false,
--- a/packages/decisions/__tests__/withdrawal.spec.ts
+++ b/packages/decisions/__tests__/withdrawal.spec.ts
@@ -1,25 +1,25 @@
 import { describe, expect, it } from 'vitest'
-import { withdrawal } from '@rackwalk/decisions'
-import type { KnownEnd, OpenAttempt } from '@rackwalk/decisions'
+import { judgeWithdrawal } from '@rackwalk/decisions'
+import type { KnownTermination, InFlightAttempt } from '@rackwalk/decisions'
 
 /** Which exchanges are given up when their endpoint is known to have ended, by when they were sent and heard of. */
 
 const BROKEN_AT = 10_000
 const LOOKED_AT = 10_200
-const LOOK: KnownEnd = { source: 'look', brokenAt: BROKEN_AT, lookedAt: LOOKED_AT }
+const LOOK: KnownTermination = { source: 'look', brokenAt: BROKEN_AT, lookedAt: LOOKED_AT }
 
-function sent(sentAt: number, part: Partial<OpenAttempt> = {}): OpenAttempt {
+function sent(sentAt: number, part: Partial<InFlightAttempt> = {}): InFlightAttempt {
   return {
     sentAt,
     heardAt: undefined,
     isPaused: false,
     isRepeatable: true,
-    doubtedAt: undefined,
+    firstDoubtedAt: undefined,
     ...part,
   }
 }
 
-function news(toldAt: number, firstToldAt = toldAt): KnownEnd {
+function news(toldAt: number, firstToldAt = toldAt): KnownTermination {
   return { source: 'news', firstToldAt, toldAt }
 }
 
@@ -30,7 +30,7 @@
     ['sent while it was looked', LOOKED_AT, 'none'],
     ['sent to the endpoint that is back', 12_000, 'none'],
   ])('by a look of this instance: %s', (_, sentAt, expected) => {
-    expect(withdrawal(sent(sentAt), LOOK, 0)).toBe(expected)
+    expect(judgeWithdrawal(sent(sentAt), LOOK, 0)).toBe(expected)
   })
 
   it.each([
@@ -52,7 +52,7 @@
       'was-there',
     ],
   ])('by what others tell: %s', (_, sentAt, end, heardAt, expected) => {
-    expect(withdrawal(sent(sentAt), end, heardAt)).toBe(expected)
+    expect(judgeWithdrawal(sent(sentAt), end, heardAt)).toBe(expected)
   })
 })
 
@@ -64,7 +64,7 @@
     ['its caller reads slowly', sent(1_000, { heardAt: 2_000, isPaused: true }), LOOK, 'none'],
     ['only others tell of the end', sent(1_000, { heardAt: 2_000 }), news(10_000), 'none'],
   ])('%s', (_, attempt, end, expected) => {
-    expect(withdrawal(attempt, end, 0)).toBe(expected)
+    expect(judgeWithdrawal(attempt, end, 0)).toBe(expected)
   })
 })
 
@@ -77,8 +77,8 @@
     ['at the first news', undefined, news(10_000), 0, 'doubted'],
     ['at the same news, told by another', 9_990, news(10_000), 0, 'doubted'],
     ['at the next news', 9_500, news(10_000), 0, 'was-there'],
-  ])('%s', (_, doubtedAt, end, heardAt, expected) => {
-    const attempt = sent(9_000, { isRepeatable: false, doubtedAt })
-    expect(withdrawal(attempt, end, heardAt)).toBe(expected)
+  ])('%s', (_, firstDoubtedAt, end, heardAt, expected) => {
+    const attempt = sent(9_000, { isRepeatable: false, firstDoubtedAt })
+    expect(judgeWithdrawal(attempt, end, heardAt)).toBe(expected)
   })
 })
--- a/packages/decisions/src/admitting/abandonedWork.ts
+++ b/packages/decisions/src/admitting/abandonedRequests.ts
@@ -15,7 +15,7 @@
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
-import { trackedValue } from '../choosing/trackedValue.js'
+import { trackQuantile } from '../choosing/trackQuantile.js'
 import { SlidingShare } from '../slidingCount.js'
 
 /** A caller that leaves within this time of being read had given up before: a few round trips of any. */
@@ -35,7 +35,7 @@
 const LONGEST_CONFIRMATION_MILLISECONDS: Milliseconds = 60
 
 /** Counts requests whose callers left before they were read. */
-export class AbandonedWork {
+export class AbandonedRequests {
   private readonly requests = new SlidingShare(WINDOW_MILLISECONDS, SLICES, LEAST_REQUESTS)
   private leaveDelay: Milliseconds | undefined
 
@@ -48,7 +48,7 @@
   noteLeft(delay: Milliseconds, now: Milliseconds): void {
     if (delay > PROMPT_LEAVE_MILLISECONDS) return
     this.requests.noteCounted(now)
-    this.leaveDelay = trackedValue(this.leaveDelay, delay, DELAY_WEIGHTS)
+    this.leaveDelay = trackQuantile(this.leaveDelay, delay, DELAY_WEIGHTS)
   }
 
   /** The share of requests read lately whose callers had left, in [0, 1]. */
@@ -57,13 +57,13 @@
   }
 
   /** Whether so many callers have left that what is read cannot be taken for wanted. */
-  isSuspect(now: Milliseconds): boolean {
+  isElevated(now: Milliseconds): boolean {
     return this.share(now) > SUSPECT_SHARE
   }
 
   /** How long to wait for the word that a caller has left before its request is sent on; 0 where none is awaited. */
   confirmationMilliseconds(now: Milliseconds): Milliseconds {
-    if (!this.isSuspect(now)) return 0
+    if (!this.isElevated(now)) return 0
     return Math.min(LONGEST_CONFIRMATION_MILLISECONDS, DELAY_MARGIN * (this.leaveDelay ?? 0))
   }
 }
--- a/packages/decisions/src/admitting/budgetPatience.ts
+++ b/packages/decisions/src/admitting/budgetWaitLimit.ts
@@ -24,7 +24,7 @@
 const HUNDREDTHS = 100
 
 /** The longest time for which a request may wait for tokens. */
-export function budgetPatience(goalMilliseconds: Milliseconds): Milliseconds {
+export function budgetWaitLimit(goalMilliseconds: Milliseconds): Milliseconds {
   return Math.min(LONGEST_PATIENCE_MILLISECONDS, REFUSAL_SHARE * goalMilliseconds)
 }
 
@@ -32,20 +32,20 @@
  * The longest time for which a request waits for a write, its patience included, where the pool has the tokens and nobody
  * lends them: a refusal would send its caller to others that wait for the same store.
  */
-export function lastBudgetPatience(
+export function extendedBudgetWaitLimit(
   goalMilliseconds: Milliseconds,
   remainingMilliseconds: Milliseconds,
 ): Milliseconds {
   const share = LAST_SHARE * Math.min(goalMilliseconds, remainingMilliseconds)
   const last = Math.min(LAST_PATIENCE_MILLISECONDS, share)
-  return Math.min(remainingMilliseconds, Math.max(budgetPatience(goalMilliseconds), last))
+  return Math.min(remainingMilliseconds, Math.max(budgetWaitLimit(goalMilliseconds), last))
 }
 
 /**
  * Seconds after which a caller should come back; `waitMilliseconds` is when this instance may spend
  * the tokens by itself, undefined where it cannot tell.
  */
-export function returnAfterSeconds(waitMilliseconds: Milliseconds | undefined): number {
+export function toRetryAfterSeconds(waitMilliseconds: Milliseconds | undefined): number {
   const wait = (waitMilliseconds ?? 0) / 1000
   return Math.max(RETURN_AFTER_SECONDS, Math.round(wait * HUNDREDTHS) / HUNDREDTHS)
 }
--- a/packages/decisions/src/admitting/freshKnowledge.ts
+++ b/packages/decisions/src/admitting/configurationStaleness.ts
@@ -20,7 +20,7 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** What one instance knows of one table of rows, and how old that may be. */
-export interface KnownRows {
+export interface RowStaleness {
   /** Time since the store, or a peer that had read it, was last known to have nothing newer. */
   readonly ageMilliseconds: Milliseconds
   /** Time after which a change has to be in force; from the settings. */
@@ -30,7 +30,7 @@
 }
 
 /** Who else is there, as the instance observes it. */
-export interface Reachability {
+export interface ContactAges {
   /** Time since the store last answered any call. */
   readonly answeredAgoMilliseconds: Milliseconds
   /** Time since another instance was last heard of. */
@@ -62,25 +62,25 @@
 const WAIT_SHARE = 0.5
 
 /** Whether peers should be asked for newer rows. */
-export function shouldAskPeers({ ageMilliseconds, boundMilliseconds }: KnownRows): boolean {
+export function shouldAskPeers({ ageMilliseconds, boundMilliseconds }: RowStaleness): boolean {
   return ageMilliseconds > ASKING_SHARE * boundMilliseconds
 }
 
 /** The longest time for which a question for changes may wait at the store. */
-export function longestFeedWait(boundMilliseconds: Milliseconds): Milliseconds {
+export function maximumFeedWait(boundMilliseconds: Milliseconds): Milliseconds {
   return Math.floor(WAIT_SHARE * boundMilliseconds)
 }
 
 /** How long a peer's answer speaks for what is known here, and so how long it is worth waiting for. */
-export function confirmationSpan(boundMilliseconds: Milliseconds): Milliseconds {
+export function confirmationLifetime(boundMilliseconds: Milliseconds): Milliseconds {
   return CONFIRMED_SHARE * boundMilliseconds
 }
 
 /** Whether requests have to be refused, since these rows may have changed before their bound. */
-export function isTooOld(rows: KnownRows, reachability: Reachability): boolean {
+export function isTooStale(rows: RowStaleness, reachability: ContactAges): boolean {
   const { ageMilliseconds, boundMilliseconds, confirmedAgoMilliseconds } = rows
   if (ageMilliseconds <= (1 - MARGIN_SHARE) * boundMilliseconds) return false
-  if (confirmedAgoMilliseconds <= confirmationSpan(boundMilliseconds)) return false
+  if (confirmedAgoMilliseconds <= confirmationLifetime(boundMilliseconds)) return false
   const { answeredAgoMilliseconds, heardAgoMilliseconds } = reachability
   const heardAgo = Math.min(answeredAgoMilliseconds, heardAgoMilliseconds)
   return heardAgo <= HEARD_SHARE * boundMilliseconds
--- a/packages/decisions/src/admitting/cutAllowance.ts
+++ b/packages/decisions/src/admitting/disconnectedAllowance.ts
@@ -14,11 +14,11 @@
  */
 
 import type { TokenCount } from '@rackwalk/shared'
-import { plentyOf } from '../placing/holdingPolicy.js'
+import { budgetPlenty } from '../placing/holdingPolicy.js'
 import type { BudgetView } from '../placing/holdingPolicy.js'
 
 /** What a row allows beyond its first time. */
-export interface CutAllowance {
+export interface DisconnectedAllowance {
   /** Tokens allowed at once, */
   readonly cutBurst: TokenCount
   /** and tokens a second from then on, */
@@ -37,13 +37,13 @@
 const BURST_REQUESTS = 2
 
 /** The allowance of a holding with so many unspent tokens, of which the first time allows `strictTokens`. */
-export function cutAllowance(
+export function disconnectedAllowance(
   view: BudgetView,
   unspent: TokenCount,
   strictTokens: TokenCount,
-): CutAllowance {
+): DisconnectedAllowance {
   const cutTokens = Math.max(0, LARGEST_SHARE * unspent - strictTokens)
-  const burst = plentyOf(view) * BURST_REQUESTS * view.largestRequest
+  const burst = budgetPlenty(view) * BURST_REQUESTS * view.largestRequest
   const rate = Math.max(DEMAND_FACTOR * view.ownDemandPerSecond, unspent / IDLE_HOLDING_SECONDS)
   return {
     cutBurst: Math.floor(Math.min(cutTokens / 2, burst)),
--- a/packages/decisions/src/admitting/linkBudget.ts
+++ b/packages/decisions/src/admitting/linkBudget.ts
@@ -13,7 +13,7 @@
  */
 
 import type { Bytes, Milliseconds } from '@rackwalk/shared'
-import { trackedValue } from '../choosing/trackedValue.js'
+import { trackQuantile } from '../choosing/trackQuantile.js'
 
 /**
  * Part of the link that the bodies of requests may take in: each goes out again to an endpoint, and a
@@ -31,7 +31,7 @@
 const MEAN_WEIGHTS = { above: 0.05, below: 0.05 }
 
 /** What the own link still carries; it refills with time. */
-export class LinkBudget {
+export class LinkBandwidthBudget {
   private readonly perMillisecond: number
   private readonly most: Bytes
   private left: Bytes
@@ -64,24 +64,24 @@
   }
 
   /** A body that was let in without its size has been read. */
-  noteRead(bytes: Bytes, now: Milliseconds): void {
+  noteBodyRead(bytes: Bytes, now: Milliseconds): void {
     this.refill(now)
     this.spend(bytes)
-    this.usualBytes = trackedValue(this.usualBytes, bytes, MEAN_WEIGHTS)
+    this.usualBytes = trackQuantile(this.usualBytes, bytes, MEAN_WEIGHTS)
   }
 
   /**
    * The time after which the budget would have covered the body of a request that is refused unread, behind admitted
    * bodies and earlier refused ones; `now` is monotonic. A small one waits for nothing.
    */
-  refusedWait(bytes: Bytes, now: Milliseconds): Milliseconds {
+  refusedBodyWait(bytes: Bytes, now: Milliseconds): Milliseconds {
     this.refill(now)
     if (bytes <= SMALL_BYTES) return 0
     return (this.owed + bytes) / this.perMillisecond
   }
 
   /** So much of the body of a refused request comes over the link. */
-  noteRefused(bytes: Bytes, now: Milliseconds): void {
+  noteRefusedBody(bytes: Bytes, now: Milliseconds): void {
     this.refill(now)
     this.owed = Math.min(this.owed + bytes, this.perMillisecond * LONGEST_OWED_MILLISECONDS)
   }
--- a/packages/decisions/src/admitting/listenerPause.ts
+++ b/packages/decisions/src/admitting/listenerPause.ts
@@ -37,7 +37,7 @@
 const LARGEST_OVERLOADED_FLEET = 0.5
 
 /** The other instances that take callers and are heard of. */
-export interface HeardInstances {
+export interface PeerOverload {
   readonly count: number
   /** Those that said lately that they get more than they bear. */
   readonly overloaded: number
@@ -51,7 +51,7 @@
   private share = 0
 
   /** Call it at each look; `share` of the requests is refused, and `now` is monotonic. */
-  noteRefused(share: number, now: Milliseconds): void {
+  noteRefusedShare(share: number, now: Milliseconds): void {
     const wasOverloaded = this.isOverloaded(now)
     const limit = wasOverloaded ? RELIEVED_SHARE : OVERLOADED_SHARE
     if (share >= limit && !wasOverloaded) this.beginOverload(now)
@@ -65,13 +65,13 @@
   }
 
   /** Whether callers who are turned away are served elsewhere. */
-  mayPause({ count, overloaded }: HeardInstances, now: Milliseconds): boolean {
+  mayPause({ count, overloaded }: PeerOverload, now: Milliseconds): boolean {
     const isLasting = this.isOverloaded(now) && now - this.overloadedSince >= ONSET_MILLISECONDS
     return isLasting && count > 0 && overloaded <= LARGEST_OVERLOADED_FLEET * count
   }
 
   /** How long to close the listener now; 0 where it stays open. `chance` is in [0, 1). */
-  pauseMilliseconds(others: HeardInstances, now: Milliseconds, chance: number): Milliseconds {
+  pauseMilliseconds(others: PeerOverload, now: Milliseconds, chance: number): Milliseconds {
     if (!this.mayPause(others, now) || this.share < RELIEVED_SHARE) return 0
     const mean = (WINDOW_MILLISECONDS * this.share) / Math.max(Number.EPSILON, 1 - this.share)
     const pause = Math.max(SHORTEST_PAUSE_MILLISECONDS, spread(mean, chance))
@@ -91,7 +91,7 @@
 }
 
 /** How long the listener is open before the next look. */
-export function listenerWindow(chance: number): Milliseconds {
+export function listenerOpenMilliseconds(chance: number): Milliseconds {
   return spread(WINDOW_MILLISECONDS, chance)
 }
 
--- a/packages/decisions/src/admitting/ownRefusals.ts
+++ b/packages/decisions/src/admitting/localRefusals.ts
@@ -26,7 +26,7 @@
 ])
 
 /** Counts requests that an instance turned away since it could not carry them itself. */
-export class OwnRefusals {
+export class LocalRefusals {
   private readonly requests = new SlidingShare(WINDOW_MILLISECONDS, SLICES, LEAST_REQUESTS)
 
   /** A request has ended so; `now` is monotonic. */
--- a/packages/decisions/src/admitting/writtenAhead.ts
+++ b/packages/decisions/src/admitting/precommittedTokens.ts
@@ -15,8 +15,8 @@
 
 import type { TokenCount } from '@rackwalk/shared'
 import type { BudgetView } from '../placing/holdingPolicy.js'
-import { secondsLeft } from '../placing/holdingPolicy.js'
-import { lastingShare } from './spendingBound.js'
+import { secondsToExhaustion } from '../placing/holdingPolicy.js'
+import { exhaustionDistance } from './spendingBound.js'
 
 /** Requests that are written ahead. */
 const REQUESTS_AHEAD = 1
@@ -26,9 +26,9 @@
 const LEAST_DEMAND_PER_SECOND = 1
 
 /** Tokens that a record counts as committed ahead, of so many that are unspent. */
-export function writtenAhead(unspent: TokenCount, view: BudgetView): TokenCount {
+export function precommittedTokens(unspent: TokenCount, view: BudgetView): TokenCount {
   if (view.ownDemandPerSecond < LEAST_DEMAND_PER_SECOND) return 0
-  const most = LARGEST_SHARE * Math.max(0, unspent) * lastingShare(secondsLeft(view))
+  const most = LARGEST_SHARE * Math.max(0, unspent) * exhaustionDistance(secondsToExhaustion(view))
   const wanted = Math.ceil(REQUESTS_AHEAD * view.largestRequest)
   return wanted <= most ? wanted : 0
 }
--- a/packages/decisions/src/admitting/processorBudget.ts
+++ b/packages/decisions/src/admitting/processorLoadShedder.ts
@@ -20,9 +20,9 @@
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 
 /** Time between two looks at the signs. */
-export const DELAY_LOOK_MILLISECONDS = 50
+export const SAMPLE_INTERVAL_MILLISECONDS = 50
 /** A queue stands where each of so many looks shows it: a fifth of a second. */
-const STANDING_LOOKS = 4
+const STANDING_QUEUE_SAMPLES = 4
 /** New connections that wait so long make a queue; shorter waits come with every burst. */
 const LONGEST_ACCEPT_MILLISECONDS = 200
 /** Above this share of callers that had left a queue stands: more than those who leave by themselves. */
@@ -36,19 +36,19 @@
 const GROWTH = 0.04
 const SHRINKAGE = 0.02
 /** At most this part is let go. */
-const LARGEST_PART = 0.95
+const MAXIMUM_SHED_SHARE = 0.95
 /** Requests by which the usual work is known: a second or two of a weak instance. */
 const REMEMBERED_REQUESTS = 64
 
 /** How much a request's caller would lose, and what it takes. */
-export interface WorkRank {
+export interface ShedRank {
   /** 0 is the most urgent. */
   readonly priority: number
   readonly answerTokens: TokenCount
 }
 
 /** What one look shows of the process. */
-export interface ProcessorLook {
+export interface ProcessorSample {
   /** A timer ran so much later than it was set. */
   readonly delayMilliseconds: Milliseconds
   /** A new connection waited so long to be taken. */
@@ -58,33 +58,33 @@
 }
 
 /** What the own processor still bears, by what looks showed. */
-export class ProcessorBudget {
+export class ProcessorLoadShedder {
   /** Whether each of the last looks showed a queue. */
   private readonly queued: boolean[] = []
-  private readonly recent: WorkRank[] = []
+  private readonly recent: ShedRank[] = []
   private part = 0
 
   /** Call it at each look. */
-  noteLook(look: ProcessorLook): void {
+  noteSample(look: ProcessorSample): void {
     this.queued.push(showsQueue(look))
-    if (this.queued.length > STANDING_LOOKS) this.queued.shift()
-    const isStanding = this.queued.length === STANDING_LOOKS && this.queued.every(Boolean)
+    if (this.queued.length > STANDING_QUEUE_SAMPLES) this.queued.shift()
+    const isStanding = this.queued.length === STANDING_QUEUE_SAMPLES && this.queued.every(Boolean)
     const change = isStanding ? GROWTH : -SHRINKAGE
-    this.part = Math.max(0, Math.min(LARGEST_PART, this.part + change))
+    this.part = Math.max(0, Math.min(MAXIMUM_SHED_SHARE, this.part + change))
   }
 
   /** The part of the requests that is let go at present, in [0, 1]. */
-  get refusedPart(): number {
+  get shedShare(): number {
     return this.part
   }
 
   /** Time after which nothing is let go any more if no queue stands; 0 where nothing is. */
-  get reliefMilliseconds(): Milliseconds {
-    return (this.part / SHRINKAGE) * DELAY_LOOK_MILLISECONDS
+  get recoveryMilliseconds(): Milliseconds {
+    return (this.part / SHRINKAGE) * SAMPLE_INTERVAL_MILLISECONDS
   }
 
   /** Whether a request is taken; `chance` in [0, 1) decides among equals. */
-  takes(rank: WorkRank, chance: number): boolean {
+  admits(rank: ShedRank, chance: number): boolean {
     const position = this.positionOf(rank, chance)
     this.recent.push(rank)
     if (this.recent.length > REMEMBERED_REQUESTS) this.recent.shift()
@@ -92,7 +92,7 @@
   }
 
   /** The share of recent requests that are let go before this one. */
-  private positionOf(rank: WorkRank, chance: number): number {
+  private positionOf(rank: ShedRank, chance: number): number {
     const count = this.recent.length + 1
     const before = this.recent.filter(other => compareRanks(other, rank) < 0).length
     const equal = this.recent.filter(other => compareRanks(other, rank) === 0).length + 1
@@ -100,13 +100,13 @@
   }
 }
 
-function showsQueue(look: ProcessorLook): boolean {
+function showsQueue(look: ProcessorSample): boolean {
   const isLate = look.delayMilliseconds > LONGEST_DELAY_MILLISECONDS
   const waitsUnseen = look.acceptMilliseconds > LONGEST_ACCEPT_MILLISECONDS
   return isLate || waitsUnseen || look.abandonedShare > ABANDONED_SHARE
 }
 
 /** Negative where `left` is let go first. */
-function compareRanks(left: WorkRank, right: WorkRank): number {
+function compareRanks(left: ShedRank, right: ShedRank): number {
   return right.priority - left.priority || right.answerTokens - left.answerTokens
 }
--- a/packages/decisions/src/admitting/refusedBody.ts
+++ b/packages/decisions/src/admitting/refusedBody.ts
@@ -29,7 +29,7 @@
   /** Whether its reading was given up halfway: it is too large, or comes too slowly. */
   readonly isPartlyRead: boolean
   /** Whether its connection ends with the refusal, whatever becomes of it. */
-  readonly endsConnection: boolean
+  readonly mustClose: boolean
   /** Whether its size was told ahead. */
   readonly isSizeKnown: boolean
   /** Its size; 0 where it is not known. */
@@ -37,19 +37,22 @@
   /** Whether all of it has arrived. */
   readonly hasArrived: boolean
   /** Whether its caller sends it only when asked to (`100 Continue`). */
-  readonly isAwaited: boolean
+  readonly expectsContinue: boolean
   /** Time after which the link's budget has covered it. */
   readonly waitMilliseconds: Milliseconds
 }
 
 /** What becomes of a refused body: its connection goes on after a time, or ends. */
-export type RefusedBodyFate =
+export type RefusedBodyDisposition =
   { readonly kind: 'read'; readonly holdMilliseconds: Milliseconds } | { readonly kind: 'close' }
 
 /** Decides on one body; `unreadBodies` are those of other connections that are held or read in vain. */
-export function refusedBodyFate(body: RefusedBody, unreadBodies: number): RefusedBodyFate {
+export function refusedBodyDisposition(
+  body: RefusedBody,
+  unreadBodies: number,
+): RefusedBodyDisposition {
   const { hasArrived, waitMilliseconds } = body
-  if (body.endsConnection || !isWorthReading(body)) return { kind: 'close' }
+  if (body.mustClose || !isWorthReading(body)) return { kind: 'close' }
   if (waitMilliseconds > LONGEST_HOLD_MILLISECONDS) return { kind: 'close' }
   const isDone = hasArrived && waitMilliseconds === 0
   if (!isDone && unreadBodies >= MOST_UNREAD_BODIES) return { kind: 'close' }
@@ -58,6 +61,6 @@
 
 /** Whether the rest of the body may be read, so that its connection can go on. */
 function isWorthReading(body: RefusedBody): boolean {
-  if (body.isPartlyRead || body.isAwaited) return false
+  if (body.isPartlyRead || body.expectsContinue) return false
   return body.hasArrived || (body.isSizeKnown && body.bytes <= LARGEST_READ_BYTES)
 }
--- a/packages/decisions/src/admitting/settledCost.ts
+++ b/packages/decisions/src/admitting/settledCost.ts
@@ -8,9 +8,9 @@
 import type { TokenCount } from '@rackwalk/shared'
 
 /** What the caller was given. */
-export interface HandedOut {
+export interface DeliveredAnswer {
   /** Whether the caller was given any part of an endpoint's answer. */
-  readonly isHandedOut: boolean
+  readonly hasDelivered: boolean
   /** Whole events of all attempts. */
   readonly events: number
   /** Whether the last answer came to its own end. */
@@ -27,15 +27,15 @@
  * Events of an answer that broke off and may have been handed out unseen: one on its way and one
  * being written.
  */
-const UNSEEN_EVENTS = 2
+const IN_FLIGHT_EVENTS = 2
 
 /** Tokens that a request has cost its team; at most what was reserved for it. */
 export function settledCost(
-  answer: HandedOut,
+  answer: DeliveredAnswer,
   tokens: RequestTokens,
   tokensPerEvent: TokenCount,
 ): TokenCount {
-  if (!answer.isHandedOut) return 0
-  const events = answer.events + (answer.isWhole ? 0 : UNSEEN_EVENTS)
+  if (!answer.hasDelivered) return 0
+  const events = answer.events + (answer.isWhole ? 0 : IN_FLIGHT_EVENTS)
   return tokens.prompt + Math.min(tokens.maximumOutput, events * tokensPerEvent)
 }
--- a/packages/decisions/src/admitting/spendingBound.ts
+++ b/packages/decisions/src/admitting/spendingBound.ts
@@ -37,12 +37,12 @@
 /** The most that may have been committed, `elapsed` milliseconds after the row's base time. */
 export function committedBound(bound: SpendingBound, elapsed: Milliseconds): TokenCount {
   const strict = Math.max(0, Math.min(elapsed, bound.strictMilliseconds))
-  const growth = (bound.strictRate * strict) / 1000 + allowedByCut(bound, elapsed)
+  const growth = (bound.strictRate * strict) / 1000 + allowedWhileDisconnected(bound, elapsed)
   return Math.min(bound.granted, Math.floor(bound.committed + growth))
 }
 
 /** Burst and rate of a cut, which run out towards `cutTokens`. */
-function allowedByCut(bound: SpendingBound, elapsed: Milliseconds): TokenCount {
+function allowedWhileDisconnected(bound: SpendingBound, elapsed: Milliseconds): TokenCount {
   const cut = elapsed - bound.cutAfterMilliseconds
   if (cut <= 0) return 0
   const steady = bound.cutBurst + (bound.cutRate * cut) / 1000
@@ -58,7 +58,10 @@
 }
 
 /** Time after the row's base time at which the bound reaches `committed`; undefined for never. */
-export function timeOfBound(bound: SpendingBound, committed: TokenCount): Milliseconds | undefined {
+export function timeUntilCommitted(
+  bound: SpendingBound,
+  committed: TokenCount,
+): Milliseconds | undefined {
   if (committed > bound.granted) return undefined
   const missing = committed - bound.committed
   const byStrict = (bound.strictRate * bound.strictMilliseconds) / 1000
@@ -70,7 +73,7 @@
 }
 
 /** A row this old says that the store is out of reach: while it answers, no row is older. */
-export const CUT_AFTER_MILLISECONDS = 2_000
+export const DISCONNECTED_AFTER_MILLISECONDS = 2_000
 /**
  * Times between two records that the first time covers at least: a write that is due takes a part of
  * one.
@@ -88,13 +91,18 @@
  * evidence of a cut. All that it may spend after its death counts as spent: machines that were
  * without power for a second cost their teams a second's tokens that nobody got.
  */
-export function strictSpan(secondsLeft: number, recordMilliseconds: Milliseconds): Milliseconds {
-  const least = Math.min(CUT_AFTER_MILLISECONDS, COVERED_RECORDS * recordMilliseconds)
-  return Math.round(least + lastingShare(secondsLeft) * (CUT_AFTER_MILLISECONDS - least))
+export function strictWindowMilliseconds(
+  secondsLeft: number,
+  recordMilliseconds: Milliseconds,
+): Milliseconds {
+  const least = Math.min(DISCONNECTED_AFTER_MILLISECONDS, COVERED_RECORDS * recordMilliseconds)
+  return Math.round(
+    least + exhaustionDistance(secondsLeft) * (DISCONNECTED_AFTER_MILLISECONDS - least),
+  )
 }
 
 /** How far a budget is from being used up so soon that hidden tokens are missed: 0 (soon) to 1. */
-export function lastingShare(secondsLeft: number): number {
+export function exhaustionDistance(secondsLeft: number): number {
   const position = (secondsLeft - MISSED_SECONDS) / (UNMISSED_SECONDS - MISSED_SECONDS)
   return Math.max(0, Math.min(1, position))
 }
--- a/packages/decisions/src/admitting/starvedTeams.ts
+++ b/packages/decisions/src/admitting/starvedTeams.ts
@@ -63,7 +63,7 @@
   }
 
   /** Teams that are held in memory. */
-  get heldTeams(): number {
+  get trackedTeams(): number {
     return new Set([...this.parts.values()].flatMap(teams => [...teams.keys()])).size
   }
 
--- a/packages/decisions/src/choosing/endpointAdvice.ts
+++ b/packages/decisions/src/choosing/endpointAdvice.ts
@@ -12,38 +12,38 @@
 import type { EndpointStart, Milliseconds } from '@rackwalk/shared'
 
 /** A rate as it stands in a head. */
-interface RateText {
+interface RateHeader {
   readonly text: string
   /** Seconds in which so many requests are taken. */
   readonly windowSeconds: number
 }
 
 /** What stands in the head of an answer, translated from the names that a platform gives it. */
-export interface AdviceTexts {
+export interface AdviceHeaders {
   /** All that bound the requests of the whole fleet; empty where none is named. */
-  readonly rates: readonly RateText[]
+  readonly rates: readonly RateHeader[]
   readonly leaving: string | undefined
   /** Only where the answer turns the request away: seconds, or a date. */
   readonly rest: string | undefined
 }
 
 /** A rate that an answer names: requests a second, that it names none, or that it can't be read. */
-type SaidRate = number | 'none' | 'unreadable'
+type AdvertisedRate = number | 'none' | 'unreadable'
 
 /** Fields that can't be read. */
-type AdviceFault = 'rate' | 'leaving' | 'rest'
+type UnreadableField = 'rate' | 'leaving' | 'rest'
 
 /** What one answer says of its endpoint. */
 export interface EndpointAdvice {
-  readonly rate: SaidRate
+  readonly rate: AdvertisedRate
   readonly isLeaving: boolean
   /** Undefined where it asks for no rest. */
   readonly restMilliseconds: Milliseconds | undefined
-  readonly faults: readonly AdviceFault[]
+  readonly faults: readonly UnreadableField[]
 }
 
 /** What instances tell each other of a start of an endpoint. */
-export interface AdviceNews {
+export interface AdviceGossip {
   readonly start: EndpointStart
   /** Requests a second that it takes; absent where it names no rate any more. */
   readonly requestsPerSecond?: number
@@ -62,7 +62,7 @@
 }
 
 /** An answer that says nothing. */
-export const NO_ADVICE_TEXTS: AdviceTexts = { rates: [], leaving: undefined, rest: undefined }
+export const NO_ADVICE_HEADERS: AdviceHeaders = { rates: [], leaving: undefined, rest: undefined }
 
 const SECOND_MILLISECONDS: Milliseconds = 1_000
 /** Longer text is no number and no date. */
@@ -74,7 +74,7 @@
 const NO = new Set(['0', 'false'])
 
 /** Reads what an answer says of its endpoint. */
-export function readAdvice(texts: AdviceTexts, context: AdviceContext): EndpointAdvice {
+export function parseAdvice(texts: AdviceHeaders, context: AdviceContext): EndpointAdvice {
   const rate = readRates(texts.rates, context)
   const isLeaving = readYesOrNo(texts.leaving)
   const rest = readRest(texts.rest, context)
@@ -91,7 +91,7 @@
 }
 
 /** The strictest of several; a field that names several at once may mean any of them. */
-function readRates(rates: readonly RateText[], context: AdviceContext): SaidRate {
+function readRates(rates: readonly RateHeader[], context: AdviceContext): AdvertisedRate {
   if (rates.length === 0) return 'none'
   const read = rates.flatMap(({ text, windowSeconds }) =>
     text.split(',').map(part => (readDecimal(part.trim()) ?? Number.NaN) / windowSeconds),
--- a/packages/decisions/src/choosing/endpointChoice.ts
+++ b/packages/decisions/src/choosing/endpointChoice.ts
@@ -12,9 +12,9 @@
  */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
-import { AWAY_COST } from './homeEndpoints.js'
-import { harmWeights, readingHarm } from './readingHarm.js'
-import type { HarmWeights } from './readingHarm.js'
+import { OUTSIDE_SUBSET_COST } from './endpointSubsets.js'
+import { interferenceWeights, prefillInterference } from './prefillInterference.js'
+import type { InterferenceWeights } from './prefillInterference.js'
 import { rendezvousChoice } from './rendezvous.js'
 
 /** What is known of one endpoint when a request looks for one. */
@@ -38,7 +38,7 @@
   /** Share of late requests that failed there, in [0, 1]. */
   readonly failureShare: number
   /** Whether this instance hears at once what others send there. */
-  readonly isHome: boolean
+  readonly isInSubset: boolean
 }
 
 /** Load as an endpoint told it with an answer. */
@@ -78,7 +78,7 @@
 /** What one request in progress costs the next one, in prompt tokens. */
 const RUNNING_COST: TokenCount = 60
 /** A token that is read delays this request and all that run beside it, so it counts more than once. */
-const READING_WEIGHT = 2
+const PREFILL_WEIGHT = 2
 /** A slow endpoint reads longer and stretches each pause beside it, so even short prompts harm there. */
 const SLOWNESS_EXPONENT = 4
 /**
@@ -105,8 +105,8 @@
 /** Scores of the endpoints that may take the request, best first; empty where none may. */
 export function rankEndpoints(inputs: ChoiceInputs): readonly EndpointScore[] {
   const candidates = withoutEjected(inputs.open)
-  const weights = harmWeights(candidates, inputs.pauseStretch)
-  const context = { ...inputs, favourite: favouriteOf(inputs), weights }
+  const weights = interferenceWeights(candidates, inputs.pauseStretch)
+  const context = { ...inputs, affinityEndpoint: affinityEndpointOf(inputs), weights }
   return rotated(candidates, inputs.chance)
     .map(endpoint => ({ id: endpoint.id, score: scoreOf(endpoint, context) }))
     .sort((left, right) => left.score - right.score)
@@ -126,27 +126,30 @@
 
 /** What all endpoints are scored with. */
 interface ScoreContext extends ChoiceInputs {
-  readonly favourite: string | undefined
-  readonly weights: HarmWeights
+  readonly affinityEndpoint: string | undefined
+  readonly weights: InterferenceWeights
 }
 
 function scoreOf(endpoint: EndpointSnapshot, context: ScoreContext): number {
   const reported = freshReport(endpoint)
   const running = Math.max(endpoint.running, reported?.running ?? 0)
   const waiting = reported?.waiting ?? 0
-  const harm = readingHarm({ ...endpoint, running }, context.answerTokens, context.weights)
+  const harm = prefillInterference({ ...endpoint, running }, context.answerTokens, context.weights)
   const queued = Math.max(0, running + 1 - endpoint.slots)
   const busy = RUNNING_COST * running + WAITING_COST * waiting + SLOT_WAIT_COST * queued
   const failing = FAILURE_COST * endpoint.failureShare ** 2
-  const affinity = endpoint.id === context.favourite ? AFFINITY_BONUS : 0
+  const affinity = endpoint.id === context.affinityEndpoint ? AFFINITY_BONUS : 0
   const near = endpoint.failureDomain === context.failureDomain ? NEAR_BONUS : 0
-  const away = endpoint.isHome ? 0 : AWAY_COST
-  return readingCost(endpoint, context.weights) + busy + harm + failing + away - affinity - near
+  const away = endpoint.isInSubset ? 0 : OUTSIDE_SUBSET_COST
+  return prefillCost(endpoint, context.weights) + busy + harm + failing + away - affinity - near
 }
 
 /** What is read before this request's turn, itself included. */
-function readingCost(endpoint: EndpointSnapshot, { stretch, room }: HarmWeights): TokenCount {
-  const tokens = endpoint.pendingTokens + READING_WEIGHT * endpoint.uncachedTokens
+function prefillCost(
+  endpoint: EndpointSnapshot,
+  { stretch, room }: InterferenceWeights,
+): TokenCount {
+  const tokens = endpoint.pendingTokens + PREFILL_WEIGHT * endpoint.uncachedTokens
   const exponent = 1 + stretch * room * (SLOWNESS_EXPONENT - 1)
   return tokens * endpoint.slowness ** exponent
 }
@@ -157,6 +160,6 @@
 }
 
 /** The endpoint to which all instances send a shared part, by highest hash. */
-function favouriteOf({ sharedPartId, serviceIds }: ChoiceInputs): string | undefined {
+function affinityEndpointOf({ sharedPartId, serviceIds }: ChoiceInputs): string | undefined {
   return sharedPartId === undefined ? undefined : rendezvousChoice(sharedPartId, serviceIds)
 }
--- a/packages/decisions/src/choosing/endpointReach.ts
+++ b/packages/decisions/src/choosing/endpointReachability.ts
@@ -29,41 +29,45 @@
 }
 
 /** A failure says something of a link for so long: three checks may be lost. */
-const BELIEVED_MILLISECONDS: Milliseconds = 2_000
+const FAILURE_TTL_MILLISECONDS: Milliseconds = 2_000
 /** Endpoints of a failure domain that fail with it, */
 const FAILURES_IN_DOMAIN = 2
 /** and of a service: in a large one several may end at the same time. */
 const FAILURES_IN_SERVICE = 3
 /** Links that one check looks at: enough to show that a service is cut off. */
-const CHECKED_LINKS = 4
+const PROBED_LINKS = 4
 
 /** Whether the newest connection to an endpoint did not come up a moment ago. */
 function hasFailed({ connectedAt, failedAt }: EndpointLink, now: Milliseconds): boolean {
-  return failedAt > connectedAt && now - failedAt < BELIEVED_MILLISECONDS
+  return failedAt > connectedAt && now - failedAt < FAILURE_TTL_MILLISECONDS
 }
 
 /** Whether an instance reaches no endpoint of a service, given the links to all that may take requests. */
-export function isCutOff(links: readonly EndpointLink[], now: Milliseconds): boolean {
-  return areLost(links, FAILURES_IN_SERVICE, now)
+export function isServiceUnreachable(links: readonly EndpointLink[], now: Milliseconds): boolean {
+  return areUnreachable(links, FAILURES_IN_SERVICE, now)
 }
 
 /** The links of a service that are lost with their failure domain or all together, those that were not tried included. */
-export function unreachedLinks<Link extends EndpointLink>(
+export function unreachableLinks<Link extends EndpointLink>(
   links: readonly Link[],
   now: Milliseconds,
 ): ReadonlySet<Link> {
-  if (isCutOff(links, now)) return new Set(links)
+  if (isServiceUnreachable(links, now)) return new Set(links)
   const failed = links.filter(link => hasFailed(link, now))
   const domains = new Set(failed.map(({ failureDomain }) => failureDomain))
   const lost = [...domains].flatMap(domain => {
     const inDomain = links.filter(({ failureDomain }) => failureDomain === domain)
     const isDomain = inDomain.length >= FAILURES_IN_DOMAIN
-    return isDomain && areLost(inDomain, FAILURES_IN_DOMAIN, now) ? inDomain : []
+    return isDomain && areUnreachable(inDomain, FAILURES_IN_DOMAIN, now) ? inDomain : []
   })
   return new Set(lost)
 }
 
-function areLost(links: readonly EndpointLink[], needed: number, now: Milliseconds): boolean {
+function areUnreachable(
+  links: readonly EndpointLink[],
+  needed: number,
+  now: Milliseconds,
+): boolean {
   if (links.length === 0) return false
   const newest = Math.max(...links.map(({ connectedAt }) => connectedAt))
   const failures = links.filter(link => hasFailed(link, now) && link.failedAt > newest)
@@ -74,7 +78,7 @@
  * The links to check after a failure, spread over failure domains: first those that were not seen to fail, since one that
  * comes up tells the end of an endpoint from a cut. `chance` in [0, 1) spreads instances over the endpoints.
  */
-export function linksToCheck<Link extends EndpointLink>(
+export function linksToProbe<Link extends EndpointLink>(
   links: readonly Link[],
   now: Milliseconds,
   chance: number,
@@ -90,5 +94,5 @@
     return { link, place }
   })
   placed.sort((left, right) => left.place - right.place)
-  return placed.slice(0, CHECKED_LINKS).map(({ link }) => link)
+  return placed.slice(0, PROBED_LINKS).map(({ link }) => link)
 }
--- a/packages/decisions/src/choosing/homeEndpoints.ts
+++ b/packages/decisions/src/choosing/endpointSubsets.ts
@@ -19,24 +19,24 @@
 import type { TokenCount } from '@rackwalk/shared'
 
 /** What it costs to send where others send unheard, in prompt tokens: what they may have sent meanwhile. */
-export const AWAY_COST: TokenCount = 6_000
+export const OUTSIDE_SUBSET_COST: TokenCount = 6_000
 /**
  * Instances that are at home at an endpoint. Each home costs an instance about as many datagrams a second as it takes
  * prompts.
  */
-const HOMES_AN_ENDPOINT = 8
+const INSTANCES_PER_ENDPOINT = 8
 /** Pairs that a memory keeps at the most: more than a large fleet has in use. */
 const REMEMBERED_PAIRS = 20_000
 
 /** Knows which instance is at home where; each pair is hashed once. */
-export class HomeEndpoints {
+export class EndpointSubsets {
   /** In [0, 1), by instance and endpoint. */
   private readonly positions = new Map<string, number>()
 
   /** Whether an instance is at home at an endpoint that so many instances use. */
-  isHome(instance: string, endpoint: string, users: number): boolean {
-    if (users <= HOMES_AN_ENDPOINT) return true
-    return this.positionOf(`${instance}\0${endpoint}`) < HOMES_AN_ENDPOINT / users
+  isInSubset(instance: string, endpoint: string, users: number): boolean {
+    if (users <= INSTANCES_PER_ENDPOINT) return true
+    return this.positionOf(`${instance}\0${endpoint}`) < INSTANCES_PER_ENDPOINT / users
   }
 
   private positionOf(pair: string): number {
--- a/packages/decisions/src/choosing/readingHarm.ts
+++ b/packages/decisions/src/choosing/prefillInterference.ts
@@ -16,10 +16,10 @@
  */
 
 import type { TokenCount } from '@rackwalk/shared'
-import { trackedValue } from './trackedValue.js'
+import { trackQuantile } from './trackQuantile.js'
 
 /** What is known of one endpoint, as far as reading goes. */
-export interface ReadingPlace {
+export interface PrefillLoad {
   /** Requests in progress from all instances. */
   readonly running: number
   /** Prompt tokens of requests that have not had their first event. */
@@ -56,7 +56,7 @@
  */
 const CROWDING_COST: TokenCount = 180
 /** A pause counts as one beside a long prompt where there was so much to read. */
-const LONG_READING_TOKENS: TokenCount = 6_000
+const LONG_PREFILL_TOKENS: TokenCount = 6_000
 /**
  * Weights of a pause that is longer than the one known, and of one that is not: the known one follows
  * about the longest tenth.
@@ -70,20 +70,20 @@
 const HARMFUL_STRETCH = 1
 
 /** Whether a pause tells what long prompts do to streams. */
-export function isBesideLongReading(pendingTokens: TokenCount): boolean {
-  return pendingTokens >= LONG_READING_TOKENS
+export function isDuringLongPrefill(pendingTokens: TokenCount): boolean {
+  return pendingTokens >= LONG_PREFILL_TOKENS
 }
 
 /**
  * How far long prompts stretch pauses: the longest ones beside them, over what callers accept, after
  * one more was observed.
  */
-export function nextStretch(known: number | undefined, observed: number): number {
-  return trackedValue(known, observed, STRETCH_WEIGHTS)
+export function nextPauseStretch(known: number | undefined, observed: number): number {
+  return trackQuantile(known, observed, STRETCH_WEIGHTS)
 }
 
 /** How much harm counts at present, each in [0, 1]. */
-export interface HarmWeights {
+export interface InterferenceWeights {
   /** How far pauses beside long prompts are longer than callers accept. */
   readonly stretch: number
   /** How far there is room to keep long prompts and streams apart. */
@@ -94,10 +94,10 @@
  * The weights of harm among these endpoints. `stretch` is how far long prompts stretch pauses;
  * undefined until that was observed, when harm is expected.
  */
-export function harmWeights(
-  places: readonly Pick<ReadingPlace, 'pendingTokens'>[],
+export function interferenceWeights(
+  places: readonly Pick<PrefillLoad, 'pendingTokens'>[],
   stretch: number | undefined,
-): HarmWeights {
+): InterferenceWeights {
   const calm = places.filter(({ pendingTokens }) => pendingTokens < CALM_TOKENS).length
   const share = calm / Math.max(1, places.length)
   const beyond = (stretch ?? HARMFUL_STRETCH) - HARMLESS_STRETCH
@@ -108,29 +108,32 @@
 }
 
 /** What it costs to send a request there whose answer has at most so many tokens. */
-export function readingHarm(
-  place: ReadingPlace,
+export function prefillInterference(
+  place: PrefillLoad,
   answerTokens: TokenCount,
-  { stretch, room }: HarmWeights,
+  { stretch, room }: InterferenceWeights,
 ): TokenCount {
-  const harm = harmToOthers(place) + harmFromOthers(place, answerTokens)
+  const harm = interferenceWithOthers(place) + interferenceFromOthers(place, answerTokens)
   return stretch * (CROWDING_COST * place.running + room * harm)
 }
 
 /** What a new prompt does to the streams that run at an endpoint. */
-function harmToOthers({
+function interferenceWithOthers({
   pendingTokens,
   uncachedTokens,
   running,
   slowness,
-}: ReadingPlace): TokenCount {
+}: PrefillLoad): TokenCount {
   const before = harmedShare(pendingTokens, slowness)
   const after = harmedShare(pendingTokens + uncachedTokens, slowness)
   return HARMED_STREAM_COST * running * (after - before)
 }
 
 /** What reading at an endpoint is likely to do to a new answer of at most so many tokens. */
-function harmFromOthers({ recentTokens }: ReadingPlace, answerTokens: TokenCount): TokenCount {
+function interferenceFromOthers(
+  { recentTokens }: PrefillLoad,
+  answerTokens: TokenCount,
+): TokenCount {
   const exposure = Math.min(1, answerTokens / LONG_ANSWER_TOKENS)
   return EXPOSURE_WEIGHT * recentTokens * exposure
 }
--- a/packages/decisions/src/choosing/rateLicence.ts
+++ b/packages/decisions/src/choosing/rateQuota.ts
@@ -32,7 +32,7 @@
 }
 
 /** What one instance may send to one endpoint: so many requests in any window of this length. */
-export interface RateLicence {
+export interface RateQuota {
   readonly requests: number
   readonly windowMilliseconds: Milliseconds
 }
@@ -40,32 +40,35 @@
 /** What each of the instances that hold a licence may send, and how many hold one. */
 export interface RateShares {
   readonly holders: number
-  readonly licence: RateLicence
+  readonly quota: RateQuota
 }
 
 /** Bounds are reckoned by the second. */
 const SECOND_MILLISECONDS: Milliseconds = 1_000
 /** Requests that one licence allows in its window at the most: the sends to an endpoint are remembered one by one. */
-const LARGEST_LICENCE = 32
+const MAXIMUM_QUOTA_REQUESTS = 32
 /** Time without a word of an endpoint after which one more instance may ask it. */
-const STAND_IN_MILLISECONDS: Milliseconds = 4_000
+const SUBSTITUTE_AFTER_MILLISECONDS: Milliseconds = 4_000
 /** What an instance that stands in may send. */
-const STAND_IN_LICENCE: RateLicence = { requests: 1, windowMilliseconds: STAND_IN_MILLISECONDS }
+const SUBSTITUTE_QUOTA: RateQuota = {
+  requests: 1,
+  windowMilliseconds: SUBSTITUTE_AFTER_MILLISECONDS,
+}
 
 /** What an endpoint that rested is sent from each instance until it has taken something: requests that waited come all at once. */
-export const TRIAL_LICENCE: RateLicence = { requests: 1, windowMilliseconds: 500 }
+export const RECOVERY_QUOTA: RateQuota = { requests: 1, windowMilliseconds: 500 }
 
 /** How a rate is given out among so many recorded instances; at least one. */
-export function rateShares(requestsPerSecond: number, instances: number): RateShares {
+export function divideRate(requestsPerSecond: number, instances: number): RateShares {
   const holders = Math.max(1, Math.min(instances, Math.floor(requestsPerSecond)))
   const whole = Math.max(1, Math.floor(requestsPerSecond / holders))
-  const requests = Math.min(LARGEST_LICENCE, whole)
+  const requests = Math.min(MAXIMUM_QUOTA_REQUESTS, whole)
   const shortest = (SECOND_MILLISECONDS * requests) / whole
   const windowMilliseconds = Math.max(
     shortest,
     (SECOND_MILLISECONDS * requests * holders) / requestsPerSecond,
   )
-  return { holders, licence: { requests, windowMilliseconds } }
+  return { holders, quota: { requests, windowMilliseconds } }
 }
 
 /** An instance, as the store has it. */
@@ -79,7 +82,7 @@
  * Place of an instance among all that are recorded, in the order that belongs to one start of an endpoint; 0 is first.
  * Undefined where it is not among them.
  */
-export function licenceRank(
+export function quotaRank(
   instance: string,
   recorded: readonly RecordedInstance[],
   start: string,
@@ -98,12 +101,12 @@
  * What an instance at this place may send where nothing was heard of the endpoint for so long; undefined where it may
  * send nothing.
  */
-export function licenceAt(
+export function quotaAtRank(
   rank: number,
-  { holders, licence }: RateShares,
+  { holders, quota }: RateShares,
   silenceMilliseconds: Milliseconds,
-): RateLicence | undefined {
-  if (rank < holders) return licence
-  const standIns = Math.floor(silenceMilliseconds / STAND_IN_MILLISECONDS)
-  return rank < holders + standIns ? STAND_IN_LICENCE : undefined
+): RateQuota | undefined {
+  if (rank < holders) return quota
+  const standIns = Math.floor(silenceMilliseconds / SUBSTITUTE_AFTER_MILLISECONDS)
+  return rank < holders + standIns ? SUBSTITUTE_QUOTA : undefined
 }
