--- a/packages/decisions/src/choosing/turnAwayRisk.ts
+++ b/packages/decisions/src/choosing/rejectionQuota.ts
@@ -16,17 +16,17 @@
  * the bound cover what is sent at the same moment. An endpoint that gives away more places than it says is not protected.
  */
 
-import { licenceAt, licenceRank, rateShares } from './rateLicence.js'
-import type { RateLicence, RecordedInstance } from './rateLicence.js'
+import { quotaAtRank, quotaRank, divideRate } from './rateQuota.js'
+import type { RateQuota, RecordedInstance } from './rateQuota.js'
 
 /** An endpoint as full as this may turn the next request away. */
 const SAFE_SHARE = 0.75
 /** Part of the bound that is given out. */
-const RISKED_SHARE = 0.5
+const DISTRIBUTED_SHARE = 0.5
 const COUNT_PATTERN = /^\d{1,9}$/
 
 /** Requests that an endpoint bears to turn away in a second, as an answer names them; undefined where it names none. */
-export function readTurnAways(text: string | undefined): number | undefined {
+export function parseRejectionLimit(text: string | undefined): number | undefined {
   const value = text?.trim() ?? ''
   return COUNT_PATTERN.test(value) ? Number(value) : undefined
 }
@@ -37,14 +37,14 @@
 }
 
 /** What one instance may send in spite of that; undefined where it may send nothing. */
-export function turnAwayLicence(
+export function rejectionQuota(
   turnAwaysPerSecond: number,
   instance: string,
   recorded: readonly RecordedInstance[],
   start: string,
-): RateLicence | undefined {
-  const rank = licenceRank(instance, recorded, start)
-  const risked = turnAwaysPerSecond * RISKED_SHARE
+): RateQuota | undefined {
+  const rank = quotaRank(instance, recorded, start)
+  const risked = turnAwaysPerSecond * DISTRIBUTED_SHARE
   if (rank === undefined || risked === 0) return undefined
-  return licenceAt(rank, rateShares(risked, recorded.length), 0)
+  return quotaAtRank(rank, divideRate(risked, recorded.length), 0)
 }
--- a/packages/decisions/src/choosing/slowness.ts
+++ b/packages/decisions/src/choosing/slowness.ts
@@ -6,7 +6,7 @@
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
-import { trackedValue } from './trackedValue.js'
+import { trackQuantile } from './trackQuantile.js'
 
 /** Part of the endpoints that are quicker than the usual one: most may be slow for a while. */
 const QUICKER_SHARE = 0.25
@@ -16,21 +16,24 @@
  * stream slow most of its paces, so the known pace follows the quickest tenth or so. An endpoint with
  * five streams a second that turns slow is known to be so in about two seconds.
  */
-const PACE_WEIGHTS = { above: 0.03, below: 0.3 }
+const INTERVAL_WEIGHTS = { above: 0.03, below: 0.3 }
 
 /** The pace to believe in after one more was observed; milliseconds an event. */
-export function nextPace(known: Milliseconds | undefined, observed: Milliseconds): Milliseconds {
-  return trackedValue(known, observed, PACE_WEIGHTS)
+export function nextEventInterval(
+  known: Milliseconds | undefined,
+  observed: Milliseconds,
+): Milliseconds {
+  return trackQuantile(known, observed, INTERVAL_WEIGHTS)
 }
 
 /** The pace of a usual endpoint among these; undefined where none is known. */
-export function usualPace(paces: readonly Milliseconds[]): Milliseconds | undefined {
+export function baselineEventInterval(paces: readonly Milliseconds[]): Milliseconds | undefined {
   const sorted = [...paces].sort((left, right) => left - right)
   return sorted[Math.floor(QUICKER_SHARE * sorted.length)]
 }
 
 /** How many times as long as usual an endpoint takes; 1 for one that is quick or unknown. */
-export function slownessOf(
+export function slownessFactor(
   pace: Milliseconds | undefined,
   usual: Milliseconds | undefined,
 ): number {
--- a/packages/decisions/src/choosing/trackedValue.ts
+++ b/packages/decisions/src/choosing/trackQuantile.ts
@@ -4,16 +4,16 @@
  */
 
 /** Weights of observations above the value known and below it, each in (0, 1]. */
-export interface TrackingWeights {
+export interface QuantileWeights {
   readonly above: number
   readonly below: number
 }
 
 /** The value to believe in after one more observation; the first one is believed as it is. */
-export function trackedValue(
+export function trackQuantile(
   known: number | undefined,
   observed: number,
-  { above, below }: TrackingWeights,
+  { above, below }: QuantileWeights,
 ): number {
   if (known === undefined) return observed
   return known + (observed > known ? above : below) * (observed - known)
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -5,142 +5,161 @@
 export { rankEndpoints } from './choosing/endpointChoice.js'
 export type { EndpointSnapshot } from './choosing/endpointChoice.js'
 export {
-  harmWeights,
-  isBesideLongReading,
-  nextStretch,
-  readingHarm,
-} from './choosing/readingHarm.js'
-export { NO_ADVICE_TEXTS, adviceText, readAdvice } from './choosing/endpointAdvice.js'
-export type { AdviceNews, AdviceTexts, EndpointAdvice } from './choosing/endpointAdvice.js'
-export { isCutOff, linksToCheck, unreachedLinks } from './choosing/endpointReach.js'
-export type { EndpointLink } from './choosing/endpointReach.js'
-export { HomeEndpoints } from './choosing/homeEndpoints.js'
+  interferenceWeights,
+  isDuringLongPrefill,
+  nextPauseStretch,
+  prefillInterference,
+} from './choosing/prefillInterference.js'
+export { NO_ADVICE_HEADERS, adviceText, parseAdvice } from './choosing/endpointAdvice.js'
+export type { AdviceGossip, AdviceHeaders, EndpointAdvice } from './choosing/endpointAdvice.js'
+export {
+  isServiceUnreachable,
+  linksToProbe,
+  unreachableLinks,
+} from './choosing/endpointReachability.js'
+export type { EndpointLink } from './choosing/endpointReachability.js'
+export { EndpointSubsets } from './choosing/endpointSubsets.js'
 export { chooseRelayPeer } from './choosing/relayPeer.js'
 export type { RelayCandidate } from './choosing/relayPeer.js'
-export { nextPace, slownessOf, usualPace } from './choosing/slowness.js'
-export { TRIAL_LICENCE, licenceAt, licenceRank, rateShares } from './choosing/rateLicence.js'
-export type {
-  RateLicence,
-  RateShares,
-  RecordedInstance,
-  WarmUpBounds,
-} from './choosing/rateLicence.js'
-export { isNearlyFull, readTurnAways, turnAwayLicence } from './choosing/turnAwayRisk.js'
+export { nextEventInterval, slownessFactor, baselineEventInterval } from './choosing/slowness.js'
+export { RECOVERY_QUOTA, quotaAtRank, quotaRank, divideRate } from './choosing/rateQuota.js'
+export type { RateQuota, RateShares, RecordedInstance, WarmUpBounds } from './choosing/rateQuota.js'
+export { isNearlyFull, parseRejectionLimit, rejectionQuota } from './choosing/rejectionQuota.js'
 export { soonestRefusal } from './choosing/sendRefusal.js'
 export type { SendRefusal } from './choosing/sendRefusal.js'
-export { ORIGIN_KEEPERS, originKeeperCount, originKeepers } from './placing/originKeepers.js'
-export type { OriginKeeper } from './placing/originKeepers.js'
 export {
-  LONGEST_STREAM_MILLISECONDS,
-  isMixed,
+  MINIMUM_ORIGIN_REPLICAS,
+  originReplicaCount,
+  rankOriginReplicas,
+} from './placing/originReplicas.js'
+export type { OriginReplica } from './placing/originReplicas.js'
+export {
+  RESUMPTION_WINDOW_MILLISECONDS,
+  hasMixedVersions,
   isSameOrigin,
-  isSettled,
-  resumptionOf,
+  hasSingleVersion,
+  resolveResumption,
 } from './retrying/streamResumption.js'
 export type {
   OriginSource,
   Resumption,
   StreamOrigin,
-  VersionsView,
+  ServiceVersions,
 } from './retrying/streamResumption.js'
 export { rendezvousChoice, rendezvousOrder } from './choosing/rendezvous.js'
 
 export {
-  CUT_AFTER_MILLISECONDS,
+  DISCONNECTED_AFTER_MILLISECONDS,
   committedBound,
-  strictSpan,
-  timeOfBound,
+  strictWindowMilliseconds,
+  timeUntilCommitted,
 } from './admitting/spendingBound.js'
-export { cutAllowance } from './admitting/cutAllowance.js'
+export { disconnectedAllowance } from './admitting/disconnectedAllowance.js'
 export {
-  budgetPatience,
-  lastBudgetPatience,
-  returnAfterSeconds,
-} from './admitting/budgetPatience.js'
-export { AbandonedWork } from './admitting/abandonedWork.js'
+  budgetWaitLimit,
+  extendedBudgetWaitLimit,
+  toRetryAfterSeconds,
+} from './admitting/budgetWaitLimit.js'
+export { AbandonedRequests } from './admitting/abandonedRequests.js'
 export {
-  confirmationSpan,
-  isTooOld,
-  longestFeedWait,
+  confirmationLifetime,
+  isTooStale,
+  maximumFeedWait,
   shouldAskPeers,
-} from './admitting/freshKnowledge.js'
-export type { KnownRows, Reachability } from './admitting/freshKnowledge.js'
-export { LinkBudget } from './admitting/linkBudget.js'
+} from './admitting/configurationStaleness.js'
+export type { RowStaleness, ContactAges } from './admitting/configurationStaleness.js'
+export { LinkBandwidthBudget } from './admitting/linkBudget.js'
 export {
   REFUSED_BODY_BYTES,
   REFUSED_BODY_MILLISECONDS,
-  refusedBodyFate,
+  refusedBodyDisposition,
 } from './admitting/refusedBody.js'
-export type { RefusedBody, RefusedBodyFate } from './admitting/refusedBody.js'
-export { ListenerPause, listenerWindow } from './admitting/listenerPause.js'
-export type { HeardInstances } from './admitting/listenerPause.js'
-export { OwnRefusals } from './admitting/ownRefusals.js'
-export { DELAY_LOOK_MILLISECONDS, ProcessorBudget } from './admitting/processorBudget.js'
-export type { ProcessorLook, WorkRank } from './admitting/processorBudget.js'
+export type { RefusedBody, RefusedBodyDisposition } from './admitting/refusedBody.js'
+export { ListenerPause, listenerOpenMilliseconds } from './admitting/listenerPause.js'
+export type { PeerOverload } from './admitting/listenerPause.js'
+export { LocalRefusals } from './admitting/localRefusals.js'
+export {
+  SAMPLE_INTERVAL_MILLISECONDS,
+  ProcessorLoadShedder,
+} from './admitting/processorLoadShedder.js'
+export type { ProcessorSample, ShedRank } from './admitting/processorLoadShedder.js'
 export { StarvedTeams } from './admitting/starvedTeams.js'
 export type { StarvationChange } from './admitting/starvedTeams.js'
-export { writtenAhead } from './admitting/writtenAhead.js'
+export { precommittedTokens } from './admitting/precommittedTokens.js'
 export { settledCost } from './admitting/settledCost.js'
 
 export { mayHaveRun, outcomeLabel, outcomeText } from './retrying/attemptOutcome.js'
 export type { AttemptOutcome } from './retrying/attemptOutcome.js'
-export { BrokenStarts } from './retrying/brokenStarts.js'
-export { CrashSuspicions, SCOPE_CHARACTERS } from './retrying/crashSuspicion.js'
-export type { CrashMark, CrashNews } from './retrying/crashSuspicion.js'
-export { strictest } from './retrying/crashVerdict.js'
-export type { CrashVerdict } from './retrying/crashVerdict.js'
-export { hasOutlived, judgeEnd, livedAt } from './retrying/endSigns.js'
-export type { EndSign, EndVerdict, HeardTimes } from './retrying/endSigns.js'
+export { SuspectEndpoints } from './retrying/suspectEndpoints.js'
+export { RequestQuarantine, SCOPE_PREFIX_LENGTH } from './retrying/requestQuarantine.js'
+export type { CrashMark, CrashGossip } from './retrying/requestQuarantine.js'
+export { strictestVerdict } from './retrying/quarantineVerdict.js'
+export type { QuarantineVerdict } from './retrying/quarantineVerdict.js'
+export { wasAliveAfterReset, judgeLiveness, lastAliveAt } from './retrying/livenessProbe.js'
+export type { ProbeResult, LivenessVerdict, LastContactTimes } from './retrying/livenessProbe.js'
 export {
-  SILENT_MILLISECONDS,
-  STILL_SILENT_MILLISECONDS,
+  PROBE_TIMEOUT_MILLISECONDS,
+  LONG_PROBE_TIMEOUT_MILLISECONDS,
   isAsked,
-  isAskedAgain,
-  isEndedBy,
-  signOfQuestions,
-  wasThereAtEnd,
-} from './retrying/endedExchange.js'
-export type { OpenExchange, SignTimes, StartSign, StateSign } from './retrying/endedExchange.js'
-export { afterCut, continuedUsage } from './retrying/continuation.js'
-export type { CutAnswer, CutStep } from './retrying/continuation.js'
-export { withdrawal } from './retrying/withdrawal.js'
-export type { KnownEnd, OpenAttempt } from './retrying/withdrawal.js'
-export { UnjudgedBreaks } from './retrying/unjudgedBreaks.js'
-export { DeadlyParts } from './retrying/deadlyParts.js'
-export { suspectedChoice } from './retrying/suspectedChoice.js'
+  requiresAnotherProbe,
+  isTerminatedBy,
+  signOfProbes,
+  wasInFlightAtCrash,
+} from './retrying/terminationSigns.js'
+export type {
+  InFlightState,
+  SignEvidenceTimes,
+  TerminationSign,
+  StateProbeResult,
+} from './retrying/terminationSigns.js'
+export { continuationStep, continuedUsage } from './retrying/continuation.js'
+export type { InterruptedAnswer, ContinuationStep } from './retrying/continuation.js'
+export { judgeWithdrawal } from './retrying/withdrawal.js'
+export type { KnownTermination, InFlightAttempt } from './retrying/withdrawal.js'
+export { UnconfirmedCrashes } from './retrying/unconfirmedCrashes.js'
+export { PromptPartQuarantine } from './retrying/promptPartQuarantine.js'
+export { chooseIsolationEndpoint } from './retrying/isolationEndpoint.js'
 export { FleetRetryBudget } from './retrying/fleetRetryBudget.js'
 export type { RetryBounds } from './retrying/fleetRetryBudget.js'
 export {
   canRepeat,
   isMisdirected,
-  isPromising,
+  claimsNotExecuted,
   isServerError,
-  nextStep,
-} from './retrying/nextStep.js'
-export type { NextStep } from './retrying/nextStep.js'
-export { isLeftUnsent, relayOutcomeText, relayStep } from './retrying/relayStep.js'
+  retryStep,
+} from './retrying/retryStep.js'
+export type { RetryStep } from './retrying/retryStep.js'
+export { wasNeverSent, relayOutcomeText, relayStep } from './retrying/relayStep.js'
 export type { RelayOutcome } from './retrying/relayStep.js'
 
-export { DemandHoldingPolicy, EqualHoldingPolicy, secondsLeft } from './placing/holdingPolicy.js'
-export { holdingTolerance } from './placing/holdingTolerance.js'
+export {
+  DemandHoldingPolicy,
+  EqualHoldingPolicy,
+  secondsToExhaustion,
+} from './placing/holdingPolicy.js'
+export { rebalanceTolerance } from './placing/rebalanceTolerance.js'
 export type { BudgetView, HoldingPolicy } from './placing/holdingPolicy.js'
-export { askingSince, budgetLenders, budgetSharers } from './placing/budgetSharers.js'
+export { demandValidSince, budgetLenders, budgetSharers } from './placing/budgetSharers.js'
 export { ActiveInstances, chooseActive } from './placing/activeInstances.js'
 export type { ActiveBounds, ActiveCandidate } from './placing/activeInstances.js'
-export { cautiousSharersOf, sharersOf } from './placing/fleetSharers.js'
-export type { FleetUse } from './placing/fleetSharers.js'
-export { NewcomerReads, READS_AHEAD } from './placing/newcomerReads.js'
+export { partitionSafeShareCount, fleetShareCount } from './placing/fleetShares.js'
+export type { FleetUsage } from './placing/fleetShares.js'
+export { MemberReadLimiter, READ_BURST } from './placing/memberReadLimiter.js'
 export { recordInterval } from './placing/recordInterval.js'
-export { SilentInstances } from './placing/silentInstances.js'
+export { SilenceDetector } from './placing/silenceDetector.js'
 
-export { answerFate, isEndpointsFailure, isProvenWhole } from './stopping/answerCompleteness.js'
+export {
+  answerDisposition,
+  isEndpointFailure,
+  isProvenComplete,
+} from './stopping/answerCompleteness.js'
 export type {
   AnswerEnd,
-  AnswerFate,
+  AnswerDisposition,
   AnswerFraming,
   EndedAnswer,
 } from './stopping/answerCompleteness.js'
 export { answerFraming } from './stopping/answerFraming.js'
-export { LINGER_MILLISECONDS, exitTime, isTimeToSettle } from './stopping/drainPhases.js'
-export { finalError, refusedByAll } from './stopping/finalError.js'
-export type { NoChoice } from './stopping/finalError.js'
+export { LINGER_MILLISECONDS, exitDelay, shouldSettle } from './stopping/drainPhases.js'
+export { finalError, allRefusedError } from './stopping/finalError.js'
+export type { NoEndpointReason } from './stopping/finalError.js'
--- a/packages/decisions/src/placing/budgetSharers.ts
+++ b/packages/decisions/src/placing/budgetSharers.ts
@@ -17,7 +17,7 @@
 const TRUSTED_SIGHT_MILLISECONDS = 5_000
 
 /** The time of the store from which on a row's demand counts; infinite before any time is known. */
-export function askingSince(storeTime: Milliseconds | undefined): Milliseconds {
+export function demandValidSince(storeTime: Milliseconds | undefined): Milliseconds {
   return (storeTime ?? Number.POSITIVE_INFINITY) - ASKING_MILLISECONDS
 }
 
--- a/packages/decisions/src/placing/fleetSharers.ts
+++ b/packages/decisions/src/placing/fleetShares.ts
@@ -12,7 +12,7 @@
  */
 
 /** What one instance knows of who uses a bound. */
-export interface FleetUse {
+export interface FleetUsage {
   /** Whether this instance is active or has work at endpoints. */
   readonly isSelfUsing: boolean
   /** Other instances that are active or have work at endpoints. */
@@ -22,7 +22,7 @@
 }
 
 /** The number of instances that share a bound, this one included. */
-export function sharersOf({ isSelfUsing, usingOthers, others }: FleetUse): number {
+export function fleetShareCount({ isSelfUsing, usingOthers, others }: FleetUsage): number {
   return 1 + (isSelfUsing ? usingOthers : others)
 }
 
@@ -30,6 +30,6 @@
  * The same for a bound that must hold while parts of the fleet cannot hear each other: each part then
  * chooses active instances of its own, so half of all may be active at least.
  */
-export function cautiousSharersOf(use: FleetUse): number {
-  return Math.max(sharersOf(use), Math.ceil((1 + use.others) / 2))
+export function partitionSafeShareCount(use: FleetUsage): number {
+  return Math.max(fleetShareCount(use), Math.ceil((1 + use.others) / 2))
 }
--- a/packages/decisions/src/placing/holdingPolicy.ts
+++ b/packages/decisions/src/placing/holdingPolicy.ts
@@ -72,7 +72,7 @@
     const demands = view.others.map(other => other.demandPerSecond)
     const sum = demands.reduce((left, right) => left + right, view.ownDemandPerSecond)
     const count = view.others.length + 1
-    const evenness = BASE_SHARE + (PLENTY_BASE_SHARE - BASE_SHARE) * plentyOf(view)
+    const evenness = BASE_SHARE + (PLENTY_BASE_SHARE - BASE_SHARE) * budgetPlenty(view)
     const base = sum > 0 ? (evenness * sum) / count : 1
     const whole = sum + base * count
     if (!view.isStandby) return Math.floor((holdable * (view.ownDemandPerSecond + base)) / whole)
@@ -92,13 +92,13 @@
  * How long a budget will last at the present demand, from 0 (scarce: where its tokens are held
  * matters) to 1 (plentiful: it does not).
  */
-export function plentyOf(view: BudgetView): number {
-  const position = (secondsLeft(view) - SCARCE_SECONDS) / (PLENTY_SECONDS - SCARCE_SECONDS)
+export function budgetPlenty(view: BudgetView): number {
+  const position = (secondsToExhaustion(view) - SCARCE_SECONDS) / (PLENTY_SECONDS - SCARCE_SECONDS)
   return Math.max(0, Math.min(1, position))
 }
 
 /** Seconds for which a budget will last at the present demand; infinite where there is none. */
-export function secondsLeft(view: BudgetView): number {
+export function secondsToExhaustion(view: BudgetView): number {
   const demands = view.others.map(other => other.demandPerSecond)
   const demand = demands.reduce((left, right) => left + right, view.ownDemandPerSecond)
   return demand <= 0 ? Number.POSITIVE_INFINITY : unspentTotal(view) / demand
--- a/packages/decisions/src/placing/newcomerReads.ts
+++ b/packages/decisions/src/placing/memberReadLimiter.ts
@@ -19,31 +19,31 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Reads that may be made together: who is heard before its row stands is read for again, */
-export const READS_AHEAD = 3
+export const READ_BURST = 3
 /** one of which is won back in this time. */
-const READ_MILLISECONDS: Milliseconds = 1_000
+const READ_REFILL_MILLISECONDS: Milliseconds = 1_000
 /** A row that was not there in one read may be in the next one after this time. */
-const SPACE_MILLISECONDS: Milliseconds = 50
+const READ_SPACING_MILLISECONDS: Milliseconds = 50
 
 /** Bounds the reads of members ahead of their time. Times are monotonic. */
-export class NewcomerReads {
-  private left = READS_AHEAD
+export class MemberReadLimiter {
+  private left = READ_BURST
   private countedAt: Milliseconds = Number.NEGATIVE_INFINITY
   private readAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   /** An instance that is not known was heard of; after how long the members are read for it, undefined where they are not. */
   take(now: Milliseconds): Milliseconds | undefined {
-    this.winBack(now)
+    this.refill(now)
     const isDue = this.readAt > now
     if (this.left < 1 || isDue) return undefined
     this.left -= 1
-    this.readAt = Math.max(now, this.readAt + SPACE_MILLISECONDS)
+    this.readAt = Math.max(now, this.readAt + READ_SPACING_MILLISECONDS)
     return this.readAt - now
   }
 
-  private winBack(now: Milliseconds): void {
-    const won = (now - this.countedAt) / READ_MILLISECONDS
-    this.left = Math.min(READS_AHEAD, this.left + won)
+  private refill(now: Milliseconds): void {
+    const won = (now - this.countedAt) / READ_REFILL_MILLISECONDS
+    this.left = Math.min(READ_BURST, this.left + won)
     this.countedAt = now
   }
 }
--- a/packages/decisions/src/placing/originKeepers.ts
+++ b/packages/decisions/src/placing/originReplicas.ts
@@ -14,28 +14,30 @@
 import { rendezvousOrder } from '../choosing/rendezvous.js'
 
 /** An instance that may keep. */
-export interface OriginKeeper {
+export interface OriginReplica {
   readonly instance: string
   readonly failureDomain: string
 }
 
 /** Instances that are told of one stream at least, */
-export const ORIGIN_KEEPERS = 3
+export const MINIMUM_ORIGIN_REPLICAS = 3
 /** and at the most: nearly all streams are found then where most of a fleet ends at once. */
-const MOST_KEEPERS = 8
+const MAXIMUM_ORIGIN_REPLICAS = 8
 /** Bytes a second in which an instance tells more than the least number of keepers. */
-const KEEPER_BYTES_PER_SECOND = 6_000
+const REPLICATION_BYTES_PER_SECOND = 6_000
 /** The news of one stream with the head of its datagram. */
 const NEWS_BYTES = 120
 
 /** How many instances are told of a stream, by the streams that begin here in a second. */
-export function originKeeperCount(streamsPerSecond: number): number {
-  const borne = Math.floor(KEEPER_BYTES_PER_SECOND / (NEWS_BYTES * Math.max(1, streamsPerSecond)))
-  return Math.min(MOST_KEEPERS, Math.max(ORIGIN_KEEPERS, borne))
+export function originReplicaCount(streamsPerSecond: number): number {
+  const borne = Math.floor(
+    REPLICATION_BYTES_PER_SECOND / (NEWS_BYTES * Math.max(1, streamsPerSecond)),
+  )
+  return Math.min(MAXIMUM_ORIGIN_REPLICAS, Math.max(MINIMUM_ORIGIN_REPLICAS, borne))
 }
 
 /** All candidates, those that keep a stream first. */
-export function originKeepers<Candidate extends OriginKeeper>(
+export function rankOriginReplicas<Candidate extends OriginReplica>(
   key: string,
   candidates: readonly Candidate[],
 ): readonly Candidate[] {
--- a/packages/decisions/src/placing/holdingTolerance.ts
+++ b/packages/decisions/src/placing/rebalanceTolerance.ts
@@ -11,8 +11,8 @@
  * Limits: a holding that cannot cover what is asked for is filled in any case, by the write that a request waits for.
  */
 
-import { lastingShare } from '../admitting/spendingBound.js'
-import { secondsLeft } from './holdingPolicy.js'
+import { exhaustionDistance } from '../admitting/spendingBound.js'
+import { secondsToExhaustion } from './holdingPolicy.js'
 import type { BudgetView } from './holdingPolicy.js'
 
 /** Share of its target by which a holding of a budget that is nearly used up may be off. */
@@ -21,7 +21,7 @@
 const LASTING_TOLERANCE = 0.4
 
 /** Share of its target by which a holding may be off. */
-export function holdingTolerance(view: BudgetView): number {
-  const share = lastingShare(secondsLeft(view))
+export function rebalanceTolerance(view: BudgetView): number {
+  const share = exhaustionDistance(secondsToExhaustion(view))
   return SCARCE_TOLERANCE + (LASTING_TOLERANCE - SCARCE_TOLERANCE) * share
 }
--- a/packages/decisions/src/placing/silentInstances.ts
+++ b/packages/decisions/src/placing/silenceDetector.ts
@@ -13,7 +13,7 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Remembers since when each instance is listened for, and which were heard. */
-export class SilentInstances {
+export class SilenceDetector {
   /** By instance: monotonic time at which listening began, long ago where it was heard since. */
   private awaitedSince: ReadonlyMap<string, Milliseconds> = new Map()
 
@@ -21,7 +21,7 @@
    * Of the instances those that have not fallen silent; `hears` tells whether one was heard within
    * `patience`, and `now` is monotonic. An instance that is no longer named is forgotten.
    */
-  audible<Instance extends { readonly instance: string }>(
+  selectNonSilent<Instance extends { readonly instance: string }>(
     instances: readonly Instance[],
     hears: (instance: Instance) => boolean,
     now: Milliseconds,
--- a/packages/decisions/src/retrying/continuation.ts
+++ b/packages/decisions/src/retrying/continuation.ts
@@ -11,11 +11,11 @@
 import type { TokenCount } from '@rackwalk/shared'
 
 /** An answer that was cut. */
-export interface CutAnswer {
+export interface InterruptedAnswer {
   /** Whether the request may run twice, and is of a form that can be continued. */
   readonly isContinuable: boolean
   /** Whether all that its caller has is known here, and is plain text. */
-  readonly isKnown: boolean
+  readonly isFullyKnown: boolean
   /** Whether its engine said that the text is whole. */
   readonly isFinished: boolean
   /** Tokens that were reported with the newest piece; undefined where none were. */
@@ -24,11 +24,11 @@
   /** How often it was continued. */
   readonly continuations: number
   /** Whether nobody waits for it, or this instance can pass nothing on. */
-  readonly isOver: boolean
+  readonly isAbandoned: boolean
 }
 
 /** What is done about it. */
-export type CutStep =
+export type ContinuationStep =
   | { readonly kind: 'cut' }
   /** Nothing is missing but its closing events; the reason is to be told where the engine did not. */
   | { readonly kind: 'close'; readonly finishReason: 'length' | undefined }
@@ -37,9 +37,9 @@
 const MAXIMUM_CONTINUATIONS = 1
 
 /** What becomes of an answer that was cut. */
-export function afterCut(cut: CutAnswer): CutStep {
+export function continuationStep(cut: InterruptedAnswer): ContinuationStep {
   const { generatedTokens, outputTokenLimit } = cut
-  const mayGoOn = cut.isContinuable && cut.isKnown && !cut.isOver
+  const mayGoOn = cut.isContinuable && cut.isFullyKnown && !cut.isAbandoned
   if (!mayGoOn || generatedTokens === undefined) return { kind: 'cut' }
   if (cut.continuations >= MAXIMUM_CONTINUATIONS) return { kind: 'cut' }
   if (cut.isFinished) return { kind: 'close', finishReason: undefined }
--- a/packages/decisions/src/retrying/suspectedChoice.ts
+++ b/packages/decisions/src/retrying/isolationEndpoint.ts
@@ -21,22 +21,22 @@
 import { rendezvousChoice } from '../choosing/rendezvous.js'
 
 /** What is known of the endpoints. */
-export interface SuspectedTries<Candidate> {
+export interface IsolationAttempts<Candidate> {
   readonly tried: ReadonlySet<Candidate>
   /** Those that broke it off, and only once. */
-  readonly brokeOffOnce: ReadonlySet<Candidate>
+  readonly resetOnce: ReadonlySet<Candidate>
   /** Whether one broke something off, and nobody knows yet whether it has ended. */
-  readonly isInDoubt: (candidate: Candidate) => boolean
+  readonly isSuspect: (candidate: Candidate) => boolean
 }
 
 /** The one that all instances choose for a request, or for all that share a part; undefined where there is none. */
-export function suspectedChoice<Candidate extends string>(
+export function chooseIsolationEndpoint<Candidate extends string>(
   subject: RequestFingerprint | PromptPartKey,
   candidates: readonly Candidate[],
-  { tried, brokeOffOnce, isInDoubt }: SuspectedTries<Candidate>,
+  { tried, resetOnce, isSuspect }: IsolationAttempts<Candidate>,
 ): Candidate | undefined {
   const open = candidates.filter(candidate => {
-    return !tried.has(candidate) || (brokeOffOnce.has(candidate) && isInDoubt(candidate))
+    return !tried.has(candidate) || (resetOnce.has(candidate) && isSuspect(candidate))
   })
   return rendezvousChoice(subject, open)
 }
--- a/packages/decisions/src/retrying/endSigns.ts
+++ b/packages/decisions/src/retrying/livenessProbe.ts
@@ -25,22 +25,22 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** What one look at an address shows. */
-export type EndSign = 'nobody-listens' | 'lives' | 'does-not-answer' | 'no-connection'
+export type ProbeResult = 'nobody-listens' | 'lives' | 'does-not-answer' | 'no-connection'
 
 /** What is believed of the endpoint. */
-export type EndVerdict = 'ended' | 'lives' | 'look-again' | 'unknown'
+export type LivenessVerdict = 'ended' | 'lives' | 'look-again' | 'unknown'
 
 /** Looks that must say the same before it counts. */
-const LOOKS_THAT_COUNT = 2
+const REQUIRED_PROBES = 2
 
 /**
  * What left an endpoint before its end is read within this time, where no look at it says when: a busy processor reads
  * nothing for a good part of it.
  */
-const READ_LATE_MILLISECONDS: Milliseconds = 1_000
+const READ_DELAY_MILLISECONDS: Milliseconds = 1_000
 
 /** When something last came from an endpoint; monotonic. */
-export interface HeardTimes {
+export interface LastContactTimes {
   /** When the newest report of its state was asked for. */
   readonly askedAt: Milliseconds
   /** When bytes of any request were last read. */
@@ -48,35 +48,38 @@
 }
 
 /** A break at which it is looked; monotonic. */
-interface LookedBreak {
+interface ProbedReset {
   readonly brokenAt: Milliseconds
   /** When the first look was over. */
   readonly lookedAt: Milliseconds
 }
 
 /** Whether what came from an endpoint proves that it lived after a break. */
-export function hasOutlived({ brokenAt, lookedAt }: LookedBreak, heard: HeardTimes): boolean {
+export function wasAliveAfterReset(
+  { brokenAt, lookedAt }: ProbedReset,
+  heard: LastContactTimes,
+): boolean {
   return heard.askedAt > brokenAt || heard.readAt > lookedAt
 }
 
 /** A time at which an endpoint certainly lived, by what came from it. */
-export function livedAt({ askedAt, readAt }: HeardTimes): Milliseconds {
-  return Math.max(askedAt, readAt - READ_LATE_MILLISECONDS)
+export function lastAliveAt({ askedAt, readAt }: LastContactTimes): Milliseconds {
+  return Math.max(askedAt, readAt - READ_DELAY_MILLISECONDS)
 }
 
 /**
  * By the looks so far, the newest last, whether anything else came from it since the break, and whether another instance
  * told that it has ended.
  */
-export function judgeEnd(
-  looks: readonly EndSign[],
+export function judgeLiveness(
+  looks: readonly ProbeResult[],
   wasHeardSince: boolean,
   wasTold = false,
-): EndVerdict {
+): LivenessVerdict {
   const newest = looks.at(-1)
   if (newest === 'nobody-listens') return 'ended'
   if (newest === 'lives' || wasHeardSince) return 'lives'
   if (newest === 'no-connection') return wasTold ? 'ended' : 'unknown'
-  const sames = looks.slice(-LOOKS_THAT_COUNT).filter(look => look === 'does-not-answer')
-  return sames.length === LOOKS_THAT_COUNT ? 'ended' : 'look-again'
+  const sames = looks.slice(-REQUIRED_PROBES).filter(look => look === 'does-not-answer')
+  return sames.length === REQUIRED_PROBES ? 'ended' : 'look-again'
 }
--- a/packages/decisions/src/retrying/deadlyParts.ts
+++ b/packages/decisions/src/retrying/promptPartQuarantine.ts
@@ -25,10 +25,10 @@
  */
 
 import type { EndpointStart, Milliseconds, PromptPartKey } from '@rackwalk/shared'
-import type { CrashVerdict } from './crashVerdict.js'
+import type { QuarantineVerdict } from './quarantineVerdict.js'
 
 /** An endpoint ended while requests with these parts were there without an answer. */
-export interface PartEnd {
+export interface PartCrash {
   readonly start: EndpointStart
   readonly parts: readonly PromptPartKey[]
   /** Whether one of these requests was sent there as suspected. */
@@ -37,32 +37,32 @@
   readonly ageMilliseconds: Milliseconds
 }
 
-interface CountedEnd {
+interface CountedCrash {
   /** Monotonic time. */
   readonly at: Milliseconds
   readonly wasIsolated: boolean
 }
 
 interface Evidence {
-  readonly ends: Map<EndpointStart, CountedEnd>
+  readonly ends: Map<EndpointStart, CountedCrash>
   /** Answers that others had got here when the first end was noted. */
   readonly answersBefore: number
   /** Whether it is refused, by own evidence or by news. */
-  isDeadly: boolean
+  isRefused: boolean
   /** Monotonic time of the newest end, or of the newest trial. */
   newestAt: Milliseconds
 }
 
 /** Ends that come within this time of each other have one cause, and count once. */
-const MOMENT_MILLISECONDS: Milliseconds = 150
-const ENDS_TO_ISOLATE = 2
-const ENDS_TO_REFUSE = 3
+const CORRELATED_CRASH_MILLISECONDS: Milliseconds = 150
+const CRASHES_TO_ISOLATE = 2
+const CRASHES_TO_REFUSE = 3
 /** Answers to other requests since the first end that show that engines are sound. */
-const ANSWERS_ELSEWHERE = 3
+const REQUIRED_OTHER_ANSWERS = 3
 /** A refused part is tried again after this time, */
-const TRIAL_MILLISECONDS: Milliseconds = 60_000
+const TRIAL_INTERVAL_MILLISECONDS: Milliseconds = 60_000
 /** and after no longer than this, however many trials it ended. */
-const LONGEST_TRIAL_MILLISECONDS: Milliseconds = 3_600_000
+const MAXIMUM_TRIAL_INTERVAL_MILLISECONDS: Milliseconds = 3_600_000
 /** What is only suspected is forgotten after this time without another end. */
 const SUSPECTED_MILLISECONDS: Milliseconds = 60_000
 /** Ends that are remembered of one part. */
@@ -71,7 +71,7 @@
 const REMEMBERED_PARTS = 2_048
 
 /** What one instance believes of parts of prompts. */
-export class DeadlyParts {
+export class PromptPartQuarantine {
   /** The one that was touched last stands last. */
   private readonly parts = new Map<PromptPartKey, Evidence>()
   /** Ends of which a part was cleared, by part and start: news of them may come late, or again. The oldest first. */
@@ -85,22 +85,22 @@
   }
 
   /** Parts that are refused. */
-  get deadly(): readonly PromptPartKey[] {
-    return [...this.parts].flatMap(([part, { isDeadly }]) => (isDeadly ? [part] : []))
+  get refusedParts(): readonly PromptPartKey[] {
+    return [...this.parts].flatMap(([part, { isRefused }]) => (isRefused ? [part] : []))
   }
 
   /** Whether a part is refused. */
-  isDeadly(part: PromptPartKey): boolean {
-    return this.parts.get(part)?.isDeadly === true
+  isRefused(part: PromptPartKey): boolean {
+    return this.parts.get(part)?.isRefused === true
   }
 
   /** Ends that are held against a part. */
-  startsOf(part: PromptPartKey): readonly EndpointStart[] {
+  crashedStartsOf(part: PromptPartKey): readonly EndpointStart[] {
     return [...(this.parts.get(part)?.ends.keys() ?? [])]
   }
 
   /** All that is held against parts, for an instance that was not there. */
-  evidence(now: Milliseconds): readonly PartEnd[] {
+  evidence(now: Milliseconds): readonly PartCrash[] {
     return [...this.parts].flatMap(([part, { ends }]) =>
       [...ends].map(([start, { at, wasIsolated }]) => {
         return { start, parts: [part], wasIsolated, ageMilliseconds: now - at }
@@ -109,19 +109,19 @@
   }
 
   /** An endpoint ended; gives the parts that are refused from now on, by what is known here. */
-  noteEnd(end: PartEnd, now: Milliseconds): readonly PromptPartKey[] {
+  noteCrash(end: PartCrash, now: Milliseconds): readonly PromptPartKey[] {
     const held = end.parts.filter(part => !this.cleared.has(pairOf(part, end.start)))
     return held.filter(part => {
       const evidence = this.touch(part, now)
-      countEnd(evidence, end, now)
+      countCrash(evidence, end, now)
       return this.judge(evidence)
     })
   }
 
   /** Another instance, or a record, says that a part is refused. */
-  noteDeadly(part: PromptPartKey, now: Milliseconds): void {
+  noteRefused(part: PromptPartKey, now: Milliseconds): void {
     const evidence = this.touch(part, now)
-    evidence.isDeadly = true
+    evidence.isRefused = true
   }
 
   /** An answer began to a request with these parts; gives those that are cleared by it. */
@@ -135,25 +135,27 @@
   /** Another instance says that these parts had an answer. */
   clear(parts: readonly PromptPartKey[]): void {
     for (const part of parts) {
-      for (const start of this.startsOf(part)) this.noteCleared(part, start)
+      for (const start of this.crashedStartsOf(part)) this.noteCleared(part, start)
       this.parts.delete(part)
     }
   }
 
   /** What to do with a request that holds these parts. */
-  verdict(parts: readonly PromptPartKey[], now: Milliseconds): CrashVerdict {
+  verdict(parts: readonly PromptPartKey[], now: Milliseconds): QuarantineVerdict {
     const held = new Set(parts)
     const known = parts.flatMap(part => this.parts.get(part) ?? [])
     for (const evidence of known) this.judge(evidence)
-    const deadly = known.filter(({ isDeadly }) => isDeadly)
+    const deadly = known.filter(({ isRefused }) => isRefused)
     const refused = deadly.filter(evidence => !this.isExplained(evidence, held))
     if (refused.some(evidence => !isTrialDue(evidence, now))) return 'refuse'
-    const isSuspected = known.some(evidence => momentsOf(evidence).length >= ENDS_TO_ISOLATE)
+    const isSuspected = known.some(
+      evidence => independentCrashes(evidence).length >= CRASHES_TO_ISOLATE,
+    )
     return deadly.length > 0 || isSuspected ? 'isolate' : 'send'
   }
 
   /** The part by which a request is isolated: the one with the most ends, of equals the last, which fewer requests share. */
-  isolatedBy(parts: readonly PromptPartKey[]): PromptPartKey | undefined {
+  isolatingPart(parts: readonly PromptPartKey[]): PromptPartKey | undefined {
     const most = Math.max(0, ...parts.map(part => this.parts.get(part)?.ends.size ?? 0))
     return most === 0 ? undefined : parts.findLast(part => this.parts.get(part)?.ends.size === most)
   }
@@ -162,7 +164,7 @@
   noteTrial(parts: readonly PromptPartKey[], now: Milliseconds): readonly PromptPartKey[] {
     return parts.filter(part => {
       const evidence = this.parts.get(part)
-      if (evidence?.isDeadly !== true) return false
+      if (evidence?.isRefused !== true) return false
       evidence.newestAt = now
       return true
     })
@@ -170,17 +172,17 @@
 
   /** Three ends in as many moments, while others are answered. */
   private judge(evidence: Evidence): boolean {
-    if (evidence.isDeadly) return false
-    const isProven = momentsOf(evidence).length >= ENDS_TO_REFUSE
-    evidence.isDeadly = isProven && this.answers - evidence.answersBefore >= ANSWERS_ELSEWHERE
-    return evidence.isDeadly
+    if (evidence.isRefused) return false
+    const isProven = independentCrashes(evidence).length >= CRASHES_TO_REFUSE
+    evidence.isRefused = isProven && this.answers - evidence.answersBefore >= REQUIRED_OTHER_ANSWERS
+    return evidence.isRefused
   }
 
   /** Whether a refused part that the request lacks was at all ends of this one. */
   private isExplained({ ends }: Evidence, held: ReadonlySet<PromptPartKey>): boolean {
     if (ends.size === 0) return false
     return [...this.parts].some(([part, other]) => {
-      if (!other.isDeadly || held.has(part)) return false
+      if (!other.isRefused || held.has(part)) return false
       return [...ends.keys()].every(start => other.ends.has(start))
     })
   }
@@ -195,7 +197,7 @@
     const known = this.parts.get(part) ?? {
       ends: new Map(),
       answersBefore: this.answers,
-      isDeadly: false,
+      isRefused: false,
       newestAt: now,
     }
     this.parts.delete(part)
@@ -205,8 +207,8 @@
   }
 
   private forgetOld(now: Milliseconds): void {
-    for (const [part, { isDeadly, newestAt }] of this.parts) {
-      const isOld = !isDeadly && now - newestAt > SUSPECTED_MILLISECONDS
+    for (const [part, { isRefused, newestAt }] of this.parts) {
+      const isOld = !isRefused && now - newestAt > SUSPECTED_MILLISECONDS
       if (isOld || this.parts.size >= REMEMBERED_PARTS) this.parts.delete(part)
     }
   }
@@ -216,9 +218,9 @@
   return `${part} ${start}`
 }
 
-function countEnd(
+function countCrash(
   evidence: Evidence,
-  { start, wasIsolated = false, ageMilliseconds }: PartEnd,
+  { start, wasIsolated = false, ageMilliseconds }: PartCrash,
   now: Milliseconds,
 ): void {
   const { ends } = evidence
@@ -230,18 +232,21 @@
 }
 
 /** The ends that count: those of one moment once, but for what was sent as suspected. */
-function momentsOf({ ends }: Evidence): readonly CountedEnd[] {
+function independentCrashes({ ends }: Evidence): readonly CountedCrash[] {
   const inOrder = [...ends.values()].sort((left, right) => left.at - right.at)
-  const moments: CountedEnd[] = []
+  const moments: CountedCrash[] = []
   for (const end of inOrder) {
     const newest = moments.at(-1)?.at ?? Number.NEGATIVE_INFINITY
-    if (end.wasIsolated || end.at - newest >= MOMENT_MILLISECONDS) moments.push(end)
+    if (end.wasIsolated || end.at - newest >= CORRELATED_CRASH_MILLISECONDS) moments.push(end)
   }
   return moments
 }
 
 function isTrialDue({ ends, newestAt }: Evidence, now: Milliseconds): boolean {
-  const trials = Math.max(0, ends.size - ENDS_TO_REFUSE)
-  const wait = Math.min(LONGEST_TRIAL_MILLISECONDS, TRIAL_MILLISECONDS * 2 ** trials)
+  const trials = Math.max(0, ends.size - CRASHES_TO_REFUSE)
+  const wait = Math.min(
+    MAXIMUM_TRIAL_INTERVAL_MILLISECONDS,
+    TRIAL_INTERVAL_MILLISECONDS * 2 ** trials,
+  )
   return now - newestAt >= wait
 }
--- a/packages/decisions/src/retrying/relayStep.ts
+++ b/packages/decisions/src/retrying/relayStep.ts
@@ -14,8 +14,8 @@
  */
 
 import type { AttemptOutcome } from './attemptOutcome.js'
-import { canRepeat } from './nextStep.js'
-import type { RepeatableRoute } from './nextStep.js'
+import { canRepeat } from './retryStep.js'
+import type { RepeatableRoute } from './retryStep.js'
 
 /** What came of handing a request over. */
 export type RelayOutcome =
@@ -28,11 +28,11 @@
 /** What to do after it. */
 export type RelayStep = 'pass-on' | 'ask-another' | 'give-up'
 
-const MOST_INSTANCES = 2
+const MAXIMUM_RELAYS = 2
 const STATUS_UNAVAILABLE = 503
 
 /** Whether no connection came up for a request: it may be handed over, since nobody can have run it. */
-export function isLeftUnsent(history: readonly AttemptOutcome[], isCutOff: boolean): boolean {
+export function wasNeverSent(history: readonly AttemptOutcome[], isCutOff: boolean): boolean {
   const isUnconnected = history.every(({ kind }) => kind === 'connect-failed')
   return isUnconnected && (history.length > 0 || isCutOff)
 }
@@ -45,15 +45,15 @@
 ): RelayStep {
   const newest = outcomes.at(-1)
   if (newest?.kind === 'answered') return 'pass-on'
-  const mayAsk = hasAnother && outcomes.length < MOST_INSTANCES
-  if (mayAsk && mayTakeElsewhere(newest, route)) return 'ask-another'
+  const mayAsk = hasAnother && outcomes.length < MAXIMUM_RELAYS
+  if (mayAsk && mayRelayAgain(newest, route)) return 'ask-another'
   // Another instance may have run it before this one refused it: nobody says "not run" then.
   const mayHaveRun = outcomes.some(({ kind }) => kind === 'failed')
   return newest?.kind === 'refused' && !mayHaveRun ? 'pass-on' : 'give-up'
 }
 
 /** Whether the request has not run, or may run twice. */
-function mayTakeElsewhere(outcome: RelayOutcome | undefined, route: RepeatableRoute): boolean {
+function mayRelayAgain(outcome: RelayOutcome | undefined, route: RepeatableRoute): boolean {
   if (outcome?.kind === 'refused') return outcome.status === STATUS_UNAVAILABLE
   if (outcome?.kind === 'failed') return canRepeat({ route, isReplyStarted: false })
   return true
--- a/packages/decisions/src/retrying/crashSuspicion.ts
+++ b/packages/decisions/src/retrying/requestQuarantine.ts
@@ -22,8 +22,8 @@
  */
 
 import type { EndpointStart, PromptPartKey, RequestFingerprint } from '@rackwalk/shared'
-import type { CrashVerdict } from './crashVerdict.js'
-import type { PartEnd } from './deadlyParts.js'
+import type { QuarantineVerdict } from './quarantineVerdict.js'
+import type { PartCrash } from './promptPartQuarantine.js'
 
 /** An endpoint ended while a request was there and had no part of an answer. */
 export interface CrashMark {
@@ -40,7 +40,7 @@
 }
 
 /** What an instance has found out and the others should know. */
-export interface CrashNews {
+export interface CrashGossip {
   readonly marks: readonly CrashMark[]
   readonly cleared: readonly ClearedRequest[]
   /** Requests that were broken off by endpoints at which it is looked now. */
@@ -50,7 +50,7 @@
   /** Starts that were looked at for a break, and live. */
   readonly lives?: readonly EndpointStart[]
   /** Ends, by the parts of prompts that were there without an answer. */
-  readonly partEnds?: readonly PartEnd[]
+  readonly partEnds?: readonly PartCrash[]
   /** Parts that are refused from now on, */
   readonly deadlyParts?: readonly PromptPartKey[]
   /** that had an answer, */
@@ -59,7 +59,7 @@
   readonly triedParts?: readonly PromptPartKey[]
 }
 
-interface Suspicion {
+interface SuspectRequest {
   /** By start: whether the request was sent there as suspected. */
   readonly ends: Map<EndpointStart, boolean>
   /** Ends of which it was cleared; kept, since news of them may come late. */
@@ -70,24 +70,24 @@
  * Requests that are remembered at the most, so that a caller who sends many different ones can't fill the memory. Beyond them
  * each instance loses the oldest, those that are only suspected first.
  */
-const REMEMBERED_REQUESTS = 4_096
+const MAXIMUM_REQUESTS = 4_096
 /**
  * A fingerprint begins with so many characters of what is known without the body: only bodies of paths and teams under
  * suspicion are worth the time that hashing takes.
  */
-export const SCOPE_CHARACTERS = 6
+export const SCOPE_PREFIX_LENGTH = 6
 /** Ends that are remembered of one request: a proven one has two or three. */
-const REMEMBERED_ENDS = 16
+const MAXIMUM_CRASHES = 16
 
 /** What one instance believes of requests under which endpoints ended. */
-export class CrashSuspicions {
+export class RequestQuarantine {
   /** The one that was touched last stands last. */
-  private readonly requests = new Map<RequestFingerprint, Suspicion>()
+  private readonly requests = new Map<RequestFingerprint, SuspectRequest>()
   /** Suspected requests, by what is known of them without their bodies. */
   private readonly scopes = new Map<string, Set<RequestFingerprint>>()
 
   /** Whether a request that is known so far may be suspected; its body is not looked at otherwise. */
-  mayConcern(scope: string): boolean {
+  hasSuspectsInScope(scope: string): boolean {
     return this.scopes.has(scope)
   }
 
@@ -100,25 +100,25 @@
     return [...this.requests.keys()]
   }
 
-  verdict(fingerprint: RequestFingerprint): CrashVerdict {
+  verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
     const ends = this.openEnds(fingerprint)
     if (ends.length === 0) return 'send'
     return ends.some(([, wasIsolated]) => wasIsolated) ? 'refuse' : 'isolate'
   }
 
   /** Ends of which a request is not cleared. */
-  marksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
+  openMarksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
     return this.openEnds(fingerprint).map(([start, wasIsolated]) => {
       return { fingerprint, start, wasIsolated }
     })
   }
 
   /** Takes an end in, in whatever order; false where nothing is new. */
-  note({ fingerprint, start, wasIsolated }: CrashMark): boolean {
+  noteMark({ fingerprint, start, wasIsolated }: CrashMark): boolean {
     const { ends } = this.touch(fingerprint)
     const known = ends.get(start)
     if (known === true || known === wasIsolated) return false
-    if (known === undefined && ends.size >= REMEMBERED_ENDS) return false
+    if (known === undefined && ends.size >= MAXIMUM_CRASHES) return false
     ends.set(start, wasIsolated)
     this.noteScope(fingerprint)
     return true
@@ -127,12 +127,12 @@
   /** An endpoint answered a part of it, or an operator says so: these ends are not held against it. */
   clear(fingerprint: RequestFingerprint, starts: readonly EndpointStart[]): void {
     const { cleared } = this.touch(fingerprint)
-    for (const start of starts) if (cleared.size < REMEMBERED_ENDS) cleared.add(start)
+    for (const start of starts) if (cleared.size < MAXIMUM_CRASHES) cleared.add(start)
     this.noteScope(fingerprint)
   }
 
   private noteScope(fingerprint: RequestFingerprint): void {
-    const scope = fingerprint.slice(0, SCOPE_CHARACTERS)
+    const scope = fingerprint.slice(0, SCOPE_PREFIX_LENGTH)
     const suspects = this.scopes.get(scope) ?? new Set()
     if (this.verdict(fingerprint) === 'send') suspects.delete(fingerprint)
     else suspects.add(fingerprint)
@@ -146,10 +146,10 @@
     return [...known.ends].filter(([start]) => !known.cleared.has(start))
   }
 
-  private touch(fingerprint: RequestFingerprint): Suspicion {
+  private touch(fingerprint: RequestFingerprint): SuspectRequest {
     const known = this.requests.get(fingerprint) ?? { ends: new Map(), cleared: new Set() }
     this.requests.delete(fingerprint)
-    if (this.requests.size >= REMEMBERED_REQUESTS) this.forgetOne()
+    if (this.requests.size >= MAXIMUM_REQUESTS) this.forgetOne()
     this.requests.set(fingerprint, known)
     return known
   }
--- a/packages/decisions/src/retrying/nextStep.ts
+++ b/packages/decisions/src/retrying/retryStep.ts
@@ -10,7 +10,7 @@
 import type { AttemptOutcome } from './attemptOutcome.js'
 
 /** What to do after one attempt. */
-export type NextStep = 'pass-on' | 'try-another' | 'give-up'
+export type RetryStep = 'pass-on' | 'try-another' | 'give-up'
 
 /** What a route says of running a request again. */
 export interface RepeatableRoute {
@@ -36,9 +36,9 @@
   /** Whether the caller has the head of an answer. */
   readonly isReplyStarted: boolean
   /** Whether the caller has left or the deadline has passed. */
-  readonly isOver: boolean
+  readonly isAbandoned: boolean
   /** Whether an endpoint of the service was not asked yet. */
-  readonly hasUntried: boolean
+  readonly hasUntriedEndpoint: boolean
   /** Takes one retry of the fleet's budget, if there is one; asked last, and only if it counts. */
   readonly takeRetry: () => boolean
 }
@@ -51,14 +51,14 @@
  * Statuses that promise a caller that its request did not run. Only an endpoint's marked refusal or
  * the product itself may say so; an unmarked answer with one of them is never passed on.
  */
-const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, STATUS_MISDIRECTED, 429, 503])
+const NOT_EXECUTED_STATUSES: ReadonlySet<number> = new Set([408, STATUS_MISDIRECTED, 429, 503])
 const STATUS_OK = 200
 /** From here on a status says that the endpoint failed. */
 const STATUS_SERVER_ERROR = 500
 
 /** Whether an answer must not be passed on, since its status promises what nobody guarantees. */
-export function isPromising(status: number): boolean {
-  return PROMISING_STATUSES.has(status)
+export function claimsNotExecuted(status: number): boolean {
+  return NOT_EXECUTED_STATUSES.has(status)
 }
 
 /** Whether an answer says that the endpoint which was meant is no longer at its address. */
@@ -72,7 +72,7 @@
 }
 
 /** The step after the newest attempt of a situation. */
-export function nextStep(situation: RetrySituation): NextStep {
+export function retryStep(situation: RetrySituation): RetryStep {
   const outcome = situation.history.at(-1)
   if (outcome === undefined) return 'try-another'
   if (outcome.kind === 'answered') return afterAnswer(situation, outcome.status)
@@ -85,8 +85,8 @@
   return canRepeat(situation) && mayRetry(situation)
 }
 
-function afterAnswer(situation: RetrySituation, status: number): NextStep {
-  if (isPromising(status)) return 'give-up'
+function afterAnswer(situation: RetrySituation, status: number): RetryStep {
+  if (claimsNotExecuted(status)) return 'give-up'
   if (isServerError(status) && canRepeat(situation) && mayRetry(situation)) return 'try-another'
   // Whoever continues a stream has to answer with the rest of it.
   if (situation.isReplyStarted && status !== STATUS_OK) return 'give-up'
@@ -107,9 +107,9 @@
 
 /** Attempts, time, endpoints and the fleet's budget allow one more. */
 function mayRetry(situation: RetrySituation): boolean {
-  const { route, history, isOver, hasUntried, takeRetry } = situation
+  const { route, history, isAbandoned, hasUntriedEndpoint, takeRetry } = situation
   const sent = history.length - connectFailures(situation)
-  if (sent >= route.maximumAttempts || isOver || !hasUntried) return false
+  if (sent >= route.maximumAttempts || isAbandoned || !hasUntriedEndpoint) return false
   return takeRetry()
 }
 
--- a/packages/decisions/src/retrying/streamResumption.ts
+++ b/packages/decisions/src/retrying/streamResumption.ts
@@ -44,7 +44,7 @@
 }
 
 /** What one instance knows of the software versions of a service. */
-export interface VersionsView {
+export interface ServiceVersions {
   /** That served lately. */
   readonly versions: readonly SoftwareVersion[]
   /** Since the service was first seen. */
@@ -54,10 +54,10 @@
 }
 
 /** A caller may come back to a stream for this long. */
-export const LONGEST_STREAM_MILLISECONDS: Milliseconds = 30_000
+export const RESUMPTION_WINDOW_MILLISECONDS: Milliseconds = 30_000
 
 /** Where a stream of a service goes on. */
-export function resumptionOf(service: string, knowledge: ResumptionKnowledge): Resumption {
+export function resolveResumption(service: string, knowledge: ResumptionKnowledge): Resumption {
   const { versions, isConfirmed } = knowledge
   const [origin, other] = differentOrigins(knowledge.origins)
   if (other !== undefined) return { origin: undefined, source: 'contradictory' }
@@ -69,12 +69,16 @@
 }
 
 /** Whether all streams of a service that may be taken up again began at one software version, as far as anybody can know. */
-export function isSettled({ versions, knownForMilliseconds, isFresh }: VersionsView): boolean {
-  return versions.length === 1 && isFresh && knownForMilliseconds >= LONGEST_STREAM_MILLISECONDS
+export function hasSingleVersion({
+  versions,
+  knownForMilliseconds,
+  isFresh,
+}: ServiceVersions): boolean {
+  return versions.length === 1 && isFresh && knownForMilliseconds >= RESUMPTION_WINDOW_MILLISECONDS
 }
 
 /** Whether it matters which software version began a stream, so that others have to remember it. */
-export function isMixed(versions: readonly SoftwareVersion[]): boolean {
+export function hasMixedVersions(versions: readonly SoftwareVersion[]): boolean {
   return versions.length > 1
 }
 
--- a/packages/decisions/src/retrying/brokenStarts.ts
+++ b/packages/decisions/src/retrying/suspectEndpoints.ts
@@ -25,13 +25,13 @@
 import type { EndpointId, EndpointStart, Milliseconds } from '@rackwalk/shared'
 
 /** News of a break, or of an end, speaks of so long. */
-const SPOKEN_MILLISECONDS: Milliseconds = 1_000
+const SUSPICION_MILLISECONDS: Milliseconds = 1_000
 /** A front may hold a request for so long before it breaks it off. */
-const REMEMBERED_MILLISECONDS: Milliseconds = 30_000
+const RETENTION_MILLISECONDS: Milliseconds = 30_000
 /** Starts that are remembered at a time, so that endpoints that break everything off can't fill the memory. */
-const REMEMBERED_STARTS = 1_024
+const MAXIMUM_STARTS = 1_024
 
-interface BrokenStart {
+interface SuspectStart {
   readonly since: Milliseconds
   readonly until: Milliseconds
   /** Whether it is known to have ended. */
@@ -39,17 +39,17 @@
 }
 
 /** Starts of endpoints that broke something off of late. Times are monotonic. */
-export class BrokenStarts {
+export class SuspectEndpoints {
   /** The one that was spoken of last stands last. */
-  private readonly starts = new Map<EndpointStart, BrokenStart>()
+  private readonly starts = new Map<EndpointStart, SuspectStart>()
 
   /** It broke something off, or it is looked at for that: here or by news. */
-  note(start: EndpointStart, now: Milliseconds): void {
+  noteReset(start: EndpointStart, now: Milliseconds): void {
     this.speakOf(start, now, false)
   }
 
   /** It is known to have ended, and not to be back. */
-  noteAway(start: EndpointStart, now: Milliseconds): void {
+  noteTerminated(start: EndpointStart, now: Milliseconds): void {
     this.speakOf(start, now, true)
   }
 
@@ -60,41 +60,41 @@
     const hasEnded = isEnd || (isSpokenOf && known.hasEnded)
     this.starts.delete(start)
     this.forgetOld(now)
-    this.starts.set(start, { since, until: now + SPOKEN_MILLISECONDS, hasEnded })
+    this.starts.set(start, { since, until: now + SUSPICION_MILLISECONDS, hasEnded })
   }
 
   /** The look is over, and showed no end. */
-  forget(start: EndpointStart): void {
+  clearSuspicion(start: EndpointStart): void {
     this.starts.delete(start)
   }
 
   /** It had ended, and something answers there again. */
-  noteBack(start: EndpointStart, now: Milliseconds): void {
+  noteRecovered(start: EndpointStart, now: Milliseconds): void {
     const known = this.starts.get(start)
     if (known === undefined) return
     this.starts.set(start, { ...known, until: Math.min(known.until, now) })
   }
 
   /** It certainly lived at this time. */
-  noteLived(start: EndpointStart, at: Milliseconds): void {
+  noteAliveAt(start: EndpointStart, at: Milliseconds): void {
     const known = this.starts.get(start)
     if (known === undefined || at <= known.since) return
-    if (known.hasEnded) this.noteBack(start, at)
-    else this.forget(start)
+    if (known.hasEnded) this.noteRecovered(start, at)
+    else this.clearSuspicion(start)
   }
 
   /** The same of an endpoint whose platform does not tell its starts: those that had ended before are over. */
-  noteEndpointLived(start: EndpointStart, at: Milliseconds): void {
+  noteEndpointAliveAt(start: EndpointStart, at: Milliseconds): void {
     const endpoint = endpointOf(start)
     for (const [broken, { since }] of this.starts) {
       const isEarlier = broken !== start && endpointOf(broken) === endpoint && at > since
-      if (isEarlier) this.noteBack(broken, at)
+      if (isEarlier) this.noteRecovered(broken, at)
     }
-    this.noteLived(start, at)
+    this.noteAliveAt(start, at)
   }
 
   /** Whether what was sent to an endpoint at this time may have been there when this start ended, by all its starts. */
-  wasThere(start: EndpointStart, sentAt: Milliseconds): boolean {
+  wasInFlightAtEndpoint(start: EndpointStart, sentAt: Milliseconds): boolean {
     const endpoint = endpointOf(start)
     return ![...this.starts].some(([broken, { since, until }]) => {
       return endpointOf(broken) === endpoint && sentAt > since && sentAt < until
@@ -102,19 +102,19 @@
   }
 
   /** The same of what was sent to this start and no other, as the platform told it. */
-  wasAtStart(start: EndpointStart, sentAt: Milliseconds): boolean {
+  wasInFlightAtStart(start: EndpointStart, sentAt: Milliseconds): boolean {
     const known = this.starts.get(start)
     return known === undefined || sentAt <= known.since || sentAt >= known.until
   }
 
   /** Whether it is looked at, or known to have ended a moment ago: others go elsewhere while another may be asked. */
-  isInDoubt(start: EndpointStart, now: Milliseconds): boolean {
+  isSuspect(start: EndpointStart, now: Milliseconds): boolean {
     const known = this.starts.get(start)
     return known !== undefined && now < known.until
   }
 
   /** The same of an endpoint whose platform does not tell its starts. */
-  isEndpointInDoubt(endpoint: EndpointId, now: Milliseconds): boolean {
+  isEndpointSuspect(endpoint: EndpointId, now: Milliseconds): boolean {
     return [...this.starts].some(([start, { until }]) => {
       return now < until && endpointOf(start) === endpoint
     })
@@ -124,7 +124,7 @@
    * The start that breaks of an endpoint belong to whose platform does not tell its starts, by what is spoken of; undefined
    * where nothing is. `lived` is a time at which it certainly did: what was spoken of before is another matter.
    */
-  startOf(
+  suspectStartOf(
     endpoint: EndpointId,
     { now, lived }: { readonly now: Milliseconds; readonly lived: Milliseconds },
   ): EndpointStart | undefined {
@@ -137,8 +137,8 @@
 
   private forgetOld(now: Milliseconds): void {
     for (const [start, { until }] of this.starts) {
-      const isOld = until + REMEMBERED_MILLISECONDS <= now
-      if (!isOld && this.starts.size < REMEMBERED_STARTS) return
+      const isOld = until + RETENTION_MILLISECONDS <= now
+      if (!isOld && this.starts.size < MAXIMUM_STARTS) return
       this.starts.delete(start)
     }
   }
--- a/packages/decisions/src/retrying/endedExchange.ts
+++ b/packages/decisions/src/retrying/terminationSigns.ts
@@ -32,7 +32,7 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** What says, or may say, that a start of an endpoint is over. */
-export type StartSign =
+export type TerminationSign =
   | 'replaced'
   | 'misdirected'
   | 'silent'
@@ -45,7 +45,7 @@
   | 'turned-away'
 
 /** What a question for an endpoint's state has come to so far. */
-export type StateSign =
+export type StateProbeResult =
   | 'lives'
   /** It answers with an error: no engine is behind it. */
   | 'fails'
@@ -57,126 +57,137 @@
   | 'no-connection'
 
 /** An exchange without a whole answer. */
-export interface OpenExchange {
+export interface InFlightState {
   /** Monotonic time at which it was sent, */
   readonly sentAt: Milliseconds
   /** and at which the newest part of its answer came; when it was sent, where none did. */
-  readonly quietSince: Milliseconds
+  readonly lastReceivedAt: Milliseconds
   /** Whether its request may be repeated or resumed elsewhere. */
-  readonly mayGoOn: boolean
+  readonly isRetryable: boolean
   /** Whether its caller has a part of the answer. */
   readonly isReplyStarted: boolean
   /** Whether nothing is read, since its caller takes nothing at present. */
-  readonly isHeldBack: boolean
+  readonly isPaused: boolean
 }
 
 /** When a sign was seen. */
-export interface SignTimes {
+export interface SignEvidenceTimes {
   /** Monotonic time of the question, or of a proof. */
   readonly askedAt: Milliseconds
   /** Monotonic time at which anything last came from the endpoint. */
   readonly heardAt: Milliseconds
 }
 
-type Fate = 'goes-on' | 'refused' | 'cut'
+type ExchangeClass = 'goes-on' | 'refused' | 'cut'
 
 interface SignRule {
-  readonly ends: readonly Fate[]
+  readonly ends: readonly ExchangeClass[]
   readonly isProof: boolean
-  readonly isAsked: boolean
+  readonly requiresProbe: boolean
 }
 
 /** A question that is held for so long is not answered by a usual engine, */
-export const SILENT_MILLISECONDS: Milliseconds = 200
+export const PROBE_TIMEOUT_MILLISECONDS: Milliseconds = 200
 /** and after this time not by a slow one either. */
-export const STILL_SILENT_MILLISECONDS: Milliseconds = 500
+export const LONG_PROBE_TIMEOUT_MILLISECONDS: Milliseconds = 500
 /** Questions to an unlisted endpoint that come to no connection before that counts. */
-const UNCONNECTED_QUESTIONS = 2
+const UNCONNECTED_PROBES = 2
 /** Whoever told that an engine is away has looked twice; without that, questions count only in a row of so many. */
-const QUESTIONS_WITHOUT_NEWS = 2
+const PROBES_WITHOUT_GOSSIP = 2
 /** From the end of an engine to its news: two looks, and the way. */
-const NEWS_MILLISECONDS: Milliseconds = 300
+const GOSSIP_DELAY_MILLISECONDS: Milliseconds = 300
 
-const NOTHING: SignRule = { ends: [], isProof: false, isAsked: false }
-const PROOF: SignRule = { ends: ['goes-on', 'refused', 'cut'], isProof: true, isAsked: false }
-const QUESTION: SignRule = { ...NOTHING, isAsked: true }
-const RULES: Readonly<Record<StartSign, SignRule>> = {
+const NOTHING: SignRule = { ends: [], isProof: false, requiresProbe: false }
+const PROOF: SignRule = { ends: ['goes-on', 'refused', 'cut'], isProof: true, requiresProbe: false }
+const PROBE_ONLY: SignRule = { ...NOTHING, requiresProbe: true }
+const SIGN_RULES: Readonly<Record<TerminationSign, SignRule>> = {
   replaced: PROOF,
   misdirected: PROOF,
   silent: { ...NOTHING, ends: ['goes-on'] },
   'still-silent': { ...NOTHING, ends: ['goes-on', 'refused'] },
   'cut-off': { ...NOTHING, ends: ['goes-on'] },
-  away: QUESTION,
-  'broke-off': QUESTION,
-  unlisted: QUESTION,
+  away: PROBE_ONLY,
+  'broke-off': PROBE_ONLY,
+  unlisted: PROBE_ONLY,
   'nobody-listens': NOTHING,
   'turned-away': NOTHING,
 }
 
 /** Whether an endpoint is asked for its state at this sign, where any of these is open there. */
-export function isAsked(sign: StartSign, exchanges: readonly OpenExchange[]): boolean {
-  return RULES[sign].isAsked && exchanges.some(exchange => fateOf(exchange) !== 'cut')
+export function isAsked(sign: TerminationSign, exchanges: readonly InFlightState[]): boolean {
+  return (
+    SIGN_RULES[sign].requiresProbe &&
+    exchanges.some(exchange => exchangeClassOf(exchange) !== 'cut')
+  )
 }
 
 /** Whether an exchange is ended by a sign. */
-export function isEndedBy(exchange: OpenExchange, sign: StartSign, times: SignTimes): boolean {
-  const { ends, isProof } = RULES[sign]
-  if (exchange.isHeldBack || !ends.includes(fateOf(exchange))) return false
+export function isTerminatedBy(
+  exchange: InFlightState,
+  sign: TerminationSign,
+  times: SignEvidenceTimes,
+): boolean {
+  const { ends, isProof } = SIGN_RULES[sign]
+  if (exchange.isPaused || !ends.includes(exchangeClassOf(exchange))) return false
   if (isProof) return true
-  return exchange.quietSince <= times.askedAt && times.heardAt <= times.askedAt
+  return exchange.lastReceivedAt <= times.askedAt && times.heardAt <= times.askedAt
 }
 
-function fateOf({ mayGoOn, isReplyStarted }: OpenExchange): Fate {
-  if (mayGoOn) return 'goes-on'
+function exchangeClassOf({ isRetryable, isReplyStarted }: InFlightState): ExchangeClass {
+  if (isRetryable) return 'goes-on'
   return isReplyStarted ? 'cut' : 'refused'
 }
 
 /** What the newest question says of the start, by what all questions at one sign came to. */
-export function signOfQuestions(
-  why: StartSign,
-  questions: readonly StateSign[],
+export function signOfProbes(
+  why: TerminationSign,
+  questions: readonly StateProbeResult[],
   elapsed: Milliseconds,
-): StartSign | undefined {
+): TerminationSign | undefined {
   const newest = questions.at(-1)
-  if (newest === 'fails' || newest === 'held') return signOfSilence(why, questions, elapsed)
+  if (newest === 'fails' || newest === 'held')
+    return signOfUnansweredProbes(why, questions, elapsed)
   if (newest === 'turned-away' || newest === 'nobody-listens') return newest
-  const isCutOff = questions.length >= UNCONNECTED_QUESTIONS && newest === 'no-connection'
+  const isCutOff = questions.length >= UNCONNECTED_PROBES && newest === 'no-connection'
   return why === 'unlisted' && isCutOff ? 'cut-off' : undefined
 }
 
-function signOfSilence(
-  why: StartSign,
-  questions: readonly StateSign[],
+function signOfUnansweredProbes(
+  why: TerminationSign,
+  questions: readonly StateProbeResult[],
   elapsed: Milliseconds,
-): StartSign | undefined {
+): TerminationSign | undefined {
   const hasFailed = questions.at(-1) === 'fails'
-  const isLong = hasFailed || elapsed >= STILL_SILENT_MILLISECONDS
-  if (isLong && questions.length >= neededQuestions(why)) return 'still-silent'
-  return hasFailed || elapsed >= SILENT_MILLISECONDS ? 'silent' : undefined
+  const isLong = hasFailed || elapsed >= LONG_PROBE_TIMEOUT_MILLISECONDS
+  if (isLong && questions.length >= requiredProbes(why)) return 'still-silent'
+  return hasFailed || elapsed >= PROBE_TIMEOUT_MILLISECONDS ? 'silent' : undefined
 }
 
 /** Whether one more question is asked after these. */
-export function isAskedAgain(why: StartSign, questions: readonly StateSign[]): boolean {
+export function requiresAnotherProbe(
+  why: TerminationSign,
+  questions: readonly StateProbeResult[],
+): boolean {
   const newest = questions.at(-1)
   if (why === 'unlisted' && newest === 'no-connection') {
-    return questions.length < UNCONNECTED_QUESTIONS
+    return questions.length < UNCONNECTED_PROBES
   }
   const isUnanswered = newest === 'held' || newest === 'fails'
-  return isUnanswered && questions.length < neededQuestions(why)
+  return isUnanswered && questions.length < requiredProbes(why)
 }
 
 /** Questions that must go unanswered before it counts for requests that may run once. */
-function neededQuestions(why: StartSign): number {
-  return why === 'away' ? 1 : QUESTIONS_WITHOUT_NEWS
+function requiredProbes(why: TerminationSign): number {
+  return why === 'away' ? 1 : PROBES_WITHOUT_GOSSIP
 }
 
 /**
  * Whether an exchange was there when its endpoint ended, and was not sent to its front afterwards: only such a one can have
  * ended it. `brokenAt` is the first break seen here, undefined where none was.
  */
-export function wasThereAtEnd(
-  { sentAt }: Pick<OpenExchange, 'sentAt'>,
+export function wasInFlightAtCrash(
+  { sentAt }: Pick<InFlightState, 'sentAt'>,
   known: { readonly brokenAt: Milliseconds | undefined; readonly knownAt: Milliseconds },
 ): boolean {
-  return sentAt <= (known.brokenAt ?? known.knownAt - NEWS_MILLISECONDS)
+  return sentAt <= (known.brokenAt ?? known.knownAt - GOSSIP_DELAY_MILLISECONDS)
 }
--- a/packages/decisions/src/retrying/unjudgedBreaks.ts
+++ b/packages/decisions/src/retrying/unconfirmedCrashes.ts
@@ -23,16 +23,16 @@
  */
 
 import type { EndpointStart, Milliseconds, RequestFingerprint } from '@rackwalk/shared'
-import { SCOPE_CHARACTERS } from './crashSuspicion.js'
-import type { CrashMark } from './crashSuspicion.js'
-import type { CrashVerdict } from './crashVerdict.js'
+import { SCOPE_PREFIX_LENGTH } from './requestQuarantine.js'
+import type { CrashMark } from './requestQuarantine.js'
+import type { QuarantineVerdict } from './quarantineVerdict.js'
 
 /** A break counts for no longer: two looks take a quarter of it where processors are free. */
-const LOOK_MILLISECONDS: Milliseconds = 1_000
+const SUSPICION_MILLISECONDS: Milliseconds = 1_000
 /** Breaks that are remembered at a time, so that an endpoint that breaks everything off can't fill the memory. */
 const REMEMBERED_BREAKS = 1_024
 
-interface UnjudgedBreak {
+interface UnconfirmedCrash {
   readonly fingerprint: RequestFingerprint
   readonly start: EndpointStart
   readonly wasIsolated: boolean
@@ -41,15 +41,15 @@
 }
 
 /** Requests that were broken off by endpoints at which it is looked now. Times are monotonic. */
-export class UnjudgedBreaks {
+export class UnconfirmedCrashes {
   /** The oldest first. */
-  private breaks: UnjudgedBreak[] = []
+  private breaks: UnconfirmedCrash[] = []
 
   /** A request was broken off, and it is looked whether its endpoint has ended. */
-  note({ fingerprint, start, wasIsolated }: CrashMark, now: Milliseconds): void {
+  noteReset({ fingerprint, start, wasIsolated }: CrashMark, now: Milliseconds): void {
     this.forgetOld(now)
     if (this.breaks.length >= REMEMBERED_BREAKS) this.breaks.shift()
-    const until = now + LOOK_MILLISECONDS
+    const until = now + SUSPICION_MILLISECONDS
     // Who looks renews its news, and may know of the end later than this instance.
     const hasEnded = this.breaks.some(known => {
       return known.hasEnded && known.start === start && known.fingerprint === fingerprint
@@ -58,9 +58,9 @@
   }
 
   /** A start of an endpoint is known to have ended; the mark of what it broke off may come later than that. */
-  noteEnd(start: EndpointStart, now: Milliseconds): void {
+  noteTerminated(start: EndpointStart, now: Milliseconds): void {
     this.forgetOld(now)
-    const until = now + LOOK_MILLISECONDS
+    const until = now + SUSPICION_MILLISECONDS
     this.breaks = this.breaks.flatMap(broken => {
       if (broken.start !== start || broken.hasEnded) return [broken]
       return broken.wasIsolated ? [{ ...broken, hasEnded: true, until }] : [broken]
@@ -73,9 +73,11 @@
   }
 
   /** Whether a request that is known so far may be one of them; its body is not looked at otherwise. */
-  mayConcern(scope: string, now: Milliseconds): boolean {
+  hasSuspectsInScope(scope: string, now: Milliseconds): boolean {
     this.forgetOld(now)
-    return this.breaks.some(({ fingerprint }) => fingerprint.slice(0, SCOPE_CHARACTERS) === scope)
+    return this.breaks.some(
+      ({ fingerprint }) => fingerprint.slice(0, SCOPE_PREFIX_LENGTH) === scope,
+    )
   }
 
   /** An answer or an operator cleared a request of these ends, whose marks were known there. */
@@ -86,7 +88,7 @@
   }
 
   /** What to do with a request by its breaks. */
-  verdict(fingerprint: RequestFingerprint, now: Milliseconds): CrashVerdict {
+  verdict(fingerprint: RequestFingerprint, now: Milliseconds): QuarantineVerdict {
     this.forgetOld(now)
     const breaks = this.breaks.filter(broken => broken.fingerprint === fingerprint)
     if (breaks.some(({ hasEnded }) => hasEnded)) return 'refuse'
--- a/packages/decisions/src/retrying/withdrawal.ts
+++ b/packages/decisions/src/retrying/withdrawal.ts
@@ -16,7 +16,7 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** How an instance knows that an endpoint has ended. Times are monotonic. */
-export type KnownEnd =
+export type KnownTermination =
   | {
       readonly source: 'look'
       /** When the break was seen for which it was looked. */
@@ -33,7 +33,7 @@
     }
 
 /** An exchange with an endpoint that has not ended. Times are monotonic. */
-export interface OpenAttempt {
+export interface InFlightAttempt {
   readonly sentAt: Milliseconds
   /** When the newest part of its answer came; undefined where there is none. */
   readonly heardAt: Milliseconds | undefined
@@ -42,7 +42,7 @@
   /** Whether its request may run once more. */
   readonly isRepeatable: boolean
   /** When the end was known first by which it would have been given up, were it repeatable; undefined where none was. */
-  readonly doubtedAt: Milliseconds | undefined
+  readonly firstDoubtedAt: Milliseconds | undefined
 }
 
 /** What is done with an exchange. */
@@ -63,9 +63,9 @@
 const CONFIRMED_MILLISECONDS: Milliseconds = 400
 
 /** Whether an exchange is given up for an end that is known, at an endpoint that last told its state at a time. */
-export function withdrawal(
-  attempt: OpenAttempt,
-  end: KnownEnd,
+export function judgeWithdrawal(
+  attempt: InFlightAttempt,
+  end: KnownTermination,
   endpointHeardAt: Milliseconds,
 ): Withdrawal {
   const { endedBefore, seenAt } = timesOf(end, endpointHeardAt)
@@ -77,21 +77,21 @@
 }
 
 /** When an end was known. */
-function knownAt(end: KnownEnd): Milliseconds {
+function knownAt(end: KnownTermination): Milliseconds {
   return end.source === 'look' ? end.lookedAt : end.toldAt
 }
 
 function isConfirmed(
-  { doubtedAt }: OpenAttempt,
-  end: KnownEnd,
+  { firstDoubtedAt }: InFlightAttempt,
+  end: KnownTermination,
   endpointHeardAt: Milliseconds,
 ): boolean {
-  if (doubtedAt === undefined || endpointHeardAt >= doubtedAt) return false
-  return knownAt(end) >= doubtedAt + CONFIRMED_MILLISECONDS
+  if (firstDoubtedAt === undefined || endpointHeardAt >= firstDoubtedAt) return false
+  return knownAt(end) >= firstDoubtedAt + CONFIRMED_MILLISECONDS
 }
 
 /** What was sent before the first time is not answered any more; what was sent before the second one was there at the end. */
-function timesOf(end: KnownEnd, endpointHeardAt: Milliseconds) {
+function timesOf(end: KnownTermination, endpointHeardAt: Milliseconds) {
   if (end.source === 'look') return { endedBefore: end.lookedAt, seenAt: end.brokenAt }
   const leftAt = end.toldAt - NEWS_MILLISECONDS
   // Whoever has told its state since the news may have left is back, or was never gone.
@@ -100,7 +100,7 @@
   return { endedBefore, seenAt: end.firstToldAt - NEWS_MILLISECONDS }
 }
 
-function isHung({ heardAt, isPaused }: OpenAttempt, end: KnownEnd): boolean {
+function isHung({ heardAt, isPaused }: InFlightAttempt, end: KnownTermination): boolean {
   if (end.source === 'news' || isPaused || heardAt === undefined) return false
   return heardAt < end.lookedAt - QUIET_MILLISECONDS
 }
--- a/packages/decisions/src/stopping/answerCompleteness.ts
+++ b/packages/decisions/src/stopping/answerCompleteness.ts
@@ -5,8 +5,8 @@
  * passed on whatever happens afterwards; nothing else is framed as complete.
  */
 
-import type { RepeatableRoute } from '../retrying/nextStep.js'
-import { canRepeat } from '../retrying/nextStep.js'
+import type { RepeatableRoute } from '../retrying/retryStep.js'
+import { canRepeat } from '../retrying/retryStep.js'
 
 /** How an answer tells where it ends. */
 export type AnswerFraming =
@@ -43,11 +43,11 @@
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
   /** Whether the body lacks something by itself: the end of an event, or the event that closes its stream. */
-  readonly isBodyOpen: boolean
+  readonly isBodyTruncated: boolean
 }
 
 /** What becomes of an answer and its request. */
-export type AnswerFate =
+export type AnswerDisposition =
   /** Passed on, and framed as complete. */
   | 'whole'
   /** Another endpoint goes on after the last event that the caller has. */
@@ -62,7 +62,7 @@
   | 'dropped'
 
 /** The one end that proves an answer whole. */
-const PROOFS: Readonly<Record<AnswerFraming, AnswerEnd>> = {
+const COMPLETE_ENDS: Readonly<Record<AnswerFraming, AnswerEnd>> = {
   length: 'complete',
   chunks: 'complete',
   connection: 'closed',
@@ -73,7 +73,7 @@
 const FINAL_ENDS: ReadonlySet<AnswerEnd> = new Set(['deadline', 'caller-left', 'instance-stopped'])
 
 /** Ends that this instance or its caller brought about. */
-const OWN_ENDS: ReadonlySet<AnswerEnd> = new Set([
+const LOCAL_ENDS: ReadonlySet<AnswerEnd> = new Set([
   'aborted',
   'deadline',
   'caller-left',
@@ -82,21 +82,21 @@
 ])
 
 /** Whether an answer that is not whole tells against its endpoint. */
-export function isEndpointsFailure({ end }: EndedAnswer): boolean {
-  return !OWN_ENDS.has(end)
+export function isEndpointFailure({ end }: EndedAnswer): boolean {
+  return !LOCAL_ENDS.has(end)
 }
 
 /** Whether an answer may be framed as complete. */
-export function isProvenWhole({ framing, end, isBodyOpen }: EndedAnswer): boolean {
-  return end === PROOFS[framing] && !isBodyOpen
+export function isProvenComplete({ framing, end, isBodyTruncated }: EndedAnswer): boolean {
+  return end === COMPLETE_ENDS[framing] && !isBodyTruncated
 }
 
 /** What becomes of an answer, as far as attempts, endpoints and the retry budget allow. */
-export function answerFate(
+export function answerDisposition(
   answer: EndedAnswer,
   request: { readonly route: RepeatableRoute; readonly isReplyStarted: boolean },
-): AnswerFate {
-  if (isProvenWhole(answer)) return 'whole'
+): AnswerDisposition {
+  if (isProvenComplete(answer)) return 'whole'
   if (answer.end === 'caller-left') return 'dropped'
   const { isReplyStarted } = request
   if (!FINAL_ENDS.has(answer.end) && canRepeat(request)) {
--- a/packages/decisions/src/stopping/drainPhases.ts
+++ b/packages/decisions/src/stopping/drainPhases.ts
@@ -30,12 +30,12 @@
 }
 
 /** Whether the instance may stop waiting for requests and settle. */
-export function isTimeToSettle({ elapsed, grace, inFlight }: DrainState): boolean {
+export function shouldSettle({ elapsed, grace, inFlight }: DrainState): boolean {
   if (elapsed >= grace - SETTLE_MILLISECONDS) return true
   return inFlight === 0 && elapsed >= SHORTEST_DRAIN_MILLISECONDS
 }
 
 /** Time since the notice at which the process ends, whether or not it has settled. */
-export function exitTime(grace: Milliseconds): Milliseconds {
+export function exitDelay(grace: Milliseconds): Milliseconds {
   return grace - EXIT_MILLISECONDS
 }
--- a/packages/decisions/src/stopping/finalError.ts
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -7,11 +7,11 @@
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
 import type { RackwalkError } from '@rackwalk/shared'
-import { returnAfterSeconds } from '../admitting/budgetPatience.js'
+import { toRetryAfterSeconds } from '../admitting/budgetWaitLimit.js'
 import type { SendRefusal } from '../choosing/sendRefusal.js'
 import type { AttemptOutcome } from '../retrying/attemptOutcome.js'
 import { mayHaveRun } from '../retrying/attemptOutcome.js'
-import { isPromising } from '../retrying/nextStep.js'
+import { claimsNotExecuted } from '../retrying/retryStep.js'
 
 const CODE_OF_REFUSAL = {
   cold: ResultCode.WarmingUp,
@@ -20,7 +20,7 @@
 } as const
 
 /** Why no endpoint was asked at all. */
-export type NoChoice =
+export type NoEndpointReason =
   | { readonly kind: 'none-listed' }
   | { readonly kind: 'none-with-room' }
   /** All that have room may be sent nothing from here now; this is over first. `chance` in [0, 1) spreads callers. */
@@ -36,7 +36,7 @@
   readonly isCallerGone: boolean
   readonly isLate: boolean
   /** Why nothing was chosen while no attempt had reached an endpoint; undefined where something was. */
-  readonly noChoice: NoChoice | undefined
+  readonly noChoice: NoEndpointReason | undefined
 }
 
 /** The error of a request that came to no whole answer. */
@@ -53,7 +53,7 @@
 }
 
 function errorAfter({ service, history, noChoice }: EndedRequest): RackwalkError {
-  if (noChoice !== undefined) return errorOfNoChoice(service, noChoice)
+  if (noChoice !== undefined) return noEndpointError(service, noChoice)
   const ran = history.filter(mayHaveRun)
   const failure = ran.findLast(isFailure) ?? ran.at(-1)
   if (failure !== undefined) return errorOfRun(failure)
@@ -62,7 +62,7 @@
   return new NotRunError(ResultCode.NoEndpoint, detail)
 }
 
-function errorOfNoChoice(service: string, noChoice: NoChoice): RackwalkError {
+function noEndpointError(service: string, noChoice: NoEndpointReason): RackwalkError {
   switch (noChoice.kind) {
     case 'none-listed':
       return new NotRunError(ResultCode.NoEndpoint, service)
@@ -72,7 +72,7 @@
       return new NotRunError(ResultCode.EndsEndpoints)
     case 'none-permitted': {
       const { refusal, chance } = noChoice
-      return refusedByAll(service, refusal, chance)
+      return allRefusedError(service, refusal, chance)
     }
   }
 }
@@ -81,14 +81,18 @@
  * The error where all endpoints that are free may be sent nothing now. Callers who are refused together must not return
  * together: `chance` in [0, 1) spreads them.
  */
-export function refusedByAll(service: string, refusal: SendRefusal, chance: number): NotRunError {
-  const returnAfter = returnAfterSeconds(refusal.waitMilliseconds * (1 + chance))
+export function allRefusedError(
+  service: string,
+  refusal: SendRefusal,
+  chance: number,
+): NotRunError {
+  const returnAfter = toRetryAfterSeconds(refusal.waitMilliseconds * (1 + chance))
   return new NotRunError(CODE_OF_REFUSAL[refusal.kind], service, returnAfter)
 }
 
 /** An answer is a failure of its own only where it must not be passed on. */
 function isFailure(outcome: AttemptOutcome): boolean {
-  return outcome.kind !== 'answered' || isPromising(outcome.status)
+  return outcome.kind !== 'answered' || claimsNotExecuted(outcome.status)
 }
 
 function errorOfRun(outcome: AttemptOutcome): RackwalkError {
--- a/packages/router/__tests__/publishedAdvice.spec.ts
+++ b/packages/router/__tests__/adviceFromHeaders.spec.ts
@@ -1,12 +1,12 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { adviceText, readAdvice } from '@rackwalk/decisions'
-import { publishedAdvice } from '@rackwalk/router'
+import { adviceText, parseAdvice } from '@rackwalk/decisions'
+import { adviceFromHeaders } from '@rackwalk/router'
 
 const CONTEXT = { wallTime: Date.UTC(2026, 0, 4, 8, 0, 0), longestRestMilliseconds: 60_000 }
 
 function said(status: number, headers: Readonly<Record<string, string>>): string {
-  return adviceText(readAdvice(publishedAdvice(status, headers), CONTEXT)) ?? 'nothing'
+  return adviceText(parseAdvice(adviceFromHeaders(status, headers), CONTEXT)) ?? 'nothing'
 }
 
 /** Each with the status of its answer. */
--- a/packages/router/__tests__/answerEnds.spec.ts
+++ b/packages/router/__tests__/answerEnds.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
-import { isProvenWhole } from '@rackwalk/decisions'
+import { isProvenComplete } from '@rackwalk/decisions'
 import type { AnswerEnd, AnswerFraming, EndedAnswer } from '@rackwalk/decisions'
 import { ScriptedEndpoint, wireOf } from './standIns/scriptedAnswer.js'
 import type { AnswerScript, ReadAnswer } from './standIns/scriptedAnswer.js'
@@ -54,7 +54,7 @@
 }
 
 function faultOf(script: AnswerScript, answer: ReadAnswer, judge: Judge): string | undefined {
-  const isWhole = judge({ framing: answer.framing, end: answer.end, isBodyOpen: false })
+  const isWhole = judge({ framing: answer.framing, end: answer.end, isBodyTruncated: false })
   const hasAll = answer.body === bodyOf(script)
   const isReset = script.framing === 'connection' && script.ending !== 'closes'
   if (isWhole && (!hasAll || isReset)) return 'taken for whole'
@@ -77,13 +77,13 @@
 function wrongIn(framing: AnswerFraming, end: AnswerEnd): Judge {
   return answer => {
     const isRow = answer.framing === framing && answer.end === end
-    return isRow ? !isProvenWhole(answer) : isProvenWhole(answer)
+    return isRow ? !isProvenComplete(answer) : isProvenComplete(answer)
   }
 }
 
 describe('an answer that is read from a socket', () => {
   it('is taken for whole if and only if it is', async () => {
-    const result = await check(isProvenWhole)
+    const result = await check(isProvenComplete)
     expect(result.errorInstance ?? undefined).toBeUndefined()
     expect(result.numRuns).toBe(RUNS)
   })
--- a/packages/router/__tests__/answerHold.spec.ts
+++ b/packages/router/__tests__/answerHold.spec.ts
@@ -1,24 +1,28 @@
 import { describe, expect, it } from 'vitest'
-import { HoldSpace, holdKind } from '@rackwalk/router'
+import { AnswerBufferPool, bufferingModeOf } from '@rackwalk/router'
 
 /** How much of an answer is held until it is whole. */
 
-const LIMITS = { answerBytes: 100, totalBytes: 250, openEndedMilliseconds: 1_000 }
+const LIMITS = {
+  maximumAnswerBytes: 100,
+  maximumTotalBytes: 250,
+  maximumUnsizedMilliseconds: 1_000,
+}
 
 describe('the memory of held answers', () => {
   it('has a bound for each answer, and what goes past it is not held any more', () => {
-    const hold = new HoldSpace(LIMITS).open()
-    expect([60, 41, 10].map(bytes => hold.take(bytes))).toEqual([true, false, false])
+    const hold = new AnswerBufferPool(LIMITS).openReservation()
+    expect([60, 41, 10].map(bytes => hold.reserve(bytes))).toEqual([true, false, false])
   })
 
   it('has a bound for all answers together, and is given back once', () => {
-    const space = new HoldSpace(LIMITS)
-    const holds = [1, 2, 3].map(() => space.open())
-    expect(holds.map(hold => hold.take(100))).toEqual([true, true, false])
+    const space = new AnswerBufferPool(LIMITS)
+    const holds = [1, 2, 3].map(() => space.openReservation())
+    expect(holds.map(hold => hold.reserve(100))).toEqual([true, true, false])
     holds[0]?.release()
     holds[0]?.release()
     expect(space.usedBytes).toBe(100)
-    expect(space.open().take(100)).toBe(true)
+    expect(space.openReservation().reserve(100)).toBe(true)
   })
 })
 
@@ -34,6 +38,6 @@
     ['a coded document', { 'content-type': 'application/json', 'content-encoding': 'gzip' }],
     ['nothing said', {}],
   ])('%s', (_, headers) => {
-    expect(holdKind(headers)).toMatchSnapshot()
+    expect(bufferingModeOf(headers)).toMatchSnapshot()
   })
 })
--- a/packages/router/__tests__/bodyProof.spec.ts
+++ b/packages/router/__tests__/bodyProof.spec.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { JsonProof } from '@rackwalk/router'
+import { JsonCompletenessCheck } from '@rackwalk/router'
 
 /** A JSON document tells by itself whether it is whole. */
 
@@ -33,7 +33,7 @@
     fc.assert(
       fc.property(cuts, ({ document, splits, length }) => {
         const arrived = document.subarray(0, length)
-        const proof = new JsonProof()
+        const proof = new JsonCompletenessCheck()
         for (const piece of pieces(
           arrived,
           splits.map(split => Math.min(split, length)),
@@ -69,7 +69,7 @@
     ['a byte order mark', '\uFEFF{"a":1}'],
     ['too many ends', '{"a":1}}'],
   ])('%s', (_, text) => {
-    const proof = new JsonProof()
+    const proof = new JsonCompletenessCheck()
     proof.read(Buffer.from(text))
     expect(proof.state).toMatchSnapshot()
   })
--- a/packages/router/__tests__/callerReply.spec.ts
+++ b/packages/router/__tests__/callerReply.spec.ts
@@ -3,8 +3,8 @@
 import type { AddressInfo } from 'node:net'
 import { connect } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
-import { LinkBudget } from '@rackwalk/decisions'
-import { CallerReply, RefusedBodies, StandardReturnTime } from '@rackwalk/router'
+import { LinkBandwidthBudget } from '@rackwalk/decisions'
+import { CallerReply, RefusedBodyHandler, StandardRetryAfter } from '@rackwalk/router'
 import { SystemClock } from '@rackwalk/shared'
 
 /** What a caller sees of a reply that is broken off, whatever its connection was doing. */
@@ -13,10 +13,10 @@
 const LARGE = Buffer.alloc(20_000_000, 'x')
 const HEAD = { statusCode: 200, rawHeaders: ['Content-Type', 'text/plain'] } as IncomingMessage
 
-const refusedBodies = new RefusedBodies({
+const refusedBodies = new RefusedBodyHandler({
   clock: new SystemClock(),
-  link: new LinkBudget(1_000_000),
-  counters: { noteRefusedBody: () => {}, noteBytesInVain: () => {} },
+  link: new LinkBandwidthBudget(1_000_000),
+  counters: { noteRefusedBody: () => {}, noteDiscardedBytes: () => {} },
 })
 
 let server: Server | undefined
@@ -33,7 +33,7 @@
     const reply = new CallerReply(
       response,
       {},
-      new StandardReturnTime(),
+      new StandardRetryAfter(),
       () => false,
       refusedBodies,
     )
@@ -73,7 +73,7 @@
       reply.start(HEAD, false)
       reply.end(LARGE)
       setTimeout(() => {
-        reply.cut()
+        reply.abort()
         isCut()
       }, 20)
     })
@@ -87,7 +87,7 @@
       reply.start(HEAD, false)
       reply.write(LARGE, () => {})
       setTimeout(() => {
-        reply.cut()
+        reply.abort()
         isCut()
       }, 20)
     })
@@ -98,7 +98,7 @@
     const port = await listen(reply => {
       reply.start(HEAD, false)
       reply.write(Buffer.from('some'), () => {})
-      setTimeout(() => reply.cut(), 20)
+      setTimeout(() => reply.abort(), 20)
     })
     expect(await read(port, Promise.resolve())).toEqual({ bytes: 4, isWhole: false })
   })
@@ -110,7 +110,7 @@
       reply.write(Buffer.from('some'), () => {})
       replies.push(reply)
       if (replies.length < 2) return
-      reply.cut()
+      reply.abort()
       setTimeout(() => replies[0]?.end(Buffer.from(' more')), 20)
     })
     const socket = connect(port, '127.0.0.1')
@@ -130,7 +130,7 @@
       reply.start(HEAD, false)
       reply.write(Buffer.from('some'), () => {})
       response.on('close', () => {
-        reply.cut()
+        reply.abort()
         cutGone()
       })
     })
--- a/packages/router/__tests__/continuedForms.spec.ts
+++ b/packages/router/__tests__/continuedForms.spec.ts
@@ -1,6 +1,11 @@
 import { describe, expect, it } from 'vitest'
-import { UNTOLD_SOFTWARE_VERSION } from '@rackwalk/shared'
-import { ContinuedEvents, HOLD_LIMITS, HoldSpace, KeptAnswer } from '@rackwalk/router'
+import { UNKNOWN_SOFTWARE_VERSION } from '@rackwalk/shared'
+import {
+  ContinuationRewriter,
+  ANSWER_BUFFER_LIMITS,
+  AnswerBufferPool,
+  DeliveredChat,
+} from '@rackwalk/router'
 
 /** What is kept of a chat's answer, and how the events of its continuation are made a part of it. */
 
@@ -13,18 +18,18 @@
   return event({ id: 'one', created: 1, choices: [{ index: 0, delta: { content } }], usage })
 }
 
-function keep(limits = HOLD_LIMITS) {
-  const space = new HoldSpace(limits)
-  return { space, kept: new KeptAnswer(space, UNTOLD_SOFTWARE_VERSION) }
+function keep(limits = ANSWER_BUFFER_LIMITS) {
+  const space = new AnswerBufferPool(limits)
+  return { space, kept: new DeliveredChat(space, UNKNOWN_SOFTWARE_VERSION) }
 }
 
 describe('what a caller has of an answer', () => {
   it('is the text of all pieces, also where they are read some at a time', () => {
     const { space, kept } = keep()
     const texts = Array.from({ length: 2_000 }, (_, number) => `w${number} ü`)
-    texts.forEach((text, index) => kept.take(piece(text, index + 1)))
+    texts.forEach((text, index) => kept.append(piece(text, index + 1)))
     const text = texts.join('')
-    expect(kept.isKnown).toBe(true)
+    expect(kept.isReconstructible).toBe(true)
     expect(kept.text).toBe(text)
     expect(kept.usage).toEqual({ promptTokens: 9, generatedTokens: 2_000 })
     expect(space.usedBytes).toBe(Buffer.byteLength(text))
@@ -33,16 +38,19 @@
   })
 
   it('is not kept where there is no room, and holds nothing then', () => {
-    const { space, kept } = keep({ ...HOLD_LIMITS, totalBytes: 500 })
-    for (let count = 0; count < 20; count += 1) kept.take(piece('word ', count))
-    expect({ isKnown: kept.isKnown, used: space.usedBytes }).toEqual({ isKnown: false, used: 0 })
+    const { space, kept } = keep({ ...ANSWER_BUFFER_LIMITS, maximumTotalBytes: 500 })
+    for (let count = 0; count < 20; count += 1) kept.append(piece('word ', count))
+    expect({ isKnown: kept.isReconstructible, used: space.usedBytes }).toEqual({
+      isKnown: false,
+      used: 0,
+    })
   })
 
   it('does not say how many tokens it has where the newest piece does not', () => {
     const { kept } = keep()
-    kept.take(piece('a', 1))
-    kept.take(piece('b'))
-    expect(kept.isKnown).toBe(true)
+    kept.append(piece('a', 1))
+    kept.append(piece('b'))
+    expect(kept.isReconstructible).toBe(true)
     expect(kept.usage).toBeUndefined()
   })
 
@@ -54,16 +62,19 @@
     ['an error', { error: { message: 'no' } }],
   ])('is no plain text with %s', (_, document) => {
     const { kept } = keep()
-    kept.take(piece('a', 1))
-    kept.take(event(document))
-    expect(kept.isKnown).toBe(false)
+    kept.append(piece('a', 1))
+    kept.append(event(document))
+    expect(kept.isReconstructible).toBe(false)
   })
 
   it('is plain text beside comments and fields without a value', () => {
     const { kept } = keep()
-    kept.take(Buffer.from(': ping\n\n'))
-    kept.take(event({ choices: [{ index: 0, delta: { content: 'a', tool_calls: null } }] }))
-    expect({ isKnown: kept.isKnown, text: kept.text }).toEqual({ isKnown: true, text: 'a' })
+    kept.append(Buffer.from(': ping\n\n'))
+    kept.append(event({ choices: [{ index: 0, delta: { content: 'a', tool_calls: null } }] }))
+    expect({ isKnown: kept.isReconstructible, text: kept.text }).toEqual({
+      isKnown: true,
+      text: 'a',
+    })
   })
 })
 
@@ -72,10 +83,10 @@
 
   function continued() {
     const usage = { promptTokens: 9, generatedTokens: 4 }
-    return new ContinuedEvents({ head: HEAD, usage, outputTokenLimit: 6 })
+    return new ContinuationRewriter({ head: HEAD, usage, outputTokenLimit: 6 })
   }
 
-  function rewrite(events: ContinuedEvents, document: object): unknown {
+  function rewrite(events: ContinuationRewriter, document: object): unknown {
     const rewritten = events.rewrite(event({ id: 'two', created: 2, ...document }))
     const text = rewritten?.toString('utf8')
     return text === undefined ? undefined : JSON.parse(text.slice('data: '.length))
--- a/packages/router/__tests__/crashGuard.spec.ts
+++ b/packages/router/__tests__/crashGuard.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import type { CrashNews, EndSign } from '@rackwalk/decisions'
+import type { CrashGossip, ProbeResult } from '@rackwalk/decisions'
 import { CrashGuard } from '@rackwalk/router'
 import { VirtualClock, deferred, asId, endpointOf, endpointStart } from '@rackwalk/shared'
 import type { Deferred, EndpointId, RequestFingerprint } from '@rackwalk/shared'
@@ -17,19 +17,19 @@
 /** Two instances that tell each other at once; a look shows what the test decides. */
 function setUp() {
   const clock = new VirtualClock()
-  const looks: Deferred<EndSign>[] = []
+  const looks: Deferred<ProbeResult>[] = []
   const guards: CrashGuard[] = []
   const createGuard = () =>
     new CrashGuard({
       clock,
       probe: () => {
-        const look = deferred<EndSign>()
+        const look = deferred<ProbeResult>()
         looks.push(look)
         return look.promise
       },
-      onEnd: () => {},
+      onCrash: () => {},
       onUnreachable: () => {},
-      onNews: (news: CrashNews) => guards[1]?.observe(news),
+      broadcast: (news: CrashGossip) => guards[1]?.applyNews(news),
       onVerdict: () => {},
     })
   guards.push(createGuard(), createGuard())
@@ -45,12 +45,12 @@
       service: 'models',
       address: '127.0.0.1:1',
       statePath: '/load',
-      leavesAsPlanned: false,
+      isPlannedShutdown: false,
       hasEnded: false,
       heard: () => UNHEARD,
     }
     const sentAt = clock.monotonic()
-    return { first, second }[guard].noteBroken(endpoint, { fingerprint, wasIsolated, sentAt })
+    return { first, second }[guard].noteReset(endpoint, { fingerprint, wasIsolated, sentAt })
   }
   const verdicts = () => [first.verdict(FINGERPRINT), second.verdict(FINGERPRINT)]
   return { clock, looks, first, second, breakOff, verdicts }
@@ -59,9 +59,9 @@
 describe('a request that an endpoint broke off', () => {
   it('is suspected everywhere from then on, and not from the end of the look on', () => {
     const { second, breakOff, verdicts } = setUp()
-    expect([verdicts(), second.mayConcern(SCOPE)]).toEqual([['send', 'send'], false])
+    expect([verdicts(), second.hasSuspectsInScope(SCOPE)]).toEqual([['send', 'send'], false])
     void breakOff('endpoint-1', false)
-    expect([verdicts(), second.mayConcern(SCOPE)]).toEqual([['isolate', 'isolate'], true])
+    expect([verdicts(), second.hasSuspectsInScope(SCOPE)]).toEqual([['isolate', 'isolate'], true])
   })
 
   it('is refused when the look shows that the endpoint ended under it as suspected, and not before', async () => {
@@ -93,7 +93,7 @@
     const isKnown = breakOff('endpoint-1', false)
     looks[0]?.resolve('no-connection')
     expect(await isKnown).toBe(false)
-    const doubts = () => [first, second].map(guard => guard.isInDoubt(start))
+    const doubts = () => [first, second].map(guard => guard.isSuspect(start))
     await clock.advance(999)
     expect([verdicts(), doubts()]).toEqual([
       ['isolate', 'isolate'],
@@ -138,10 +138,10 @@
   const start = endpointStart('endpoint-1', 1)
   const other = endpointStart('endpoint-2', 1)
   const doubtsOf = ({ first, second }: ReturnType<typeof setUp>) => [
-    first.isInDoubt(start),
-    second.isInDoubt(start),
-    second.isEndpointInDoubt(endpointOf(start)),
-    second.isInDoubt(other),
+    first.isSuspect(start),
+    second.isSuspect(start),
+    second.isEndpointSuspect(endpointOf(start)),
+    second.isSuspect(other),
   ]
 
   it('is in doubt everywhere until the look shows life', async () => {
--- a/packages/router/__tests__/dispatchFailure.spec.ts
+++ b/packages/router/__tests__/dispatchFailure.spec.ts
@@ -22,12 +22,12 @@
     headers,
     framing: 'length',
     end: 'complete',
-    isWhole: true,
+    isComplete: true,
     isDelimited: true,
-    start: nothing,
+    startReading: nothing,
     resume: nothing,
     cancel: nothing,
-    release: nothing,
+    releaseBuffer: nothing,
   } as const
   return { kind: 'answering', answer }
 }
--- a/packages/router/__tests__/endpointAdvices.spec.ts
+++ b/packages/router/__tests__/endpointAdviceStore.spec.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import type { AdviceNews, EndpointAdvice } from '@rackwalk/decisions'
-import { EndpointAdvices } from '@rackwalk/router'
+import type { AdviceGossip, EndpointAdvice } from '@rackwalk/decisions'
+import { EndpointAdviceStore } from '@rackwalk/router'
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointStart } from '@rackwalk/shared'
 
@@ -17,12 +17,12 @@
 
 function create() {
   const clock = new VirtualClock()
-  const told: AdviceNews[] = []
+  const told: AdviceGossip[] = []
   const changes: (string | undefined)[] = []
-  const advices = new EndpointAdvices({
+  const advices = new EndpointAdviceStore({
     clock,
     onChange: (_, said) => changes.push(said),
-    onNews: news => told.push(news),
+    broadcast: news => told.push(news),
   })
   return { clock, advices, told, changes }
 }
@@ -96,6 +96,6 @@
     for (let count = 0; count < 10_000; count += 1) {
       advices.note(asId(`endpoint-${count}`), rate(1), true)
     }
-    expect(advices.limitedCount).toBeLessThanOrEqual(4_096)
+    expect(advices.rateLimitedCount).toBeLessThanOrEqual(4_096)
   })
 })
--- a/packages/router/__tests__/endpointEnds.spec.ts
+++ b/packages/router/__tests__/endpointCrashDetector.spec.ts
@@ -1,10 +1,16 @@
 import { describe, expect, it } from 'vitest'
-import { BrokenStarts } from '@rackwalk/decisions'
-import type { EndSign } from '@rackwalk/decisions'
-import { UNTOLD_SOFTWARE_VERSION, VirtualClock, asId, endpointStart, sleep } from '@rackwalk/shared'
+import { SuspectEndpoints } from '@rackwalk/decisions'
+import type { ProbeResult } from '@rackwalk/decisions'
+import {
+  UNKNOWN_SOFTWARE_VERSION,
+  VirtualClock,
+  asId,
+  endpointStart,
+  sleep,
+} from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
-import { EndpointDirectory, EndpointEnds } from '@rackwalk/router'
-import type { EndpointEnd, EndpointRecord } from '@rackwalk/router'
+import { EndpointDirectory, EndpointCrashDetector } from '@rackwalk/router'
+import type { EndpointCrash, EndpointRecord } from '@rackwalk/router'
 
 /** When a broken request says that its endpoint has ended, and when it doesn't. */
 
@@ -24,22 +30,25 @@
     service: 'models',
     address: '127.0.0.1:1',
     failureDomain: 'domain-a',
-    softwareVersion: UNTOLD_SOFTWARE_VERSION,
+    softwareVersion: UNKNOWN_SOFTWARE_VERSION,
     slots: 8,
     isLeaving: false,
     coldMilliseconds: 0,
   }
 }
 
-function watch(outcome: EndSign | ((look: number) => EndSign), onLooked?: (count: number) => void) {
+function watch(
+  outcome: ProbeResult | ((look: number) => ProbeResult),
+  onLooked?: (count: number) => void,
+) {
   const clock = new VirtualClock()
   const heard = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
-  const told: EndpointEnd[] = []
+  const told: EndpointCrash[] = []
   const away: number[] = []
   const lookedAts: number[] = []
   let probes = 0
-  const starts = new BrokenStarts()
-  const ends = new EndpointEnds({
+  const starts = new SuspectEndpoints()
+  const ends = new EndpointCrashDetector({
     clock,
     broken: starts,
     probe: async () => {
@@ -50,14 +59,14 @@
       }
       return typeof outcome === 'string' ? outcome : outcome(probes)
     },
-    onEnd: end => told.push(end),
-    onAway: (_, { lookedAt }) => {
+    onCrash: end => told.push(end),
+    onUnresponsive: (_, { lookedAt }) => {
       away.push(clock.monotonic())
       lookedAts.push(lookedAt)
     },
-    onLook: () => {},
-    onLooked: () => {},
-    onLives: () => {},
+    onProbing: () => {},
+    onProbed: () => {},
+    onAlive: () => {},
   })
   const directory = new EndpointDirectory({
     clock,
@@ -71,8 +80,8 @@
   const [state] = directory.available('models')
   /** The endpoint as it is known when it breaks a request off. */
   const endpoint = () => {
-    const { record = recordOf(1), leavesAsPlanned = false, hasEnded = false } = state ?? {}
-    return { ...record, leavesAsPlanned, hasEnded, statePath: undefined, heard: () => heard }
+    const { record = recordOf(1), isPlannedShutdown = false, hasEnded = false } = state ?? {}
+    return { ...record, isPlannedShutdown, hasEnded, statePath: undefined, heard: () => heard }
   }
   const unanswered = () => told.map(end => end.unanswered.map(request => request.fingerprint))
   return {
@@ -92,9 +101,9 @@
 describe('an endpoint that breaks requests off', () => {
   it('has ended where nobody listens there: one look tells of all that it had not answered', async () => {
     const { ends, endpoint, unanswered, probes } = watch('nobody-listens')
-    await Promise.all([ends.noteBroken(endpoint(), FIRST), ends.noteBroken(endpoint(), SECOND)])
+    await Promise.all([ends.noteReset(endpoint(), FIRST), ends.noteReset(endpoint(), SECOND)])
     expect(unanswered()).toEqual([['first', 'second']])
-    await ends.noteBroken(endpoint(), broken('late'))
+    await ends.noteReset(endpoint(), broken('late'))
     expect(unanswered()).toEqual([['first', 'second'], ['late']])
     expect(probes()).toBe(1)
   })
@@ -102,7 +111,7 @@
   it('has not ended under what it broke off long before, however much it breaks off since', async () => {
     const { clock, ends, endpoint, directory, unanswered } = watch('lives')
     for (let count = 0; count < 60; count += 1) {
-      await ends.noteBroken(endpoint(), broken(`refuted-${count}`, clock.monotonic()))
+      await ends.noteReset(endpoint(), broken(`refuted-${count}`, clock.monotonic()))
       await clock.advance(500)
     }
     directory.set(recordOf(2))
@@ -115,12 +124,12 @@
   it('has not ended under what was sent after its first break: that met its front', async () => {
     const { clock, ends, endpoint, unanswered } = watch('nobody-listens')
     await clock.advance(100)
-    const known = [ends.noteBroken(endpoint(), broken('there', 90))]
+    const known = [ends.noteReset(endpoint(), broken('there', 90))]
     await clock.advance(10)
-    known.push(ends.noteBroken(endpoint(), broken('sent to its front', 105)))
+    known.push(ends.noteReset(endpoint(), broken('sent to its front', 105)))
     expect(await Promise.all(known)).toEqual([true, true])
     expect(unanswered()).toEqual([['there']])
-    await ends.noteBroken(endpoint(), broken('at the next end', 108))
+    await ends.noteReset(endpoint(), broken('at the next end', 108))
     expect(unanswered()).toEqual([['there']])
   })
 
@@ -128,14 +137,14 @@
     'has not ended where the look says %s',
     async look => {
       const { ends, endpoint, unanswered } = watch(look)
-      await ends.noteBroken(endpoint(), FIRST)
+      await ends.noteReset(endpoint(), FIRST)
       expect(unanswered()).toEqual([])
     },
   )
 
   it('has ended also where it listens again, once its row tells of a new start', async () => {
     const { ends, directory, endpoint, unanswered } = watch('lives')
-    await ends.noteBroken(endpoint(), FIRST)
+    await ends.noteReset(endpoint(), FIRST)
     directory.set(recordOf(2))
     expect(unanswered()).toEqual([['first']])
   })
@@ -143,11 +152,11 @@
   it('ends as planned where it said that it leaves, or where its entry went first', async () => {
     const leaving = watch('nobody-listens')
     leaving.directory.set({ ...recordOf(1), isLeaving: true })
-    await leaving.ends.noteBroken(leaving.endpoint(), FIRST)
+    await leaving.ends.noteReset(leaving.endpoint(), FIRST)
     expect(leaving.unanswered()).toEqual([])
     const gone = watch('nobody-listens')
     gone.directory.remove('endpoint-1')
-    await gone.ends.noteBroken(gone.endpoint(), FIRST)
+    await gone.ends.noteReset(gone.endpoint(), FIRST)
     expect(gone.unanswered()).toEqual([])
   })
 })
@@ -162,7 +171,7 @@
       if (count === at) Object.assign(played.heard, heardOf(played.clock.monotonic()))
     })
     await played.clock.advance(100)
-    const known = played.ends.noteBroken(played.endpoint(), broken('there', 90))
+    const known = played.ends.noteReset(played.endpoint(), broken('there', 90))
     await played.clock.advance(1_000)
     return known
   }
@@ -189,7 +198,7 @@
     const { clock, ends, endpoint, unanswered, probes } = watch(look => {
       return look === 1 ? 'no-connection' : 'nobody-listens'
     })
-    await ends.noteBroken(endpoint(), FIRST)
+    await ends.noteReset(endpoint(), FIRST)
     ends.noteSuspectSent(start)
     await clock.advance(99)
     expect([probes(), unanswered()]).toEqual([1, []])
@@ -199,20 +208,20 @@
 
   it('is in doubt no longer for that, and one that lives or was not looked at is left alone', async () => {
     const unproven = watch('no-connection', () => {})
-    const isKnown = unproven.ends.noteBroken(unproven.endpoint(), FIRST)
+    const isKnown = unproven.ends.noteReset(unproven.endpoint(), FIRST)
     await unproven.clock.advance(LOOK_MILLISECONDS)
     await isKnown
     for (let time = 0; time < 8; time += 1) {
       unproven.ends.noteSuspectSent(start)
       await unproven.clock.advance(120)
     }
-    const isInDoubt = () => unproven.broken.isInDoubt(start, unproven.clock.monotonic())
+    const isInDoubt = () => unproven.broken.isSuspect(start, unproven.clock.monotonic())
     expect([unproven.probes(), isInDoubt()]).toEqual([9, true])
     await unproven.clock.advance(30)
     expect(isInDoubt()).toBe(false)
     const lives = watch('lives')
     lives.ends.noteSuspectSent(start)
-    await lives.ends.noteBroken(lives.endpoint(), FIRST)
+    await lives.ends.noteReset(lives.endpoint(), FIRST)
     lives.ends.noteSuspectSent(start)
     await lives.clock.advance(1_000)
     expect(lives.probes()).toBe(1)
@@ -225,12 +234,12 @@
   // An instance whose looks showed nothing kept its marks untold, and one that proves a request was lost with them.
   it('has ended under what broke off here, where the look showed nothing before or shows nothing', async () => {
     const before = watch('no-connection')
-    expect(await before.ends.noteBroken(before.endpoint(), FIRST)).toBe(false)
-    before.ends.noteTold(start)
+    expect(await before.ends.noteReset(before.endpoint(), FIRST)).toBe(false)
+    before.ends.notePeerReport(start)
     const during: ReturnType<typeof watch> = watch('no-connection', () =>
-      during.ends.noteTold(start),
+      during.ends.notePeerReport(start),
     )
-    const isKnown = during.ends.noteBroken(during.endpoint(), FIRST)
+    const isKnown = during.ends.noteReset(during.endpoint(), FIRST)
     await during.clock.advance(LOOK_MILLISECONDS)
     expect(await isKnown).toBe(true)
     expect([before.unanswered(), during.unanswered()]).toEqual([[['first']], [['first']]])
@@ -238,12 +247,12 @@
 
   it('has not ended where a look showed life, or it told its state since', async () => {
     const lives = watch('lives')
-    await lives.ends.noteBroken(lives.endpoint(), FIRST)
-    lives.ends.noteTold(start)
+    await lives.ends.noteReset(lives.endpoint(), FIRST)
+    lives.ends.notePeerReport(start)
     const heard = watch('no-connection')
-    await heard.ends.noteBroken(heard.endpoint(), FIRST)
+    await heard.ends.noteReset(heard.endpoint(), FIRST)
     heard.heard.askedAt = 1
-    heard.ends.noteTold(start)
+    heard.ends.notePeerReport(start)
     expect([lives.unanswered(), heard.unanswered()]).toEqual([[], []])
   })
 })
@@ -268,22 +277,22 @@
   it('ended under what was there, however late its front lets go of that', async () => {
     const { clock, ends, endpoint, unanswered } = watch('does-not-answer')
     await clock.advance(100)
-    const known = ends.noteBroken(endpoint(), broken('first', 90))
+    const known = ends.noteReset(endpoint(), broken('first', 90))
     await clock.advance(25)
     await known
     await clock.advance(1_000)
-    await ends.noteBroken(endpoint(), broken('held by the front', 95))
-    await ends.noteBroken(endpoint(), broken('sent to the front', 200))
+    await ends.noteReset(endpoint(), broken('held by the front', 95))
+    await ends.noteReset(endpoint(), broken('sent to the front', 200))
     ends.stop()
     expect(unanswered()).toEqual([['first'], ['held by the front']])
   })
 
   it('is not back for a look to which no connection came up', async () => {
-    const looks: EndSign[] = ['does-not-answer', 'does-not-answer', 'no-connection', 'lives']
+    const looks: ProbeResult[] = ['does-not-answer', 'does-not-answer', 'no-connection', 'lives']
     const { clock, ends, endpoint, away, lookedAts, probes } = watch(
       look => looks[look - 1] ?? 'lives',
     )
-    const known = ends.noteBroken(endpoint(), FIRST)
+    const known = ends.noteReset(endpoint(), FIRST)
     await clock.advance(25)
     await known
     await clock.advance(2_000)
--- a/packages/router/__tests__/endpointTable.spec.ts
+++ b/packages/router/__tests__/endpointTable.spec.ts
@@ -11,7 +11,7 @@
 function create() {
   const clock = new VirtualClock()
   const source = { endpoints: [], findEndpoint: () => undefined, isEvacuated: () => false }
-  const permits = { takes: () => true, refusalOf: () => undefined }
+  const permits = { allows: () => true, refusalOf: () => undefined }
   return { clock, table: new EndpointTable(source, clock, permits, () => undefined) }
 }
 
@@ -21,7 +21,7 @@
     table.noteLeaving(ENGINE, 'answer')
     table.noteReport(ENGINE, STAYING, clock.monotonic())
     expect(table.isLeaving(ENGINE)).toBe(true)
-    table.noteSilent(ENGINE)
+    table.noteReportFailed(ENGINE)
     table.noteReport(ENGINE, STAYING, clock.monotonic())
     expect(table.isLeaving(ENGINE)).toBe(false)
     table.noteLeaving(ENGINE, 'answer')
@@ -41,9 +41,9 @@
 describe('an engine', () => {
   it('is known to have lived when its newest report was asked for, and not when that came', async () => {
     const { clock, table } = create()
-    expect(table.heard(ENGINE).askedAt).toBe(Number.NEGATIVE_INFINITY)
+    expect(table.lastHeard(ENGINE).askedAt).toBe(Number.NEGATIVE_INFINITY)
     await clock.advance(500)
     table.noteReport(ENGINE, STAYING, 100)
-    expect(table.heard(ENGINE).askedAt).toBe(100)
+    expect(table.lastHeard(ENGINE).askedAt).toBe(100)
   })
 })
--- a/packages/router/__tests__/endsBeforeMarks.spec.ts
+++ b/packages/router/__tests__/endsBeforeMarks.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import type { CrashNews, EndSign } from '@rackwalk/decisions'
+import type { CrashGossip, ProbeResult } from '@rackwalk/decisions'
 import { CrashGuard } from '@rackwalk/router'
 import { VirtualClock, deferred, asId, endpointStart } from '@rackwalk/shared'
 import type { Deferred, RequestFingerprint } from '@rackwalk/shared'
@@ -16,19 +16,19 @@
 /** Two instances, of which the first one's news come at once; a look shows what the test decides. */
 function setUp() {
   const clock = new VirtualClock()
-  const looks: Deferred<EndSign>[] = []
+  const looks: Deferred<ProbeResult>[] = []
   const guards: CrashGuard[] = []
   const createGuard = () =>
     new CrashGuard({
       clock,
       probe: () => {
-        const look = deferred<EndSign>()
+        const look = deferred<ProbeResult>()
         looks.push(look)
         return look.promise
       },
-      onEnd: () => {},
+      onCrash: () => {},
       onUnreachable: () => {},
-      onNews: (news: CrashNews) => guards[1]?.observe(news),
+      broadcast: (news: CrashGossip) => guards[1]?.applyNews(news),
       onVerdict: () => {},
     })
   guards.push(createGuard(), createGuard())
@@ -40,12 +40,12 @@
       service: 'models',
       address: '127.0.0.1:1',
       statePath: '/load',
-      leavesAsPlanned: false,
+      isPlannedShutdown: false,
       hasEnded: false,
       heard: () => UNHEARD,
     }
     const sentAt = clock.monotonic()
-    return guard.noteBroken(endpoint, { fingerprint: FINGERPRINT, wasIsolated: true, sentAt })
+    return guard.noteReset(endpoint, { fingerprint: FINGERPRINT, wasIsolated: true, sentAt })
   }
   return { clock, looks, first, second, breakOff }
 }
--- a/packages/router/__tests__/endedEndpoints.spec.ts
+++ b/packages/router/__tests__/exchangeTerminator.spec.ts
@@ -1,16 +1,16 @@
 import { describe, expect, it } from 'vitest'
-import { SILENT_MILLISECONDS, STILL_SILENT_MILLISECONDS } from '@rackwalk/decisions'
-import type { StateSign } from '@rackwalk/decisions'
-import { UNTOLD_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
+import { PROBE_TIMEOUT_MILLISECONDS, LONG_PROBE_TIMEOUT_MILLISECONDS } from '@rackwalk/decisions'
+import type { StateProbeResult } from '@rackwalk/decisions'
+import { UNKNOWN_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
 import { EndpointDirectory } from '@rackwalk/router'
 import type { EndpointRecord, EndpointState } from '@rackwalk/router'
 
 /** What is open at an endpoint that is over, or may be, on virtual time. */
 
-const GOES_ON = { mayGoOn: true, isReplyStarted: false }
-const RESUMES = { mayGoOn: true, isReplyStarted: true }
-const ONCE = { mayGoOn: false, isReplyStarted: false }
-const BEGUN = { mayGoOn: false, isReplyStarted: true }
+const GOES_ON = { isRetryable: true, isReplyStarted: false }
+const RESUMES = { isRetryable: true, isReplyStarted: true }
+const ONCE = { isRetryable: false, isReplyStarted: false }
+const BEGUN = { isRetryable: false, isReplyStarted: true }
 const KINDS = { again: GOES_ON, resume: RESUMES, once: ONCE, stream: BEGUN }
 const ALL = Object.keys(KINDS)
 const LATE = 10_000
@@ -22,7 +22,7 @@
     service: 'models',
     address: '127.0.0.1:1',
     failureDomain: 'domain-a',
-    softwareVersion: UNTOLD_SOFTWARE_VERSION,
+    softwareVersion: UNKNOWN_SOFTWARE_VERSION,
     slots: 8,
     isLeaving,
     coldMilliseconds: 0,
@@ -31,7 +31,7 @@
 
 /** Each question comes to what the endpoint does then, after so long. */
 interface Answer {
-  readonly sign: StateSign
+  readonly sign: StateProbeResult
   readonly after: number
 }
 
@@ -67,9 +67,9 @@
     this.endpoint = endpoint
   }
 
-  send(name: string, kind: { mayGoOn: boolean; isReplyStarted: boolean }): void {
+  send(name: string, kind: { isRetryable: boolean; isReplyStarted: boolean }): void {
     const sentAt = this.clock.monotonic()
-    const open = { ...kind, sentAt, quietSince: sentAt, isHeldBack: false }
+    const open = { ...kind, sentAt, lastReceivedAt: sentAt, isPaused: false }
     const close = this.endpoint.exchanges.add({
       open,
       statePath: '/report',
@@ -90,7 +90,7 @@
     const { sign, after } = this.answer
     const isUnsettled = sign === 'held' || sign === 'no-connection'
     const question = {
-      sign: isUnsettled ? sign : ('held' as StateSign),
+      sign: isUnsettled ? sign : ('held' as StateProbeResult),
       written: sign === 'no-connection' ? new Promise<void>(() => {}) : Promise.resolve(),
       answered: new Promise<void>(resolve => {
         if (after === Infinity) return
@@ -100,7 +100,7 @@
         })
       }),
       readAll: () => Promise.resolve(),
-      withdraw: () => {},
+      cancel: () => {},
     }
     return question
   }
@@ -117,12 +117,12 @@
 describe('what is open at a start whose engine is told to be away', () => {
   it('ends in two steps, as the question for its state is held', async () => {
     const place = await placeWithAll()
-    place.directory.noteAway(recordOf().start)
-    await place.clock.advance(SILENT_MILLISECONDS - 1)
+    place.directory.noteUnresponsive(recordOf().start)
+    await place.clock.advance(PROBE_TIMEOUT_MILLISECONDS - 1)
     expect(place.ended).toEqual([])
     await place.clock.advance(1)
     expect(place.ended).toEqual(['again', 'resume'])
-    await place.clock.advance(STILL_SILENT_MILLISECONDS - SILENT_MILLISECONDS)
+    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS - PROBE_TIMEOUT_MILLISECONDS)
     expect(place.ended).toEqual(['again', 'resume', 'once'])
     await place.clock.advance(LATE)
     expect(place.ended).toEqual(['again', 'resume', 'once'])
@@ -131,22 +131,22 @@
   // A slow engine tells its state later than short looks wait.
   it('stays if it may run once where the endpoint tells its state slowly', async () => {
     const place = await placeWithAll()
-    place.answer = { sign: 'lives', after: STILL_SILENT_MILLISECONDS - 1 }
-    place.directory.noteAway(recordOf().start)
+    place.answer = { sign: 'lives', after: LONG_PROBE_TIMEOUT_MILLISECONDS - 1 }
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.ended).toEqual(['again', 'resume'])
   })
 
   it.each<Answer>([
     { sign: 'lives', after: 0 },
-    { sign: 'lives', after: SILENT_MILLISECONDS - 1 },
+    { sign: 'lives', after: PROBE_TIMEOUT_MILLISECONDS - 1 },
     { sign: 'turned-away', after: 1 },
     { sign: 'nobody-listens', after: 1 },
     { sign: 'no-connection', after: Infinity },
   ])('stays where the question comes to $sign after $after ms', async answer => {
     const place = await placeWithAll()
     place.answer = answer
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.ended).toEqual([])
   })
@@ -154,19 +154,19 @@
   // News may come after the engine is back, and after a new request was sent to it.
   it('stays where it was sent after the question, until the next news', async () => {
     const place = await placeWithAll()
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(1)
     place.send('later', GOES_ON)
     await place.clock.advance(LATE)
     expect(place.ended).not.toContain('later')
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.ended).toContain('later')
   })
 
   it('stays where the endpoint goes on for others meanwhile', async () => {
     const place = await placeWithAll()
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(1)
     place.endpoint.noteHeard()
     await place.clock.advance(LATE)
@@ -176,17 +176,17 @@
 
   it('stays where news speaks of another start', async () => {
     const place = await placeWithAll()
-    place.directory.noteAway(recordOf(2).start)
+    place.directory.noteUnresponsive(recordOf(2).start)
     await place.clock.advance(LATE)
     expect([place.ended, place.questions]).toEqual([[], 0])
   })
 
   it('is asked about once at a time, and not at all where nothing could be ended', async () => {
     const place = await placeWithAll()
-    place.directory.noteAway(recordOf().start)
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.questions).toBe(1)
   })
@@ -195,11 +195,11 @@
   it('is suspected only where it was sent before the first break', async () => {
     const place = await placeWithAll()
     const now = place.clock.monotonic()
-    place.endpoint.exchanges.noteBroken({ now, heardAt: place.endpoint.heardAt })
+    place.endpoint.exchanges.noteReset({ now, heardAt: place.endpoint.heardAt })
     await place.clock.advance(50)
     place.send('to the front', GOES_ON)
-    place.endpoint.exchanges.noteBroken({ now: now + 50, heardAt: place.endpoint.heardAt })
-    place.directory.noteAway(recordOf().start)
+    place.endpoint.exchanges.noteReset({ now: now + 50, heardAt: place.endpoint.heardAt })
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.suspected).toEqual(ALL)
     expect(place.ended).toContain('to the front')
@@ -211,7 +211,7 @@
     const place = await placeWithAll()
     place.answer = { sign: 'lives', after: held + 1 }
     place.clock.heldUntil = place.clock.monotonic() + held
-    place.directory.noteAway(recordOf().start)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.ended).toEqual([])
   })
@@ -219,16 +219,16 @@
   it('stays where the loop is held in every turn', async () => {
     const place = await placeWithAll()
     const after = place.clock.after.bind(place.clock)
-    place.clock.after = (delay, run) => after(delay + SILENT_MILLISECONDS, run)
-    place.directory.noteAway(recordOf().start)
+    place.clock.after = (delay, run) => after(delay + PROBE_TIMEOUT_MILLISECONDS, run)
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.ended).toEqual([])
   })
 
   it('ends where the question is held on once the loop is free', async () => {
     const place = await placeWithAll()
-    place.clock.heldUntil = place.clock.monotonic() + SILENT_MILLISECONDS * 2
-    place.directory.noteAway(recordOf().start)
+    place.clock.heldUntil = place.clock.monotonic() + PROBE_TIMEOUT_MILLISECONDS * 2
+    place.directory.noteUnresponsive(recordOf().start)
     await place.clock.advance(LATE)
     expect(place.ended).toEqual(['again', 'resume', 'once'])
   })
@@ -259,10 +259,10 @@
 describe('what is open at a start that broke off an answer which had begun', () => {
   it('goes on elsewhere after one question that is held, and ends for good after two', async () => {
     const place = await placeWithAll()
-    place.directory.noteCut(place.endpoint)
-    await place.clock.advance(STILL_SILENT_MILLISECONDS)
+    place.directory.noteInterrupted(place.endpoint)
+    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
     expect(place.ended).toEqual(['again', 'resume'])
-    await place.clock.advance(STILL_SILENT_MILLISECONDS)
+    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
     expect(place.ended).toEqual(['again', 'resume', 'once'])
     expect(place.suspected).toEqual([])
   })
@@ -275,7 +275,7 @@
   ])('stays where the question comes to $sign', async answer => {
     const place = await placeWithAll()
     place.answer = answer
-    place.directory.noteCut(place.endpoint)
+    place.directory.noteInterrupted(place.endpoint)
     await place.clock.advance(LATE)
     expect(place.ended).toEqual([])
   })
@@ -303,9 +303,9 @@
     const place = await placeWithAll()
     place.answer = { sign: 'no-connection', after: Infinity }
     place.directory.remove('endpoint-1')
-    await place.clock.advance(STILL_SILENT_MILLISECONDS)
+    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
     expect(place.ended).toEqual([])
-    await place.clock.advance(STILL_SILENT_MILLISECONDS)
+    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
     expect(place.ended).toEqual(['again', 'resume'])
     await place.clock.advance(LATE)
     expect(place.ended).toEqual(['again', 'resume'])
--- a/packages/router/__tests__/openExchanges.spec.ts
+++ b/packages/router/__tests__/inFlightExchanges.spec.ts
@@ -3,16 +3,16 @@
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
 import { describe, expect, it } from 'vitest'
-import type { KnownEnd } from '@rackwalk/decisions'
+import type { KnownTermination } from '@rackwalk/decisions'
 import { SystemClock, asId } from '@rackwalk/shared'
 import type { EndpointId } from '@rackwalk/shared'
-import { EndpointClient, OpenExchanges } from '@rackwalk/router'
+import { EndpointClient, InFlightExchanges } from '@rackwalk/router'
 
 /** Whom the end of an endpoint reaches. */
 
-const END: KnownEnd = { source: 'look', brokenAt: 100, lookedAt: 200 }
+const END: KnownTermination = { source: 'look', brokenAt: 100, lookedAt: 200 }
 
-function exchange(open: OpenExchanges, endpoint: string, sentAt: number, isRepeatable = true) {
+function exchange(open: InFlightExchanges, endpoint: string, sentAt: number, isRepeatable = true) {
   const withdrawn: boolean[] = []
   const entry = {
     endpointId: asId<EndpointId>(endpoint),
@@ -20,9 +20,9 @@
     heardAt: undefined,
     isPaused: false,
     isRepeatable,
-    doubtedAt: undefined,
+    firstDoubtedAt: undefined,
     // As an exchange does that ends by it.
-    withdraw: (wasThere: boolean) => {
+    failByTermination: (wasThere: boolean) => {
       withdrawn.push(wasThere)
       open.remove(entry)
     },
@@ -33,23 +33,27 @@
 
 describe('the exchanges that are open', () => {
   it('are given up at the endpoint that has ended, each once, and nowhere else', () => {
-    const open = new OpenExchanges()
+    const open = new InFlightExchanges()
     const there = [
       exchange(open, 'one', 50),
       exchange(open, 'one', 150),
       exchange(open, 'one', 250),
     ]
     const elsewhere = exchange(open, 'two', 50)
-    for (let time = 0; time < 2; time += 1) open.noteEnd(asId<EndpointId>('one'), END, 0)
+    for (let time = 0; time < 2; time += 1) open.noteTermination(asId<EndpointId>('one'), END, 0)
     expect(there.map(({ withdrawn }) => withdrawn)).toEqual([[true], [false], []])
     expect(elsewhere.withdrawn).toEqual([])
   })
 
   it('are given up by the second look where they may not be repeated', () => {
-    const open = new OpenExchanges()
+    const open = new InFlightExchanges()
     const { withdrawn } = exchange(open, 'one', 50, false)
     const look = (lookedAt: number, heardAt: number) =>
-      open.noteEnd(asId<EndpointId>('one'), { source: 'look', brokenAt: 100, lookedAt }, heardAt)
+      open.noteTermination(
+        asId<EndpointId>('one'),
+        { source: 'look', brokenAt: 100, lookedAt },
+        heardAt,
+      )
     look(200, 0)
     look(200, 0)
     look(800, 700)
@@ -59,10 +63,10 @@
   })
 
   it('are not given up once they have ended by themselves', () => {
-    const open = new OpenExchanges()
+    const open = new InFlightExchanges()
     const { entry, withdrawn } = exchange(open, 'one', 50)
     open.remove(entry)
-    open.noteEnd(asId<EndpointId>('one'), END, 0)
+    open.noteTermination(asId<EndpointId>('one'), END, 0)
     expect(withdrawn).toEqual([])
   })
 })
@@ -97,7 +101,7 @@
     })
     await sleep(300)
     const now = clock.monotonic()
-    client.noteEnd(id, { source: 'look', brokenAt: now, lookedAt: now }, 0)
+    client.noteTermination(id, { source: 'look', brokenAt: now, lookedAt: now }, 0)
     expect((await result).kind).toBe('answering')
     await client.close()
     server.close()
--- a/packages/router/__tests__/innocentSuspects.spec.ts
+++ b/packages/router/__tests__/innocentSuspects.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import type { CrashMark, EndSign } from '@rackwalk/decisions'
+import type { CrashMark, ProbeResult } from '@rackwalk/decisions'
 import { CrashGuard } from '@rackwalk/router'
 import { VirtualClock, asId, endpointStart } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
@@ -12,15 +12,15 @@
 const UNHEARD = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
 
 /** One instance; its looks show what the test decides, or are never over. */
-function setUp(sign: EndSign | 'pending') {
+function setUp(sign: ProbeResult | 'pending') {
   const clock = new VirtualClock()
-  const looks: { sign: EndSign | 'pending' } = { sign }
+  const looks: { sign: ProbeResult | 'pending' } = { sign }
   const guard = new CrashGuard({
     clock,
     probe: () => (looks.sign === 'pending' ? new Promise(() => {}) : Promise.resolve(looks.sign)),
-    onEnd: () => {},
+    onCrash: () => {},
     onUnreachable: () => {},
-    onNews: () => {},
+    broadcast: () => {},
     onVerdict: () => {},
   })
   const breakOff = (fingerprint = SUSPECT, wasIsolated = false) => {
@@ -30,14 +30,14 @@
       service: 'models',
       address: '127.0.0.1:1',
       statePath: '/load',
-      leavesAsPlanned: false,
+      isPlannedShutdown: false,
       hasEnded: false,
       heard: () => UNHEARD,
     }
-    return guard.noteBroken(endpoint, { fingerprint, wasIsolated, sentAt: clock.monotonic() })
+    return guard.noteReset(endpoint, { fingerprint, wasIsolated, sentAt: clock.monotonic() })
   }
   const hear = (news: { marks?: readonly CrashMark[]; away?: readonly (typeof START)[] }) => {
-    guard.observe({ marks: [], cleared: [], ...news })
+    guard.applyNews({ marks: [], cleared: [], ...news })
   }
   return { clock, looks, guard, breakOff, hear }
 }
@@ -81,7 +81,7 @@
     looks.sign = 'pending'
     void breakOff()
     await clock.advance(0)
-    expect(guard.standingNews.suspected).toEqual([
+    expect(guard.newsSnapshot.suspected).toEqual([
       { fingerprint: SUSPECT, start: START, wasIsolated: false },
     ])
   })
--- a/packages/router/__tests__/knownEnds.spec.ts
+++ b/packages/router/__tests__/knownEnds.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import type { KnownEnd } from '@rackwalk/decisions'
+import type { KnownTermination } from '@rackwalk/decisions'
 import { VirtualClock, asId, endpointStart } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 import { CrashGuard } from '@rackwalk/router'
@@ -11,14 +11,14 @@
 
 function watch() {
   const clock = new VirtualClock()
-  const ends: KnownEnd[] = []
+  const ends: KnownTermination[] = []
   const guard = new CrashGuard({
     clock,
     probe: async () => 'does-not-answer',
-    onEnd: () => {},
+    onCrash: () => {},
     onUnreachable: () => {},
     onKnownEnd: (_, end) => ends.push(end),
-    onNews: () => {},
+    broadcast: () => {},
     onVerdict: () => {},
   })
   return { clock, ends, guard }
@@ -31,7 +31,7 @@
     service: 'model',
     address: '127.0.0.1:1',
     statePath: '/load',
-    leavesAsPlanned: false,
+    isPlannedShutdown: false,
     hasEnded: false,
     heard: () => ({ askedAt: 0, readAt: 0 }),
   }
@@ -42,7 +42,7 @@
   it('is told by every look that shows it, with the time of the break and of that look', async () => {
     const { clock, ends, guard } = watch()
     await clock.advance(1_000)
-    const known = guard.noteBroken(...breaking())
+    const known = guard.noteReset(...breaking())
     await clock.advance(25)
     await known
     await clock.advance(500)
@@ -55,9 +55,9 @@
   it('is told by news of it, with the time of the first ones', async () => {
     const { clock, ends, guard } = watch()
     await clock.advance(1_000)
-    guard.observe({ marks: [], cleared: [], away: [START] })
+    guard.applyNews({ marks: [], cleared: [], away: [START] })
     await clock.advance(500)
-    guard.observe({ marks: [], cleared: [], away: [START] })
+    guard.applyNews({ marks: [], cleared: [], away: [START] })
     expect(ends).toEqual([
       { source: 'news', firstToldAt: 1_000, toldAt: 1_000 },
       { source: 'news', firstToldAt: 1_000, toldAt: 1_500 },
@@ -66,7 +66,7 @@
 
   it('is not told by a record of it, which may be a week old', () => {
     const { ends, guard } = watch()
-    guard.observe({
+    guard.applyNews({
       marks: [{ fingerprint: FINGERPRINT, start: START, wasIsolated: false }],
       cleared: [],
     })
--- a/packages/router/__tests__/limits.spec.ts
+++ b/packages/router/__tests__/limits.spec.ts
@@ -1,17 +1,17 @@
 import { describe, expect, it } from 'vitest'
 import { ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointId, TeamId } from '@rackwalk/shared'
-import { Ejection, FairQueue, RetryBudget, backoffMilliseconds } from '@rackwalk/router'
-import type { QueueDemand } from '@rackwalk/router'
+import { OutlierEjection, FairQueue, RetryBudget, backoffMilliseconds } from '@rackwalk/router'
+import type { QueueRequest } from '@rackwalk/router'
 
 const LIMITS = { maximumQueue: 4, maximumWaitMilliseconds: 1_000 }
 
-function demand(team: string, change: Partial<QueueDemand> = {}): QueueDemand {
+function demand(team: string, change: Partial<QueueRequest> = {}): QueueRequest {
   return {
     teamId: asId<TeamId>(team),
     weight: 1,
     priority: 1,
-    latestStart: Number.POSITIVE_INFINITY,
+    startDeadline: Number.POSITIVE_INFINITY,
     cost: 1,
     ...change,
   }
@@ -25,8 +25,8 @@
   readonly admitted: string[] = []
   readonly refused: [string, ResultCode][] = []
 
-  enter(name: string, wanted: QueueDemand, limits = LIMITS): void {
-    void this.queue.enter(wanted, limits).then(outcome => {
+  enter(name: string, wanted: QueueRequest, limits = LIMITS): void {
+    void this.queue.enqueue(wanted, limits).then(outcome => {
       if (outcome.kind === 'refused') this.refused.push([name, outcome.code])
       else {
         this.admitted.push(name)
@@ -37,7 +37,7 @@
   async open(places: number): Promise<void> {
     for (let place = 0; place < places; place += 1) {
       this.places += 1
-      this.queue.serve()
+      this.queue.admitWaiting()
       await this.clock.advance(0)
     }
   }
@@ -56,11 +56,11 @@
     const room = new Room()
     for (const name of ['a1', 'a2', 'a3']) room.enter(name, demand('a'))
     room.places = 2
-    room.queue.serve()
+    room.queue.admitWaiting()
     await room.clock.advance(0)
     expect(room.admitted).toHaveLength(2)
-    room.queue.notePlaced()
-    room.queue.serve()
+    room.queue.noteDispatched()
+    room.queue.admitWaiting()
     await room.clock.advance(0)
     expect(room.admitted).toHaveLength(3)
   })
@@ -85,7 +85,7 @@
   it('refuses what waited too long, and earlier what has a deadline', async () => {
     const room = new Room()
     room.enter('patient', demand('a'))
-    room.enter('hurried', demand('a', { latestStart: 100 }))
+    room.enter('hurried', demand('a', { startDeadline: 100 }))
     await room.clock.advance(100)
     expect(room.refused).toEqual([['hurried', ResultCode.DeadlineUnreachable]])
     await room.clock.advance(900)
@@ -117,25 +117,25 @@
 
   it('leaves a failing endpoint out for a while, longer each time', async () => {
     const clock = new VirtualClock()
-    const ejection = new Ejection(clock)
+    const ejection = new OutlierEjection(clock)
     const [first] = pool
     const fail = () => [1, 2, 3].map(() => ejection.noteFailure(first!.endpointId))
     expect(fail()).toEqual([false, false, true])
-    expect(ejection.usable(pool)).toHaveLength(5)
+    expect(ejection.usableEndpoints(pool)).toHaveLength(5)
     await clock.advance(5_001)
-    expect(ejection.usable(pool)).toHaveLength(6)
+    expect(ejection.usableEndpoints(pool)).toHaveLength(6)
     fail()
     await clock.advance(5_001)
-    expect(ejection.usable(pool)).toHaveLength(5)
+    expect(ejection.usableEndpoints(pool)).toHaveLength(5)
   })
 
   it('never empties the pool, even when every reading is bad', () => {
-    const ejection = new Ejection(new VirtualClock())
+    const ejection = new OutlierEjection(new VirtualClock())
     const random = new SeededRandom(1)
     for (let reading = 0; reading < 200; reading += 1) {
       const endpoint = pool[Math.floor(random.next() * pool.length)]
       ejection.noteFailure(endpoint!.endpointId)
     }
-    expect(ejection.usable(pool).length).toBeGreaterThanOrEqual(4)
+    expect(ejection.usableEndpoints(pool).length).toBeGreaterThanOrEqual(4)
   })
 })
--- a/packages/router/__tests__/linkWatch.spec.ts
+++ b/packages/router/__tests__/linkMonitor.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
-import { LinkWatch } from '@rackwalk/router'
-import type { WatchedEndpoint } from '@rackwalk/router'
+import { LinkMonitor } from '@rackwalk/router'
+import type { MonitoredEndpoint } from '@rackwalk/router'
 import { SeededRandom, VirtualClock } from '@rackwalk/shared'
 
 const LONG_AGO = Number.NEGATIVE_INFINITY
@@ -11,7 +11,7 @@
   const dead = new Set<string>()
   const checks: string[] = []
   const changes: boolean[] = []
-  const endpoints = Array.from({ length: count }, (_, index): WatchedEndpoint => {
+  const endpoints = Array.from({ length: count }, (_, index): MonitoredEndpoint => {
     const seen = { connectedAt: LONG_AGO, failedAt: LONG_AGO }
     return {
       service: 'models',
@@ -20,14 +20,14 @@
         return { failureDomain: index % 2 === 0 ? 'a' : 'b', ...seen }
       },
       noteConnected: () => (seen.connectedAt = clock.monotonic()),
-      noteUnconnected: () => (seen.failedAt = clock.monotonic()),
+      noteConnectFailed: () => (seen.failedAt = clock.monotonic()),
     }
   })
-  const watch = new LinkWatch({
+  const watch = new LinkMonitor({
     clock,
     random: new SeededRandom(1),
-    listed: () => endpoints,
-    listedElsewhere: () => [],
+    endpointsOf: () => endpoints,
+    endpointsOfOthers: () => [],
     onCutOff: (_, isCutOff) => changes.push(isCutOff),
     connects: async address => {
       checks.push(address)
@@ -38,7 +38,7 @@
   const fail = (indices: readonly number[]) => {
     for (const index of indices) {
       const endpoint = endpoints[index]
-      if (endpoint !== undefined) watch.noteUnconnected(endpoint)
+      if (endpoint !== undefined) watch.noteConnectFailed(endpoint)
     }
   }
   const settle = async () => {
@@ -53,11 +53,14 @@
     for (const { address } of endpoints) dead.add(address)
     fail([0, 1])
     await settle()
-    expect([watch.isCutOff('models'), watch.unreached('models').size]).toEqual([true, 6])
+    expect([watch.isCutOff('models'), watch.unreachableEndpoints('models').size]).toEqual([true, 6])
     dead.clear()
     await clock.advance(500)
     await settle()
-    expect([watch.isCutOff('models'), watch.unreached('models').size]).toEqual([false, 0])
+    expect([watch.isCutOff('models'), watch.unreachableEndpoints('models').size]).toEqual([
+      false,
+      0,
+    ])
     expect(changes).toEqual([true, false])
   })
 
@@ -74,7 +77,9 @@
     for (const { address, link } of endpoints) if (link.failureDomain === 'a') dead.add(address)
     fail([0, 2])
     await settle()
-    const unreached = [...watch.unreached('models')].map(({ link }) => link.failureDomain)
+    const unreached = [...watch.unreachableEndpoints('models')].map(
+      ({ link }) => link.failureDomain,
+    )
     expect(unreached).toEqual(['a', 'a', 'a', 'a'])
     expect(watch.isCutOff('models')).toBe(false)
   })
--- a/packages/router/__tests__/peerLoads.spec.ts
+++ b/packages/router/__tests__/peerLoads.spec.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import {
-  UNTOLD_SOFTWARE_VERSION,
+  UNKNOWN_SOFTWARE_VERSION,
   SystemRandom,
   VirtualClock,
   endpointStart,
@@ -19,7 +19,7 @@
   service: 'model',
   address: '127.0.0.1:1',
   failureDomain: 'hall-a',
-  softwareVersion: UNTOLD_SOFTWARE_VERSION,
+  softwareVersion: UNKNOWN_SOFTWARE_VERSION,
   slots: 8,
   isLeaving: false,
   coldMilliseconds: 0,
@@ -152,7 +152,7 @@
     if (first === undefined || second === undefined) throw new Error('no endpoint')
     first.running = 3
     const before = reporter.next(false)
-    const whole = reporter.whole()
+    const whole = reporter.fullReport()
     expect(whole).toMatchObject({ isWhole: true, loads: [{ endpoint: 's1', running: 3 }] })
     expect(whole.sequence).toBeGreaterThan(before?.sequence ?? 0)
     second.running = 1
@@ -166,7 +166,7 @@
     const wholes: number[] = []
     const named: number[] = []
     for (let turn = 1; turn <= 24; turn += 1) {
-      const sign = reporter.sign()
+      const sign = reporter.heartbeatReport()
       expect(sign).toMatchObject({ isWhole: false, sequence: 2 * turn - 1 })
       named.push(sign.loads.length)
       if (reporter.next(true)?.isWhole) wholes.push(turn)
@@ -180,12 +180,12 @@
     const loads = new PeerLoads(new VirtualClock())
     const directory = directoryOf('s1')
     const reporter = new LoadReporter(SELF, directory, new PromptCaches(), () => true)
-    loads.observe(reporter.sign())
+    loads.observe(reporter.heartbeatReport())
     expect(loads.isUsing('self')).toBe(false)
     const [endpoint] = directory.available('model')
     if (endpoint !== undefined) endpoint.running = 1
     reporter.next(false)
-    loads.observe(reporter.sign())
+    loads.observe(reporter.heartbeatReport())
     expect(loads.isUsing('self')).toBe(true)
   })
 })
@@ -222,7 +222,7 @@
       ofPeers: (endpoint: string) => peers.at(endpoint),
       recentTokens: () => 0,
       slowness: () => 1,
-      isHome: () => true,
+      isInSubset: () => true,
       uncachedTokens: () => 0,
     }
     const prompt = { tokens: undefined, promptParts: [] }
--- a/packages/router/__tests__/refusedBodies.spec.ts
+++ b/packages/router/__tests__/refusedBodyHandler.spec.ts
@@ -3,8 +3,8 @@
 import { connect } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
-import { LinkBudget } from '@rackwalk/decisions'
-import { RefusedBodies, continueWhenRead, readBody } from '@rackwalk/router'
+import { LinkBandwidthBudget } from '@rackwalk/decisions'
+import { RefusedBodyHandler, sendContinueOnRead, readBody } from '@rackwalk/router'
 import type { RefusedBodyOutcome } from '@rackwalk/router'
 import { SystemClock } from '@rackwalk/shared'
 import type { Milliseconds } from '@rackwalk/shared'
@@ -37,12 +37,12 @@
   sockets = []
   outcomes = []
   bytesInVain = 0
-  const refusedBodies = new RefusedBodies({
+  const refusedBodies = new RefusedBodyHandler({
     clock,
-    link: new LinkBudget(LINK_BYTES_PER_SECOND),
+    link: new LinkBandwidthBudget(LINK_BYTES_PER_SECOND),
     counters: {
       noteRefusedBody: outcome => outcomes.push(outcome),
-      noteBytesInVain: bytes => (bytesInVain += bytes),
+      noteDiscardedBytes: bytes => (bytesInVain += bytes),
     },
   })
   server = createServer((request, response) => {
@@ -52,7 +52,7 @@
     else if (request.url === '/refused') refuse()
     else void readBody(request, 100_000, 1_000, clock).then(accept, refuse)
   })
-  continueWhenRead(server)
+  sendContinueOnRead(server)
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
 })
 
--- a/packages/router/__tests__/restartedEnds.spec.ts
+++ b/packages/router/__tests__/restartedEnds.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import type { CrashNews, HeardTimes } from '@rackwalk/decisions'
+import type { CrashGossip, LastContactTimes } from '@rackwalk/decisions'
 import { CrashGuard } from '@rackwalk/router'
 import { VirtualClock, asId, endpointOf, endpointStart } from '@rackwalk/shared'
 import type { EndpointStart, RequestFingerprint } from '@rackwalk/shared'
@@ -11,7 +11,10 @@
 
 const FINGERPRINT = asId<RequestFingerprint>('fingerprint-of-it')
 const INNOCENT = asId<RequestFingerprint>('innocent-of-it')
-const UNHEARD: HeardTimes = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
+const UNHEARD: LastContactTimes = {
+  askedAt: Number.NEGATIVE_INFINITY,
+  readAt: Number.NEGATIVE_INFINITY,
+}
 const ENDPOINT = 'endpoint-1'
 /** Starts that the request may meet. */
 const STARTS = 6
@@ -29,11 +32,11 @@
     new CrashGuard({
       clock,
       probe: () => Promise.resolve('does-not-answer'),
-      onEnd: () => {},
+      onCrash: () => {},
       onUnreachable: () => {},
-      onNews: (news: CrashNews) => {
+      broadcast: (news: CrashGossip) => {
         away.push(...(news.away ?? []))
-        guards.forEach((guard, index) => index !== own && guard.observe(news))
+        guards.forEach((guard, index) => index !== own && guard.applyNews(news))
       },
       onVerdict: () => {},
     })
@@ -46,7 +49,7 @@
 
 function endpointOfStart(start: EndpointStart) {
   const address = '127.0.0.1:1'
-  const known = { leavesAsPlanned: false, hasEnded: false, heard: () => UNHEARD }
+  const known = { isPlannedShutdown: false, hasEnded: false, heard: () => UNHEARD }
   return { id: ENDPOINT, start, service: 'models', address, statePath: '/load', ...known }
 }
 
@@ -56,8 +59,8 @@
   const wasIsolated = guard?.verdict(fingerprint) === 'isolate'
   const sentAt = clock.monotonic()
   await clock.advance(RUN_MILLISECONDS)
-  const endpoint = { ...endpointOfStart(endpointStart(ENDPOINT, born)), isStartTold: true }
-  void guard?.noteBroken(endpoint, { fingerprint, wasIsolated, sentAt })
+  const endpoint = { ...endpointOfStart(endpointStart(ENDPOINT, born)), isStartReported: true }
+  void guard?.noteReset(endpoint, { fingerprint, wasIsolated, sentAt })
   await clock.advance(KNOWN_MILLISECONDS)
 }
 
@@ -98,9 +101,9 @@
     for (const guard of played.guards) guard.noteReplaced(endpointStart(ENDPOINT, 0))
     await played.clock.advance(20)
     const [first, second] = played.guards
-    const endpoint = { ...endpointOfStart(endpointStart(ENDPOINT, 1)), isStartTold: true }
+    const endpoint = { ...endpointOfStart(endpointStart(ENDPOINT, 1)), isStartReported: true }
     const request = { fingerprint: FINGERPRINT, wasIsolated: false }
-    void first?.noteBroken(endpoint, { ...request, sentAt: played.clock.monotonic() })
+    void first?.noteReset(endpoint, { ...request, sentAt: played.clock.monotonic() })
     expect(second?.verdict(FINGERPRINT)).toBe('isolate')
     played.stop()
   })
@@ -117,7 +120,7 @@
       const told = guard?.startOf(asId(ENDPOINT), heard)
       const start = told ?? endpointStart(ENDPOINT, Math.floor(clock.monotonic()))
       const endpoint = { ...endpointOfStart(start), heard: () => heard }
-      void guard?.noteBroken(endpoint, { fingerprint: FINGERPRINT, wasIsolated, sentAt })
+      void guard?.noteReset(endpoint, { fingerprint: FINGERPRINT, wasIsolated, sentAt })
       ends += 1
       await clock.advance(KNOWN_MILLISECONDS)
       heard = { ...UNHEARD, askedAt: clock.monotonic() }
@@ -142,9 +145,9 @@
     guard?.noteReplaced(start)
     await clock.advance(5_000)
     expect(away).toHaveLength(told)
-    const endpoint = { ...endpointOfStart(start), hasEnded: true, isStartTold: true }
+    const endpoint = { ...endpointOfStart(start), hasEnded: true, isStartReported: true }
     const request = { fingerprint: INNOCENT, wasIsolated: false }
-    expect(await guard?.noteBroken(endpoint, { ...request, sentAt: 10 })).toBe(true)
+    expect(await guard?.noteReset(endpoint, { ...request, sentAt: 10 })).toBe(true)
     expect(guard?.marksOf(INNOCENT).map(mark => endpointOf(mark.start))).toEqual([ENDPOINT])
   })
 
@@ -153,7 +156,7 @@
     let heard = UNHEARD
     const endpoint = { ...endpointOfStart(endpointStart(ENDPOINT, 0)), heard: () => heard }
     const request = { fingerprint: FINGERPRINT, wasIsolated: false, sentAt: 0 }
-    void guards[0]?.noteBroken(endpoint, request)
+    void guards[0]?.noteReset(endpoint, request)
     await clock.advance(1_100)
     const told = away.length
     expect(told).toBe(3)
--- a/packages/router/__tests__/routing.spec.ts
+++ b/packages/router/__tests__/routing.spec.ts
@@ -13,7 +13,7 @@
   planPlacements,
   prefixHashes,
 } from '@rackwalk/router'
-import type { EndpointView, ModelEndpointSpec, PlaceableEndpoint } from '@rackwalk/router'
+import type { EndpointView, ModelEndpointSpec, PlannerEndpoint } from '@rackwalk/router'
 
 const ENDPOINT = asId<EndpointId>('engine')
 
@@ -70,7 +70,7 @@
 
   it('matches the longest common beginning only', () => {
     const index = new PrefixIndex(new VirtualClock())
-    index.assume(ENDPOINT, hashes.slice(0, 2))
+    index.noteSent(ENDPOINT, hashes.slice(0, 2))
     expect(index.cachedTokens(ENDPOINT, hashes)).toBe(2 * PREFIX_BLOCK_TOKENS)
     const other = prefixHashes(Buffer.concat([Buffer.from('b'), prompt]))
     expect(index.cachedTokens(ENDPOINT, other)).toBe(0)
@@ -82,7 +82,7 @@
     index.apply(ENDPOINT, [{ sequence: 1, kind: 'stored', hashes }])
     expect(index.apply(ENDPOINT, [{ sequence: 3, kind: 'stored', hashes: [] }])).toBe(true)
     expect(index.cachedTokens(ENDPOINT, hashes)).toBe(0)
-    index.assume(ENDPOINT, hashes)
+    index.noteSent(ENDPOINT, hashes)
     await clock.advance(11 * 60_000)
     expect(index.cachedTokens(ENDPOINT, hashes)).toBe(0)
   })
@@ -99,7 +99,7 @@
         events.push(...splitter.split(chunk).map(String))
       }
       expect(events).toEqual(['data: {"a":1}\n\n', 'data: two\n\n', 'data: [DONE]\n\n'])
-      expect(splitter.unfinished).toBe(0)
+      expect(splitter.remainderBytes).toBe(0)
     }
   })
 })
@@ -158,7 +158,7 @@
     name: string,
     loaded: Record<string, string> | undefined,
     change: Partial<ModelEndpointSpec> = {},
-  ): PlaceableEndpoint => ({
+  ): PlannerEndpoint => ({
     endpointId: asId<EndpointId>(name),
     spec: { ...spec, ...change },
     loaded: loaded && new Map(Object.entries(loaded) as [ModelId, string][]),
--- a/packages/router/__tests__/sendPermits.spec.ts
+++ b/packages/router/__tests__/sendAdmission.spec.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { NO_ADVICE_TEXTS, readAdvice } from '@rackwalk/decisions'
-import type { RateLicence } from '@rackwalk/decisions'
-import { EndpointAdvices, RecentSends, SendPermits } from '@rackwalk/router'
+import { NO_ADVICE_HEADERS, parseAdvice } from '@rackwalk/decisions'
+import type { RateQuota } from '@rackwalk/decisions'
+import { EndpointAdviceStore, SendHistory, SendAdmission } from '@rackwalk/router'
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointStart } from '@rackwalk/shared'
 
@@ -13,9 +13,9 @@
 
 function create() {
   const clock = new VirtualClock()
-  const advices = new EndpointAdvices({ clock, onChange: () => {}, onNews: () => {} })
+  const advices = new EndpointAdviceStore({ clock, onChange: () => {}, broadcast: () => {} })
   const instances = ['instance-1', 'instance-2', 'instance-3']
-  const permits = new SendPermits({
+  const permits = new SendAdmission({
     clock,
     advices,
     instance: () => 'instance-1',
@@ -23,8 +23,8 @@
     boundsOf: () => undefined,
   })
   const subjects = ENDPOINTS.map(start => {
-    const sends = new RecentSends(clock)
-    const waitFor = (licence: RateLicence) => sends.waitFor(licence)
+    const sends = new SendHistory(clock)
+    const waitFor = (licence: RateQuota) => sends.waitFor(licence)
     return { start, service: 'models', coldMilliseconds: 0, waitFor, sends }
   })
   return { clock, advices, permits, subjects }
@@ -55,13 +55,13 @@
           wallTime: clock.wallTime(),
           longestRestMilliseconds: LONGEST_REST_MILLISECONDS,
         }
-        advices.note(start, readAdvice({ ...NO_ADVICE_TEXTS, rates, rest }, context), true)
+        advices.note(start, parseAdvice({ ...NO_ADVICE_HEADERS, rates, rest }, context), true)
         subjects[endpoint]?.sends.note()
         await clock.advance(pause)
       }
       // Each in the order of those that share a rate may ask after a while without a word.
       await clock.advance(LONGEST_REST_MILLISECONDS + 12_000)
-      expect(subjects.every(subject => permits.takes(subject))).toBe(true)
+      expect(subjects.every(subject => permits.allows(subject))).toBe(true)
     })
     await fc.assert(property, { seed: 7, numRuns: 60 })
   })
@@ -71,15 +71,15 @@
     const [subject] = subjects
     if (subject === undefined) return
     const context = { wallTime: 0, longestRestMilliseconds: LONGEST_REST_MILLISECONDS }
-    advices.note(subject.start, readAdvice({ ...NO_ADVICE_TEXTS, rest: '3' }, context), false)
+    advices.note(subject.start, parseAdvice({ ...NO_ADVICE_HEADERS, rest: '3' }, context), false)
     const refusal = permits.refusalOf(subject)
     expect(refusal).toEqual({ kind: 'rest', waitMilliseconds: 3_000 })
     await clock.advance(refusal?.waitMilliseconds ?? 0)
-    expect(permits.takes(subject)).toBe(true)
+    expect(permits.allows(subject)).toBe(true)
     subject.sends.note()
-    expect(permits.takes(subject)).toBe(false)
-    advices.note(subject.start, readAdvice(NO_ADVICE_TEXTS, context), true)
-    expect(permits.takes(subject)).toBe(true)
+    expect(permits.allows(subject)).toBe(false)
+    advices.note(subject.start, parseAdvice(NO_ADVICE_HEADERS, context), true)
+    expect(permits.allows(subject)).toBe(true)
   })
 
   it('get nothing for longer where the machine was suspended meanwhile', () => {
@@ -87,8 +87,8 @@
     const [subject] = subjects
     if (subject === undefined) return
     const context = { wallTime: 0, longestRestMilliseconds: LONGEST_REST_MILLISECONDS }
-    advices.note(subject.start, readAdvice({ ...NO_ADVICE_TEXTS, rest: '3' }, context), false)
+    advices.note(subject.start, parseAdvice({ ...NO_ADVICE_HEADERS, rest: '3' }, context), false)
     clock.suspend(10_000)
-    expect(permits.takes(subject)).toBe(false)
+    expect(permits.allows(subject)).toBe(false)
   })
 })
--- a/packages/router/__tests__/standIns/markedChats.ts
+++ b/packages/router/__tests__/standIns/markedChats.ts
@@ -3,8 +3,8 @@
  * real dispatch, choice and guard, with looks, news and held loops as a test orders them.
  */
 
-import { withdrawal } from '@rackwalk/decisions'
-import type { CrashNews, EndSign, KnownEnd } from '@rackwalk/decisions'
+import { judgeWithdrawal } from '@rackwalk/decisions'
+import type { CrashGossip, ProbeResult, KnownTermination } from '@rackwalk/decisions'
 import { SeededRandom, VirtualClock, asId, endpointOf } from '@rackwalk/shared'
 import type { Clock, EndpointId, Milliseconds, RequestFingerprint, Timer } from '@rackwalk/shared'
 import { CrashGuard, DispatchFilter, EndpointRouter, EndpointTable } from '@rackwalk/router'
@@ -109,13 +109,13 @@
     this.endpoints = new EndpointTable(
       catalogue as never,
       clock,
-      { takes: () => true, refusalOf: () => undefined },
+      { allows: () => true, refusalOf: () => undefined },
       () => {},
     )
     this.guard = new CrashGuard({
       clock,
       probe: ({ address }) => play.look(this, address),
-      onEnd: end => {
+      onCrash: end => {
         const { id } = end.endpoint
         const marks = end.unanswered.filter(({ fingerprint }) => fingerprint === MARKED)
         play.log(
@@ -125,7 +125,7 @@
       },
       onUnreachable: start => this.endpoints.noteUnreachable(endpointOf(start)),
       onKnownEnd: (start, end) => this.noteKnownEnd(endpointOf(start), end),
-      onNews: news => play.tell(this, news),
+      broadcast: news => play.tell(this, news),
       onVerdict: (fingerprint, isRefused) => {
         if (fingerprint === MARKED) play.log(this, isRefused ? 'refused' : 'no longer refused')
       },
@@ -152,7 +152,7 @@
       random,
       firstByteMilliseconds: 30_000,
       onRetry: () => {},
-      onUnconnected: () => {},
+      onConnectFailed: () => {},
       isCutOff: () => false,
     })
   }
@@ -176,8 +176,8 @@
     })
   }
 
-  private noteKnownEnd(endpointId: EndpointId, end: KnownEnd): void {
-    const { askedAt } = this.endpoints.heard(endpointId)
+  private noteKnownEnd(endpointId: EndpointId, end: KnownTermination): void {
+    const { askedAt } = this.endpoints.lastHeard(endpointId)
     for (const exchange of [...(this.exchanges.get(endpointId) ?? [])]) {
       const { sentAt } = exchange
       const open = {
@@ -185,9 +185,9 @@
         heardAt: undefined,
         isPaused: false,
         isRepeatable: true,
-        doubtedAt: undefined,
+        firstDoubtedAt: undefined,
       }
-      const fate = withdrawal(open, end, askedAt)
+      const fate = judgeWithdrawal(open, end, askedAt)
       if (fate === 'none' || fate === 'doubted') continue
       const isLookedAt = fate !== 'was-there'
       exchange.fail({
@@ -275,14 +275,14 @@
     )
   }
 
-  tell(from: Member, news: CrashNews): void {
+  tell(from: Member, news: CrashGossip): void {
     const delay = this.order.newsMilliseconds?.[from.number] ?? 2
     for (const member of this.members) {
-      if (member !== from) member.clock.after(delay, () => member.guard.observe(news))
+      if (member !== from) member.clock.after(delay, () => member.guard.applyNews(news))
     }
   }
 
-  look(member: Member, address: string): Promise<EndSign> {
+  look(member: Member, address: string): Promise<ProbeResult> {
     const now = this.clock.monotonic()
     const engine = this.engines.find(({ id }) => address.startsWith(`${id}:`)) as Engine
     const blind = this.order.blind?.some(({ instance, from, until }) => {
--- a/packages/router/__tests__/streamOrigins.spec.ts
+++ b/packages/router/__tests__/streamOrigins.spec.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest'
-import { LONGEST_STREAM_MILLISECONDS } from '@rackwalk/decisions'
+import { RESUMPTION_WINDOW_MILLISECONDS } from '@rackwalk/decisions'
 import type { StreamOrigin } from '@rackwalk/decisions'
-import { StreamMemory, StreamOrigins } from '@rackwalk/router'
-import type { BegunStream, OriginAnswer } from '@rackwalk/router'
+import { StreamOriginCache, StreamOrigins } from '@rackwalk/router'
+import type { StartedStream, OriginAnswer } from '@rackwalk/router'
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { SoftwareVersion, StreamKey } from '@rackwalk/shared'
 
@@ -18,7 +18,7 @@
   return { service: SERVICE, softwareVersion: asId<SoftwareVersion>(version) }
 }
 
-function begunAt(version: string, key = KEY): BegunStream {
+function begunAt(version: string, key = KEY): StartedStream {
   return { key, origin: originOf(version), lifetimeMilliseconds: LIFETIME }
 }
 
@@ -32,9 +32,9 @@
     clock,
     listedVersions: () => listed,
     isListFresh: () => isListFresh,
-    tellKeepers: begun =>
+    replicateStreams: begun =>
       told.push(...begun.map(({ key, origin }) => `${key} began at ${origin.softwareVersion}`)),
-    tellVersions: versions =>
+    broadcastVersions: versions =>
       told.push(versions.map(({ softwareVersion }) => softwareVersion).join(' and ')),
     ask: async ({ key }) => {
       asked.push(key ?? 'unnamed')
@@ -47,7 +47,7 @@
   }
   const drop = (version: string) => {
     listed.delete(asId(version))
-    origins.noteGone(originOf(version))
+    origins.noteUnlisted(originOf(version))
   }
   const find = async (key: StreamKey | undefined) => {
     const { origin, source } = await origins.find({ key, service: SERVICE })
@@ -65,8 +65,8 @@
   it('tells and asks nothing while one software version serves', async () => {
     const { clock, origins, told, asked, list, find } = setUp()
     list('v1')
-    await clock.advance(LONGEST_STREAM_MILLISECONDS)
-    origins.noteBegun(begunAt('v1'))
+    await clock.advance(RESUMPTION_WINDOW_MILLISECONDS)
+    origins.noteStarted(begunAt('v1'))
     expect(await find(KEY)).toBe('v1 (remembered)')
     expect(await find(OTHER)).toBe('v1 (only-version)')
     expect([told, asked]).toEqual([[], []])
@@ -75,21 +75,21 @@
   it('tells keepers of each stream while several serve, and of its own when a second one appears', () => {
     const { origins, told, list } = setUp()
     list('v1')
-    origins.noteBegun(begunAt('v1'))
+    origins.noteStarted(begunAt('v1'))
     list('v1.1')
-    origins.noteBegun(begunAt('v1.1', LATER))
+    origins.noteStarted(begunAt('v1.1', LATER))
     expect(told).toEqual(['stream began at v1', 'v1 and v1.1', 'later began at v1.1'])
   })
 
   it('learns of a version from another instance before its row comes', () => {
     const { origins, told, list } = setUp()
     list('v1')
-    origins.noteBegun(begunAt('v1'))
+    origins.noteStarted(begunAt('v1'))
     origins.observe({ begun: [], versions: [originOf('v1'), originOf('v1.1')] })
     expect(told).toEqual(['stream began at v1'])
     list('v1.1')
     expect(told).toEqual(['stream began at v1'])
-    expect(origins.standingVersions).toEqual([originOf('v1'), originOf('v1.1')])
+    expect(origins.versionsSnapshot).toEqual([originOf('v1'), originOf('v1.1')])
   })
 
   it('goes on with a stream that it was told of, without a question', async () => {
@@ -129,7 +129,7 @@
     const { origins, list, find } = setUp()
     list('v1')
     list('v1.1')
-    origins.noteBegun(begunAt('v1'))
+    origins.noteStarted(begunAt('v1'))
     origins.observe({ begun: [begunAt('v1.1')], versions: [] })
     expect(await find(KEY)).toBe('nowhere (contradictory)')
   })
@@ -138,10 +138,10 @@
     const { clock, list, drop, find } = setUp()
     list('v1')
     list('v1.1')
-    await clock.advance(2 * LONGEST_STREAM_MILLISECONDS)
+    await clock.advance(2 * RESUMPTION_WINDOW_MILLISECONDS)
     drop('v1')
     expect(await find(KEY)).toBe('nowhere (unknown)')
-    await clock.advance(LONGEST_STREAM_MILLISECONDS + 1)
+    await clock.advance(RESUMPTION_WINDOW_MILLISECONDS + 1)
     expect(await find(KEY)).toBe('v1.1 (only-version)')
   })
 })
@@ -149,22 +149,22 @@
 describe('the memory of streams', () => {
   it('forgets a stream when its caller can no longer come back', async () => {
     const clock = new VirtualClock()
-    const memory = new StreamMemory(clock)
+    const memory = new StreamOriginCache(clock)
     memory.note(begunAt('v1'), true)
     await clock.advance(LIFETIME - 1)
     expect(memory.originsOf(KEY)).toEqual([originOf('v1')])
     await clock.advance(1)
-    expect([memory.originsOf(KEY), memory.ownOf(SERVICE)]).toEqual([[], []])
+    expect([memory.originsOf(KEY), memory.servedLocally(SERVICE)]).toEqual([[], []])
   })
 
   it('is bounded, and lets the oldest go', () => {
-    const memory = new StreamMemory(new VirtualClock())
+    const memory = new StreamOriginCache(new VirtualClock())
     for (let index = 0; index < 20_000; index += 1) {
       memory.note(begunAt('v1', asId<StreamKey>(`stream-${index}`)), index % 2 === 0)
     }
     expect(memory.size).toBe(16_384)
     expect(memory.originsOf(asId<StreamKey>('stream-0'))).toEqual([])
     expect(memory.originsOf(asId<StreamKey>('stream-19999'))).toEqual([originOf('v1')])
-    expect(memory.ownOf(SERVICE).length).toBe(8_192)
+    expect(memory.servedLocally(SERVICE).length).toBe(8_192)
   })
 })
--- a/packages/router/__tests__/streamPace.spec.ts
+++ b/packages/router/__tests__/streamPace.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { PauseMeter, ReadingMeter, StreamPace, latenessOf } from '@rackwalk/router'
+import { PauseStretchTracker, PrefillTracker, StreamPace, latenessCause } from '@rackwalk/router'
 import { VirtualClock } from '@rackwalk/shared'
 
 /** Sight of streams: their pauses and pace, and what endpoints read beside them. */
@@ -46,7 +46,7 @@
 describe('what endpoints read', () => {
   it('fades, counts long prompts only, and ends with the endpoint', async () => {
     const clock = new VirtualClock()
-    const meter = new ReadingMeter(clock)
+    const meter = new PrefillTracker(clock)
     meter.note('s1', 8_000)
     meter.note('s1', 1_999)
     meter.note('s1', -8_000)
@@ -61,7 +61,7 @@
   })
 
   it('stretches pauses by service, as those beside long prompts tell', () => {
-    const meter = new PauseMeter()
+    const meter = new PauseStretchTracker()
     meter.note('model', { milliseconds: 290, pendingTokens: 500 }, 300)
     expect(meter.stretchOf('model')).toBeUndefined()
     meter.note('model', { milliseconds: 270, pendingTokens: 9_000 }, 300)
@@ -80,12 +80,12 @@
     ['late at its beginning', 1_001, pause(400), 'first-byte'],
     ['late by a pause', 500, pause(301), 'pause'],
   ] as const)('is judged where %s', (_, firstByteMilliseconds, longestPause, expected) => {
-    expect(latenessOf(route, { firstByteMilliseconds, longestPause })).toBe(expected)
+    expect(latenessCause(route, { firstByteMilliseconds, longestPause })).toBe(expected)
   })
 
   it('may pause where callers accept any pause', () => {
     const patient = { ...route, pauseGoalMilliseconds: undefined }
     const times = { firstByteMilliseconds: 500, longestPause: pause(9_000) }
-    expect(latenessOf(patient, times)).toBeUndefined()
+    expect(latenessCause(patient, times)).toBeUndefined()
   })
 })
--- a/packages/router/__tests__/suspectNews.spec.ts
+++ b/packages/router/__tests__/suspectNews.spec.ts
@@ -1,7 +1,13 @@
 import { describe, expect, it } from 'vitest'
-import type { CrashNews, EndSign } from '@rackwalk/decisions'
+import type { CrashGossip, ProbeResult } from '@rackwalk/decisions'
 import { CrashGuard, EndpointDirectory } from '@rackwalk/router'
-import { UNTOLD_SOFTWARE_VERSION, VirtualClock, asId, endpointStart, sleep } from '@rackwalk/shared'
+import {
+  UNKNOWN_SOFTWARE_VERSION,
+  VirtualClock,
+  asId,
+  endpointStart,
+  sleep,
+} from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 
 /** All that was open at an endpoint was told to all instances, one by one, as often as the endpoint was told of as away. */
@@ -25,7 +31,7 @@
   const place = { id: 'endpoint-1', start: START, service: 'models', address: '127.0.0.1:1' }
   const state = {
     failureDomain: 'domain-a',
-    softwareVersion: UNTOLD_SOFTWARE_VERSION,
+    softwareVersion: UNKNOWN_SOFTWARE_VERSION,
     slots: 8,
     isLeaving: false,
     coldMilliseconds: 0,
@@ -37,22 +43,27 @@
 }
 
 /** Open exchanges with one start, and what is told of them to others; a look takes so long and shows this. */
-function setUp(sign: EndSign, lookMilliseconds: number) {
+function setUp(sign: ProbeResult, lookMilliseconds: number) {
   const clock = new VirtualClock()
-  const news: CrashNews[] = []
+  const news: CrashGossip[] = []
   const guard = new CrashGuard({
     clock,
     probe: async () => {
       await sleep(clock, lookMilliseconds)
       return sign
     },
-    onEnd: () => {},
+    onCrash: () => {},
     onUnreachable: () => {},
-    onNews: told => news.push(told),
+    broadcast: told => news.push(told),
     onVerdict: () => {},
   })
   const exchanges = exchangesAt(clock)
-  const known = { leavesAsPlanned: false, hasEnded: false, heard: () => UNHEARD, isStartTold: true }
+  const known = {
+    isPlannedShutdown: false,
+    hasEnded: false,
+    heard: () => UNHEARD,
+    isStartReported: true,
+  }
   const address = '127.0.0.1:1'
   const endpoint = { id: 'endpoint-1', start: START, service: 'models', address, ...known }
   const breaking = { ...endpoint, statePath: '/load' }
@@ -60,9 +71,15 @@
     const fingerprint = asId<RequestFingerprint>(`fingerprint-${count}`)
     const request = { fingerprint, wasIsolated: false, sentAt: 0 }
     exchanges.add({
-      open: { sentAt: 0, quietSince: 0, mayGoOn: true, isReplyStarted: false, isHeldBack: false },
+      open: {
+        sentAt: 0,
+        lastReceivedAt: 0,
+        isRetryable: true,
+        isReplyStarted: false,
+        isPaused: false,
+      },
       statePath: '/load',
-      suspect: () => void guard.noteBroken(breaking, request),
+      suspect: () => void guard.noteReset(breaking, request),
       end: () => {},
     })
   }
--- a/packages/router/src/advice/publishedAdvice.ts
+++ b/packages/router/src/advice/adviceFromHeaders.ts
@@ -7,10 +7,10 @@
 
 import { parseList } from 'structured-headers'
 import type { Parameters } from 'structured-headers'
-import type { AdviceTexts } from '@rackwalk/decisions'
+import type { AdviceHeaders } from '@rackwalk/decisions'
 
 type Headers = Readonly<Record<string, string>>
-type RateTexts = AdviceTexts['rates']
+type RateTexts = AdviceHeaders['rates']
 
 const RETRY_AFTER = 'retry-after'
 /** Requests a minute, and what is left of them until a time that is given as `1m30s`. */
@@ -30,7 +30,7 @@
 const TOO_MANY_STATUS = 429
 const UNAVAILABLE_STATUS = 503
 /** With one of these an endpoint turns a request away. */
-const TURNING_AWAY = new Set([TOO_MANY_STATUS, UNAVAILABLE_STATUS])
+const REJECTION_STATUSES = new Set([TOO_MANY_STATUS, UNAVAILABLE_STATUS])
 /** Hours, minutes, seconds and milliseconds, each at most once. */
 const DURATION_PATTERN = /^(?:(\d+)h)?(?:(\d+)m(?!s))?(?:(\d+(?:\.\d+)?)s)?(?:(\d+)ms)?$/
 const NOTHING_LEFT = '0'
@@ -38,8 +38,8 @@
 const UNREADABLE = 'unreadable'
 
 /** What an answer of the OpenAI-style kind says of its endpoint; header names in small letters. */
-export function publishedAdvice(status: number, headers: Headers): AdviceTexts {
-  const asked = TURNING_AWAY.has(status) ? headers[RETRY_AFTER] : undefined
+export function adviceFromHeaders(status: number, headers: Headers): AdviceHeaders {
+  const asked = REJECTION_STATUSES.has(status) ? headers[RETRY_AFTER] : undefined
   return {
     rates: [...minuteRates(headers), ...policyRates(headers)],
     leaving: headers[LEAVING] === 'leaving' ? '1' : undefined,
@@ -51,10 +51,10 @@
  * Whether an endpoint turned the request away, so that it was not run. A 429 says so by itself; a 503 only where the
  * endpoint says that it wants rest or leaves, since others come from what stands before an endpoint that has failed.
  */
-export function isTurnedAway(status: number, headers: Headers): boolean {
+export function isRejectedUnrun(status: number, headers: Headers): boolean {
   if (status === TOO_MANY_STATUS) return true
   if (status !== UNAVAILABLE_STATUS) return false
-  const { rest, leaving } = publishedAdvice(status, headers)
+  const { rest, leaving } = adviceFromHeaders(status, headers)
   return rest !== undefined || leaving !== undefined
 }
 
--- a/packages/router/src/advice/endpointAdvices.ts
+++ b/packages/router/src/advice/endpointAdviceStore.ts
@@ -4,17 +4,17 @@
  */
 
 import { adviceText } from '@rackwalk/decisions'
-import type { AdviceNews, EndpointAdvice } from '@rackwalk/decisions'
+import type { AdviceGossip, EndpointAdvice } from '@rackwalk/decisions'
 import type { Clock, EndpointStart } from '@rackwalk/shared'
 import { StartAdvice } from './startAdvice.js'
 
 /** What the memory works with. */
-export interface EndpointAdvicesParts {
+export interface EndpointAdviceStoreParts {
   readonly clock: Clock
   /** A start said something else of itself than before, in words; undefined where it says nothing any more. */
   readonly onChange: (start: EndpointStart, said: string | undefined) => void
   /** For all other instances. */
-  readonly onNews: (news: AdviceNews) => void
+  readonly broadcast: (news: AdviceGossip) => void
 }
 
 /** Starts that are remembered at the most; the one that was touched longest ago is forgotten first. */
@@ -27,11 +27,11 @@
 }
 
 /** The memory of one instance. */
-export class EndpointAdvices {
+export class EndpointAdviceStore {
   /** The one that was touched last stands last. */
   private readonly starts = new Map<EndpointStart, Remembered>()
 
-  constructor(private readonly parts: EndpointAdvicesParts) {}
+  constructor(private readonly parts: EndpointAdviceStoreParts) {}
 
   /** What a start has said, if anything. */
   of(start: EndpointStart): StartAdvice | undefined {
@@ -46,21 +46,22 @@
     const remembered = this.touch(start)
     this.noteRate(remembered.advice, advice, isTrusted)
     if (advice.isLeaving) this.tell(remembered.advice.noteLeaving())
-    if (advice.restMilliseconds !== undefined) remembered.advice.noteRest(advice.restMilliseconds)
-    else if (isTrusted) remembered.advice.noteTaken()
+    if (advice.restMilliseconds !== undefined)
+      remembered.advice.noteRetryAfter(advice.restMilliseconds)
+    else if (isTrusted) remembered.advice.noteAccepted()
     this.noteChange(start, remembered, advice)
   }
 
   /** Another instance had such an answer. */
-  observe(news: AdviceNews): void {
+  observe(news: AdviceGossip): void {
     const isNothing = news.requestsPerSecond === undefined && news.isLeaving !== true
     if (isNothing && !this.starts.has(news.start)) return
     this.touch(news.start).advice.observe(news)
   }
 
   /** Another instance has requests in progress there: it will tell what it hears. */
-  noteAsked(start: EndpointStart): void {
-    this.starts.get(start)?.advice.noteAsked()
+  notePeerRequests(start: EndpointStart): void {
+    this.starts.get(start)?.advice.noteActivity()
   }
 
   /** A start is over. */
@@ -69,19 +70,20 @@
   }
 
   /** What holds of all starts, for an instance that may not have heard it. */
-  get standingNews(): readonly AdviceNews[] {
-    return [...this.starts.values()].flatMap(({ advice }) => advice.standingNews ?? [])
+  get newsSnapshot(): readonly AdviceGossip[] {
+    return [...this.starts.values()].flatMap(({ advice }) => advice.newsSnapshot ?? [])
   }
 
   /** Starts that name a rate. */
-  get limitedCount(): number {
-    return this.standingNews.filter(({ requestsPerSecond }) => requestsPerSecond !== undefined)
+  get rateLimitedCount(): number {
+    return this.newsSnapshot.filter(({ requestsPerSecond }) => requestsPerSecond !== undefined)
       .length
   }
 
   /** Starts that want nothing from this instance for now. */
-  get restingCount(): number {
-    return [...this.starts.values()].filter(({ advice }) => advice.restMilliseconds > 0).length
+  get backingOffCount(): number {
+    return [...this.starts.values()].filter(({ advice }) => advice.retryAfterMilliseconds > 0)
+      .length
   }
 
   /** Whether a start said that it leaves. */
@@ -96,8 +98,8 @@
     this.tell(memory.noteRate(rate === 'none' ? undefined : rate))
   }
 
-  private tell(news: AdviceNews | undefined): void {
-    if (news !== undefined) this.parts.onNews(news)
+  private tell(news: AdviceGossip | undefined): void {
+    if (news !== undefined) this.parts.broadcast(news)
   }
 
   private noteChange(start: EndpointStart, remembered: Remembered, advice: EndpointAdvice): void {
--- a/packages/router/src/advice/turnAwayGuard.ts
+++ b/packages/router/src/advice/rejectionGuard.ts
@@ -3,10 +3,10 @@
  * their answers, and what was sent at the risk of being turned away; the rule is in decisions/choosing/turnAwayRisk.
  */
 
-import { isNearlyFull, turnAwayLicence } from '@rackwalk/decisions'
+import { isNearlyFull, rejectionQuota } from '@rackwalk/decisions'
 import type { RecordedInstance } from '@rackwalk/decisions'
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
-import { RecentSends } from './recentSends.js'
+import { SendHistory } from './sendHistory.js'
 
 /** What the guard works with. */
 export interface TurnAwayGuardParts {
@@ -18,14 +18,14 @@
 }
 
 /** An endpoint, and what is in progress there from all instances. */
-export interface PressedEndpoint {
+export interface EndpointOccupancy {
   readonly start: EndpointStart
   readonly service: string
   readonly slots: number
   readonly running: number
 }
 
-interface SaidBound {
+interface RejectionBound {
   readonly turnAwaysPerSecond: number
   /** Monotonic time of the newest answer that named it. */
   readonly saidAt: Milliseconds
@@ -37,11 +37,11 @@
 const REMEMBERED_STARTS = 1_024
 
 /** What one instance knows of endpoints that bear few turned away requests. */
-export class TurnAwayGuard {
+export class RejectionGuard {
   /** By service: all endpoints of one say the same. */
-  private readonly bounds = new Map<string, SaidBound>()
+  private readonly bounds = new Map<string, RejectionBound>()
   /** Sends at the risk of being turned away. */
-  private readonly sends = new Map<EndpointStart, RecentSends>()
+  private readonly sends = new Map<EndpointStart, SendHistory>()
 
   constructor(private readonly parts: TurnAwayGuardParts) {}
 
@@ -64,31 +64,31 @@
   }
 
   /** Whether an endpoint may be sent something now. */
-  takes(endpoint: PressedEndpoint): boolean {
+  allows(endpoint: EndpointOccupancy): boolean {
     const bound = this.boundAtRisk(endpoint)
     if (bound === undefined) return true
     const recorded = this.parts.recordedInstances()
     if (recorded === undefined) return false
     const { instance } = this.parts
-    const licence = turnAwayLicence(bound.turnAwaysPerSecond, instance, recorded, endpoint.start)
+    const licence = rejectionQuota(bound.turnAwaysPerSecond, instance, recorded, endpoint.start)
     return licence !== undefined && this.sendsTo(endpoint.start).waitFor(licence) === 0
   }
 
   /** It is sent something now. */
-  noteSent(endpoint: PressedEndpoint): void {
+  noteSent(endpoint: EndpointOccupancy): void {
     if (this.boundAtRisk(endpoint) !== undefined) this.sendsTo(endpoint.start).note()
   }
 
-  private boundAtRisk({ service, running, slots }: PressedEndpoint): SaidBound | undefined {
+  private boundAtRisk({ service, running, slots }: EndpointOccupancy): RejectionBound | undefined {
     const bound = this.bounds.get(service)
     return bound !== undefined && isNearlyFull(running, slots) ? bound : undefined
   }
 
-  private sendsTo(start: EndpointStart): RecentSends {
+  private sendsTo(start: EndpointStart): SendHistory {
     const known = this.sends.get(start)
     if (known !== undefined) return known
     if (this.sends.size >= REMEMBERED_STARTS) this.sends.clear()
-    const created = new RecentSends(this.parts.clock)
+    const created = new SendHistory(this.parts.clock)
     this.sends.set(start, created)
     return created
   }
--- a/packages/router/src/advice/sendPermits.ts
+++ b/packages/router/src/advice/sendAdmission.ts
@@ -4,25 +4,25 @@
  * in decisions/choosing (rateLicence, sendRefusal).
  */
 
-import { TRIAL_LICENCE, licenceAt, licenceRank, rateShares } from '@rackwalk/decisions'
+import { RECOVERY_QUOTA, quotaAtRank, quotaRank, divideRate } from '@rackwalk/decisions'
 import type {
-  RateLicence,
+  RateQuota,
   RateShares,
   RecordedInstance,
   SendRefusal,
   WarmUpBounds,
 } from '@rackwalk/decisions'
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
-import type { EndpointAdvices } from './endpointAdvices.js'
+import type { EndpointAdviceStore } from './endpointAdviceStore.js'
 
 /** An endpoint that may be sent something. */
-export interface PermitSubject {
+export interface SendTarget {
   readonly start: EndpointStart
   readonly service: string
   /** Time until it is warm; 0 where it is. */
   readonly coldMilliseconds: Milliseconds
   /** Time until fewer than so many requests were sent there from here within a window; 0 where that is so now. */
-  waitFor(licence: RateLicence): Milliseconds
+  waitFor(licence: RateQuota): Milliseconds
 }
 
 /** What permits rest on. */
@@ -34,7 +34,7 @@
   readonly recordedInstances: () => readonly RecordedInstance[] | undefined
   /** Undefined where the endpoints of a service need no warm-up. */
   readonly boundsOf: (service: string) => WarmUpBounds | undefined
-  readonly advices: EndpointAdvices
+  readonly advices: EndpointAdviceStore
 }
 
 const SECOND_MILLISECONDS: Milliseconds = 1_000
@@ -44,38 +44,38 @@
 const REMEMBERED_PLACES = 1_000
 
 /** Where this instance stands among all that share the rate of a start. */
-interface KnownPlace {
+interface RankEntry {
   readonly rank: number
   readonly instances: number
   readonly at: Milliseconds
 }
 
 /** The permits of one instance. */
-export class SendPermits {
-  private readonly places = new Map<EndpointStart, KnownPlace>()
+export class SendAdmission {
+  private readonly ranks = new Map<EndpointStart, RankEntry>()
 
   constructor(private readonly parts: SendPermitsParts) {}
 
   /** Whether an endpoint may be sent something now. */
-  takes(subject: PermitSubject): boolean {
+  allows(subject: SendTarget): boolean {
     return this.refusalOf(subject) === undefined
   }
 
   /** Why an endpoint may be sent nothing now; undefined where it may. */
-  refusalOf(subject: PermitSubject): SendRefusal | undefined {
+  refusalOf(subject: SendTarget): SendRefusal | undefined {
     return this.restRefusal(subject) ?? this.coldRefusal(subject) ?? this.rateRefusal(subject)
   }
 
-  private restRefusal(subject: PermitSubject): SendRefusal | undefined {
+  private restRefusal(subject: SendTarget): SendRefusal | undefined {
     const advice = this.parts.advices.of(subject.start)
     if (advice === undefined) return undefined
-    const { restMilliseconds, isOnTrial } = advice
-    const trial = isOnTrial ? subject.waitFor(TRIAL_LICENCE) : 0
-    const waitMilliseconds = Math.max(restMilliseconds, trial)
+    const { retryAfterMilliseconds, isOnTrial } = advice
+    const trial = isOnTrial ? subject.waitFor(RECOVERY_QUOTA) : 0
+    const waitMilliseconds = Math.max(retryAfterMilliseconds, trial)
     return waitMilliseconds === 0 ? undefined : { kind: 'rest', waitMilliseconds }
   }
 
-  private coldRefusal(subject: PermitSubject): SendRefusal | undefined {
+  private coldRefusal(subject: SendTarget): SendRefusal | undefined {
     const { coldMilliseconds, service, start } = subject
     const bounds = coldMilliseconds > 0 ? this.parts.boundsOf(service) : undefined
     if (bounds === undefined) return undefined
@@ -84,7 +84,7 @@
     return isOpen ? undefined : { kind: 'cold', waitMilliseconds: coldMilliseconds }
   }
 
-  private rateRefusal(subject: PermitSubject): SendRefusal | undefined {
+  private rateRefusal(subject: SendTarget): SendRefusal | undefined {
     const advice = this.parts.advices.of(subject.start)
     const rate = advice?.requestsPerSecond
     if (advice === undefined || rate === undefined) return undefined
@@ -99,24 +99,24 @@
     start: EndpointStart,
     requestsPerSecond: number,
     silence: Milliseconds,
-  ): RateLicence | undefined {
+  ): RateQuota | undefined {
     const place = this.placeAt(start)
     if (place === undefined) return undefined
-    const shares: RateShares = rateShares(requestsPerSecond, place.instances)
-    return licenceAt(place.rank, shares, silence)
+    const shares: RateShares = divideRate(requestsPerSecond, place.instances)
+    return quotaAtRank(place.rank, shares, silence)
   }
 
-  private placeAt(start: EndpointStart): KnownPlace | undefined {
+  private placeAt(start: EndpointStart): RankEntry | undefined {
     const now = this.parts.clock.sinceStart()
-    const known = this.places.get(start)
+    const known = this.ranks.get(start)
     if (known !== undefined && now - known.at < PLACE_MILLISECONDS) return known
     const recorded = this.parts.recordedInstances()
     if (recorded === undefined) return undefined
-    const rank = licenceRank(this.parts.instance(), recorded, start)
+    const rank = quotaRank(this.parts.instance(), recorded, start)
     if (rank === undefined) return undefined
     const place = { rank, instances: recorded.length, at: now }
-    if (this.places.size >= REMEMBERED_PLACES) this.places.clear()
-    this.places.set(start, place)
+    if (this.ranks.size >= REMEMBERED_PLACES) this.ranks.clear()
+    this.ranks.set(start, place)
     return place
   }
 }
--- a/packages/router/src/advice/startAdvice.ts
+++ b/packages/router/src/advice/startAdvice.ts
@@ -3,11 +3,11 @@
  * start is remembered, whatever rows say of it; decides nothing.
  */
 
-import type { AdviceNews } from '@rackwalk/decisions'
+import type { AdviceGossip } from '@rackwalk/decisions'
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
 
 /** A rate that is named from answer to answer anew is told this often at the most; a stricter one at once. */
-const TELL_MILLISECONDS: Milliseconds = 500
+const BROADCAST_INTERVAL_MILLISECONDS: Milliseconds = 500
 
 /** Age of what was never said, in news: more than anything is remembered. */
 const OLDEST_MILLISECONDS: Milliseconds = 86_400_000
@@ -21,14 +21,14 @@
   /** Time, suspensions included, of the newest answer that told of a rate or of none. */
   private rateAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** Monotonic time until which it wants nothing from this instance. */
-  private restUntil: Milliseconds = Number.NEGATIVE_INFINITY
+  private retryAfterUntil: Milliseconds = Number.NEGATIVE_INFINITY
   /** Whether it asked for rest and has taken nothing from here since. */
   isOnTrial = false
   /** Monotonic time at which anything was last heard of it. */
   private heardAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** What the others were told last, and when. */
-  private told: number | undefined
-  private toldAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private broadcastRate: number | undefined
+  private broadcastAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(
     readonly start: EndpointStart,
@@ -41,71 +41,71 @@
   }
 
   /** Somebody asked it, and will tell what it answers if that is new. */
-  noteAsked(): void {
+  noteActivity(): void {
     this.heardAt = this.clock.monotonic()
   }
 
   /** An answer told of a rate, or of none; news for the others where they don't know it. */
-  noteRate(requestsPerSecond: number | undefined): AdviceNews | undefined {
-    this.noteAsked()
+  noteRate(requestsPerSecond: number | undefined): AdviceGossip | undefined {
+    this.noteActivity()
     this.rateAt = this.clock.sinceStart()
     this.requestsPerSecond = requestsPerSecond
-    return this.mustTell ? this.tell() : undefined
+    return this.shouldBroadcast ? this.prepareBroadcast() : undefined
   }
 
   /** Time until it wants something from this instance again; 0 where it does. */
-  get restMilliseconds(): Milliseconds {
-    return Math.max(0, this.restUntil - this.clock.monotonic())
+  get retryAfterMilliseconds(): Milliseconds {
+    return Math.max(0, this.retryAfterUntil - this.clock.monotonic())
   }
 
   /** It turned a request from here away and asked for rest; a shorter wish does not end a longer one. */
-  noteRest(milliseconds: Milliseconds): void {
-    this.restUntil = Math.max(this.restUntil, this.clock.monotonic() + milliseconds)
+  noteRetryAfter(milliseconds: Milliseconds): void {
+    this.retryAfterUntil = Math.max(this.retryAfterUntil, this.clock.monotonic() + milliseconds)
     this.isOnTrial = true
   }
 
   /** It took a request from here; one that was sent before it asked for rest says nothing of that. */
-  noteTaken(): void {
-    if (this.restMilliseconds === 0) this.isOnTrial = false
+  noteAccepted(): void {
+    if (this.retryAfterMilliseconds === 0) this.isOnTrial = false
   }
 
   /** An answer said that it leaves; news for the others where they don't know it. */
-  noteLeaving(): AdviceNews | undefined {
+  noteLeaving(): AdviceGossip | undefined {
     if (this.isLeaving) return undefined
     this.isLeaving = true
     return this.news
   }
 
   /** Another instance had such an answer; what is newer here counts. */
-  observe({ requestsPerSecond, isLeaving = false, ageMilliseconds }: AdviceNews): void {
-    this.noteAsked()
+  observe({ requestsPerSecond, isLeaving = false, ageMilliseconds }: AdviceGossip): void {
+    this.noteActivity()
     this.isLeaving ||= isLeaving
     const saidAt = this.clock.sinceStart() - ageMilliseconds
     if (saidAt < this.rateAt) return
     this.rateAt = saidAt
     this.requestsPerSecond = requestsPerSecond
-    this.told = requestsPerSecond
+    this.broadcastRate = requestsPerSecond
   }
 
   /** What is known, for an instance that may not have heard it; undefined where nothing holds. */
-  get standingNews(): AdviceNews | undefined {
+  get newsSnapshot(): AdviceGossip | undefined {
     return this.requestsPerSecond === undefined && !this.isLeaving ? undefined : this.news
   }
 
-  private get mustTell(): boolean {
-    const { requestsPerSecond: now, told } = this
-    if (now === told) return false
-    if (now === undefined || told === undefined || now < told) return true
-    return this.clock.monotonic() - this.toldAt >= TELL_MILLISECONDS
+  private get shouldBroadcast(): boolean {
+    const { requestsPerSecond: now, broadcastRate } = this
+    if (now === broadcastRate) return false
+    if (now === undefined || broadcastRate === undefined || now < broadcastRate) return true
+    return this.clock.monotonic() - this.broadcastAt >= BROADCAST_INTERVAL_MILLISECONDS
   }
 
-  private tell(): AdviceNews {
-    this.told = this.requestsPerSecond
-    this.toldAt = this.clock.monotonic()
+  private prepareBroadcast(): AdviceGossip {
+    this.broadcastRate = this.requestsPerSecond
+    this.broadcastAt = this.clock.monotonic()
     return this.news
   }
 
-  private get news(): AdviceNews {
+  private get news(): AdviceGossip {
     const { start, requestsPerSecond, isLeaving } = this
     return {
       start,
--- a/packages/router/src/crashes/endpointProbe.ts
+++ b/packages/router/src/crashes/endpointProbe.ts
@@ -1,11 +1,11 @@
 /** Looks whether an endpoint is still there. Sends no request that would run. */
 
 import { connect } from 'node:net'
-import type { EndSign } from '@rackwalk/decisions'
+import type { ProbeResult } from '@rackwalk/decisions'
 import { SystemClock } from '@rackwalk/shared'
 import type { Milliseconds } from '@rackwalk/shared'
-import { askState, comesWithin } from '../gateway/stateQuestion.js'
-import type { StateQuestion } from '../gateway/stateQuestion.js'
+import { startStateProbe, settlesWithin } from '../gateway/stateProbe.js'
+import type { StateProbe } from '../gateway/stateProbe.js'
 
 /** Where to look. */
 export interface ProbedEndpoint {
@@ -22,7 +22,7 @@
 const CLOCK = new SystemClock()
 
 /** One look at an endpoint. */
-export function probeEndpoint({ address, statePath }: ProbedEndpoint): Promise<EndSign> {
+export function probeEndpoint({ address, statePath }: ProbedEndpoint): Promise<ProbeResult> {
   const [host = '', port = ''] = address.split(':')
   return new Promise(resolve => {
     const socket = connect({ host, port: Number(port) })
@@ -30,7 +30,7 @@
     // On a busy processor the timer is late, and the connection may be up and wait to be seen: that comes first.
     const giveUp = () => setImmediate(() => (isConnected ? undefined : finish('no-connection')))
     const timer = setTimeout(giveUp, CONNECT_MILLISECONDS)
-    const finish = (sign: EndSign) => {
+    const finish = (sign: ProbeResult) => {
       clearTimeout(timer)
       socket.destroy()
       // What came from the endpoint before this is read first.
@@ -41,7 +41,7 @@
       clearTimeout(timer)
       // Where there is nothing to ask for, whoever takes connections counts as alive.
       if (statePath === undefined) finish('lives')
-      else void lookAtState(address, statePath).then(finish)
+      else void probeState(address, statePath).then(finish)
     })
     socket.on('error', (error: NodeJS.ErrnoException) => {
       finish(error.code === 'ECONNREFUSED' ? 'nobody-listens' : 'no-connection')
@@ -49,10 +49,10 @@
   })
 }
 
-async function lookAtState(address: string, path: string): Promise<EndSign> {
-  const question = askState(address, path)
+async function probeState(address: string, path: string): Promise<ProbeResult> {
+  const question = startStateProbe(address, path)
   const isAnswered = await isAnsweredInTime(question)
-  question.withdraw()
+  question.cancel()
   // Whoever was too busy to look knows nothing, nor does whoever could not ask.
   if (isAnswered === undefined || question.sign === 'no-connection') return 'no-connection'
   // What fails at this has no engine behind it.
@@ -60,9 +60,9 @@
 }
 
 /** The time for the answer begins once the question is written; undefined where this process was too busy to know. */
-async function isAnsweredInTime(question: StateQuestion): Promise<boolean | undefined> {
+async function isAnsweredInTime(question: StateProbe): Promise<boolean | undefined> {
   const forConnection = { clock: CLOCK, delay: CONNECT_MILLISECONDS }
   const forState = { clock: CLOCK, delay: STATE_MILLISECONDS }
-  const isWritten = await comesWithin(question, question.written, forConnection)
-  return isWritten && comesWithin(question, question.answered, forState)
+  const isWritten = await settlesWithin(question, question.written, forConnection)
+  return isWritten && settlesWithin(question, question.answered, forState)
 }
--- a/packages/router/src/crashes/partRecords.ts
+++ b/packages/router/src/crashes/promptPartRecords.ts
@@ -27,7 +27,7 @@
 export function observeRecords(guard: CrashGuard, marks: readonly CrashMark[]): void {
   const byPart = groupBy(marks, ({ fingerprint }) => partOf(fingerprint))
   for (const [part, own] of byPart) {
-    if (part === undefined) guard.observe({ marks: own, cleared: [] })
+    if (part === undefined) guard.applyNews({ marks: own, cleared: [] })
     else noteRecordedPart(guard, part, own)
   }
 }
@@ -44,7 +44,7 @@
   part: PromptPartKey,
   marks: readonly CrashMark[],
 ): void {
-  promptParts.observeRecord(
+  promptParts.applyRecord(
     part,
     marks.map(({ start }) => start),
   )
--- a/packages/router/src/crashes/requestFingerprint.ts
+++ b/packages/router/src/crashes/requestFingerprint.ts
@@ -1,7 +1,7 @@
 /** What makes two requests the same one, whatever their ids and whichever instance they came to. */
 
 import { createHash, hash } from 'node:crypto'
-import { SCOPE_CHARACTERS } from '@rackwalk/decisions'
+import { SCOPE_PREFIX_LENGTH } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 
@@ -23,7 +23,7 @@
 
 /** What all requests of a team to one path share: their fingerprints begin with it. */
 export function requestScope({ path, team }: ScopedRequest): string {
-  return hash('sha256', `${path}\n${team ?? ''}`, 'base64url').slice(0, SCOPE_CHARACTERS)
+  return hash('sha256', `${path}\n${team ?? ''}`, 'base64url').slice(0, SCOPE_PREFIX_LENGTH)
 }
 
 /** The team is part of it: what one team sends never says anything of another one's request. */
--- a/packages/router/src/decisionRecord.ts
+++ b/packages/router/src/decisionRecord.ts
@@ -14,7 +14,7 @@
   TokenCount,
 } from '@rackwalk/shared'
 import type { AllocationView } from '@rackwalk/coordination'
-import type { AnswerEnd, AnswerFate, AnswerFraming } from '@rackwalk/decisions'
+import type { AnswerEnd, AnswerDisposition, AnswerFraming } from '@rackwalk/decisions'
 import type { ScoredEndpoint } from './routing/endpointView.js'
 
 /** One choice of an endpoint: one for each attempt. */
@@ -32,7 +32,7 @@
 interface AnswerRecord {
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
-  readonly fate: AnswerFate
+  readonly fate: AnswerDisposition
 }
 
 /** Everything that decided about one request; what `explain` shows. */
