--- a/packages/router/src/engine/answerHold.ts
+++ b/packages/router/src/engine/answerBuffer.ts
@@ -6,43 +6,43 @@
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Bounds of what is held. */
-export interface HoldLimits {
+export interface AnswerBufferLimits {
   /** Larger answers go as they come. */
-  readonly answerBytes: number
+  readonly maximumAnswerBytes: number
   /** Of all answers of an instance at the same time; past it they go as they come. */
-  readonly totalBytes: number
+  readonly maximumTotalBytes: number
   /** Longest hold of an answer that may be meant to be read while it arrives. */
-  readonly openEndedMilliseconds: Milliseconds
+  readonly maximumUnsizedMilliseconds: Milliseconds
 }
 
 const MEBIBYTE = 1024 * 1024
 
 /** Bounds of an instance. */
-export const HOLD_LIMITS: HoldLimits = {
-  answerBytes: MEBIBYTE,
-  totalBytes: 64 * MEBIBYTE,
-  openEndedMilliseconds: 1_000,
+export const ANSWER_BUFFER_LIMITS: AnswerBufferLimits = {
+  maximumAnswerBytes: MEBIBYTE,
+  maximumTotalBytes: 64 * MEBIBYTE,
+  maximumUnsizedMilliseconds: 1_000,
 }
 
 /** Memory for the answers that an instance holds. */
-export class HoldSpace {
+export class AnswerBufferPool {
   private used = 0
 
-  constructor(readonly limits: HoldLimits) {}
+  constructor(readonly limits: AnswerBufferLimits) {}
 
   /** The hold of one answer. */
-  open(): AnswerHold {
-    return new AnswerHold(this)
+  openReservation(): BufferReservation {
+    return new BufferReservation(this)
   }
 
   /** False where there is no room. */
-  take(bytes: number): boolean {
-    if (this.used + bytes > this.limits.totalBytes) return false
+  reserve(bytes: number): boolean {
+    if (this.used + bytes > this.limits.maximumTotalBytes) return false
     this.used += bytes
     return true
   }
 
-  give(bytes: number): void {
+  release(bytes: number): void {
     this.used -= bytes
   }
 
@@ -53,16 +53,17 @@
 }
 
 /** What is held of one answer. */
-export class AnswerHold {
+export class BufferReservation {
   private bytes = 0
   private isOpen = true
 
-  constructor(private readonly space: HoldSpace) {}
+  constructor(private readonly space: AnswerBufferPool) {}
 
   /** Whether more of the answer may be held with this chunk. */
-  take(bytes: number): boolean {
+  reserve(bytes: number): boolean {
     if (!this.isOpen) return false
-    const hasRoom = this.bytes + bytes <= this.space.limits.answerBytes && this.space.take(bytes)
+    const hasRoom =
+      this.bytes + bytes <= this.space.limits.maximumAnswerBytes && this.space.reserve(bytes)
     if (hasRoom) this.bytes += bytes
     else this.isOpen = false
     return hasRoom
@@ -76,7 +77,7 @@
   /** Gives the memory back; again has no effect. */
   release(): void {
     this.isOpen = false
-    this.space.give(this.bytes)
+    this.space.release(this.bytes)
     this.bytes = 0
   }
 }
@@ -86,10 +87,10 @@
 const STREAM_TYPE = /^text\/event-stream/i
 
 /** How an answer is held, by its head. */
-export type HoldKind = 'until-whole' | 'for-a-while' | 'not'
+export type BufferingMode = 'until-whole' | 'for-a-while' | 'not'
 
 /** Whether an answer is held: events are there to be passed on at once. */
-export function holdKind(headers: Readonly<Record<string, string>>): HoldKind {
+export function bufferingModeOf(headers: Readonly<Record<string, string>>): BufferingMode {
   if (STREAM_TYPE.test(headers['content-type'] ?? '')) return 'not'
   return headers['content-length'] !== undefined || isJson(headers) ? 'until-whole' : 'for-a-while'
 }
--- a/packages/router/src/engine/attemptResult.ts
+++ b/packages/router/src/engine/attemptResult.ts
@@ -18,5 +18,5 @@
       /** How an answer was framed that had begun; undefined where no head had come. */
       readonly framing?: AnswerFraming
       /** Whether the endpoint is already known to have ended, and whether the request was there is settled. */
-      readonly isLookedAt?: boolean
+      readonly isAttributed?: boolean
     }
--- a/packages/router/src/engine/bodyProof.ts
+++ b/packages/router/src/engine/bodyCompleteness.ts
@@ -4,27 +4,27 @@
  */
 
 import type { AnswerFraming } from '@rackwalk/decisions'
-import { isJson } from './answerHold.js'
+import { isJson } from './answerBuffer.js'
 
 /** `open`: something is missing. `closed`: nothing is. `unknown`: such a body doesn't tell. */
-export type BodyState = 'open' | 'closed' | 'unknown'
+export type BodyCompleteness = 'open' | 'closed' | 'unknown'
 
 /** Reads a body along as it arrives. */
-export interface BodyProof {
+export interface CompletenessCheck {
   read(chunk: Buffer): void
-  readonly state: BodyState
+  readonly state: BodyCompleteness
 }
 
 /** What an answer's body can prove, by its head. */
-export function bodyProof(
+export function createCompletenessCheck(
   framing: AnswerFraming,
   headers: Readonly<Record<string, string>>,
-): BodyProof {
-  return framing === 'connection' && isJson(headers) ? new JsonProof() : NO_PROOF
+): CompletenessCheck {
+  return framing === 'connection' && isJson(headers) ? new JsonCompletenessCheck() : NO_PROOF
 }
 
 /** A body that proves nothing, or need not. */
-class NoProof implements BodyProof {
+class UnknownCompleteness implements CompletenessCheck {
   readonly state = 'unknown'
 
   read(): void {
@@ -32,7 +32,7 @@
   }
 }
 
-const NO_PROOF = new NoProof()
+const NO_PROOF = new UnknownCompleteness()
 
 const QUOTE = 0x22
 const BACKSLASH = 0x5c
@@ -44,14 +44,14 @@
  * A JSON document: whole where all that it opened is closed. Only that is looked at, so that a document which a strict
  * parser would refuse is not taken for a part of one. A bare number or word may go on, so it proves nothing.
  */
-export class JsonProof implements BodyProof {
+export class JsonCompletenessCheck implements CompletenessCheck {
   private depth = 0
   private isInString = false
   private isEscaped = false
   private hasBegun = false
   private hasClosed = false
 
-  get state(): BodyState {
+  get state(): BodyCompleteness {
     if (this.depth > 0 || this.isInString || !this.hasBegun) return 'open'
     return this.hasClosed ? 'closed' : 'unknown'
   }
--- a/packages/router/src/engine/continuedChat.ts
+++ b/packages/router/src/engine/chatContinuation.ts
@@ -40,7 +40,7 @@
 }
 
 /** The body that asks an engine to go on after a text. */
-export function continuedChat(body: ChatBody, text: string, outputTokens: TokenCount): ChatBody {
+export function continuationBody(body: ChatBody, text: string, outputTokens: TokenCount): ChatBody {
   const messages = body['messages'] as readonly unknown[]
   const continued: Record<string, unknown> = {
     ...body,
--- a/packages/router/src/engine/chatRequest.ts
+++ b/packages/router/src/engine/chatRequest.ts
@@ -7,7 +7,7 @@
 import { NotRunError, ResultCode, asId } from '@rackwalk/shared'
 import type { ModelId, TokenCount } from '@rackwalk/shared'
 import type { ModelLimits } from '../resources/catalogue.js'
-import { isContinuableChat } from './continuedChat.js'
+import { isContinuableChat } from './chatContinuation.js'
 import { promptTokenBound, promptTokenEstimate } from './tokenBound.js'
 
 /** Messages in one request. */
--- a/packages/router/src/engine/continuedEvents.ts
+++ b/packages/router/src/engine/continuationRewriter.ts
@@ -5,13 +5,13 @@
 
 import { continuedUsage } from '@rackwalk/decisions'
 import type { TokenCount } from '@rackwalk/shared'
-import { chunkEvent, headOf, parseChunk } from './keptAnswer.js'
-import type { ChunkHead } from './keptAnswer.js'
+import { chunkEvent, chunkMetadataOf, parseChunk } from './deliveredChat.js'
+import type { ChunkMetadata } from './deliveredChat.js'
 import type { ReportedUsage } from './usage.js'
 
 /** What the caller has of the answer. */
-export interface FirstRun {
-  readonly head: ChunkHead
+export interface DeliveredPrefix {
+  readonly head: ChunkMetadata
   readonly usage: ReportedUsage
   readonly outputTokenLimit: TokenCount
 }
@@ -24,13 +24,13 @@
 type Chunk = Record<string, unknown>
 
 /** In the first piece after the join. */
-const MARK = { rackwalk: { continued: true } }
+const CONTINUED_MARKER = { rackwalk: { continued: true } }
 
 /** The events of one continuation. */
-export class ContinuedEvents {
+export class ContinuationRewriter {
   private pieces = 0
 
-  constructor(private readonly first: FirstRun) {}
+  constructor(private readonly first: DeliveredPrefix) {}
 
   /** Whether any piece of the text has come from the second engine. */
   get hasBegun(): boolean {
@@ -47,7 +47,7 @@
     if (choice === undefined) return chunkEvent(rewritten)
     if (!this.hasBegun && isOpening(choice)) return undefined
     this.pieces += 1
-    const mark = this.pieces === 1 ? MARK : {}
+    const mark = this.pieces === 1 ? CONTINUED_MARKER : {}
     return chunkEvent({ ...rewritten, choices: [withoutRole(choice)], ...mark })
   }
 
@@ -76,7 +76,7 @@
 }
 
 /** Events that close an answer of which all text is there. */
-export function closingChunks({ head, usage }: FirstRun, finishReason: string | undefined) {
+export function closingEvents({ head, usage }: DeliveredPrefix, finishReason: string | undefined) {
   const document = usageDocument(usage)
   const choice = { index: 0, delta: {}, finish_reason: finishReason }
   return {
@@ -87,7 +87,7 @@
 }
 
 function withoutHead(chunk: Chunk): Chunk {
-  const own = headOf(chunk)
+  const own = chunkMetadataOf(chunk)
   return Object.fromEntries(Object.entries(chunk).filter(([field]) => !(field in own)))
 }
 
--- a/packages/router/src/engine/keptAnswer.ts
+++ b/packages/router/src/engine/deliveredChat.ts
@@ -6,11 +6,11 @@
 
 import * as z from 'zod'
 import type { SoftwareVersion, TokenCount } from '@rackwalk/shared'
-import type { HoldSpace } from './answerHold.js'
+import type { AnswerBufferPool } from './answerBuffer.js'
 import type { ReportedUsage } from './usage.js'
 
 /** Events of more bytes than this are read together. */
-const UNREAD_BYTES = 16 * 1024
+const PARSE_BATCH_BYTES = 16 * 1024
 const DATA = 'data: '
 
 const choiceSchema = z.looseObject({
@@ -28,12 +28,12 @@
 type Chunk = z.infer<typeof chunkSchema>
 
 /** What all chunks of one answer have in common. */
-export type ChunkHead = Readonly<Record<string, unknown>>
+export type ChunkMetadata = Readonly<Record<string, unknown>>
 
 const HEAD_FIELDS = ['id', 'object', 'created', 'model', 'system_fingerprint'] as const
 
 /** The fields that say which answer a chunk belongs to. */
-export function headOf(chunk: Readonly<Record<string, unknown>>): ChunkHead {
+export function chunkMetadataOf(chunk: Readonly<Record<string, unknown>>): ChunkMetadata {
   return Object.fromEntries(
     HEAD_FIELDS.filter(field => chunk[field] !== undefined).map(field => [field, chunk[field]]),
   )
@@ -58,35 +58,35 @@
 }
 
 /** What a caller has of one answer. */
-export class KeptAnswer {
+export class DeliveredChat {
   private unread: Buffer[] = []
   private bytes = 0
   private unreadBytes = 0
   private readonly texts: string[] = []
   private isPlain = true
-  private firstHead: ChunkHead | undefined
+  private firstHead: ChunkMetadata | undefined
   private newestUsage: ReportedUsage | undefined
   private hasFinish = false
 
   constructor(
-    private readonly space: HoldSpace,
+    private readonly space: AnswerBufferPool,
     /** Of the engine that began the answer, as it was stated then. */
     readonly softwareVersion: SoftwareVersion,
   ) {}
 
   /** An event is passed on. */
-  take(event: Buffer): void {
+  append(event: Buffer): void {
     if (!this.isPlain) return
-    if (!this.space.take(event.length)) return this.giveUp()
+    if (!this.space.reserve(event.length)) return this.giveUp()
     this.bytes += event.length
     this.unreadBytes += event.length
     // The memory of an event is that of all the chunk it came in.
     this.unread.push(Buffer.from(event))
-    if (this.unreadBytes > UNREAD_BYTES) this.read()
+    if (this.unreadBytes > PARSE_BATCH_BYTES) this.read()
   }
 
   /** Whether all that the caller has is known, and is plain text. */
-  get isKnown(): boolean {
+  get isReconstructible(): boolean {
     this.read()
     return this.isPlain
   }
@@ -96,7 +96,7 @@
     return this.texts.join('')
   }
 
-  get head(): ChunkHead {
+  get head(): ChunkMetadata {
     return this.firstHead ?? {}
   }
 
@@ -113,7 +113,7 @@
   /** Gives its memory back; again has no effect. */
   release(): void {
     this.isPlain = false
-    this.space.give(this.bytes)
+    this.space.release(this.bytes)
     this.bytes = 0
     this.unreadBytes = 0
     this.unread = []
@@ -132,7 +132,7 @@
     const freed = Math.max(0, this.unreadBytes - added)
     if (this.unreadBytes === 0) return
     this.bytes -= freed
-    this.space.give(freed)
+    this.space.release(freed)
     this.unreadBytes = 0
   }
 
@@ -145,7 +145,7 @@
   }
 
   private readChunk(chunk: Chunk): void {
-    this.firstHead ??= headOf(chunk)
+    this.firstHead ??= chunkMetadataOf(chunk)
     const { usage } = chunk
     const [choice] = chunk.choices
     if (usage) this.newestUsage = usageOf(usage)
--- a/packages/router/src/engine/endpointClient.ts
+++ b/packages/router/src/engine/endpointClient.ts
@@ -5,18 +5,18 @@
 import { Agent, Pool, request as sendRequest } from 'undici'
 import type { Client } from 'undici'
 import type { Readable } from 'node:stream'
-import type { KnownEnd } from '@rackwalk/decisions'
+import type { KnownTermination } from '@rackwalk/decisions'
 import type { Clock, EndpointId, Milliseconds } from '@rackwalk/shared'
-import { HOLD_LIMITS, HoldSpace } from './answerHold.js'
-import type { HoldLimits } from './answerHold.js'
+import { ANSWER_BUFFER_LIMITS, AnswerBufferPool } from './answerBuffer.js'
+import type { AnswerBufferLimits } from './answerBuffer.js'
 import type { AttemptResult } from './attemptResult.js'
 import { EndpointConnection } from './endpointConnection.js'
 import type { EndpointDispatch } from './endpointConnection.js'
-import { EndpointExchange, classify } from './endpointExchange.js'
-import { OpenExchanges } from './openExchanges.js'
+import { EndpointExchange, classifyAttemptError } from './endpointExchange.js'
+import { InFlightExchanges } from './inFlightExchanges.js'
 
 /** One exchange with an endpoint. */
-export interface EndpointCall {
+export interface EndpointRequest {
   readonly endpointId: EndpointId
   /** Scheme, host and port. */
   readonly address: string
@@ -43,15 +43,15 @@
 export class EndpointClient {
   private readonly agent: Agent
 
-  private readonly space: HoldSpace
-  private readonly open = new OpenExchanges()
+  private readonly space: AnswerBufferPool
+  private readonly open = new InFlightExchanges()
 
   constructor(
     private readonly clock: Clock,
     private readonly stallMilliseconds: Milliseconds,
-    holdLimits: HoldLimits = HOLD_LIMITS,
+    holdLimits: AnswerBufferLimits = ANSWER_BUFFER_LIMITS,
   ) {
-    this.space = new HoldSpace(holdLimits)
+    this.space = new AnswerBufferPool(holdLimits)
     this.agent = new Agent({
       connections: CONNECTIONS_PER_ENDPOINT,
       pipelining: 1,
@@ -63,7 +63,7 @@
   }
 
   /** Sends, and waits until the answer is whole or goes on as it comes. */
-  attempt(call: EndpointCall): Promise<AttemptResult> {
+  attempt(call: EndpointRequest): Promise<AttemptResult> {
     if (call.signal.aborted) return Promise.resolve({ kind: 'unsent', reason: 'the caller left' })
     const { endpointId, method, isRepeatable, signal } = call
     const { space, open, clock } = this
@@ -89,14 +89,18 @@
     try {
       this.agent.dispatch(dispatch, exchange)
     } catch (thrown) {
-      return Promise.resolve(classify(thrown))
+      return Promise.resolve(classifyAttemptError(thrown))
     }
     return exchange.result
   }
 
   /** An endpoint has ended: what waits there is given up. */
-  noteEnd(endpointId: EndpointId, end: KnownEnd, endpointHeardAt: Milliseconds): void {
-    this.open.noteEnd(endpointId, end, endpointHeardAt)
+  noteTermination(
+    endpointId: EndpointId,
+    end: KnownTermination,
+    endpointHeardAt: Milliseconds,
+  ): void {
+    this.open.noteTermination(endpointId, end, endpointHeardAt)
   }
 
   /** Fetches a small JSON document, such as a load report. */
--- a/packages/router/src/engine/endpointConnection.ts
+++ b/packages/router/src/engine/endpointConnection.ts
@@ -14,16 +14,16 @@
 }
 
 /** What an exchange may ask of its connection. */
-export interface ConnectionGuard {
+export interface ConnectionEndGuard {
   /** The connection carries the reader's answer from here on. */
-  serve(reader: ConnectionReader): void
+  assignReader(reader: ConnectionReader): void
   /** The reader goes on, and may be told of an end that came meanwhile. */
-  goOn(): void
+  noteResumed(): void
 }
 
 /** A request of an exchange that learns how its connection ends. */
 export interface EndpointDispatch extends Dispatcher.DispatchOptions {
-  readonly onConnection?: (end: ConnectionGuard) => void
+  readonly onConnection?: (end: ConnectionEndGuard) => void
 }
 
 /** A connection that was reset. The client treats the system's own error as a proper end. */
@@ -36,16 +36,16 @@
 }
 
 /** The end of the connection, as the client may be told of it. */
-class GuardedEnd implements ConnectionGuard {
+class SocketEndGuard implements ConnectionEndGuard {
   private reader: ConnectionReader | undefined
   private socket: Socket | undefined
   private deliverLate: (() => void) | undefined
 
-  serve(reader: ConnectionReader): void {
+  assignReader(reader: ConnectionReader): void {
     this.reader = reader
   }
 
-  goOn(): void {
+  noteResumed(): void {
     const deliver = this.deliverLate
     if (deliver === undefined || this.reader?.isPaused === true) return
     this.deliverLate = undefined
@@ -80,10 +80,10 @@
 
 /** A client of one connection, one request at a time. */
 export class EndpointConnection extends Client {
-  private readonly connectionEnd: ConnectionGuard
+  private readonly connectionEnd: ConnectionEndGuard
 
   constructor(origin: string | URL, options: Client.Options) {
-    const end = new GuardedEnd()
+    const end = new SocketEndGuard()
     super(origin, { ...options, connect: guardedConnector(options.connect, end) })
     this.connectionEnd = end
   }
@@ -97,7 +97,7 @@
 /** The pool's connector, whose sockets are watched. */
 function guardedConnector(
   connect: Client.Options['connect'],
-  end: GuardedEnd,
+  end: SocketEndGuard,
 ): buildConnector.connector {
   if (typeof connect !== 'function')
     throw new TypeError('a connection needs the connector of its pool')
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -4,18 +4,18 @@
  */
 
 import type { Dispatcher } from 'undici'
-import { answerFraming, isProvenWhole } from '@rackwalk/decisions'
+import { answerFraming, isProvenComplete } from '@rackwalk/decisions'
 import type { AnswerEnd, AnswerFraming, EndedAnswer } from '@rackwalk/decisions'
 import { deferred } from '@rackwalk/shared'
 import type { Clock, EndpointId, Milliseconds, Timer } from '@rackwalk/shared'
 import type { AnswerConsumer, EndpointAnswer } from '../filters/stages.js'
-import type { AnswerHold, HoldSpace } from './answerHold.js'
-import { holdKind } from './answerHold.js'
+import type { BufferReservation, AnswerBufferPool } from './answerBuffer.js'
+import { bufferingModeOf } from './answerBuffer.js'
 import type { AttemptResult } from './attemptResult.js'
-import { bodyProof } from './bodyProof.js'
-import type { BodyProof } from './bodyProof.js'
-import type { ConnectionGuard, ConnectionReader } from './endpointConnection.js'
-import type { OpenExchange, OpenExchanges } from './openExchanges.js'
+import { createCompletenessCheck } from './bodyCompleteness.js'
+import type { CompletenessCheck } from './bodyCompleteness.js'
+import type { ConnectionEndGuard, ConnectionReader } from './endpointConnection.js'
+import type { InFlightExchange, InFlightExchanges } from './inFlightExchanges.js'
 
 // Errors that say the connection was never made.
 const NEVER_CONNECTED = new Set([
@@ -38,9 +38,9 @@
   readonly isRepeatable?: boolean
   /** Aborted when nobody waits any more; its reason says why. */
   readonly signal: AbortSignal
-  readonly space: HoldSpace
+  readonly space: AnswerBufferPool
   /** Where it is found while it has not ended. */
-  readonly open: OpenExchanges
+  readonly open: InFlightExchanges
   readonly clock: Clock
 }
 
@@ -49,7 +49,7 @@
  * relays them: a stream object between the two took a third of the time of each token.
  */
 export class EndpointExchange
-  implements Dispatcher.DispatchHandler, EndpointAnswer, ConnectionReader, OpenExchange
+  implements Dispatcher.DispatchHandler, EndpointAnswer, ConnectionReader, InFlightExchange
 {
   status = 0
   headers: Readonly<Record<string, string>> = {}
@@ -58,16 +58,16 @@
   isPaused = false
   sentAt: Milliseconds = Number.POSITIVE_INFINITY
   heardAt: Milliseconds | undefined
-  doubtedAt: Milliseconds | undefined
+  firstDoubtedAt: Milliseconds | undefined
   readonly isRepeatable: boolean
   /** Whether it was there when its endpoint ended; undefined while that is not known to have ended. */
-  private wasThere: boolean | undefined
-  private connection: ConnectionGuard | undefined
-  private proof: BodyProof | undefined
+  private wasInFlightAtTermination: boolean | undefined
+  private connection: ConnectionEndGuard | undefined
+  private proof: CompletenessCheck | undefined
   private readonly begun = deferred<AttemptResult>()
   readonly endpointId: EndpointId
-  private readonly early: Buffer[] = []
-  private readonly hold: AnswerHold
+  private readonly bufferedChunks: Buffer[] = []
+  private readonly hold: BufferReservation
   private holdTimer: Timer | undefined
   private controller: Dispatcher.DispatchController | undefined
   private consumer: AnswerConsumer | undefined
@@ -77,12 +77,12 @@
   constructor(private readonly parts: ExchangeParts) {
     this.endpointId = parts.endpointId
     this.isRepeatable = parts.isRepeatable ?? true
-    this.hold = parts.space.open()
+    this.hold = parts.space.openReservation()
     parts.signal.addEventListener('abort', this.abandon, { once: true })
   }
 
   /** Its request goes over this connection, once that is free. */
-  readonly noteConnection = (connection: ConnectionGuard): void => {
+  readonly noteConnection = (connection: ConnectionEndGuard): void => {
     this.connection = connection
   }
 
@@ -95,22 +95,22 @@
     if (!this.isEnded) this.controller?.abort(new CancelledError('aborted'))
   }
 
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.isEnded && this.failure === undefined
   }
 
   get isDelimited(): boolean {
-    return this.framing !== 'connection' || (this.isWhole && this.proof?.state === 'closed')
+    return this.framing !== 'connection' || (this.isComplete && this.proof?.state === 'closed')
   }
 
-  release(): void {
+  releaseBuffer(): void {
     this.hold.release()
   }
 
   /** Hands the answer over; nothing was read until now beyond what is held of it and the chunk after that. */
-  start(consumer: AnswerConsumer): void {
+  startReading(consumer: AnswerConsumer): void {
     this.consumer = consumer
-    for (const chunk of this.early.splice(0)) this.pass(chunk)
+    for (const chunk of this.bufferedChunks.splice(0)) this.pass(chunk)
     if (this.failure !== undefined) consumer.fail(this.failure)
     else if (this.isEnded) consumer.end()
     else if (!consumer.isFull) this.resume()
@@ -120,12 +120,12 @@
     if (this.isEnded) return
     this.isPaused = false
     this.controller?.resume()
-    this.connection?.goOn()
+    this.connection?.noteResumed()
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller
-    this.connection?.serve(this)
+    this.connection?.assignReader(this)
     this.sentAt = this.parts.clock.monotonic()
     this.parts.open.add(this)
     if (this.parts.signal.aborted) this.abandon()
@@ -141,8 +141,8 @@
       transferEncoding: this.headers['transfer-encoding'],
       contentLength: this.headers['content-length'],
     })
-    this.proof = bodyProof(this.framing, this.headers)
-    const kind = holdKind(this.headers)
+    this.proof = createCompletenessCheck(this.framing, this.headers)
+    const kind = bufferingModeOf(this.headers)
     if (kind === 'not') this.hold.close()
     if (kind === 'for-a-while') this.limitHold()
   }
@@ -151,29 +151,29 @@
     this.heardAt = this.parts.clock.monotonic()
     this.proof?.read(chunk)
     if (this.consumer !== undefined) return this.pass(chunk)
-    this.early.push(chunk)
-    if (this.hold.take(chunk.length)) return
+    this.bufferedChunks.push(chunk)
+    if (this.hold.reserve(chunk.length)) return
     this.pause()
     this.begin()
   }
 
   onResponseEnd(): void {
     const end = this.framing === 'connection' ? 'closed' : 'complete'
-    const isBodyOpen = this.proof?.state === 'open'
-    const answer: EndedAnswer = { framing: this.framing, end, isBodyOpen }
-    if (isProvenWhole(answer)) this.succeed(end)
+    const isBodyTruncated = this.proof?.state === 'open'
+    const answer: EndedAnswer = { framing: this.framing, end, isBodyTruncated }
+    if (isProvenComplete(answer)) this.succeed(end)
     else this.fail(end, new UnfinishedError())
   }
 
   onResponseError(_: Dispatcher.DispatchController, error: Error): void {
     // What its body proves whole is whole, whatever became of its connection.
-    if (this.proof?.state === 'closed') this.succeed(endOf(error))
-    else this.fail(endOf(error), error)
+    if (this.proof?.state === 'closed') this.succeed(answerEndOf(error))
+    else this.fail(answerEndOf(error), error)
   }
 
-  withdraw(wasThere: boolean): void {
+  failByTermination(wasThere: boolean): void {
     if (this.isEnded) return
-    this.wasThere = wasThere
+    this.wasInFlightAtTermination = wasThere
     this.controller?.abort(new CancelledError('endpoint-ended'))
   }
 
@@ -187,7 +187,7 @@
     this.finish(end)
     this.failure = error
     if (!this.hasBegun) {
-      this.release()
+      this.releaseBuffer()
       this.begun.resolve(this.classified(error))
     }
     this.consumer?.fail(error)
@@ -204,19 +204,20 @@
   }
 
   private classified(error: Error): AttemptResult {
-    const result = classify(error)
+    const result = classifyAttemptError(error)
     if (result.kind !== 'failed') return result
-    const told = this.wasThere === undefined ? result : { ...result, ...this.withdrawn() }
+    const told =
+      this.wasInFlightAtTermination === undefined ? result : { ...result, ...this.withdrawn() }
     return this.status === 0 ? told : { ...told, end: this.end, framing: this.framing }
   }
 
   /** Whether the endpoint ended under it is to be found out only of what was there. */
   private withdrawn() {
-    return { reason: 'its endpoint has ended', isLookedAt: this.wasThere === false }
+    return { reason: 'its endpoint has ended', isLookedAt: this.wasInFlightAtTermination === false }
   }
 
   private pass(chunk: Buffer): void {
-    this.consumer?.take(chunk)
+    this.consumer?.receive(chunk)
     if (this.consumer?.isFull) this.pause()
   }
 
@@ -229,9 +230,9 @@
   /** An answer that may be meant to be read while it arrives is not held for long. */
   private limitHold(): void {
     const { clock, space } = this.parts
-    this.holdTimer = clock.after(space.limits.openEndedMilliseconds, () => {
+    this.holdTimer = clock.after(space.limits.maximumUnsizedMilliseconds, () => {
       this.hold.close()
-      if (this.early.length === 0) return
+      if (this.bufferedChunks.length === 0) return
       this.pause()
       this.begin()
     })
@@ -272,14 +273,14 @@
 }
 
 /** What an error before any answer says of the request. */
-export function classify(thrown: unknown): AttemptResult {
+export function classifyAttemptError(thrown: unknown): AttemptResult {
   const code = errorCode(thrown)
   if (NEVER_CONNECTED.has(code)) return { kind: 'unsent', reason: code }
-  return { kind: 'failed', reason: code, stalled: STALLED.has(code), end: endOf(thrown) }
+  return { kind: 'failed', reason: code, stalled: STALLED.has(code), end: answerEndOf(thrown) }
 }
 
 /** What the reading of an answer ended with, by the error that ended it. */
-export function endOf(thrown: unknown): AnswerEnd {
+export function answerEndOf(thrown: unknown): AnswerEnd {
   if (thrown instanceof CancelledError) return thrown.end
   if (isStall(thrown)) return 'silence'
   return STOPPED.has(errorCode(thrown)) ? 'instance-stopped' : 'reset'
--- a/packages/router/src/engine/eventSplitter.ts
+++ b/packages/router/src/engine/eventSplitter.ts
@@ -34,7 +34,7 @@
   }
 
   /** Bytes after the last whole event. */
-  get unfinished(): number {
+  get remainderBytes(): number {
     return this.rest?.length ?? 0
   }
 
--- a/packages/router/src/errorBody.ts
+++ b/packages/router/src/errorBody.ts
@@ -11,10 +11,10 @@
   resultName,
 } from '@rackwalk/shared'
 import type { Execution, RackwalkError, RequestId } from '@rackwalk/shared'
-import { StandardReturnTime } from './returnTime.js'
-import type { ReturnTimeSpelling } from './returnTime.js'
+import { StandardRetryAfter } from './retryAfter.js'
+import type { RetryAfterFormat } from './retryAfter.js'
 
-const STANDARD_RETURN_TIME = new StandardReturnTime()
+const STANDARD_RETURN_TIME = new StandardRetryAfter()
 
 /** The JSON that a caller gets for every refusal and failure. */
 export interface ErrorBody {
@@ -63,12 +63,12 @@
 export function errorHeaders(
   error: RackwalkError,
   requestId?: RequestId,
-  returnTime: ReturnTimeSpelling = STANDARD_RETURN_TIME,
+  returnTime: RetryAfterFormat = STANDARD_RETURN_TIME,
   leastSeconds = 0,
 ): Record<string, string> {
   const headers: Record<string, string> = { 'content-type': 'application/json' }
   const wait = retryAfterSeconds(error, leastSeconds)
-  if (wait !== undefined) Object.assign(headers, returnTime.returnHeaders(wait))
+  if (wait !== undefined) Object.assign(headers, returnTime.retryHeaders(wait))
   if (requestId !== undefined) headers['rackwalk-request-id'] = requestId
   return headers
 }
--- a/packages/router/src/filters/admit.ts
+++ b/packages/router/src/filters/admit.ts
@@ -10,7 +10,7 @@
 import type { EndpointTable } from '../routing/endpointTable.js'
 import type { EndpointView } from '../routing/endpointView.js'
 import { noCandidateError } from '../routing/noCandidate.js'
-import { estimatedRequests, expectedFirstToken } from '../routing/routingPolicy.js'
+import { estimatedRequests, expectedFirstTokenMilliseconds } from '../routing/routingPolicy.js'
 import type { AdmittedRequest, Call, DeduplicatedRequest, Filter } from './stages.js'
 
 /** Parts that admission works with. */
@@ -40,35 +40,35 @@
     this.checkDeadline(request, views)
     const waited = await this.enter(request)
     request.record.queuedMilliseconds = waited
-    const notePlaced = once(() => this.queueOf(request).notePlaced())
-    request.scope.onEnd(() => this.serve(request.target))
-    request.scope.onEnd(notePlaced)
-    return { ...request, notePlaced }
+    const noteDispatched = once(() => this.queueOf(request).noteDispatched())
+    request.scope.onEnd(() => this.admitWaiting(request.target))
+    request.scope.onEnd(noteDispatched)
+    return { ...request, noteDispatched }
   }
 
   /** Lets waiting requests in; called whenever a request ended or a report came. */
-  serve(target: string): void {
-    this.queues.get(target)?.serve()
+  admitWaiting(target: string): void {
+    this.queues.get(target)?.admitWaiting()
   }
 
-  serveAll(): void {
-    for (const queue of this.queues.values()) queue.serve()
+  admitAllWaiting(): void {
+    for (const queue of this.queues.values()) queue.admitWaiting()
   }
 
   /** Requests waiting in all queues. */
-  get queued(): number {
+  get queuedRequests(): number {
     return [...this.queues.values()].reduce((sum, queue) => sum + queue.length, 0)
   }
 
   private async enter(request: DeduplicatedRequest): Promise<Milliseconds> {
     const policy = this.parts.catalogue.policyFor(request.target)
     const cost = request.call.kind === 'chat' ? request.call.chat.promptTokenEstimate : 1
-    const outcome = await this.queueOf(request).enter(
+    const outcome = await this.queueOf(request).enqueue(
       {
         teamId: request.team.teamId,
         weight: request.team.spec.weight,
         priority: request.priority,
-        latestStart: request.deadline,
+        startDeadline: request.deadline,
         cost,
       },
       {
@@ -87,7 +87,7 @@
       promptTokens: request.call.chat.promptTokenEstimate,
       instances: this.parts.instances(),
     }
-    const soonest = Math.min(...views.map(view => expectedFirstToken(view, demand)))
+    const soonest = Math.min(...views.map(view => expectedFirstTokenMilliseconds(view, demand)))
     if (this.parts.clock.sinceStart() + soonest <= request.deadline) return
     throw new NotRunError(ResultCode.DeadlineUnreachable)
   }
--- a/packages/router/src/filters/passage.ts
+++ b/packages/router/src/filters/answerDelivery.ts
@@ -3,20 +3,20 @@
 import type { ReportedUsage } from '../engine/usage.js'
 
 /** One answer on its way through. */
-export interface Passage {
+export interface AnswerDelivery {
   /** False when the caller should first be allowed to drain. */
-  take(chunk: Buffer): boolean
+  deliver(chunk: Buffer): boolean
   /** What must not be passed on before the bill is safe. */
-  readonly heldBack: readonly Buffer[]
+  readonly withheldChunks: readonly Buffer[]
   /** Whether something in the answer says that it is whole. */
-  readonly isClosed: boolean
+  readonly hasEndMarker: boolean
   /** Whether it is whole where its framing says so. */
-  readonly isWhole: boolean
+  readonly isComplete: boolean
   usage(): ReportedUsage
 }
 
 /** Several events as one write. */
-export function joined(events: readonly Buffer[]): Buffer {
+export function concatEvents(events: readonly Buffer[]): Buffer {
   const [only] = events
   return events.length === 1 && only !== undefined ? only : Buffer.concat(events)
 }
--- a/packages/router/src/filters/eventPassage.ts
+++ b/packages/router/src/filters/chatEventDelivery.ts
@@ -5,14 +5,14 @@
 
 import type { TokenCount } from '@rackwalk/shared'
 import type { BudgetLedger } from '@rackwalk/coordination'
-import { ContinuedEvents, closingChunks } from '../engine/continuedEvents.js'
+import { ContinuationRewriter, closingEvents } from '../engine/continuationRewriter.js'
 import { EventSplitter, isDoneEvent, isUsageEvent } from '../engine/eventSplitter.js'
-import type { KeptAnswer } from '../engine/keptAnswer.js'
+import type { DeliveredChat } from '../engine/deliveredChat.js'
 import type { ReportedUsage } from '../engine/usage.js'
 import { findUsage } from '../engine/usage.js'
 import { answerHeaders } from './answerHeaders.js'
-import type { Passage } from './passage.js'
-import { joined } from './passage.js'
+import type { AnswerDelivery } from './answerDelivery.js'
+import { concatEvents } from './answerDelivery.js'
 import type { ChatRequest } from '../engine/chatRequest.js'
 import type { DispatchedRequest } from './stages.js'
 
@@ -23,11 +23,11 @@
 }
 
 /** A streamed chat on its way. */
-export class EventPassage implements Passage {
-  readonly heldBack: Buffer[] = []
-  isClosed = false
+export class ChatEventDelivery implements AnswerDelivery {
+  readonly withheldChunks: Buffer[] = []
+  hasEndMarker = false
   /** The run that goes on with the answer; undefined while the first one is passed on. */
-  continuation: ContinuedEvents | undefined
+  continuation: ContinuationRewriter | undefined
   private splitter = new EventSplitter()
   private lastEvent: Buffer | undefined
   private events = 0
@@ -39,28 +39,28 @@
     private readonly chat: ChatRequest,
     private readonly parts: EventPassageParts,
     /** What the caller has; undefined where the chat is not continued. */
-    readonly kept: KeptAnswer | undefined,
+    readonly deliveredChat: DeliveredChat | undefined,
   ) {
     // Its last event tells that it is whole, or an error event in place of it.
-    request.incoming.caller.begin(request.answer.status, answerHeaders(request))
+    request.incoming.caller.writeHead(request.answer.status, answerHeaders(request))
   }
 
-  take(chunk: Buffer): boolean {
+  deliver(chunk: Buffer): boolean {
     const passed = this.eventsOf(chunk).filter(event => this.passes(event))
     if (passed.length === 0) return true
     this.events += passed.length
     this.lastEvent = passed.at(-1)
     this.parts.onTokens(passed.length)
     if (!this.promptKnown) this.shrinkReservation(passed[0])
-    return this.request.incoming.caller.write(joined(passed))
+    return this.request.incoming.caller.write(concatEvents(passed))
   }
 
-  get isWhole(): boolean {
-    return this.isClosed
+  get isComplete(): boolean {
+    return this.hasEndMarker
   }
 
   usage(): ReportedUsage {
-    const closing = this.heldBack.find(event => isUsageEvent(event)) ?? this.usageEvent
+    const closing = this.withheldChunks.find(event => isUsageEvent(event)) ?? this.usageEvent
     const reported = findUsage((closing ?? this.lastEvent)?.toString('utf8') ?? '')
     if (reported !== undefined) return reported
     // An engine that reports nothing before the end is counted by what was passed on.
@@ -69,25 +69,26 @@
   }
 
   /** Another engine goes on: what of its predecessor's last event was not whole is void. */
-  goOn(usage: ReportedUsage): void {
-    this.continuation = new ContinuedEvents(this.firstRun(usage))
+  startContinuation(usage: ReportedUsage): void {
+    this.continuation = new ContinuationRewriter(this.firstRun(usage))
     this.splitter = new EventSplitter()
-    this.kept?.release()
+    this.deliveredChat?.release()
   }
 
   /** All text is there: gives the answer the closing events that its engine did not come to. */
-  close(usage: ReportedUsage, finishReason: 'length' | undefined): void {
-    const chunks = closingChunks(this.firstRun(usage), finishReason)
+  appendClosingEvents(usage: ReportedUsage, finishReason: 'length' | undefined): void {
+    const chunks = closingEvents(this.firstRun(usage), finishReason)
     if (chunks.finish) this.request.incoming.caller.write(chunks.finish)
     this.usageEvent ??= chunks.usage
-    if (this.chat.wantsUsage && this.heldBack.length === 0) this.heldBack.push(this.usageEvent)
-    this.heldBack.push(chunks.done)
-    this.isClosed = true
+    if (this.chat.wantsUsage && this.withheldChunks.length === 0)
+      this.withheldChunks.push(this.usageEvent)
+    this.withheldChunks.push(chunks.done)
+    this.hasEndMarker = true
   }
 
   private firstRun(usage: ReportedUsage) {
     const { outputTokenLimit } = this.chat
-    return { head: this.kept?.head ?? {}, usage, outputTokenLimit }
+    return { head: this.deliveredChat?.head ?? {}, usage, outputTokenLimit }
   }
 
   private eventsOf(chunk: Buffer): readonly Buffer[] {
@@ -100,14 +101,14 @@
   /** False for the events that close the answer; those are kept back or dropped. */
   private passes(event: Buffer): boolean {
     if (isDoneEvent(event)) {
-      this.isClosed = true
-      this.heldBack.push(Buffer.from(event))
+      this.hasEndMarker = true
+      this.withheldChunks.push(Buffer.from(event))
       return false
     }
-    if (this.continuation === undefined) this.kept?.take(event)
+    if (this.continuation === undefined) this.deliveredChat?.append(event)
     if (!isUsageEvent(event)) return true
     this.usageEvent = Buffer.from(event)
-    if (this.chat.wantsUsage) this.heldBack.push(this.usageEvent)
+    if (this.chat.wantsUsage) this.withheldChunks.push(this.usageEvent)
     return false
   }
 
--- a/packages/router/src/filters/handOver.ts
+++ b/packages/router/src/filters/chatRelay.ts
@@ -4,7 +4,7 @@
  * rules are in decisions/choosing/relayPeer and decisions/retrying/relayStep.
  */
 
-import { chooseRelayPeer, isProvenWhole, relayStep } from '@rackwalk/decisions'
+import { chooseRelayPeer, isProvenComplete, relayStep } from '@rackwalk/decisions'
 import type { AnswerEnd, RelayCandidate, RelayOutcome } from '@rackwalk/decisions'
 import { DispatchedError, ResultCode } from '@rackwalk/shared'
 import type { Clock, IncarnationId, Milliseconds, RandomSource } from '@rackwalk/shared'
@@ -17,7 +17,7 @@
 import type { ParsedRequest } from './stages.js'
 
 /** Another instance that serves callers. */
-export interface HandOverPeer {
+export interface ChatRelayPeer {
   readonly incarnation: IncarnationId
   readonly failureDomain: string
   /** IP:PORT for callers. */
@@ -25,48 +25,48 @@
 }
 
 /** What chats are handed over with. */
-export interface HandOverParts {
+export interface ChatRelayParts {
   readonly incarnation: IncarnationId
   readonly failureDomain: string
   readonly clock: Clock
   readonly random: RandomSource
   /** Others that serve callers. */
-  readonly peers: () => readonly HandOverPeer[]
+  readonly peers: () => readonly ChatRelayPeer[]
   readonly onHandedOver: (outcome: RelayOutcome) => void
 }
 
 interface Candidate extends RelayCandidate {
-  readonly peer: HandOverPeer
+  readonly peer: ChatRelayPeer
 }
 
 const CONNECT_MILLISECONDS: Milliseconds = 300
 /** Connections to one instance. */
-const MOST_CONNECTIONS = 256
+const MAXIMUM_PEER_CONNECTIONS = 256
 /** Who refused as cut off or full is asked last for so long: it says nothing of it by itself. */
 const REFUSAL_MILLISECONDS: Milliseconds = 1_000
 const STATUS_UNAVAILABLE = 503
 /** Headers of one exchange, which the next one has anew. */
-const OWN_HEADERS = new Set(['host', 'content-length', 'rackwalk-deadline-ms'])
+const PER_HOP_HEADERS = new Set(['host', 'content-length', 'rackwalk-deadline-ms'])
 
 /** Hands chats of one instance to others. */
-export class ChatHandOver {
+export class ChatRelay {
   private readonly agents = new Map<string, EndpointAgent>()
   /** Monotonic time at which each refused last. */
   private readonly refusedAt = new Map<IncarnationId, Milliseconds>()
 
-  constructor(private readonly parts: HandOverParts) {}
+  constructor(private readonly parts: ChatRelayParts) {}
 
   close(): void {
     for (const agent of this.agents.values()) agent.destroy()
   }
 
   /** Whether the request may go to another instance at all. */
-  mayTake({ incoming, call }: ParsedRequest): boolean {
+  canRelay({ incoming, call }: ParsedRequest): boolean {
     return call.kind === 'chat' && !incoming.headers.has(RELAYED_BY)
   }
 
   /** What came of it; undefined where nobody was sent it. Throws where it may have run and no answer came. */
-  async run(request: ParsedRequest): Promise<RelayOutcome | undefined> {
+  async relay(request: ParsedRequest): Promise<RelayOutcome | undefined> {
     const { call } = request
     if (call.kind !== 'chat') return undefined
     const asked = new Set<IncarnationId>()
@@ -89,7 +89,7 @@
 
   /** Whether nobody waits for an answer any more. */
   private isOver({ incoming, deadline }: ParsedRequest): boolean {
-    return incoming.caller.left.aborted || this.parts.clock.sinceStart() >= deadline
+    return incoming.caller.disconnectSignal.aborted || this.parts.clock.sinceStart() >= deadline
   }
 
   /** Passes the answer on where there is one to pass on. */
@@ -116,12 +116,12 @@
     return outcome
   }
 
-  private noteOutcome({ incarnation }: HandOverPeer, outcome: RelayOutcome): void {
+  private noteOutcome({ incarnation }: ChatRelayPeer, outcome: RelayOutcome): void {
     if (outcome.kind === 'refused') this.refusedAt.set(incarnation, this.now)
     this.parts.onHandedOver(outcome)
   }
 
-  private choose(asked: ReadonlySet<IncarnationId>): HandOverPeer | undefined {
+  private choose(asked: ReadonlySet<IncarnationId>): ChatRelayPeer | undefined {
     const { peers, failureDomain, random } = this.parts
     const candidates = peers()
       .filter(({ incarnation }) => !asked.has(incarnation))
@@ -129,37 +129,37 @@
     return chooseRelayPeer(candidates, failureDomain, random.next())?.peer
   }
 
-  private candidateOf(peer: HandOverPeer): Candidate {
+  private candidateOf(peer: ChatRelayPeer): Candidate {
     const { incarnation, failureDomain } = peer
     const refusedAt = this.refusedAt.get(incarnation) ?? Number.NEGATIVE_INFINITY
     const isOverloaded = this.now - refusedAt < REFUSAL_MILLISECONDS
     return { peer, instance: incarnation, failureDomain, isCutOff: false, isOverloaded }
   }
 
-  private open(peer: HandOverPeer, request: ParsedRequest, chat: ChatRequest): UpstreamExchange {
+  private open(peer: ChatRelayPeer, request: ParsedRequest, chat: ChatRequest): UpstreamExchange {
     const { incoming, deadline, scope } = request
     const { clock, incarnation } = this.parts
     const remaining = Math.max(1, Math.floor(deadline - clock.sinceStart()))
     const body = Buffer.from(JSON.stringify(relayedChatBody(chat)))
     const sent = withoutConnectionHeaders([...incoming.headers].flat(), name =>
-      OWN_HEADERS.has(name),
+      PER_HOP_HEADERS.has(name),
     )
     const own = { [RELAYED_BY]: incarnation, 'rackwalk-deadline-ms': String(remaining) }
     const headers = [...sent, ...Object.entries(own).flat()]
     headers.push('host', peer.callerAddress, 'content-length', String(body.length))
-    const { method, target: path } = incoming
+    const { method, requestTarget: path } = incoming
     const endpoint = { record: { address: peer.callerAddress }, agent: this.agentOf(peer) }
     const described = { method, path, headers, body, connectMilliseconds: CONNECT_MILLISECONDS }
     const exchange = new UpstreamExchange(endpoint, described)
     const noteLeft = () => exchange.abort('caller-left')
-    incoming.caller.left.addEventListener('abort', noteLeft, { once: true })
+    incoming.caller.disconnectSignal.addEventListener('abort', noteLeft, { once: true })
     const timer = clock.after(remaining, () => exchange.abort('deadline'))
     scope.onEnd(() => timer.cancel())
     return exchange
   }
 
-  private agentOf({ callerAddress }: HandOverPeer): EndpointAgent {
-    const known = this.agents.get(callerAddress) ?? new EndpointAgent(MOST_CONNECTIONS)
+  private agentOf({ callerAddress }: ChatRelayPeer): EndpointAgent {
+    const known = this.agents.get(callerAddress) ?? new EndpointAgent(MAXIMUM_PEER_CONNECTIONS)
     this.agents.set(callerAddress, known)
     return known
   }
@@ -176,16 +176,16 @@
   status: number,
   headers: Readonly<Record<string, string>>,
 ): Promise<boolean> {
-  caller.begin(status, headers)
+  caller.writeHead(status, headers)
   return new Promise(resolve => {
     const onData = (chunk: Buffer) => {
       if (caller.write(chunk)) return
       exchange.pause()
-      void caller.drained().then(() => exchange.resume())
+      void caller.waitForDrain().then(() => exchange.resume())
     }
     const onEnd = (end: AnswerEnd) => {
       const { framing } = exchange
-      const isWhole = isProvenWhole({ framing, end, isBodyOpen: false })
+      const isWhole = isProvenComplete({ framing, end, isBodyTruncated: false })
       if (isWhole) void caller.end().then(() => resolve(true))
       else resolve(false)
     }
--- a/packages/router/src/filters/complete.ts
+++ b/packages/router/src/filters/complete.ts
@@ -14,9 +14,9 @@
     const { caller } = request.incoming
     if (request.code === ResultCode.CallerLeft) return request
     const isWhole = request.code === ResultCode.Ok || request.code === ResultCode.EndpointError
-    if (isWhole && request.isBillSafe) {
+    if (isWhole && request.isBillDurable) {
       this.begin(request)
-      for (const chunk of request.heldBack) caller.write(chunk)
+      for (const chunk of request.withheldChunks) caller.write(chunk)
       await caller.end()
       return request
     }
@@ -29,14 +29,14 @@
   private begin(request: SettledRequest): void {
     const { caller } = request.incoming
     const { status, isDelimited } = request.answer
-    if (caller.hasBegun) return
-    caller.begin(status, wholeAnswerHeaders(request, request.heldBack), isDelimited)
+    if (caller.hasSentHead) return
+    caller.writeHead(status, wholeAnswerHeaders(request, request.withheldChunks), isDelimited)
   }
 
   /** A stream can still carry a last event; any other answer that has begun ends by its connection. */
   private async cutOff(request: SettledRequest, error: DispatchedError): Promise<void> {
     const { caller } = request.incoming
-    if (!caller.hasBegun) throw error
+    if (!caller.hasSentHead) throw error
     const type = request.answer.headers['content-type'] ?? ''
     if (type.startsWith('text/event-stream')) await caller.end(errorEvent(error, request.requestId))
     else caller.destroy()
--- a/packages/router/src/filters/continueAnswer.ts
+++ b/packages/router/src/filters/continueAnswer.ts
@@ -3,31 +3,31 @@
  * the engine. The rule is in decisions/retrying/continuation.
  */
 
-import { afterCut } from '@rackwalk/decisions'
-import type { AnswerEnd, CutStep } from '@rackwalk/decisions'
+import { continuationStep } from '@rackwalk/decisions'
+import type { AnswerEnd, ContinuationStep } from '@rackwalk/decisions'
 import type { Clock } from '@rackwalk/shared'
-import type { HoldSpace } from '../engine/answerHold.js'
+import type { AnswerBufferPool } from '../engine/answerBuffer.js'
 import type { ChatRequest } from '../engine/chatRequest.js'
-import { continuedChat } from '../engine/continuedChat.js'
-import { KeptAnswer } from '../engine/keptAnswer.js'
+import { continuationBody } from '../engine/chatContinuation.js'
+import { DeliveredChat } from '../engine/deliveredChat.js'
 import type { ReportedUsage } from '../engine/usage.js'
 import type { Catalogue } from '../resources/catalogue.js'
 import type { DispatchFilter } from './dispatch.js'
-import type { EventPassage } from './eventPassage.js'
-import type { DispatchedRequest, RestOfAnswer } from './stages.js'
+import type { ChatEventDelivery } from './chatEventDelivery.js'
+import type { DispatchedRequest, ContinuationRequest } from './stages.js'
 
 /** Parts that continuing works with. */
 export interface ContinuationParts {
-  readonly dispatch: Pick<DispatchFilter, 'continueElsewhere' | 'noteCutAtJoin'>
+  readonly dispatch: Pick<DispatchFilter, 'dispatchContinuation' | 'noteContinuationFailure'>
   readonly catalogue: Catalogue
-  readonly space: HoldSpace
+  readonly space: AnswerBufferPool
   readonly clock: Clock
   /** An engine goes on with the answer of another one. */
   readonly onContinued: () => void
 }
 
 /** Ends that leave an answer for another engine: it or the way to it brought them about. */
-const ENGINES_ENDS: ReadonlySet<AnswerEnd> = new Set([
+const CONTINUABLE_ENDS: ReadonlySet<AnswerEnd> = new Set([
   'complete',
   'closed',
   'reset',
@@ -40,68 +40,72 @@
   constructor(private readonly parts: ContinuationParts) {}
 
   /** Where what the caller has is kept; undefined where no engine could go on with it. */
-  keep(request: DispatchedRequest, chat: ChatRequest): KeptAnswer | undefined {
+  trackDelivered(request: DispatchedRequest, chat: ChatRequest): DeliveredChat | undefined {
     if (!isContinuable(request, chat) || !this.hasEngine(request, chat)) return undefined
     const { endpointId } = request.answer
     const softwareVersion = this.parts.catalogue.softwareVersionOf(endpointId)
-    const kept = new KeptAnswer(this.parts.space, softwareVersion)
+    const kept = new DeliveredChat(this.parts.space, softwareVersion)
     request.scope.onEnd(() => kept.release())
     return kept
   }
 
   /** The answer of the engine that goes on; undefined where none does, or nothing is missing any more. */
-  async goOn(
+  async continueAnswer(
     cut: DispatchedRequest,
     chat: ChatRequest,
-    passage: EventPassage,
+    passage: ChatEventDelivery,
   ): Promise<DispatchedRequest | undefined> {
-    const { kept } = passage
+    const { deliveredChat } = passage
     const step = this.stepOf(cut, chat, passage)
-    if (kept?.usage === undefined || step.kind === 'cut') return undefined
+    if (deliveredChat?.usage === undefined || step.kind === 'cut') return undefined
     if (step.kind === 'close') {
-      passage.close(kept.usage, step.finishReason)
+      passage.appendClosingEvents(deliveredChat.usage, step.finishReason)
       return undefined
     }
     return this.ask(cut, passage, {
-      body: bodyOf(chat, kept, step.outputTokens),
-      softwareVersion: kept.softwareVersion,
-      usage: kept.usage,
+      body: bodyOf(chat, deliveredChat, step.outputTokens),
+      softwareVersion: deliveredChat.softwareVersion,
+      usage: deliveredChat.usage,
     })
   }
 
   /** The answer is cut for good: whether the request may have ended the engine that went on is looked at. */
-  noteCut(cut: DispatchedRequest, passage: EventPassage): void {
+  noteInterrupted(cut: DispatchedRequest, passage: ChatEventDelivery): void {
     const { continuation } = passage
     const isAtJoin = continuation !== undefined && !continuation.hasBegun
-    if (isAtJoin && isOfEngine(cut)) this.parts.dispatch.noteCutAtJoin(cut)
+    if (isAtJoin && isOfEngine(cut)) this.parts.dispatch.noteContinuationFailure(cut)
   }
 
   private async ask(
     cut: DispatchedRequest,
-    passage: EventPassage,
-    rest: RestOfAnswer & { readonly usage: ReportedUsage },
+    passage: ChatEventDelivery,
+    rest: ContinuationRequest & { readonly usage: ReportedUsage },
   ): Promise<DispatchedRequest | undefined> {
     const routing = cut.record.routing.at(-1)
     const { framing, end = 'aborted' } = cut.answer
-    const next = await this.parts.dispatch.continueElsewhere(cut, rest)
+    const next = await this.parts.dispatch.dispatchContinuation(cut, rest)
     if (routing) routing.answer = { framing, end, fate: next === undefined ? 'cut' : 'continued' }
     if (next === undefined) return undefined
-    passage.goOn(rest.usage)
+    passage.startContinuation(rest.usage)
     this.parts.onContinued()
     return next
   }
 
-  private stepOf(cut: DispatchedRequest, chat: ChatRequest, passage: EventPassage): CutStep {
-    const { kept, continuation } = passage
+  private stepOf(
+    cut: DispatchedRequest,
+    chat: ChatRequest,
+    passage: ChatEventDelivery,
+  ): ContinuationStep {
+    const { deliveredChat, continuation } = passage
     const isLate = this.parts.clock.sinceStart() >= cut.deadline
-    return afterCut({
-      isContinuable: kept !== undefined && isContinuable(cut, chat),
-      isKnown: kept?.isKnown === true,
-      isFinished: kept?.isFinished === true,
-      generatedTokens: kept?.usage?.generatedTokens,
+    return continuationStep({
+      isContinuable: deliveredChat !== undefined && isContinuable(cut, chat),
+      isFullyKnown: deliveredChat?.isReconstructible === true,
+      isFinished: deliveredChat?.isFinished === true,
+      generatedTokens: deliveredChat?.usage?.generatedTokens,
       outputTokenLimit: chat.outputTokenLimit,
       continuations: continuation === undefined ? 0 : 1,
-      isOver: isLate || cut.incoming.caller.left.aborted || !isOfEngine(cut),
+      isAbandoned: isLate || cut.incoming.caller.disconnectSignal.aborted || !isOfEngine(cut),
     })
   }
 
@@ -124,12 +128,12 @@
 }
 
 function isOfEngine({ answer }: DispatchedRequest): boolean {
-  return answer.end !== undefined && ENGINES_ENDS.has(answer.end)
+  return answer.end !== undefined && CONTINUABLE_ENDS.has(answer.end)
 }
 
 /** Before any text the chat is asked anew. */
-function bodyOf({ body }: ChatRequest, { text }: KeptAnswer, outputTokens: number) {
+function bodyOf({ body }: ChatRequest, { text }: DeliveredChat, outputTokens: number) {
   return text === ''
     ? { ...body, max_tokens: outputTokens }
-    : continuedChat(body, text, outputTokens)
+    : continuationBody(body, text, outputTokens)
 }
--- a/packages/router/src/filters/screen.ts
+++ b/packages/router/src/filters/crashScreen.ts
@@ -8,7 +8,7 @@
 import type { Filter, ParsedRequest } from './stages.js'
 
 /** Refuses requests that end endpoints. */
-export class ScreenFilter implements Filter<ParsedRequest, ParsedRequest> {
+export class CrashScreenFilter implements Filter<ParsedRequest, ParsedRequest> {
   constructor(private readonly crashes: CrashGuard) {}
 
   async apply(request: ParsedRequest): Promise<ParsedRequest> {
--- a/packages/router/src/filters/relay.ts
+++ b/packages/router/src/filters/delivery.ts
@@ -3,23 +3,23 @@
  */
 
 import { ResultCode } from '@rackwalk/shared'
-import type { AfterDispatchCode, Clock, TokenCount } from '@rackwalk/shared'
-import type { AnswerFate } from '@rackwalk/decisions'
+import type { DispatchedCode, Clock, TokenCount } from '@rackwalk/shared'
+import type { AnswerDisposition } from '@rackwalk/decisions'
 import type { BudgetLedger } from '@rackwalk/coordination'
 import { EventSplitter, isDoneEvent } from '../engine/eventSplitter.js'
-import { endOf, isStall } from '../engine/endpointExchange.js'
+import { answerEndOf, isStall } from '../engine/endpointExchange.js'
 import type { ReportedUsage } from '../engine/usage.js'
 import { findUsage } from '../engine/usage.js'
 import type { EndpointTable } from '../routing/endpointTable.js'
 import { answerHeaders } from './answerHeaders.js'
 import type { AnswerContinuation } from './continueAnswer.js'
-import { EventPassage } from './eventPassage.js'
-import type { Passage } from './passage.js'
-import { joined } from './passage.js'
-import type { DispatchedRequest, Filter, RelayedRequest } from './stages.js'
+import { ChatEventDelivery } from './chatEventDelivery.js'
+import type { AnswerDelivery } from './answerDelivery.js'
+import { concatEvents } from './answerDelivery.js'
+import type { DispatchedRequest, Filter, DeliveredRequest } from './stages.js'
 
 /** Parts that relaying works with. */
-export interface RelayParts {
+export interface DeliveryParts {
   readonly ledger: BudgetLedger
   readonly endpoints: EndpointTable
   readonly clock: Clock
@@ -38,16 +38,16 @@
 }
 
 /** How the passing-on ended. */
-interface RelayEnd {
-  readonly code: AfterDispatchCode
+interface DeliveryEnd {
+  readonly code: DispatchedCode
   readonly detail?: string
 }
 
 /** Passes an answer on, chunk by chunk at the caller's pace, all but its end. */
-export class RelayFilter implements Filter<DispatchedRequest, RelayedRequest> {
-  constructor(private readonly parts: RelayParts) {}
+export class DeliveryFilter implements Filter<DispatchedRequest, DeliveredRequest> {
+  constructor(private readonly parts: DeliveryParts) {}
 
-  async apply(request: DispatchedRequest): Promise<RelayedRequest> {
+  async apply(request: DispatchedRequest): Promise<DeliveredRequest> {
     const { record, receivedAt } = request
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - receivedAt
     const passage = this.passageOf(request)
@@ -56,52 +56,64 @@
     const end = this.endOf(run.request, passage, run.failure)
     noteFate(run.request, end)
     const usage = passage.usage()
-    const billedTokens = billable(request, end, usage)
+    const billedTokens = billableTokens(request, end, usage)
     const { code, detail } = end
-    return { ...run.request, code, detail, heldBack: passage.heldBack, usage, billedTokens }
+    return {
+      ...run.request,
+      code,
+      detail,
+      withheldChunks: passage.withheldChunks,
+      usage,
+      billedTokens,
+    }
   }
 
   /** Passes the answer on, and what another engine goes on with where it is cut. */
-  private async passWithRest(request: DispatchedRequest, passage: Passage): Promise<PassedRun> {
+  private async passWithRest(
+    request: DispatchedRequest,
+    passage: AnswerDelivery,
+  ): Promise<PassedRun> {
     const failure = await this.pass(request, passage)
     const { call } = request
-    const isCut = passage instanceof EventPassage && !passage.isClosed
+    const isCut = passage instanceof ChatEventDelivery && !passage.hasEndMarker
     if (!isCut || call.kind !== 'chat') return { request, failure }
     const { continuation, endpoints } = this.parts
-    const next = await continuation.goOn(request, call.chat, passage)
+    const next = await continuation.continueAnswer(request, call.chat, passage)
     if (next === undefined) return { request, failure }
     endpoints.noteFailure(request.answer.endpointId)
     const run = { request: next, failure: await this.pass(next, passage) }
-    if (!passage.isClosed) continuation.noteCut(next, passage)
+    if (!passage.hasEndMarker) continuation.noteInterrupted(next, passage)
     return run
   }
 
-  private passageOf(request: DispatchedRequest): Passage {
+  private passageOf(request: DispatchedRequest): AnswerDelivery {
     const { call } = request
     if (isEventStream(request)) {
-      if (call.kind !== 'chat') return new ServiceEventPassage(request)
-      const kept = this.parts.continuation.keep(request, call.chat)
-      return new EventPassage(request, call.chat, this.parts, kept)
+      if (call.kind !== 'chat') return new ServiceEventDelivery(request)
+      const kept = this.parts.continuation.trackDelivered(request, call.chat)
+      return new ChatEventDelivery(request, call.chat, this.parts, kept)
     }
-    return request.answer.isWhole ? new HeldPassage(request) : new PlainPassage(request)
+    return request.answer.isComplete
+      ? new BufferedAnswerDelivery(request)
+      : new StreamedAnswerDelivery(request)
   }
 
   /** Resolves with what broke the answer off, or with nothing at its end. */
-  private pass(request: DispatchedRequest, passage: Passage): Promise<Error | undefined> {
+  private pass(request: DispatchedRequest, passage: AnswerDelivery): Promise<Error | undefined> {
     const { answer, incoming } = request
     return new Promise(resolve => {
       const consumer = {
         isFull: false,
-        take: (chunk: Buffer) => {
+        receive: (chunk: Buffer) => {
           try {
-            if (passage.take(chunk) || consumer.isFull) return
+            if (passage.deliver(chunk) || consumer.isFull) return
           } catch (thrown) {
             return resolve(thrown as Error)
           }
           // What was held comes at once, and one wait for the caller is enough for all of it.
           if (consumer.isFull) return
           consumer.isFull = true
-          void incoming.caller.drained().then(() => {
+          void incoming.caller.waitForDrain().then(() => {
             consumer.isFull = false
             answer.resume()
           })
@@ -109,21 +121,22 @@
         end: () => resolve(undefined),
         fail: resolve,
       }
-      answer.start(consumer)
+      answer.startReading(consumer)
     })
   }
 
-  private endOf(request: DispatchedRequest, passage: Passage, failure: Error | undefined) {
-    if (request.incoming.caller.left.aborted) return { code: ResultCode.CallerLeft } as const
+  private endOf(request: DispatchedRequest, passage: AnswerDelivery, failure: Error | undefined) {
+    if (request.incoming.caller.disconnectSignal.aborted)
+      return { code: ResultCode.CallerLeft } as const
     // What the answer itself proves whole is whole, whatever became of its connection.
-    return failure === undefined || passage.isClosed
+    return failure === undefined || passage.hasEndMarker
       ? this.wholeEnd(request, passage)
       : this.brokenEnd(request, failure)
   }
 
-  private wholeEnd(request: DispatchedRequest, passage: Passage): RelayEnd {
+  private wholeEnd(request: DispatchedRequest, passage: AnswerDelivery): DeliveryEnd {
     const { endpointId, status } = request.answer
-    if (!passage.isWhole) {
+    if (!passage.isComplete) {
       this.parts.endpoints.noteFailure(endpointId)
       return { code: ResultCode.EndpointBrokeOff, detail: 'the answer has no end' }
     }
@@ -132,8 +145,8 @@
     return { code: ResultCode.Ok }
   }
 
-  private brokenEnd(request: DispatchedRequest, failure: Error): RelayEnd {
-    if (endOf(failure) === 'deadline' || this.parts.clock.sinceStart() >= request.deadline)
+  private brokenEnd(request: DispatchedRequest, failure: Error): DeliveryEnd {
+    if (answerEndOf(failure) === 'deadline' || this.parts.clock.sinceStart() >= request.deadline)
       return { code: ResultCode.DeadlinePassed }
     this.parts.endpoints.noteFailure(request.answer.endpointId)
     const detail = failure.message
@@ -143,28 +156,28 @@
 }
 
 /** A service's stream of events: whole where its framing says so, or else by a last event as a chat has it. */
-class ServiceEventPassage implements Passage {
-  isClosed = false
+class ServiceEventDelivery implements AnswerDelivery {
+  hasEndMarker = false
   private readonly splitter = new EventSplitter()
   private readonly closing: Buffer[] = []
 
   constructor(private readonly request: DispatchedRequest) {
-    request.incoming.caller.begin(request.answer.status, answerHeaders(request))
+    request.incoming.caller.writeHead(request.answer.status, answerHeaders(request))
   }
 
-  get isWhole(): boolean {
-    return this.isClosed || this.request.answer.isDelimited
+  get isComplete(): boolean {
+    return this.hasEndMarker || this.request.answer.isDelimited
   }
 
   /** What follows the last whole event is a part of a whole answer. */
-  get heldBack(): readonly Buffer[] {
+  get withheldChunks(): readonly Buffer[] {
     const { remainder } = this.splitter
     return remainder === undefined ? this.closing : [...this.closing, remainder]
   }
 
-  take(chunk: Buffer): boolean {
+  deliver(chunk: Buffer): boolean {
     const passed = this.splitter.split(chunk).filter(event => this.passes(event))
-    return passed.length === 0 || this.request.incoming.caller.write(joined(passed))
+    return passed.length === 0 || this.request.incoming.caller.write(concatEvents(passed))
   }
 
   usage(): ReportedUsage {
@@ -172,45 +185,45 @@
   }
 
   private passes(event: Buffer): boolean {
-    this.isClosed ||= isDoneEvent(event)
-    if (this.isClosed) this.closing.push(Buffer.from(event))
-    return !this.isClosed
+    this.hasEndMarker ||= isDoneEvent(event)
+    if (this.hasEndMarker) this.closing.push(Buffer.from(event))
+    return !this.hasEndMarker
   }
 }
 
 /** Any other answer that is whole: all of it is kept back, its head as well, so that it may still become an error. */
-class HeldPassage implements Passage {
-  readonly heldBack: Buffer[] = []
-  readonly isClosed = false
-  readonly isWhole = true
+class BufferedAnswerDelivery implements AnswerDelivery {
+  readonly withheldChunks: Buffer[] = []
+  readonly hasEndMarker = false
+  readonly isComplete = true
 
   constructor(private readonly request: DispatchedRequest) {}
 
-  take(chunk: Buffer): boolean {
-    this.heldBack.push(chunk)
+  deliver(chunk: Buffer): boolean {
+    this.withheldChunks.push(chunk)
     return true
   }
 
   usage(): ReportedUsage {
     if (this.request.call.kind !== 'chat') return NO_USAGE
-    return findUsage(tailOf(this.heldBack).toString('utf8')) ?? NO_USAGE
+    return findUsage(tailOf(this.withheldChunks).toString('utf8')) ?? NO_USAGE
   }
 }
 
 /** Any other answer that goes as it comes: its last chunk is kept back. */
-class PlainPassage implements Passage {
-  readonly isClosed = false
-  readonly isWhole = true
+class StreamedAnswerDelivery implements AnswerDelivery {
+  readonly hasEndMarker = false
+  readonly isComplete = true
   private last: Buffer | undefined
   private tail: Buffer = Buffer.alloc(0)
 
   constructor(private readonly request: DispatchedRequest) {}
 
-  get heldBack(): readonly Buffer[] {
+  get withheldChunks(): readonly Buffer[] {
     return this.last === undefined ? [] : [this.last]
   }
 
-  take(chunk: Buffer): boolean {
+  deliver(chunk: Buffer): boolean {
     const previous = this.last
     this.last = chunk
     if (this.request.call.kind === 'chat') this.keepTail(chunk)
@@ -224,8 +237,8 @@
   /** The head goes with the first bytes: until then the answer may still become an error. */
   private write(chunk: Buffer): boolean {
     const { incoming, answer } = this.request
-    if (!incoming.caller.hasBegun) {
-      incoming.caller.begin(answer.status, answerHeaders(this.request), answer.isDelimited)
+    if (!incoming.caller.hasSentHead) {
+      incoming.caller.writeHead(answer.status, answerHeaders(this.request), answer.isDelimited)
     }
     return incoming.caller.write(chunk)
   }
@@ -245,7 +258,11 @@
  * What a request costs: whole answers and those that the caller gave up. An answer that the
  * fleet failed to bring to its end costs its team nothing.
  */
-function billable(request: DispatchedRequest, end: RelayEnd, usage: ReportedUsage): TokenCount {
+function billableTokens(
+  request: DispatchedRequest,
+  end: DeliveryEnd,
+  usage: ReportedUsage,
+): TokenCount {
   const isError = request.answer.status >= 400
   const isCallers =
     end.code === ResultCode.Ok ||
@@ -257,7 +274,7 @@
 }
 
 /** Notes what became of an answer that was passed on, all or in part. */
-function noteFate(request: DispatchedRequest, { code }: RelayEnd): void {
+function noteFate(request: DispatchedRequest, { code }: DeliveryEnd): void {
   const { framing, end = 'aborted', endpointId } = request.answer
   // Whoever was asked to go on after it did not answer.
   const routing = request.record.routing.findLast(record => record.endpointId === endpointId)
@@ -265,10 +282,10 @@
   routing.answer = { framing, end, fate: fateOf(request, code) }
 }
 
-function fateOf({ incoming }: DispatchedRequest, code: AfterDispatchCode): AnswerFate {
+function fateOf({ incoming }: DispatchedRequest, code: DispatchedCode): AnswerDisposition {
   if (code === ResultCode.Ok || code === ResultCode.EndpointError) return 'whole'
   if (code === ResultCode.CallerLeft) return 'dropped'
-  return incoming.caller.hasBegun ? 'cut' : 'refused'
+  return incoming.caller.hasSentHead ? 'cut' : 'refused'
 }
 
 function isEventStream({ answer }: DispatchedRequest): boolean {
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -5,10 +5,10 @@
 
 import { DispatchedError, NotRunError, endpointStart, sleep } from '@rackwalk/shared'
 import type { Clock, EndpointId, EndpointStart, Milliseconds, RandomSource } from '@rackwalk/shared'
-import { isServerError, readAdvice } from '@rackwalk/decisions'
-import type { AnswerEnd, AnswerFate } from '@rackwalk/decisions'
-import type { EndpointAdvices } from '../advice/endpointAdvices.js'
-import { publishedAdvice } from '../advice/publishedAdvice.js'
+import { isServerError, parseAdvice } from '@rackwalk/decisions'
+import type { AnswerEnd, AnswerDisposition } from '@rackwalk/decisions'
+import type { EndpointAdviceStore } from '../advice/endpointAdviceStore.js'
+import { adviceFromHeaders } from '../advice/adviceFromHeaders.js'
 import type { CrashGuard } from '../crashes/crashGuard.js'
 import { allMessageKeys, messageKeys, requestVerdict } from '../crashes/requestVerdict.js'
 import type { AttemptResult } from '../engine/attemptResult.js'
@@ -16,14 +16,14 @@
 import type { EndpointClient } from '../engine/endpointClient.js'
 import { RetryBudget, backoffMilliseconds } from '../limits/retryBudget.js'
 import type { Catalogue } from '../resources/catalogue.js'
-import type { EndpointRouter, EndpointTries } from '../routing/endpointRouter.js'
+import type { EndpointRouter, AttemptHistory } from '../routing/endpointRouter.js'
 import type { EndpointTable } from '../routing/endpointTable.js'
 import { dispatchFailure, resultText } from './dispatchFailure.js'
 import type {
   DispatchedRequest,
   EndpointAnswer,
   Filter,
-  RestOfAnswer,
+  ContinuationRequest,
   RoutedRequest,
 } from './stages.js'
 
@@ -34,7 +34,7 @@
   readonly router: EndpointRouter
   readonly client: EndpointClient
   readonly crashes: CrashGuard
-  readonly advices: EndpointAdvices
+  readonly advices: EndpointAdviceStore
   /** No endpoint is left alone for longer than this by its own word. */
   readonly longestRestMilliseconds: Milliseconds
   readonly clock: Clock
@@ -42,16 +42,16 @@
   readonly firstByteMilliseconds: Milliseconds
   readonly onRetry: () => void
   /** No connection to an endpoint came up. */
-  readonly onUnconnected: (target: string, endpointId: EndpointId) => void
+  readonly onConnectFailed: (target: string, endpointId: EndpointId) => void
   /** Whether no endpoint of a model or service is reached from here. */
   readonly isCutOff: (target: string) => boolean
 }
 
 const MAXIMUM_ATTEMPTS = 4
 /** A first break names the start that it belongs to by its time in such steps: an engine takes longer to be back. */
-const START_MILLISECONDS = 1_000
+const START_RESOLUTION_MILLISECONDS = 1_000
 /** Where model engines tell their state without using a slot. */
-const STATE_PATH = '/load'
+const LOAD_PATH = '/load'
 const STATUS_OK = 200
 const EVENT_STREAM = 'text/event-stream'
 const REFUSED_STATUS = 503
@@ -73,7 +73,7 @@
 ])
 
 /** How a try is sent. */
-interface SentRequest {
+interface AttemptSend {
   /** Whether as one that may end endpoints. */
   readonly wasIsolated: boolean
   /** Monotonic time. */
@@ -81,7 +81,7 @@
 }
 
 /** What came of a try. */
-interface TriedRequest extends SentRequest {
+interface SentAttempt extends AttemptSend {
   readonly result: AttemptResult
 }
 
@@ -105,9 +105,9 @@
 export class DispatchFilter implements Filter<RoutedRequest, DispatchedRequest> {
   private readonly retries: RetryBudget
   /** What gives back what an answer holds. */
-  private readonly ends = new WeakMap<EndpointAnswer, () => void>()
+  private readonly answerReleasers = new WeakMap<EndpointAnswer, () => void>()
   /** How the answers were asked for that go on with another one. */
-  private readonly joins = new WeakMap<EndpointAnswer, SentRequest>()
+  private readonly continuationSends = new WeakMap<EndpointAnswer, AttemptSend>()
 
   constructor(private readonly parts: DispatchParts) {
     this.retries = new RetryBudget(parts.clock)
@@ -117,7 +117,7 @@
     const { incoming } = request
     this.retries.deposit(this.parts.catalogue.policyFor(request.target).retryShare)
     const tried = new Set<EndpointId>()
-    const brokeOffOnce = new Set<EndpointId>()
+    const resetOnce = new Set<EndpointId>()
     let endpointId = request.endpointId
     const results: AttemptResult[] = []
     for (let attempt = 1; ; attempt += 1) {
@@ -128,16 +128,16 @@
       const answer = acceptedAnswer(result, request)
       if (answer !== undefined) return { ...request, answer, tried }
       results.push(result)
-      if (isFirst && result.kind === 'failed') brokeOffOnce.add(endpointId)
-      else brokeOffOnce.delete(endpointId)
-      const isKnown = this.noteBroken(request, endpointId, { ...sent, result })
+      if (isFirst && result.kind === 'failed') resetOnce.add(endpointId)
+      else resetOnce.delete(endpointId)
+      const isKnown = this.noteReset(request, endpointId, { ...sent, result })
       const verdict = await this.judge(request, { result, attempt, isKnown })
       const routing = request.record.routing.at(-1)
-      noteFate(routing, result, incoming.caller.left.aborted ? 'dropped' : 'refused')
+      noteFate(routing, result, incoming.caller.disconnectSignal.aborted ? 'dropped' : 'refused')
       if (verdict === 'give-up') throw this.failure(request, results)
       // Who asked for rest is not asked again, so there is nothing to wait for.
       if (verdict === 'retry' && !this.isResting(endpointId)) await this.backOff(attempt)
-      endpointId = this.chooseAnother(request, results, { tried, brokeOffOnce })
+      endpointId = this.chooseAnother(request, results, { tried, resetOnce })
       noteFate(routing, result, 'repeated')
     }
   }
@@ -146,15 +146,15 @@
    * Has another engine go on with an answer that was cut; undefined where none does. Attempts, endpoints and the deadline
    * are those of the request; only one engine runs it once more, and it is held for one that may have ended the first.
    */
-  async continueElsewhere(
+  async dispatchContinuation(
     cut: DispatchedRequest,
-    { body, softwareVersion }: RestOfAnswer,
+    { body, softwareVersion }: ContinuationRequest,
   ): Promise<DispatchedRequest | undefined> {
     const hasEnded = await this.hasEndedUnder(cut)
     const tried = new Set(cut.tried)
     let isFree = hasEnded
     while (tried.size < MAXIMUM_ATTEMPTS && !this.isOver(cut, undefined)) {
-      const choice = this.parts.router.chooseToContinue(cut, tried, softwareVersion)
+      const choice = this.parts.router.chooseForContinuation(cut, tried, softwareVersion)
       const endpointId = choice?.endpointId
       if (endpointId === undefined || (!isFree && !this.retries.withdraw())) return undefined
       tried.add(endpointId)
@@ -163,10 +163,10 @@
       const result = await this.attempt(request, endpointId, sent)
       const answer = acceptedAnswer(result, request)
       if (answer !== undefined) {
-        this.joins.set(answer, sent)
+        this.continuationSends.set(answer, sent)
         return this.asStream({ ...request, answer, tried })
       }
-      void this.noteBroken(request, endpointId, { ...sent, result })
+      void this.noteReset(request, endpointId, { ...sent, result })
       if (result.kind === 'failed') return undefined
       isFree = result.kind === 'unsent'
     }
@@ -174,20 +174,20 @@
   }
 
   /** The engine that went on with an answer cut it before any piece: it is held against the request where the engine ended. */
-  noteCutAtJoin(request: DispatchedRequest): void {
+  noteContinuationFailure(request: DispatchedRequest): void {
     const { answer } = request
-    const sent = this.joins.get(answer)
+    const sent = this.continuationSends.get(answer)
     const result = { kind: 'failed', reason: 'cut', stalled: false } as const
-    if (sent) void this.noteBroken(request, answer.endpointId, { ...sent, result })
+    if (sent) void this.noteReset(request, answer.endpointId, { ...sent, result })
   }
 
   /** What is held of a cut answer is given back at once: the chat may go on for long. */
   private async hasEndedUnder(cut: DispatchedRequest): Promise<boolean> {
     const { answer } = cut
-    this.ends.get(answer)?.()
+    this.answerReleasers.get(answer)?.()
     if (answer.end === 'endpoint-ended') return true
     const breaking = this.breakingOf(cut, answer.endpointId)
-    return breaking !== undefined && this.parts.crashes.noteCut(breaking)
+    return breaking !== undefined && this.parts.crashes.noteInterrupted(breaking)
   }
 
   /** What is no stream of events does not go on with one. */
@@ -196,20 +196,20 @@
     const type = headers['content-type'] ?? ''
     if (status === STATUS_OK && type.startsWith(EVENT_STREAM)) return request
     request.answer.cancel()
-    this.ends.get(request.answer)?.()
+    this.answerReleasers.get(request.answer)?.()
     return undefined
   }
 
   private async attempt(
     request: RoutedRequest,
     endpointId: EndpointId,
-    sent: SentRequest,
+    sent: AttemptSend,
   ): Promise<AttemptResult> {
     const endpoint = this.parts.catalogue.findEndpoint(endpointId)
     if (endpoint === undefined) return { kind: 'unsent', reason: 'removed' }
     const promptTokens = promptEstimate(request)
-    this.parts.endpoints.noteSent(endpointId, promptTokens)
-    request.notePlaced()
+    this.parts.endpoints.noteRequestSent(endpointId, promptTokens)
+    request.noteDispatched()
     if (sent.wasIsolated) this.parts.crashes.noteSuspectSent(this.startOf(endpointId))
     const answered = await this.parts.client.attempt({
       endpointId,
@@ -219,27 +219,27 @@
       firstByteMilliseconds: this.parts.firstByteMilliseconds,
       signal: this.signalOf(request),
     })
-    const result = await this.withoutFront(request, endpointId, { ...sent, result: answered })
+    const result = await this.rejectProxyError(request, endpointId, { ...sent, result: answered })
     this.noteResult(request, endpointId, result)
     return result
   }
 
   /** An error that came from what listens before an engine that has ended is no answer: the request may go elsewhere. */
-  private async withoutFront(
+  private async rejectProxyError(
     request: RoutedRequest,
     endpointId: EndpointId,
-    { result, ...sent }: TriedRequest,
+    { result, ...sent }: SentAttempt,
   ): Promise<AttemptResult> {
     if (result.kind !== 'answering' || !isServerError(result.answer.status)) return result
     const reason = `status ${result.answer.status} of its front`
     const failed = { kind: 'failed', reason, stalled: false } as const
-    const hasEnded = await this.noteBroken(request, endpointId, { ...sent, result: failed })
+    const hasEnded = await this.noteReset(request, endpointId, { ...sent, result: failed })
     if (!hasEnded) return result
     drop(result.answer)
-    return { ...failed, isLookedAt: true }
+    return { ...failed, isAttributed: true }
   }
 
-  private describeSend(request: RoutedRequest): SentRequest {
+  private describeSend(request: RoutedRequest): AttemptSend {
     const { clock, crashes } = this.parts
     crashes.promptParts.noteSent(messageKeys(crashes, request))
     const wasIsolated = requestVerdict(crashes, request) === 'isolate'
@@ -247,19 +247,19 @@
   }
 
   /** Resolves when it is known whether the endpoint ended as it broke the request off. */
-  private async noteBroken(
+  private async noteReset(
     request: RoutedRequest,
     endpointId: EndpointId,
-    { result, wasIsolated, sentAt }: TriedRequest,
+    { result, wasIsolated, sentAt }: SentAttempt,
   ): Promise<boolean> {
     const { crashFingerprint: fingerprint } = request
     if (result.kind !== 'failed' || result.stalled || fingerprint === undefined) return false
-    if (result.isLookedAt === true) return true
+    if (result.isAttributed === true) return true
     if (this.isOver(request, result)) return false
     const breaking = this.breakingOf(request, endpointId)
     if (breaking === undefined) return false
     const parts = allMessageKeys(request)
-    return this.parts.crashes.noteBroken(breaking, { fingerprint, wasIsolated, sentAt, parts })
+    return this.parts.crashes.noteReset(breaking, { fingerprint, wasIsolated, sentAt, parts })
   }
 
   /** An endpoint as looks at it need it; undefined where it is no longer configured. */
@@ -272,10 +272,10 @@
       start: this.startOf(endpointId),
       service: target,
       address: new URL(address).host,
-      leavesAsPlanned: endpoints.isLeaving(endpointId),
+      isPlannedShutdown: endpoints.isLeaving(endpointId),
       // A plain service has no place to ask: a GET there would be a call of it.
-      statePath: call.kind === 'chat' ? STATE_PATH : undefined,
-      heard: () => endpoints.heard(endpointId),
+      statePath: call.kind === 'chat' ? LOAD_PATH : undefined,
+      heard: () => endpoints.lastHeard(endpointId),
       hasEnded: false,
     }
   }
@@ -283,8 +283,8 @@
   /** Its platform does not tell one start from the next: the time of the first break of an end does, wherever it was seen. */
   private startOf(endpointId: EndpointId): EndpointStart {
     const { clock, crashes, endpoints } = this.parts
-    const spoken = crashes.startOf(endpointId, endpoints.heard(endpointId))
-    const second = Math.floor(clock.wallTime() / START_MILLISECONDS)
+    const spoken = crashes.startOf(endpointId, endpoints.lastHeard(endpointId))
+    const second = Math.floor(clock.wallTime() / START_RESOLUTION_MILLISECONDS)
     return spoken ?? endpointStart(endpointId, second)
   }
 
@@ -311,12 +311,12 @@
     const noteLeft = () => abort('caller-left')
     const remaining = Math.max(0, request.deadline - this.parts.clock.sinceStart())
     const timer = this.parts.clock.after(remaining, () => abort('deadline'))
-    const { left } = request.incoming.caller
-    if (left.aborted) noteLeft()
-    left.addEventListener('abort', noteLeft, { once: true })
+    const { disconnectSignal } = request.incoming.caller
+    if (disconnectSignal.aborted) noteLeft()
+    disconnectSignal.addEventListener('abort', noteLeft, { once: true })
     request.scope.onEnd(() => {
       timer.cancel()
-      left.removeEventListener('abort', noteLeft)
+      disconnectSignal.removeEventListener('abort', noteLeft)
     })
     return controller.signal
   }
@@ -324,14 +324,14 @@
   /** An endpoint that asks for rest has not failed. */
   private isResting(endpointId: EndpointId): boolean {
     const advice = this.parts.advices.of(endpointStart(endpointId, undefined))
-    return advice !== undefined && advice.restMilliseconds > 0
+    return advice !== undefined && advice.retryAfterMilliseconds > 0
   }
 
   /** What the endpoint says of itself with this answer, whatever becomes of the answer. */
   private noteAdvice(endpointId: EndpointId, { status, headers }: EndpointAnswer): void {
     const { clock, longestRestMilliseconds, advices } = this.parts
     const context = { wallTime: clock.wallTime(), longestRestMilliseconds }
-    const advice = readAdvice(publishedAdvice(status, headers), context)
+    const advice = parseAdvice(adviceFromHeaders(status, headers), context)
     const isTurnedAway = status === REFUSED_STATUS || status === TOO_MANY_STATUS
     advices.note(endpointStart(endpointId, undefined), advice, !isTurnedAway)
     if (advice.isLeaving) this.parts.endpoints.noteLeaving(endpointId, 'answer')
@@ -348,8 +348,8 @@
       return
     }
     if (result.kind === 'answering') drop(result.answer)
-    if (result.kind === 'unsent') this.parts.onUnconnected(request.target, endpointId)
-    this.parts.endpoints.noteEnded(endpointId)
+    if (result.kind === 'unsent') this.parts.onConnectFailed(request.target, endpointId)
+    this.parts.endpoints.noteRequestEnded(endpointId)
     if (!this.isOver(request, result) && !this.isResting(endpointId))
       this.parts.endpoints.noteFailure(endpointId)
   }
@@ -360,7 +360,7 @@
     if (crashFingerprint === undefined || result.kind !== 'answering') return
     const { crashes } = this.parts
     const { endpointId, status } = result.answer
-    if (isServerError(status) && crashes.isEndpointInDoubt(endpointId)) return
+    if (isServerError(status) && crashes.isEndpointSuspect(endpointId)) return
     crashes.noteAnswered(crashFingerprint)
     crashes.promptParts.noteAnswered(messageKeys(crashes, request))
   }
@@ -369,11 +369,11 @@
   private holdAnswer({ scope }: RoutedRequest, answer: EndpointAnswer): void {
     let isHeld = true
     const end = () => {
-      if (isHeld) this.parts.endpoints.noteEnded(answer.endpointId)
+      if (isHeld) this.parts.endpoints.noteRequestEnded(answer.endpointId)
       isHeld = false
-      answer.release()
+      answer.releaseBuffer()
     }
-    this.ends.set(answer, end)
+    this.answerReleasers.set(answer, end)
     scope.onEnd(end)
   }
 
@@ -409,7 +409,7 @@
   private chooseAnother(
     request: RoutedRequest,
     results: readonly AttemptResult[],
-    tries: EndpointTries,
+    tries: AttemptHistory,
   ): EndpointId {
     try {
       return this.parts.router.choose(request, tries).endpointId
@@ -422,10 +422,10 @@
   private failure(request: RoutedRequest, results: readonly AttemptResult[]): Error {
     const error = dispatchFailure({
       results,
-      isCallerGone: request.incoming.caller.left.aborted,
+      isCallerGone: request.incoming.caller.disconnectSignal.aborted,
       isLate: this.isLate(request, results.at(-1)),
       isRepeatable: request.repeatable,
-      refusal: this.parts.router.refusal(request),
+      refusal: this.parts.router.refusalFor(request),
     })
     if (error instanceof DispatchedError) request.scope.commit()
     return error
@@ -433,7 +433,7 @@
 
   /** Whether nobody waits for an answer any more. */
   private isOver(request: RoutedRequest, result: AttemptResult | undefined): boolean {
-    return request.incoming.caller.left.aborted || this.isLate(request, result)
+    return request.incoming.caller.disconnectSignal.aborted || this.isLate(request, result)
   }
 
   /** An exchange that its deadline ended is late, however the clock rounds. */
@@ -458,11 +458,15 @@
 /** Nobody wants the answer. */
 function drop(answer: EndpointAnswer): void {
   answer.cancel()
-  answer.release()
+  answer.releaseBuffer()
 }
 
 /** Notes what becomes of an answer that broke off before anything of it was passed on. */
-function noteFate(routing: RoutingRecord | undefined, result: AttemptResult, fate: AnswerFate) {
+function noteFate(
+  routing: RoutingRecord | undefined,
+  result: AttemptResult,
+  fate: AnswerDisposition,
+) {
   if (routing === undefined || result.kind !== 'failed') return
   const { framing, end } = result
   if (framing !== undefined && end !== undefined) routing.answer = { framing, end, fate }
--- a/packages/router/src/filters/dispatchFailure.ts
+++ b/packages/router/src/filters/dispatchFailure.ts
@@ -7,7 +7,7 @@
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
 import type { RackwalkError } from '@rackwalk/shared'
-import { isTurnedAway } from '../advice/publishedAdvice.js'
+import { isRejectedUnrun } from '../advice/adviceFromHeaders.js'
 import type { AttemptResult } from '../engine/attemptResult.js'
 
 /** How a request ended that no endpoint answered. */
@@ -54,7 +54,7 @@
 function mayHaveRun(result: AttemptResult): boolean {
   if (result.kind !== 'answering') return result.kind === 'failed'
   const { status, headers } = result.answer
-  return !isTurnedAway(status, headers)
+  return !isRejectedUnrun(status, headers)
 }
 
 /** What came of an attempt, for records and messages. */
--- a/packages/router/src/filters/parse.ts
+++ b/packages/router/src/filters/parse.ts
@@ -71,8 +71,8 @@
   }
 
   private async parseCall(request: AuthenticatedRequest): Promise<Call> {
-    const { method, target, body } = request.incoming
-    const [path = ''] = target.split('?')
+    const { method, requestTarget, body } = request.incoming
+    const [path = ''] = requestTarget.split('?')
     if (path === CHAT_PATH && method === 'POST') {
       const { maximumBodyBytes, bodyTimeoutMilliseconds } = this.limits
       const raw = await readBody(body, maximumBodyBytes, bodyTimeoutMilliseconds, this.clock)
@@ -85,7 +85,7 @@
     if (!this.catalogue.hasService(service)) {
       throw new NotRunError(ResultCode.UnknownService, service)
     }
-    return { kind: 'service', service, path: servicePath(target, service) }
+    return { kind: 'service', service, path: servicePath(requestTarget, service) }
   }
 
   private parseDeadline(headers: ReadonlyMap<string, string>): Milliseconds {
@@ -103,7 +103,7 @@
 function fingerprintOf({ incoming }: AuthenticatedRequest, call: Call): string {
   const hash = createHash('sha256')
   if (call.kind === 'chat') hash.update(JSON.stringify(call.chat.body))
-  else hash.update(`${incoming.method} ${incoming.target}`)
+  else hash.update(`${incoming.method} ${incoming.requestTarget}`)
   return hash.digest('base64')
 }
 
@@ -113,10 +113,14 @@
   call: Call,
   fingerprint: string,
 ): RequestFingerprint | undefined {
-  const { headers, target } = incoming
+  const { headers, requestTarget } = incoming
   const hasBody = headers.has('content-length') || headers.has('transfer-encoding')
   if (call.kind === 'service' && hasBody) return undefined
-  return requestFingerprint({ path: target, team: team.teamId, body: Buffer.from(fingerprint) })
+  return requestFingerprint({
+    path: requestTarget,
+    team: team.teamId,
+    body: Buffer.from(fingerprint),
+  })
 }
 
 function servicePath(target: string, service: string): string {
--- a/packages/router/src/filters/settle.ts
+++ b/packages/router/src/filters/settle.ts
@@ -4,10 +4,10 @@
  */
 
 import { RackwalkError } from '@rackwalk/shared'
-import type { AfterDispatchCode, Clock, Milliseconds } from '@rackwalk/shared'
+import type { DispatchedCode, Clock, Milliseconds } from '@rackwalk/shared'
 import type { BudgetLedger, Claims, JournalTicket, SettleEntry } from '@rackwalk/coordination'
 import type { ReportedUsage } from '../engine/usage.js'
-import type { ClaimedRequest, Filter, RelayedRequest, SettledRequest } from './stages.js'
+import type { ClaimedRequest, Filter, DeliveredRequest, SettledRequest } from './stages.js'
 
 /** Parts that settling works with. */
 export interface SettleParts {
@@ -19,15 +19,15 @@
 }
 
 /** How a request ended, for its bill. */
-type Ending = Pick<RelayedRequest, 'code' | 'usage' | 'billedTokens'>
+type Ending = Pick<DeliveredRequest, 'code' | 'usage' | 'billedTokens'>
 
 const NO_USAGE: ReportedUsage = { promptTokens: 0, generatedTokens: 0 }
 
 /** Writes the bill and waits until it outlives this instance. */
-export class SettleFilter implements Filter<RelayedRequest, SettledRequest> {
+export class SettleFilter implements Filter<DeliveredRequest, SettledRequest> {
   constructor(private readonly parts: SettleParts) {}
 
-  async apply(request: RelayedRequest): Promise<SettledRequest> {
+  async apply(request: DeliveredRequest): Promise<SettledRequest> {
     const { record } = request
     record.promptTokens = request.usage.promptTokens
     record.generatedTokens = request.usage.generatedTokens
@@ -35,16 +35,16 @@
     try {
       const durability = await this.withTimeout(this.journal(request, request))
       record.billDurability = durability
-      return { ...request, isBillSafe: durability !== 'timeout' }
+      return { ...request, isBillDurable: durability !== 'timeout' }
     } catch (thrown) {
       if (!(thrown instanceof RackwalkError)) throw thrown
       record.billDurability = 'sealed'
-      return { ...request, isBillSafe: false }
+      return { ...request, isBillDurable: false }
     }
   }
 
   /** Journals the end of a request that was sent but gave no answer; it costs nothing. */
-  noteFailure(request: ClaimedRequest, code: AfterDispatchCode): void {
+  noteFailure(request: ClaimedRequest, code: DispatchedCode): void {
     const ending = { code, usage: NO_USAGE, billedTokens: 0 }
     try {
       this.journal(request, ending)
@@ -85,7 +85,7 @@
     return new Promise((resolve, reject) => {
       const wait = this.parts.billTimeoutMilliseconds
       const timer = this.parts.clock.after(wait, () => resolve('timeout'))
-      ticket.safe.then(resolve, reject).finally(() => timer.cancel())
+      ticket.durableOrHeld.then(resolve, reject).finally(() => timer.cancel())
     })
   }
 }
--- a/packages/router/src/filters/stages.ts
+++ b/packages/router/src/filters/stages.ts
@@ -4,7 +4,7 @@
  */
 
 import type {
-  AfterDispatchCode,
+  DispatchedCode,
   BudgetId,
   EndpointId,
   IdempotencyKey,
@@ -78,7 +78,7 @@
 /** An endpoint has room for it. */
 export interface AdmittedRequest extends DeduplicatedRequest {
   /** To be called when an endpoint has the request; again has no effect. */
-  readonly notePlaced: () => void
+  readonly noteDispatched: () => void
 }
 
 /** The most that it can cost is set aside. */
@@ -99,7 +99,7 @@
 }
 
 /** What another engine is asked for that goes on with an answer. */
-export interface RestOfAnswer {
+export interface ContinuationRequest {
   readonly body: Readonly<Record<string, unknown>>
   /** Of the engine that began the answer. */
   readonly softwareVersion: SoftwareVersion
@@ -114,22 +114,22 @@
   /** What its reading ended with; undefined while more is read. */
   readonly end: AnswerEnd | undefined
   /** Whether all of it is there. */
-  readonly isWhole: boolean
+  readonly isComplete: boolean
   /** Whether more tells where it ends than the end of its connection. */
   readonly isDelimited: boolean
   /** Begins to hand the chunks over; once. */
-  start(consumer: AnswerConsumer): void
+  startReading(consumer: AnswerConsumer): void
   /** Goes on after the consumer was full. */
   resume(): void
   /** Breaks the exchange off, which cancels the work at the endpoint. */
   readonly cancel: () => void
   /** Gives back the memory of what was held of it; again has no effect. */
-  release(): void
+  releaseBuffer(): void
 }
 
 /** Takes an answer in as it arrives. */
 export interface AnswerConsumer {
-  take(chunk: Buffer): void
+  receive(chunk: Buffer): void
   /** Whether the endpoint has to wait until `resume`. */
   readonly isFull: boolean
   end(): void
@@ -144,17 +144,17 @@
 }
 
 /** An answer that was passed on but for its end. */
-export interface RelayedRequest extends DispatchedRequest {
-  readonly code: AfterDispatchCode
+export interface DeliveredRequest extends DispatchedRequest {
+  readonly code: DispatchedCode
   readonly detail: string | undefined
   /** The end of the answer, kept back until its bill is safe. */
-  readonly heldBack: readonly Buffer[]
+  readonly withheldChunks: readonly Buffer[]
   readonly usage: ReportedUsage
   readonly billedTokens: TokenCount
 }
 
 /** Its bill is written, and safe or not. */
-export interface SettledRequest extends RelayedRequest {
+export interface SettledRequest extends DeliveredRequest {
   /** Whether the bill is kept; without it the end is not released. */
-  readonly isBillSafe: boolean
+  readonly isBillDurable: boolean
 }
--- a/packages/router/src/gateway/attemptedRequest.ts
+++ b/packages/router/src/gateway/attemptedRequest.ts
@@ -2,16 +2,16 @@
 
 import type { StreamOrigin } from '@rackwalk/decisions'
 import type { Milliseconds } from '@rackwalk/shared'
-import type { EndpointAdvices } from '../advice/endpointAdvices.js'
+import type { EndpointAdviceStore } from '../advice/endpointAdviceStore.js'
 import type { StreamOrigins } from '../streams/streamOrigins.js'
-import type { AttemptChoiceParts, ChoosingRequest } from './attemptChoice.js'
+import type { AttemptChoiceParts, ChoosingRequest } from './endpointSelector.js'
 import type { CallerReply } from './callerReply.js'
 import type { Dialect } from './dialect.js'
 
 /** What the attempts at requests work with. */
 export interface AttemptsParts extends AttemptChoiceParts {
   readonly dialect: Dialect
-  readonly advices: EndpointAdvices
+  readonly advices: EndpointAdviceStore
   readonly connectMilliseconds: Milliseconds
   /** No endpoint is left alone for longer than this by its own word. */
   readonly longestRestMilliseconds: Milliseconds
@@ -39,7 +39,7 @@
   /** Whether an endpoint ran the request, or may have. */
   readonly mayHaveRun: boolean
   /** Whether the caller was given any part of an endpoint's answer. */
-  readonly isHandedOut: boolean
+  readonly hasDelivered: boolean
   readonly events: number
   /** Whether the last answer came to its own end. */
   readonly isWhole: boolean
--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -7,8 +7,8 @@
 import { RESULT_TABLE } from '@rackwalk/shared'
 import type { RackwalkError } from '@rackwalk/shared'
 import { errorBody, errorHeaders } from '../errorBody.js'
-import type { RefusedBodies, RefusedBodyOutcome, Refusal } from '../refusedBodies.js'
-import type { ReturnTimeSpelling } from '../returnTime.js'
+import type { RefusedBodyHandler, RefusedBodyOutcome, Refusal } from '../refusedBodyHandler.js'
+import type { RetryAfterFormat } from '../retryAfter.js'
 import { withoutConnectionHeaders } from './connectionHeaders.js'
 
 /** The answer to one caller. */
@@ -23,10 +23,10 @@
   constructor(
     private readonly response: ServerResponse,
     private readonly ownHeaders: Readonly<Record<string, string>>,
-    private readonly returnTime: ReturnTimeSpelling,
+    private readonly returnTime: RetryAfterFormat,
     /** Whether the connection ends with this answer. */
     private readonly mustClose: () => boolean,
-    private readonly refusedBodies: RefusedBodies,
+    private readonly refusedBodies: RefusedBodyHandler,
   ) {
     response.on('close', () => this.noteClose())
     response.on('error', () => this.noteClose())
@@ -37,7 +37,7 @@
   }
 
   /** Whether the caller went away before the answer was whole. */
-  get isLeft(): boolean {
+  get isCallerGone(): boolean {
     return this.hasLeft
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Breaks the answer off, so that it cannot be taken for whole; one that has ended stays as it is. */
-  cut(): void {
+  abort(): void {
     if (this.ended) return
     this.ended = true
     const socket = this.response.socket
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -3,9 +3,9 @@
  * gateway knows only these types.
  */
 
-import type { AdviceTexts } from '@rackwalk/decisions'
+import type { AdviceHeaders } from '@rackwalk/decisions'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
-import type { ReturnTimeSpelling } from '../returnTime.js'
+import type { RetryAfterFormat } from '../retryAfter.js'
 
 /** A part of a prompt that requests may share. */
 export interface PromptPart {
@@ -62,13 +62,13 @@
   /** Requests that it bears to turn away in a second, not yet read; undefined where it names none. */
   readonly turnAways?: string | undefined
   /** What bears on what it may be sent next, not yet read. */
-  readonly advice: AdviceTexts
+  readonly advice: AdviceHeaders
 }
 
 type Headers = Readonly<Record<string, string | readonly string[] | undefined>>
 
 /** Spells requests and answers as one platform does. */
-export interface Dialect extends ReturnTimeSpelling {
+export interface Dialect extends RetryAfterFormat {
   /** Undefined where the headers make no request. */
   readRequest(headers: Headers): RequestMetadata | undefined
   /** Headers for an endpoint, as a flat list of names and values. */
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -3,15 +3,15 @@
  * and the timers of entries that lapsed.
  */
 
-import { slownessOf, usualPace } from '@rackwalk/decisions'
-import { UNTOLD_SOFTWARE_VERSION } from '@rackwalk/shared'
+import { slownessFactor, baselineEventInterval } from '@rackwalk/decisions'
+import { UNKNOWN_SOFTWARE_VERSION } from '@rackwalk/shared'
 import type { Clock, EndpointStart, Milliseconds, SoftwareVersion, Timer } from '@rackwalk/shared'
-import { EndedEndpoints } from './endedEndpoints.js'
+import { ExchangeTerminator } from './exchangeTerminator.js'
 import { EndpointState } from './endpointState.js'
 import type { EndpointRecord } from './endpointState.js'
 import type { InstanceLoad } from './peerLoads.js'
-import { askState } from './stateQuestion.js'
-import type { StateQuestion } from './stateQuestion.js'
+import { startStateProbe } from './stateProbe.js'
+import type { StateProbe } from './stateProbe.js'
 
 /** Share of an endpoint's connections that all instances together use; the rest covers instances
  * that count their number differently for a moment. */
@@ -32,7 +32,7 @@
   /** A start of an endpoint is over, since another one is listed under its id. */
   readonly onReplaced?: (start: EndpointStart) => void
   /** Asks at IP:PORT for the state under a path; over the network unless it is given. */
-  readonly ask?: (address: string, path: string) => StateQuestion
+  readonly ask?: (address: string, path: string) => StateProbe
 }
 
 /** The usual pace of a service is reckoned anew after this time: it changes in seconds. */
@@ -54,10 +54,10 @@
   private readonly usualPaces = new Map<string, KnownPace>()
 
   /** Ends what is open where nobody will answer. */
-  private readonly ends: EndedEndpoints
+  private readonly ends: ExchangeTerminator
 
   constructor(private readonly parts: EndpointDirectoryParts) {
-    this.ends = new EndedEndpoints({ clock: parts.clock, ask: parts.ask ?? askState })
+    this.ends = new ExchangeTerminator({ clock: parts.clock, ask: parts.ask ?? startStateProbe })
   }
 
   /** An endpoint was listed, or its record changed. */
@@ -79,7 +79,7 @@
   private replace(known: EndpointState, record: EndpointRecord): void {
     this.takeOut(record.id)
     known.hasEnded = true
-    this.ends.noteOver(known, 'replaced')
+    this.ends.noteTerminated(known, 'replaced')
     this.parts.onReplaced?.(known.record.start)
     this.parts.onChange(record, 'started again')
     this.endpoints.set(record.id, this.createState(record))
@@ -99,7 +99,7 @@
     for (const endpoint of this.endpoints.values()) {
       const { record } = endpoint
       if (record.failureDomain !== failureDomain) continue
-      endpoint.suspectCold(this.parts.coldMilliseconds(record.service))
+      endpoint.assumeCold(this.parts.coldMilliseconds(record.service))
     }
   }
 
@@ -124,7 +124,7 @@
     // What an earlier start is told late does not speak of the one that is there now.
     if (known === undefined || known.hasEnded || known.record.start !== start) return
     known.hasEnded = true
-    this.ends.noteOver(known, 'misdirected')
+    this.ends.noteTerminated(known, 'misdirected')
     this.parts.onChange(known.record, 'replaced')
   }
 
@@ -136,21 +136,21 @@
   }
 
   /** The engine of this start is away while something listens for it, as looks here or elsewhere found. */
-  noteAway(start: EndpointStart): void {
+  noteUnresponsive(start: EndpointStart): void {
     for (const endpoint of this.endpoints.values()) {
-      if (endpoint.record.start === start) this.ends.noteSign(endpoint, 'away')
+      if (endpoint.record.start === start) this.ends.noteSuspicion(endpoint, 'away')
     }
   }
 
   /** An endpoint broke an answer off that had begun: the others there are not told of its end by that. */
-  noteCut(endpoint: EndpointState): void {
-    if (!endpoint.leavesAsPlanned) this.ends.noteSign(endpoint, 'broke-off')
+  noteInterrupted(endpoint: EndpointState): void {
+    if (!endpoint.isPlannedShutdown) this.ends.noteSuspicion(endpoint, 'broke-off')
   }
 
   /** An endpoint is no longer listed; what runs there may end, unless nobody is there any more. */
   remove(id: string): void {
     const known = this.takeOut(id)
-    if (known !== undefined && !known.isLeaving) this.ends.noteSign(known, 'unlisted')
+    if (known !== undefined && !known.isLeaving) this.ends.noteSuspicion(known, 'unlisted')
   }
 
   private takeOut(id: string): EndpointState | undefined {
@@ -165,7 +165,7 @@
   }
 
   /** The entry of an endpoint is missing; unless it is listed again in time, the endpoint is gone. */
-  lapse(id: string, milliseconds: Milliseconds): void {
+  removeAfter(id: string, milliseconds: Milliseconds): void {
     const known = this.endpoints.get(id)
     if (known === undefined || this.lapsed.has(id)) return
     if (milliseconds <= 0) return this.remove(id)
@@ -205,7 +205,7 @@
   /** How many times as long as a usual endpoint of its service one takes for an answer; 1 or more. */
   slownessOf(endpoint: EndpointState): number {
     if (endpoint.pace === undefined) return 1
-    return slownessOf(endpoint.pace, this.usualPace(endpoint.record.service))
+    return slownessFactor(endpoint.pace, this.usualPace(endpoint.record.service))
   }
 
   private usualPace(service: string): Milliseconds | undefined {
@@ -213,7 +213,7 @@
     const known = this.usualPaces.get(service)
     if (known !== undefined && now - known.at < USUAL_PACE_MILLISECONDS) return known.pace
     const paces = this.available(service).flatMap(({ pace }) => pace ?? [])
-    const pace = usualPace(paces)
+    const pace = baselineEventInterval(paces)
     this.usualPaces.set(service, { pace, at: now })
     return pace
   }
@@ -267,7 +267,7 @@
 /** Software does not change while it runs, so another version is another start, also where no time of the start is told. */
 function isOtherStart(before: EndpointRecord, after: EndpointRecord): boolean {
   const versions = [before.softwareVersion, after.softwareVersion]
-  const isVersionTold = !versions.includes(UNTOLD_SOFTWARE_VERSION)
+  const isVersionTold = !versions.includes(UNKNOWN_SOFTWARE_VERSION)
   const isOtherVersion = isVersionTold && before.softwareVersion !== after.softwareVersion
   return before.start !== after.start || isOtherVersion
 }
--- a/packages/router/src/gateway/endpointExchanges.ts
+++ b/packages/router/src/gateway/endpointExchanges.ts
@@ -1,13 +1,13 @@
 /** What is open at one start of an endpoint from here. Owns the exchanges; the rule is in decisions/retrying/endedExchange. */
 
-import { isAsked, isEndedBy, wasThereAtEnd } from '@rackwalk/decisions'
-import type { OpenExchange, SignTimes, StartSign } from '@rackwalk/decisions'
+import { isAsked, isTerminatedBy, wasInFlightAtCrash } from '@rackwalk/decisions'
+import type { InFlightState, SignEvidenceTimes, TerminationSign } from '@rackwalk/decisions'
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** An exchange that can be ended before its endpoint or its caller ends it. */
-export interface EndableExchange {
+export interface TerminableExchange {
   /** As it stands. */
-  readonly open: OpenExchange
+  readonly open: InFlightState
   /** Where its endpoint tells its state without using a slot; undefined where it has no such place. */
   readonly statePath: string | undefined
   /** It was there without a part of an answer when its endpoint ended. */
@@ -18,23 +18,23 @@
 
 /** The exchanges with one start of an endpoint. */
 export class EndpointExchanges {
-  private readonly exchanges = new Set<EndableExchange>()
+  private readonly exchanges = new Set<TerminableExchange>()
   /** Monotonic time of the first break since anything was heard from the endpoint. */
   private brokenAt: Milliseconds | undefined
 
   /** An exchange begins; call what is returned when it is over. */
-  add(exchange: EndableExchange): () => void {
+  add(exchange: TerminableExchange): () => void {
     this.exchanges.add(exchange)
     return () => this.exchanges.delete(exchange)
   }
 
   /** The endpoint broke an exchange off. */
-  noteBroken({ now, heardAt }: { now: Milliseconds; heardAt: Milliseconds }): void {
+  noteReset({ now, heardAt }: { now: Milliseconds; heardAt: Milliseconds }): void {
     if (this.brokenAt === undefined || heardAt > this.brokenAt) this.brokenAt = now
   }
 
   /** Where the endpoint is asked for its state at this sign; undefined where it isn't. */
-  questionPath(sign: StartSign): string | undefined {
+  probePath(sign: TerminationSign): string | undefined {
     const all = [...this.exchanges]
     if (
       !isAsked(
@@ -51,14 +51,14 @@
     const known = { brokenAt: this.brokenAt, knownAt }
     for (const exchange of this.exchanges) {
       const { open } = exchange
-      if (open.quietSince === open.sentAt && wasThereAtEnd(open, known)) exchange.suspect()
+      if (open.lastReceivedAt === open.sentAt && wasInFlightAtCrash(open, known)) exchange.suspect()
     }
   }
 
   /** Ends what the sign ends. */
-  end(sign: StartSign, times: SignTimes): void {
+  end(sign: TerminationSign, times: SignEvidenceTimes): void {
     for (const exchange of [...this.exchanges]) {
-      if (isEndedBy(exchange.open, sign, times)) exchange.end()
+      if (isTerminatedBy(exchange.open, sign, times)) exchange.end()
     }
   }
 }
--- a/packages/router/src/gateway/attemptChoice.ts
+++ b/packages/router/src/gateway/endpointSelector.ts
@@ -3,8 +3,13 @@
  * and asks the rules. Owns why nothing was chosen, and what was believed of the request at the newest choice.
  */
 
-import { rankEndpoints, rendezvousChoice, soonestRefusal, strictest } from '@rackwalk/decisions'
-import type { CrashVerdict, NoChoice } from '@rackwalk/decisions'
+import {
+  rankEndpoints,
+  rendezvousChoice,
+  soonestRefusal,
+  strictestVerdict,
+} from '@rackwalk/decisions'
+import type { QuarantineVerdict, NoEndpointReason } from '@rackwalk/decisions'
 import type {
   Clock,
   EndpointStart,
@@ -13,8 +18,8 @@
   RequestFingerprint,
   SoftwareVersion,
 } from '@rackwalk/shared'
-import type { SendPermits } from '../advice/sendPermits.js'
-import type { PressedEndpoint, TurnAwayGuard } from '../advice/turnAwayGuard.js'
+import type { SendAdmission } from '../advice/sendAdmission.js'
+import type { EndpointOccupancy, RejectionGuard } from '../advice/rejectionGuard.js'
 import type { CrashGuard } from '../crashes/crashGuard.js'
 import { requestFingerprint, requestScope } from '../crashes/requestFingerprint.js'
 import type { RequestMetadata } from './dialect.js'
@@ -24,16 +29,16 @@
 import type { FleetLoad } from './fleetLoad.js'
 import type { GatewayRoute, GatewayService } from './gatewayConfiguration.js'
 import type { GatewayRecord } from './gatewayRecord.js'
-import type { LinkWatch } from '../routing/linkWatch.js'
+import type { LinkMonitor } from '../routing/linkMonitor.js'
 
 /** What a choice rests on. */
 export interface AttemptChoiceParts {
   readonly directory: EndpointDirectory
   readonly fleetLoad: FleetLoad
-  readonly permits: SendPermits
+  readonly permits: SendAdmission
   readonly crashes: CrashGuard
-  readonly links: LinkWatch<EndpointState>
-  readonly turnAways: TurnAwayGuard
+  readonly links: LinkMonitor<EndpointState>
+  readonly turnAways: RejectionGuard
   readonly clock: Clock
   readonly random: RandomSource
   readonly failureDomain: string
@@ -51,7 +56,7 @@
 }
 
 /** What the attempts so far leave to choose. */
-export interface ChoiceBounds {
+export interface SelectionConstraints {
   /** Starts that the request was sent to. */
   readonly tried: ReadonlySet<EndpointStart>
   /** The software version that the answer is bound to; undefined where any may give it. */
@@ -67,18 +72,18 @@
 }
 
 /** The choices for one request. */
-export class AttemptChoice {
+export class EndpointSelector {
   /** What is believed of the request, as of the newest choice. */
-  verdict: CrashVerdict = 'send'
+  verdict: QuarantineVerdict = 'send'
   /** Why nothing was chosen; undefined where something was, or where an attempt tells more. */
-  noChoice: NoChoice | undefined
+  noChoice: NoEndpointReason | undefined
   /** What the fingerprint begins with: all that is known without the body. */
   private readonly scope: string
 
   constructor(
     private readonly parts: AttemptChoiceParts,
     private readonly request: ChoosingRequest,
-    private readonly bounds: ChoiceBounds,
+    private readonly bounds: SelectionConstraints,
   ) {
     this.scope = requestScope(request)
   }
@@ -88,8 +93,8 @@
     const { tried } = this.bounds
     const { available } = this
     const free = available.filter(({ hasRoom, start }) => hasRoom && !tried.has(start))
-    const open = this.reached(free.filter(endpoint => this.takes(endpoint)))
-    this.verdict = this.believed
+    const open = this.withoutUnreachable(free.filter(endpoint => this.mayReceive(endpoint)))
+    this.verdict = this.currentVerdict
     if (this.verdict === 'refuse') {
       if (!mayHaveRun) this.noChoice = { kind: 'crashing' }
       return undefined
@@ -97,27 +102,27 @@
     const isIsolated = this.verdict === 'isolate' && open.length > 0
     const chosen = isIsolated
       ? this.chooseIsolated(open)
-      : this.chooseBest(available, this.trusted(open))
+      : this.chooseBest(available, this.preferUnsuspected(open))
     const isFirst = tried.size === 0
-    if (chosen === undefined && isFirst) this.noChoice = this.whyNone(available, free)
+    if (chosen === undefined && isFirst) this.noChoice = this.noChoiceReason(available, free)
     return chosen
   }
 
   /** All that it was sent to turned it away: why no other one may be asked, for its caller to know when to return. */
-  noteTurnedAway(): void {
+  noteAllRejected(): void {
     const { available } = this
-    const why = this.whyNone(
+    const why = this.noChoiceReason(
       available,
       available.filter(({ hasRoom }) => hasRoom),
     )
-    const hasOpen = available.some(endpoint => this.parts.permits.takes(endpoint))
+    const hasOpen = available.some(endpoint => this.parts.permits.allows(endpoint))
     if (why.kind === 'none-permitted' && !hasOpen) this.noChoice = why
   }
 
   /** Whether an endpoint that was not tried may be sent something now. */
   get hasUntried(): boolean {
     return this.available.some(
-      endpoint => !this.bounds.tried.has(endpoint.start) && this.takes(endpoint),
+      endpoint => !this.bounds.tried.has(endpoint.start) && this.mayReceive(endpoint),
     )
   }
 
@@ -131,7 +136,7 @@
 
   /** Whether the request may be suspected of ending endpoints, by what is known of it without its body. */
   get isSuspect(): boolean {
-    return this.parts.crashes.mayConcern(this.scope)
+    return this.parts.crashes.hasSuspectsInScope(this.scope)
   }
 
   /** Keys of the parts of its prompt, where anything is held against any part. */
@@ -142,10 +147,10 @@
   }
 
   /** By the request itself, or by a part of its prompt. */
-  private get believed(): CrashVerdict {
+  private get currentVerdict(): QuarantineVerdict {
     const { crashes } = this.parts
     const ofRequest = this.isSuspect ? crashes.verdict(this.fingerprint) : 'send'
-    return strictest(ofRequest, crashes.promptParts.verdict(this.promptPartKeys))
+    return strictestVerdict(ofRequest, crashes.promptParts.verdict(this.promptPartKeys))
   }
 
   /** What the request is, apart from this try of it. */
@@ -157,29 +162,29 @@
 
   /** Something is sent to an endpoint that may turn it away. */
   noteSent(endpoint: EndpointState): void {
-    this.parts.turnAways.noteSent(this.pressed(endpoint))
+    this.parts.turnAways.noteSent(this.occupancyOf(endpoint))
   }
 
-  private takes(endpoint: EndpointState): boolean {
+  private mayReceive(endpoint: EndpointState): boolean {
     const { permits, turnAways } = this.parts
-    return permits.takes(endpoint) && turnAways.takes(this.pressed(endpoint))
+    return permits.allows(endpoint) && turnAways.allows(this.occupancyOf(endpoint))
   }
 
-  private pressed({ record, running }: EndpointState): PressedEndpoint {
+  private occupancyOf({ record, running }: EndpointState): EndpointOccupancy {
     const { id, start, service, slots } = record
     const all = running + this.parts.fleetLoad.ofPeers(id).running
     return { start, service, slots, running: all }
   }
 
   /** Without those to which this instance has lost its links. */
-  private reached(open: readonly EndpointState[]): readonly EndpointState[] {
-    const unreached = this.parts.links.unreached(this.request.service.name)
+  private withoutUnreachable(open: readonly EndpointState[]): readonly EndpointState[] {
+    const unreached = this.parts.links.unreachableEndpoints(this.request.service.name)
     return open.filter(endpoint => !unreached.has(endpoint))
   }
 
   /** Without those at which it is looked whether they have ended, where others are left. */
-  private trusted(open: readonly EndpointState[]): readonly EndpointState[] {
-    const trusted = open.filter(({ start }) => !this.parts.crashes.isInDoubt(start))
+  private preferUnsuspected(open: readonly EndpointState[]): readonly EndpointState[] {
+    const trusted = open.filter(({ start }) => !this.parts.crashes.isSuspect(start))
     return trusted.length > 0 ? trusted : open
   }
 
@@ -209,14 +214,17 @@
   private chooseIsolated(open: readonly EndpointState[]): ChosenEndpoint | undefined {
     const ids = open.map(({ record }) => record.id)
     // All requests that hold the same suspected part cost one endpoint together.
-    const part = this.parts.crashes.promptParts.isolatedBy(this.promptPartKeys)
+    const part = this.parts.crashes.promptParts.isolationKey(this.promptPartKeys)
     const id = rendezvousChoice(part ?? this.fingerprint, ids)
     const endpoint = open.find(({ record }) => record.id === id)
     return endpoint && { endpoint, score: 0, compared: open.length }
   }
 
   /** Why nothing was open, given the endpoints that are available and those of them that are not full. */
-  private whyNone(available: readonly EndpointState[], free: readonly EndpointState[]): NoChoice {
+  private noChoiceReason(
+    available: readonly EndpointState[],
+    free: readonly EndpointState[],
+  ): NoEndpointReason {
     if (available.length === 0) return { kind: 'none-listed' }
     const { permits, random } = this.parts
     const refusal = soonestRefusal(free.flatMap(endpoint => permits.refusalOf(endpoint) ?? []))
--- a/packages/router/src/gateway/endpointSnapshots.ts
+++ b/packages/router/src/gateway/endpointSnapshots.ts
@@ -15,7 +15,7 @@
   /** How many times as long as a usual one it takes for an answer; 1 or more. */
   slowness(endpoint: EndpointState): number
   /** Whether this instance hears at once what others send there. */
-  isHome(endpoint: string): boolean
+  isInSubset(endpoint: string): boolean
   /** Tokens of a prompt that it would have to read. */
   uncachedTokens(
     endpoint: string,
@@ -52,7 +52,7 @@
     },
     failureShare: endpoint.failures,
     // Where no prompt is read, sending unheard costs nothing that the endpoint's own word does not tell.
-    isHome: prompt.tokens === undefined || fleet.isHome(id),
+    isInSubset: prompt.tokens === undefined || fleet.isInSubset(id),
   }
 }
 
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -3,9 +3,9 @@
  * here, the connections, late failures, and until when it is cold. All of it ends with the start.
  */
 
-import { nextPace } from '@rackwalk/decisions'
-import type { EndpointLink, RateLicence } from '@rackwalk/decisions'
-import { UNTOLD_SOFTWARE_VERSION } from '@rackwalk/shared'
+import { nextEventInterval } from '@rackwalk/decisions'
+import type { EndpointLink, RateQuota } from '@rackwalk/decisions'
+import { UNKNOWN_SOFTWARE_VERSION } from '@rackwalk/shared'
 import type {
   Clock,
   EndpointStart,
@@ -13,7 +13,7 @@
   SoftwareVersion,
   TokenCount,
 } from '@rackwalk/shared'
-import { RecentSends } from '../advice/recentSends.js'
+import { SendHistory } from '../advice/sendHistory.js'
 import type { EndpointLoad } from './dialect.js'
 import { EndpointAgent } from './endpointAgent.js'
 import { EndpointExchanges } from './endpointExchanges.js'
@@ -74,7 +74,7 @@
   /** and where it may have turned cold since its newest word. */
   private suspectUntil: Milliseconds = Number.NEGATIVE_INFINITY
   /** Requests that were sent there from here. */
-  private readonly sends: RecentSends
+  private readonly sends: SendHistory
   /** Nobody listened there a moment ago; until then it is not tried again. */
   private unreachableUntil: Milliseconds = Number.NEGATIVE_INFINITY
   /** Monotonic time at which a new connection last came up, */
@@ -92,7 +92,7 @@
     private readonly saysLeaving: (start: EndpointStart) => boolean = () => false,
   ) {
     this.coldUntil = clock.monotonic() + record.coldMilliseconds
-    this.sends = new RecentSends(clock)
+    this.sends = new SendHistory(clock)
   }
 
   /** Takes a newer record of the same start in. */
@@ -107,7 +107,7 @@
   }
 
   /** Whether its end was announced: it said that it leaves, or its entry went while it went on. */
-  get leavesAsPlanned(): boolean {
+  get isPlannedShutdown(): boolean {
     return this.isLeaving || (!this.isListed && !this.hasEnded)
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** It may have turned cold unseen, and counts as cold for this long. */
-  suspectCold(milliseconds: Milliseconds): void {
+  assumeCold(milliseconds: Milliseconds): void {
     this.suspectUntil = this.clock.monotonic() + milliseconds
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** Time until fewer than so many requests were sent there from here within a window; 0 where that is so now. */
-  waitFor(licence: RateLicence): Milliseconds {
+  waitFor(licence: RateQuota): Milliseconds {
     return this.sends.waitFor(licence)
   }
 
@@ -194,7 +194,7 @@
   }
 
   /** A new connection to it did not come up. */
-  noteUnconnected(): void {
+  noteConnectFailed(): void {
     this.failedAt = this.clock.monotonic()
   }
 
@@ -205,7 +205,7 @@
 
   /** An answer from there ran at this pace for a while; milliseconds an event. */
   notePace(pace: Milliseconds): void {
-    this.pace = nextPace(this.pace, pace)
+    this.pace = nextEventInterval(this.pace, pace)
   }
 
   noteLoad(load: EndpointLoad): void {
@@ -233,6 +233,6 @@
 
 /** A row that tells no version does not take back the one that was told of the same start. */
 function withVersionOf(before: EndpointRecord, after: EndpointRecord): EndpointRecord {
-  if (after.softwareVersion !== UNTOLD_SOFTWARE_VERSION) return after
+  if (after.softwareVersion !== UNKNOWN_SOFTWARE_VERSION) return after
   return { ...after, softwareVersion: before.softwareVersion }
 }
--- a/packages/router/src/gateway/eventRelay.ts
+++ b/packages/router/src/gateway/eventDelivery.ts
@@ -8,7 +8,7 @@
 const ID_LINE = /^id:[ ]?(.*)$/m
 
 /** The events of all answers to one request. */
-export class EventRelay {
+export class EventDelivery {
   private splitter = new EventSplitter()
   private count = 0
   private lastId: string | undefined
@@ -37,7 +37,7 @@
 
   /** Whether bytes of an event without its end were seen. */
   get isInsideEvent(): boolean {
-    return this.splitter.unfinished > 0
+    return this.splitter.remainderBytes > 0
   }
 
   private note(event: Buffer): void {
--- a/packages/router/src/gateway/endedEndpoints.ts
+++ b/packages/router/src/gateway/exchangeTerminator.ts
@@ -4,46 +4,46 @@
  */
 
 import {
-  SILENT_MILLISECONDS,
-  STILL_SILENT_MILLISECONDS,
-  isAskedAgain,
-  signOfQuestions,
+  PROBE_TIMEOUT_MILLISECONDS,
+  LONG_PROBE_TIMEOUT_MILLISECONDS,
+  requiresAnotherProbe,
+  signOfProbes,
 } from '@rackwalk/decisions'
-import type { StartSign, StateSign } from '@rackwalk/decisions'
+import type { TerminationSign, StateProbeResult } from '@rackwalk/decisions'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { EndpointState } from './endpointState.js'
-import { comesWithin } from './stateQuestion.js'
-import type { StateQuestion } from './stateQuestion.js'
+import { settlesWithin } from './stateProbe.js'
+import type { StateProbe } from './stateProbe.js'
 
 /** What the ends are found with. */
 export interface EndedEndpointsParts {
   readonly clock: Clock
   /** Asks at IP:PORT for the state under a path. */
-  readonly ask: (address: string, path: string) => StateQuestion
+  readonly ask: (address: string, path: string) => StateProbe
 }
 
 /** After so long a question says something, if it is not answered. */
 const TELLING_MILLISECONDS: readonly Milliseconds[] = [
-  SILENT_MILLISECONDS,
-  STILL_SILENT_MILLISECONDS,
+  PROBE_TIMEOUT_MILLISECONDS,
+  LONG_PROBE_TIMEOUT_MILLISECONDS,
 ]
 
 /** The endpoints that are over, or may be. */
-export class EndedEndpoints {
+export class ExchangeTerminator {
   private readonly asked = new Set<EndpointState>()
 
   constructor(private readonly parts: EndedEndpointsParts) {}
 
   /** A start is over for certain. */
-  noteOver(endpoint: EndpointState, proof: 'replaced' | 'misdirected'): void {
+  noteTerminated(endpoint: EndpointState, proof: 'replaced' | 'misdirected'): void {
     const askedAt = this.parts.clock.monotonic()
     endpoint.exchanges.suspect(askedAt)
     endpoint.exchanges.end(proof, { askedAt, heardAt: endpoint.heardAt })
   }
 
   /** A start may be over: it is asked, where something waits there. */
-  noteSign(endpoint: EndpointState, why: StartSign): void {
-    const path = endpoint.exchanges.questionPath(why)
+  noteSuspicion(endpoint: EndpointState, why: TerminationSign): void {
+    const path = endpoint.exchanges.probePath(why)
     if (path === undefined || this.asked.has(endpoint)) return
     // What gives way for an end by a question may be what brought the end about.
     if (why === 'away') endpoint.exchanges.suspect(this.parts.clock.monotonic())
@@ -53,48 +53,48 @@
 
   private async askUntilKnown(
     endpoint: EndpointState,
-    why: StartSign,
+    why: TerminationSign,
     path: string,
   ): Promise<void> {
-    const signs: StateSign[] = []
+    const signs: StateProbeResult[] = []
     let isKnown = true
     do {
       isKnown = await this.askOnce(endpoint, { why, path, signs })
-    } while (isKnown && isAskedAgain(why, signs))
+    } while (isKnown && requiresAnotherProbe(why, signs))
   }
 
   /** Resolves with whether anything is known by this question. */
   private async askOnce(
     endpoint: EndpointState,
-    { why, path, signs }: { why: StartSign; path: string; signs: StateSign[] },
+    { why, path, signs }: { why: TerminationSign; path: string; signs: StateProbeResult[] },
   ): Promise<boolean> {
     const { clock, ask } = this.parts
     const askedAt = clock.monotonic()
     const question = ask(endpoint.record.address, path)
     const isKnown = await this.waitForAnswer(question, elapsed => {
-      const sign = signOfQuestions(why, [...signs, question.sign], elapsed)
+      const sign = signOfProbes(why, [...signs, question.sign], elapsed)
       if (sign !== undefined) this.act(endpoint, sign, askedAt)
     })
     signs.push(question.sign)
-    question.withdraw()
+    question.cancel()
     return isKnown
   }
 
   /** Judges a question at each time at which it says something. */
   private async waitForAnswer(
-    question: StateQuestion,
+    question: StateProbe,
     judge: (elapsed: Milliseconds) => void,
   ): Promise<boolean> {
     const { clock } = this.parts
-    const isWritten = await comesWithin(question, question.written, {
+    const isWritten = await settlesWithin(question, question.written, {
       clock,
-      delay: STILL_SILENT_MILLISECONDS,
+      delay: LONG_PROBE_TIMEOUT_MILLISECONDS,
     })
     if (isWritten === undefined) return false
     let elapsed = 0
     for (const bound of isWritten ? TELLING_MILLISECONDS : []) {
       const delay = bound - elapsed
-      const isAnswered = await comesWithin(question, question.answered, { clock, delay })
+      const isAnswered = await settlesWithin(question, question.answered, { clock, delay })
       if (isAnswered === undefined) return false
       if (isAnswered) break
       elapsed = bound
@@ -104,7 +104,7 @@
     return true
   }
 
-  private act(endpoint: EndpointState, sign: StartSign, askedAt: Milliseconds): void {
+  private act(endpoint: EndpointState, sign: TerminationSign, askedAt: Milliseconds): void {
     const { heardAt } = endpoint
     if (heardAt > askedAt) return
     if (sign === 'silent' || sign === 'still-silent') endpoint.noteUnreachable()
--- a/packages/router/src/gateway/resumedStream.ts
+++ b/packages/router/src/gateway/findStreamOrigin.ts
@@ -28,7 +28,7 @@
 }
 
 /** Where the stream goes on; undefined where the request begins one. Throws where it can't go on. */
-export async function findOrigin(
+export async function findStreamOrigin(
   { streams, directory }: ResumedStreamParts,
   { metadata, route, service, team, record }: ResumingRequest,
 ): Promise<StreamOrigin | undefined> {
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -3,15 +3,15 @@
  * told and the reckoning of prompt caches; relies on the directory for this instance's own requests.
  */
 
-import { HomeEndpoints } from '@rackwalk/decisions'
+import { EndpointSubsets } from '@rackwalk/decisions'
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { PromptPart } from './dialect.js'
 import { LoadReporter } from './loadReporter.js'
 import { PeerLoads, USING_MILLISECONDS } from './peerLoads.js'
 import type { InstanceLoad, PeerLoadReport } from './peerLoads.js'
-import { PauseMeter } from './pauseMeter.js'
+import { PauseStretchTracker } from './pauseStretchTracker.js'
 import { PromptCaches } from './promptCaches.js'
-import { ReadingMeter } from './readingMeter.js'
+import { PrefillTracker } from './prefillTracker.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
 import type { EndpointState } from './endpointState.js'
 
@@ -38,16 +38,16 @@
   private readonly peers: PeerLoads
   private readonly caches = new PromptCaches()
   /** What streams that passed through here tell of long prompts. */
-  readonly pauses = new PauseMeter()
+  readonly pauses = new PauseStretchTracker()
   private readonly reporter: LoadReporter
-  private readonly readings: ReadingMeter
-  private readonly homes = new HomeEndpoints()
+  private readonly readings: PrefillTracker
+  private readonly homes = new EndpointSubsets()
   /** Monotonic time at which a report last told of work here. */
   private workedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: FleetLoadParts) {
     this.peers = new PeerLoads(parts.clock)
-    this.readings = new ReadingMeter(parts.clock)
+    this.readings = new PrefillTracker(parts.clock)
     this.reporter = new LoadReporter(
       { instance: parts.instance, incarnation: parts.incarnation },
       parts.directory,
@@ -84,8 +84,8 @@
   }
 
   /** Whether this instance hears at once what others send to an endpoint. */
-  isHome(endpoint: string): boolean {
-    return this.homes.isHome(this.parts.instance, endpoint, this.parts.users())
+  isInSubset(endpoint: string): boolean {
+    return this.homes.isInSubset(this.parts.instance, endpoint, this.parts.users())
   }
 
   /** Takes in what another instance told. */
@@ -115,24 +115,24 @@
     const users = this.parts.users()
     const reports = new Map<string, PeerLoadReport>()
     for (const instance of instances) {
-      const loads = grown.filter(({ endpoint }) => this.homes.isHome(instance, endpoint, users))
+      const loads = grown.filter(({ endpoint }) => this.homes.isInSubset(instance, endpoint, users))
       if (loads.length > 0) reports.set(instance, this.reporter.partial(loads))
     }
     return reports
   }
 
   /** Everything that the others were told, for one that got no reports before. */
-  wholeReport(): PeerLoadReport {
-    return this.reporter.whole()
+  fullReport(): PeerLoadReport {
+    return this.reporter.fullReport()
   }
 
   /** A report of nothing but that this instance lives. */
-  sign(): PeerLoadReport {
-    return this.reporter.sign()
+  heartbeatReport(): PeerLoadReport {
+    return this.reporter.heartbeatReport()
   }
 
   /** Whether an instance was heard of lately. */
-  hears(instance: string): boolean {
+  hasRecentHeartbeat(instance: string): boolean {
     return this.peers.hears(instance)
   }
 
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -8,15 +8,15 @@
 import type { Bytes, Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
 import {
   FleetRetryBudget,
-  budgetPatience,
-  lastBudgetPatience,
-  returnAfterSeconds,
+  budgetWaitLimit,
+  extendedBudgetWaitLimit,
+  toRetryAfterSeconds,
   settledCost,
 } from '@rackwalk/decisions'
-import type { RetryBounds, StreamOrigin, WorkRank } from '@rackwalk/decisions'
+import type { RetryBounds, StreamOrigin, ShedRank } from '@rackwalk/decisions'
 import type { PrepaidLedger, PrepaidReservation, RefusedOutcome } from '@rackwalk/coordination'
 import { readBody } from '../readBody.js'
-import { announcedBytes } from '../refusedBodies.js'
+import { declaredBodyBytes } from '../refusedBodyHandler.js'
 import { requestFingerprint, requestScope } from '../crashes/requestFingerprint.js'
 import { CallerReply } from './callerReply.js'
 import type { Dialect, RequestMetadata } from './dialect.js'
@@ -31,11 +31,11 @@
 import type { GatewayRecord } from './gatewayRecord.js'
 import { InstanceAdmission } from './instanceAdmission.js'
 import type { AdmissionState, InstanceAdmissionParts } from './instanceAdmission.js'
-import { latenessOf } from './lateness.js'
+import { latenessCause } from './lateness.js'
 import { PeerRelay } from './peerRelay.js'
 import type { PeerRelayParts, RelayableRequest } from './peerRelay.js'
 import { RequestAttempts } from './requestAttempts.js'
-import { findOrigin } from './resumedStream.js'
+import { findStreamOrigin } from './findStreamOrigin.js'
 import type { AttemptsParts, AttemptsResult } from './attemptedRequest.js'
 
 /** What the gateway works with. */
@@ -95,7 +95,7 @@
 
 const NOT_RUN: AttemptsResult = {
   mayHaveRun: false,
-  isHandedOut: false,
+  hasDelivered: false,
   events: 0,
   isWhole: false,
   isUnsent: false,
@@ -178,7 +178,7 @@
 
   /** Sends a request to endpoints, within the budget of its team. */
   private async attempt(read: ReadRequest, mayRelay: boolean): Promise<AttemptsResult> {
-    const origin = await findOrigin(this.parts, read)
+    const origin = await findStreamOrigin(this.parts, read)
     const service = this.serviceOf(origin, read)
     return this.attemptAt({ ...read, service, origin }, mayRelay)
   }
@@ -237,14 +237,14 @@
       throw new NotRunError(ResultCode.EndsEndpoints, 'a part of its prompt')
     }
     const request = { path, team: team?.name, body }
-    if (!crashes.mayConcern(requestScope(request))) return
+    if (!crashes.hasSuspectsInScope(requestScope(request))) return
     record.fingerprint = requestFingerprint(request)
     if (crashes.verdict(record.fingerprint) !== 'refuse') return
     throw new NotRunError(ResultCode.EndsEndpoints)
   }
 
   private noteLateness(route: GatewayRoute, record: GatewayRecord): void {
-    const lateness = latenessOf(route, {
+    const lateness = latenessCause(route, {
       firstByteMilliseconds: record.firstByteMilliseconds,
       longestPause: record.attempts.at(-1)?.longestPause,
     })
@@ -304,7 +304,7 @@
 
   /** A body that is told to be too large is not begun. */
   private checkSize(request: IncomingMessage): void {
-    const isTooLarge = (announcedBytes(request) ?? 0) > this.largestBody
+    const isTooLarge = (declaredBodyBytes(request) ?? 0) > this.largestBody
     if (isTooLarge) throw new NotRunError(ResultCode.BodyTooLarge)
   }
 
@@ -328,9 +328,9 @@
     const tokens = metadata.tokens.prompt + metadata.tokens.maximumOutput
     record.tokens = tokens
     const { goalMilliseconds } = route
-    const patience = budgetPatience(goalMilliseconds)
+    const patience = budgetWaitLimit(goalMilliseconds)
     const remaining = deadlineAt - this.parts.clock.sinceStart()
-    const lastPatience = lastBudgetPatience(goalMilliseconds, remaining)
+    const lastPatience = extendedBudgetWaitLimit(goalMilliseconds, remaining)
     const outcome = await this.parts.ledger.reserve(team.name, tokens, patience, lastPatience)
     if (outcome.kind === 'reserved') {
       record.reservation = outcome.path
@@ -346,7 +346,7 @@
     record.budget = this.parts.ledger.describe(team)
     if (outcome.lenders.length > 0) record.lenders = outcome.lenders
     if (outcome.reason === 'exhausted') return new NotRunError(ResultCode.BudgetExhausted)
-    const returnAfter = returnAfterSeconds(outcome.waitMilliseconds)
+    const returnAfter = toRetryAfterSeconds(outcome.waitMilliseconds)
     return new NotRunError(ResultCode.BudgetUnavailable, undefined, returnAfter)
   }
 
@@ -367,8 +367,8 @@
     record.code = error.code
     record.detail = error.message
     record.execution = RESULT_TABLE[error.code].execution
-    if (reply.isStarted) reply.cut()
-    else if (!reply.isLeft) record.refusedBody = reply.refuse(error)
+    if (reply.isStarted) reply.abort()
+    else if (!reply.isCallerGone) record.refusedBody = reply.refuse(error)
   }
 
   private finishRecord(record: GatewayRecord, response: ServerResponse): void {
@@ -394,7 +394,7 @@
 }
 
 /** What the caller would lose by a refusal, and what the request takes. */
-function workRankOf({ team, route, metadata }: IdentifiedRequest): WorkRank {
+function workRankOf({ team, route, metadata }: IdentifiedRequest): ShedRank {
   const priority = team?.priority ?? route.priority
   return { priority, answerTokens: metadata.tokens?.maximumOutput ?? 0 }
 }
--- a/packages/router/src/gateway/answerRelay.ts
+++ b/packages/router/src/gateway/gatewayAnswerDelivery.ts
@@ -5,20 +5,20 @@
  */
 
 import type { IncomingMessage } from 'node:http'
-import { isProvenWhole } from '@rackwalk/decisions'
+import { isProvenComplete } from '@rackwalk/decisions'
 import type { AnswerEnd, AnswerFraming, EndedAnswer } from '@rackwalk/decisions'
 import type { CallerReply } from './callerReply.js'
-import type { EventRelay } from './eventRelay.js'
+import type { EventDelivery } from './eventDelivery.js'
 import type { AnswerRecord } from './gatewayRecord.js'
 import type { UpstreamExchange } from './upstreamExchange.js'
 
 /** What an answer is passed on with. */
-export interface AnswerRelayParts {
+export interface GatewayAnswerDeliveryParts {
   readonly exchange: UpstreamExchange
   readonly response: IncomingMessage
   readonly reply: CallerReply
   /** Events of all attempts at the request. */
-  readonly events: EventRelay
+  readonly events: EventDelivery
   /** The caller is about to get the first bytes of an answer. */
   readonly onStart: () => void
   /** Whole events have come from the endpoint; the first ones say that its prompt is read. */
@@ -31,7 +31,7 @@
 const MAXIMUM_HELD_BYTES = 256 * 1024
 
 /** One answer on its way to the caller. */
-export class AnswerRelay {
+export class GatewayAnswerDelivery {
   private held: Buffer[] = []
   private heldBytes = 0
   private receivedBytes = 0
@@ -40,7 +40,7 @@
   private isStream = false
   private ended: EndedAnswer | undefined
 
-  constructor(private readonly parts: AnswerRelayParts) {}
+  constructor(private readonly parts: GatewayAnswerDeliveryParts) {}
 
   /** How the body came; undefined until it has ended. */
   get record(): AnswerRecord | undefined {
@@ -74,8 +74,8 @@
     const { exchange } = this.parts
     return new Promise(resolve => {
       const onEnd = (end: AnswerEnd) => {
-        const ended = { framing: exchange.framing, end, isBodyOpen: isBodyOpen() }
-        if (isProvenWhole(ended)) this.end()
+        const ended = { framing: exchange.framing, end, isBodyTruncated: isBodyOpen() }
+        if (isProvenComplete(ended)) this.end()
         this.ended = ended
         resolve(ended)
       }
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -11,7 +11,7 @@
 import type { LenderAnswer } from '@rackwalk/coordination'
 import type { StreamResumption } from './dialect.js'
 import type { Lateness } from './lateness.js'
-import type { RefusedBodyOutcome } from '../refusedBodies.js'
+import type { RefusedBodyOutcome } from '../refusedBodyHandler.js'
 import type { StreamPause } from './streamPace.js'
 import type { Execution, RequestFingerprint, SoftwareVersion } from '@rackwalk/shared'
 
--- a/packages/router/src/gateway/instanceAdmission.ts
+++ b/packages/router/src/gateway/instanceAdmission.ts
@@ -8,16 +8,16 @@
 import { NotRunError, ResultCode, sleep } from '@rackwalk/shared'
 import type { Bytes, Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
 import {
-  AbandonedWork,
-  DELAY_LOOK_MILLISECONDS,
-  LinkBudget,
-  OwnRefusals,
-  ProcessorBudget,
-  returnAfterSeconds,
+  AbandonedRequests,
+  SAMPLE_INTERVAL_MILLISECONDS,
+  LinkBandwidthBudget,
+  LocalRefusals,
+  ProcessorLoadShedder,
+  toRetryAfterSeconds,
 } from '@rackwalk/decisions'
-import type { WorkRank } from '@rackwalk/decisions'
-import { RefusedBodies, announcedBytes } from '../refusedBodies.js'
-import type { RefusedBodyCounters } from '../refusedBodies.js'
+import type { ShedRank } from '@rackwalk/decisions'
+import { RefusedBodyHandler, declaredBodyBytes } from '../refusedBodyHandler.js'
+import type { RefusedBodyCounters } from '../refusedBodyHandler.js'
 import type { CallerReply } from './callerReply.js'
 
 /** What the admission works with. */
@@ -47,11 +47,11 @@
 /** Takes requests as long as link and processor bear them. */
 export class InstanceAdmission {
   /** Sends refusals within what the link bears. */
-  readonly refusedBodies: RefusedBodies
-  private readonly link: LinkBudget
-  private readonly processor = new ProcessorBudget()
-  private readonly abandoned = new AbandonedWork()
-  private readonly refusals = new OwnRefusals()
+  readonly refusedBodies: RefusedBodyHandler
+  private readonly link: LinkBandwidthBudget
+  private readonly processor = new ProcessorLoadShedder()
+  private readonly abandoned = new AbandonedRequests()
+  private readonly refusals = new LocalRefusals()
   private isWatching = false
 
   constructor(
@@ -60,8 +60,8 @@
     private readonly running: () => number,
   ) {
     const { clock, linkBytesPerSecond, refusedBodyCounters } = parts
-    this.link = new LinkBudget(linkBytesPerSecond)
-    this.refusedBodies = new RefusedBodies({
+    this.link = new LinkBandwidthBudget(linkBytesPerSecond)
+    this.refusedBodies = new RefusedBodyHandler({
       clock,
       link: this.link,
       counters: refusedBodyCounters,
@@ -69,11 +69,11 @@
   }
 
   /** Throws where the request cannot be carried; nothing of its body has been read then. */
-  admit(request: IncomingMessage, rank: WorkRank): void {
+  admit(request: IncomingMessage, rank: ShedRank): void {
     this.watchDelay()
-    if (!this.processor.takes(rank, this.parts.random.next())) {
-      const wait = this.processor.reliefMilliseconds
-      throw new NotRunError(ResultCode.ProcessorFull, undefined, returnAfterSeconds(wait))
+    if (!this.processor.admits(rank, this.parts.random.next())) {
+      const wait = this.processor.recoveryMilliseconds
+      throw new NotRunError(ResultCode.ProcessorFull, undefined, toRetryAfterSeconds(wait))
     }
     this.takeFromLink(request)
   }
@@ -81,7 +81,7 @@
   get state(): AdmissionState {
     const now = this.parts.clock.monotonic()
     return {
-      refusedPart: this.processor.refusedPart,
+      refusedPart: this.processor.shedShare,
       abandonedShare: this.abandoned.share(now),
       linkShare: this.link.usedShare(now),
     }
@@ -99,8 +99,8 @@
 
   /** So much of a body has been read, to its end or until its reading was given up. */
   noteBody(request: IncomingMessage, bytes: Bytes): void {
-    if (announcedBytes(request) !== undefined) return
-    this.link.noteRead(bytes, this.parts.clock.monotonic())
+    if (declaredBodyBytes(request) !== undefined) return
+    this.link.noteBodyRead(bytes, this.parts.clock.monotonic())
   }
 
   /**
@@ -117,14 +117,14 @@
     })
     const wait = this.abandoned.confirmationMilliseconds(readAt)
     if (wait > 0) await sleep(clock, wait)
-    if (reply.isLeft) throw new NotRunError(ResultCode.CallerLeftUnsent)
+    if (reply.isCallerGone) throw new NotRunError(ResultCode.CallerLeftUnsent)
   }
 
   private takeFromLink(request: IncomingMessage): void {
     const now = this.parts.clock.monotonic()
-    const wait = this.link.take(announcedBytes(request), now)
+    const wait = this.link.take(declaredBodyBytes(request), now)
     if (wait === 0) return
-    throw new NotRunError(ResultCode.LinkFull, undefined, returnAfterSeconds(wait))
+    throw new NotRunError(ResultCode.LinkFull, undefined, toRetryAfterSeconds(wait))
   }
 
   /** Looks at the delay while there is work; an idle instance wakes for nothing. */
@@ -132,16 +132,16 @@
     if (this.isWatching) return
     this.isWatching = true
     const { clock } = this.parts
-    const dueAt = clock.monotonic() + DELAY_LOOK_MILLISECONDS
-    clock.after(DELAY_LOOK_MILLISECONDS, () => {
+    const dueAt = clock.monotonic() + SAMPLE_INTERVAL_MILLISECONDS
+    clock.after(SAMPLE_INTERVAL_MILLISECONDS, () => {
       this.isWatching = false
       const now = clock.monotonic()
-      this.processor.noteLook({
+      this.processor.noteSample({
         delayMilliseconds: Math.max(0, now - dueAt),
         acceptMilliseconds: this.running() < PROBED_REQUESTS ? 0 : this.parts.acceptMilliseconds(),
         abandonedShare: this.abandoned.share(now),
       })
-      if (this.running() > 0 || this.processor.refusedPart > 0) this.watchDelay()
+      if (this.running() > 0 || this.processor.shedShare > 0) this.watchDelay()
     })
   }
 }
--- a/packages/router/src/gateway/lateness.ts
+++ b/packages/router/src/gateway/lateness.ts
@@ -16,7 +16,7 @@
 }
 
 /** Undefined where the answer came in time, or none began. */
-export function latenessOf(
+export function latenessCause(
   route: Pick<GatewayRoute, 'goalMilliseconds' | 'pauseGoalMilliseconds'>,
   { firstByteMilliseconds, longestPause }: AnswerTimes,
 ): Lateness | undefined {
--- a/packages/router/src/gateway/loadReporter.ts
+++ b/packages/router/src/gateway/loadReporter.ts
@@ -14,7 +14,7 @@
 export class LoadReporter {
   private sequence = 0
   private reports = 0
-  private told = new Map<string, InstanceLoad>()
+  private lastReported = new Map<string, InstanceLoad>()
   /** What was in progress when somebody was last told of it. */
   private seen: ReadonlyMap<string, InstanceLoad> = new Map()
 
@@ -28,7 +28,7 @@
 
   /** Whether the last report told of work in progress. */
   get hasWork(): boolean {
-    return this.told.size > 0
+    return this.lastReported.size > 0
   }
 
   /** The next report; undefined where nothing has changed, unless a sign of life is due. */
@@ -39,8 +39,8 @@
     const current = this.directory.loads(this.isTold)
     const parts = this.caches.takeUntold()
     const isNews = (endpoint: string) =>
-      parts.has(endpoint) || !isSame(current.get(endpoint), this.told.get(endpoint))
-    const endpoints = new Set([...current.keys(), ...this.told.keys(), ...parts.keys()])
+      parts.has(endpoint) || !isSame(current.get(endpoint), this.lastReported.get(endpoint))
+    const endpoints = new Set([...current.keys(), ...this.lastReported.keys(), ...parts.keys()])
     const loads = [...endpoints]
       .filter(endpoint => isWhole || isNews(endpoint))
       .map((endpoint): EndpointReport => ({
@@ -48,7 +48,7 @@
         ...(current.get(endpoint) ?? NO_LOAD),
         parts: parts.get(endpoint) ?? [],
       }))
-    this.told = new Map(current)
+    this.lastReported = new Map(current)
     this.seen = current
     if (!isWhole && !isSignDue && loads.length === 0) return undefined
     return { ...this.identity, sequence: this.sequence, isWhole, loads }
@@ -72,9 +72,13 @@
   }
 
   /** Everything as last told, for an instance that got no reports before. */
-  whole(): PeerLoadReport {
+  fullReport(): PeerLoadReport {
     this.sequence += 1
-    const loads = [...this.told].map(([endpoint, load]) => ({ endpoint, ...load, parts: [] }))
+    const loads = [...this.lastReported].map(([endpoint, load]) => ({
+      endpoint,
+      ...load,
+      parts: [],
+    }))
     return { ...this.identity, sequence: this.sequence, isWhole: true, loads }
   }
 
@@ -83,8 +87,8 @@
    * this instance uses endpoints. Two that stand by and have callers of their own would otherwise never
    * learn of each other, and their prompts would wait behind each other's.
    */
-  sign(): PeerLoadReport {
-    const [used] = this.told
+  heartbeatReport(): PeerLoadReport {
+    const [used] = this.lastReported
     if (used === undefined) return this.partial([])
     const [endpoint, load] = used
     return this.partial([{ endpoint, ...load, parts: [] }])
--- a/packages/router/src/gateway/pauseMeter.ts
+++ b/packages/router/src/gateway/pauseStretchTracker.ts
@@ -3,18 +3,18 @@
  * of the streams that passed through here.
  */
 
-import { isBesideLongReading, nextStretch } from '@rackwalk/decisions'
+import { isDuringLongPrefill, nextPauseStretch } from '@rackwalk/decisions'
 import type { Milliseconds } from '@rackwalk/shared'
 import type { StreamPause } from './streamPace.js'
 
 /** The stretch of pauses, by service. */
-export class PauseMeter {
+export class PauseStretchTracker {
   private readonly stretches = new Map<string, number>()
 
   /** A stream has ended, with this longest pause where its callers accept one of `goal`. */
   note(service: string, pause: StreamPause, goal: Milliseconds): void {
-    if (!isBesideLongReading(pause.pendingTokens)) return
-    const stretch = nextStretch(this.stretches.get(service), pause.milliseconds / goal)
+    if (!isDuringLongPrefill(pause.pendingTokens)) return
+    const stretch = nextPauseStretch(this.stretches.get(service), pause.milliseconds / goal)
     this.stretches.set(service, stretch)
   }
 
--- a/packages/router/src/gateway/peerRelay.ts
+++ b/packages/router/src/gateway/peerRelay.ts
@@ -4,14 +4,14 @@
  */
 
 import type { Agent, IncomingMessage } from 'node:http'
-import { answerFate, isEndpointsFailure, relayStep } from '@rackwalk/decisions'
+import { answerDisposition, isEndpointFailure, relayStep } from '@rackwalk/decisions'
 import type { EndedAnswer, RelayOutcome } from '@rackwalk/decisions'
 import { DispatchedError, NotRunError, RESULT_TABLE, ResultCode } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RackwalkError } from '@rackwalk/shared'
-import { AnswerRelay } from './answerRelay.js'
+import { GatewayAnswerDelivery } from './gatewayAnswerDelivery.js'
 import type { CallerReply } from './callerReply.js'
 import type { Dialect, RequestMetadata } from './dialect.js'
-import { EventRelay } from './eventRelay.js'
+import { EventDelivery } from './eventDelivery.js'
 import type { GatewayRoute } from './gatewayConfiguration.js'
 import type { GatewayRecord, RelayRecord } from './gatewayRecord.js'
 import { UpstreamExchange } from './upstreamExchange.js'
@@ -95,7 +95,7 @@
   }
 
   private get isOver(): boolean {
-    return this.isLate || this.request.reply.isLeft
+    return this.isLate || this.request.reply.isCallerGone
   }
 
   private async askUntilDone(): Promise<boolean> {
@@ -165,18 +165,18 @@
     told: RelayRecord,
   ): Promise<boolean> {
     const { reply, route, record } = this.request
-    const relay = new AnswerRelay({
+    const relay = new GatewayAnswerDelivery({
       exchange,
       response,
       reply,
-      events: new EventRelay(),
+      events: new EventDelivery(),
       onStart: () => this.noteStart(),
       onEvents: () => {},
       onBytes: () => {},
     })
     const isStream = route.isStreaming && response.statusCode === STATUS_OK
     const ended = await (isStream ? relay.relayEvents() : relay.relayWhole())
-    const fate = answerFate(ended, { route, isReplyStarted: reply.isStarted })
+    const fate = answerDisposition(ended, { route, isReplyStarted: reply.isStarted })
     if (fate === 'whole') {
       noteRefusal(record, told.outcome)
       return true
@@ -190,7 +190,7 @@
     const outcome: RelayOutcome = { kind: 'failed', reason: `broke off: ${ended.end}` }
     told.outcome = outcome
     this.outcomes.push(outcome)
-    const mayGoOn = isEndpointsFailure(ended) && !this.request.reply.isStarted
+    const mayGoOn = isEndpointFailure(ended) && !this.request.reply.isStarted
     if (!mayGoOn) this.giveUp()
     return !mayGoOn
   }
@@ -207,14 +207,14 @@
     record.code = error.code
     record.detail = error.message
     record.execution = RESULT_TABLE[error.code].execution
-    if (reply.isLeft) return
-    if (reply.isStarted) reply.cut()
+    if (reply.isCallerGone) return
+    if (reply.isStarted) reply.abort()
     else reply.refuse(error)
   }
 
   private get finalError(): RackwalkError {
     const { reply } = this.request
-    if (reply.isLeft) return new DispatchedError(ResultCode.CallerLeft)
+    if (reply.isCallerGone) return new DispatchedError(ResultCode.CallerLeft)
     const wasSent = this.outcomes.some(({ kind }) => kind === 'failed')
     if (!wasSent) return new NotRunError(ResultCode.DeadlineUnreachable)
     if (this.isLate) return new DispatchedError(ResultCode.DeadlinePassed)
--- a/packages/router/src/gateway/readingMeter.ts
+++ b/packages/router/src/gateway/prefillTracker.ts
@@ -12,14 +12,14 @@
  */
 const HALF_LIFE_MILLISECONDS = 1_500
 
-interface FadingSum {
+interface DecayingSum {
   readonly tokens: TokenCount
   readonly at: Milliseconds
 }
 
 /** Fading sums of long prompts, by endpoint. */
-export class ReadingMeter {
-  private readonly sums = new Map<string, FadingSum>()
+export class PrefillTracker {
+  private readonly sums = new Map<string, DecayingSum>()
 
   constructor(private readonly clock: Clock) {}
 
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -8,38 +8,38 @@
 import type { IncomingMessage } from 'node:http'
 import {
   adviceText,
-  answerFate,
+  answerDisposition,
   canRepeat,
   finalError,
-  isEndpointsFailure,
-  isLeftUnsent,
+  isEndpointFailure,
+  wasNeverSent,
   isMisdirected,
-  isPromising,
+  claimsNotExecuted,
   mayHaveRun,
-  nextStep,
-  readAdvice,
-  readTurnAways,
+  retryStep,
+  parseAdvice,
+  parseRejectionLimit,
 } from '@rackwalk/decisions'
-import type { AttemptOutcome, EndedAnswer, NextStep } from '@rackwalk/decisions'
+import type { AttemptOutcome, EndedAnswer, RetryStep } from '@rackwalk/decisions'
 import { sleep } from '@rackwalk/shared'
 import type { EndpointStart, Milliseconds, SoftwareVersion, TokenCount } from '@rackwalk/shared'
 import { promptPartKeys } from '../crashes/promptPartKey.js'
-import { AnswerRelay } from './answerRelay.js'
-import { breakingEndpointOf } from './breakingEndpoint.js'
-import { isAnsweredWell, isOfFront, withoutAnswer } from './attemptAnswers.js'
-import { AttemptChoice } from './attemptChoice.js'
-import type { ChoiceBounds, ChosenEndpoint } from './attemptChoice.js'
+import { GatewayAnswerDelivery } from './gatewayAnswerDelivery.js'
+import { suspectEndpointOf } from './suspectEndpoint.js'
+import { isSuccessful, isProxyError, terminatedOutcome } from './attemptOutcomes.js'
+import { EndpointSelector } from './endpointSelector.js'
+import type { SelectionConstraints, ChosenEndpoint } from './endpointSelector.js'
 import type { ReplyMetadata } from './dialect.js'
-import { EventRelay } from './eventRelay.js'
+import { EventDelivery } from './eventDelivery.js'
 import type { EndpointRecord, EndpointState } from './endpointState.js'
-import { begunStream } from '../streams/begunStream.js'
+import { startedStreamOf } from '../streams/startedStream.js'
 import type { AttemptedRequest, AttemptsParts, AttemptsResult } from './attemptedRequest.js'
 import { StreamPace } from './streamPace.js'
 import { ENDPOINT_ENDED, UpstreamExchange } from './upstreamExchange.js'
 import type { HeadOutcome } from './upstreamExchange.js'
 
 /** `done`: an answer was passed on whole. */
-type AttemptEnd = 'done' | Exclude<NextStep, 'pass-on'>
+type AttemptEnd = 'done' | Exclude<RetryStep, 'pass-on'>
 
 /**
  * An endpoint ends its work at the deadline by itself; its answer is awaited this much longer.
@@ -57,30 +57,30 @@
 const STATUS_REDIRECT = 300
 
 /** The attempts at one request. */
-export class RequestAttempts implements ChoiceBounds {
+export class RequestAttempts implements SelectionConstraints {
   readonly tried = new Set<EndpointStart>()
   /** Set with the first event: what two software versions write does not fit together in one stream. */
   softwareVersion: SoftwareVersion | undefined
-  private readonly events = new EventRelay()
+  private readonly events = new EventDelivery()
   private readonly history: AttemptOutcome[] = []
   private exchange: UpstreamExchange | undefined
   /** Monotonic time at which anything last came in the exchange, or at which it began. */
-  private quietSince: Milliseconds = 0
+  private lastReceivedAt: Milliseconds = 0
   /** The exchange is over, whatever is done about it afterwards. */
   private closeExchange = () => {}
-  private isHandedOut = false
+  private hasDelivered = false
   private isLate = false
   private isUnsent = false
   /** Monotonic time at which the attempt in progress was sent. */
   private sentAt: Milliseconds = 0
-  private readonly choice: AttemptChoice
+  private readonly choice: EndpointSelector
 
   constructor(
     private readonly parts: AttemptsParts,
     private readonly request: AttemptedRequest,
   ) {
     this.softwareVersion = request.origin?.softwareVersion
-    this.choice = new AttemptChoice(parts, request, this)
+    this.choice = new EndpointSelector(parts, request, this)
   }
 
   /** Serves the request to its end; the caller has an answer or a refusal when it resolves. */
@@ -91,9 +91,9 @@
     const timer = this.parts.clock.after(untilLate, () => this.passDeadline())
     try {
       const isWhole = await this.attemptUntilDone()
-      const { isHandedOut, isUnsent } = this
+      const { hasDelivered, isUnsent } = this
       const { events } = this.events
-      return { mayHaveRun: this.history.some(mayHaveRun), isHandedOut, events, isWhole, isUnsent }
+      return { mayHaveRun: this.history.some(mayHaveRun), hasDelivered, events, isWhole, isUnsent }
     } finally {
       timer.cancel()
     }
@@ -107,7 +107,7 @@
   private get isOver(): boolean {
     // The timer does not count the time of a suspension.
     this.isLate ||= this.parts.clock.sinceStart() >= this.lateAt
-    return this.isLate || this.request.reply.isLeft
+    return this.isLate || this.request.reply.isCallerGone
   }
 
   private get lateAt(): Milliseconds {
@@ -133,7 +133,7 @@
     const { isOver, history, choice, request } = this
     const isCutOff = this.parts.links.isCutOff(request.service.name)
     if (isOver || !request.mayRelay || choice.verdict === 'refuse') return false
-    return isLeftUnsent(history, isCutOff)
+    return wasNeverSent(history, isCutOff)
   }
 
   private noteChoice({ endpoint, score, compared }: ChosenEndpoint): void {
@@ -180,21 +180,21 @@
   private makeEndable(endpoint: EndpointState, exchange: UpstreamExchange): void {
     const { route, reply, service } = this.request
     const { sentAt } = this
-    const quietSince = () => this.quietSince
-    this.quietSince = sentAt
+    const quietSince = () => this.lastReceivedAt
+    this.lastReceivedAt = sentAt
     this.closeExchange = endpoint.exchanges.add({
       get open() {
         const isReplyStarted = reply.isStarted
         return {
           sentAt,
-          quietSince: quietSince(),
-          mayGoOn: canRepeat({ route, isReplyStarted }),
+          lastReceivedAt: quietSince(),
+          isRetryable: canRepeat({ route, isReplyStarted }),
           isReplyStarted,
-          isHeldBack: exchange.isPaused,
+          isPaused: exchange.isPaused,
         }
       },
       statePath: service.engine?.statePath,
-      suspect: () => void this.noteBroken(endpoint),
+      suspect: () => void this.noteReset(endpoint),
       end: () => exchange.abort(ENDPOINT_ENDED),
     })
   }
@@ -204,10 +204,10 @@
     { kind, reason }: Exclude<HeadOutcome, { kind: 'head' }>,
   ): Promise<AttemptEnd> {
     endpoint.noteOutcome(false)
-    if (reason === ENDPOINT_ENDED) return this.endAttempt(withoutAnswer(kind, reason))
+    if (reason === ENDPOINT_ENDED) return this.endAttempt(terminatedOutcome(kind, reason))
     if (kind === 'failed') return this.endBroken(endpoint, { kind, reason })
     if (reason === CONNECTION_REFUSED) endpoint.noteUnreachable()
-    this.parts.links.noteUnconnected(endpoint)
+    this.parts.links.noteConnectFailed(endpoint)
     const end = this.endAttempt({ kind: 'connect-failed', reason })
     const mayBeNews = end === 'try-another' && this.choice.verdict === 'isolate'
     if (mayBeNews) await sleep(this.parts.clock, NEWS_MILLISECONDS)
@@ -221,23 +221,23 @@
   private async endBroken(endpoint: EndpointState, outcome: AttemptOutcome): Promise<AttemptEnd> {
     const { heardAt } = endpoint
     this.closeExchange()
-    endpoint.exchanges.noteBroken({ now: this.parts.clock.monotonic(), heardAt })
-    const isKnown = this.noteBroken(endpoint)
+    endpoint.exchanges.noteReset({ now: this.parts.clock.monotonic(), heardAt })
+    const isKnown = this.noteReset(endpoint)
     const end = this.endAttempt(outcome)
     if (end === 'try-another') await isKnown
     return end
   }
 
   /** It had no part of an answer when its endpoint broke it off or ended; resolves once it is known which. */
-  private noteBroken(endpoint: EndpointState): Promise<boolean> | undefined {
+  private noteReset(endpoint: EndpointState): Promise<boolean> | undefined {
     if (this.isOver) return undefined
     const wasIsolated = this.choice.verdict === 'isolate'
     const { sentAt, choice } = this
     const { fingerprint } = choice
     const { service, metadata } = this.request
-    const breaking = breakingEndpointOf(endpoint, service)
+    const breaking = suspectEndpointOf(endpoint, service)
     const parts = promptPartKeys(service.name, metadata.promptParts)
-    return this.parts.crashes.noteBroken(breaking, { fingerprint, wasIsolated, sentAt, parts })
+    return this.parts.crashes.noteReset(breaking, { fingerprint, wasIsolated, sentAt, parts })
   }
 
   /** Tokens of the prompt that an endpoint would have to read. */
@@ -283,18 +283,18 @@
     noteBegun: () => void,
   ): Promise<AttemptEnd> {
     const status = response.statusCode ?? 0
-    this.quietSince = this.parts.clock.monotonic()
+    this.lastReceivedAt = this.parts.clock.monotonic()
     const reply = this.parts.dialect.readReply(status, response.headers)
     if (reply.load !== undefined) endpoint.noteLoad(reply.load)
-    this.parts.turnAways.note(endpoint.service, readTurnAways(reply.turnAways))
+    this.parts.turnAways.note(endpoint.service, parseRejectionLimit(reply.turnAways))
     const outcome = this.judge(status, reply)
     this.noteAdvice(endpoint, reply, outcome)
     if (outcome.kind === 'refused' && isMisdirected(status)) {
       this.parts.directory.noteEnded(endpoint.record)
     }
     // An endpoint that refuses is full, not broken.
-    if (outcome.kind !== 'refused') endpoint.noteOutcome(isAnsweredWell(outcome))
-    if (isOfFront(status, outcome)) {
+    if (outcome.kind !== 'refused') endpoint.noteOutcome(isSuccessful(outcome))
+    if (isProxyError(status, outcome)) {
       exchange.abort('aborted')
       return this.endBroken(endpoint, outcome)
     }
@@ -312,7 +312,7 @@
     { kind }: AttemptOutcome,
   ): void {
     const { clock, longestRestMilliseconds, advices } = this.parts
-    const said = readAdvice(advice, { wallTime: clock.wallTime(), longestRestMilliseconds })
+    const said = parseAdvice(advice, { wallTime: clock.wallTime(), longestRestMilliseconds })
     const attempt = this.request.record.attempts.at(-1)
     if (attempt !== undefined) attempt.said = adviceText(said)
     advices.note(endpoint.start, said, kind === 'answered')
@@ -341,11 +341,11 @@
     const noteBytes = () => {
       noteBegun()
       endpoint.noteHeard()
-      this.quietSince = endpoint.heardAt
+      this.lastReceivedAt = endpoint.heardAt
       if (!hasBegun) this.noteAnswered()
       hasBegun = true
     }
-    const relay = new AnswerRelay({
+    const relay = new GatewayAnswerDelivery({
       exchange,
       response,
       reply,
@@ -360,9 +360,9 @@
     const answer = await this.relay(relay, response)
     this.noteAnswer(relay)
     this.notePause(pace)
-    const fate = answerFate(answer, { route, isReplyStarted: reply.isStarted })
+    const fate = answerDisposition(answer, { route, isReplyStarted: reply.isStarted })
     if (fate === 'whole') return 'done'
-    if (!isEndpointsFailure(answer)) return 'give-up'
+    if (!isEndpointFailure(answer)) return 'give-up'
     endpoint.noteOutcome(false)
     // The attempt was noted as answered; now more is known of it.
     this.history.pop()
@@ -371,7 +371,10 @@
     return hasBegun ? this.endCut(endpoint, outcome) : this.endBroken(endpoint, outcome)
   }
 
-  private relay(relay: AnswerRelay, { statusCode }: IncomingMessage): Promise<EndedAnswer> {
+  private relay(
+    relay: GatewayAnswerDelivery,
+    { statusCode }: IncomingMessage,
+  ): Promise<EndedAnswer> {
     const isStream = this.request.route.isStreaming && statusCode === STATUS_OK
     return isStream ? relay.relayEvents() : relay.relayWhole()
   }
@@ -385,17 +388,17 @@
   private noteBegun({ softwareVersion }: EndpointRecord): void {
     const { request, parts } = this
     this.softwareVersion = softwareVersion
-    const begun = begunStream(request, softwareVersion)
-    if (begun !== undefined) parts.streams.noteBegun(begun)
+    const begun = startedStreamOf(request, softwareVersion)
+    if (begun !== undefined) parts.streams.noteStarted(begun)
   }
 
   /** The endpoint broke an answer off that had begun, so this request is not what ended it. */
   private endCut(endpoint: EndpointState, outcome: AttemptOutcome): AttemptEnd {
-    this.parts.directory.noteCut(endpoint)
+    this.parts.directory.noteInterrupted(endpoint)
     return this.endAttempt(outcome)
   }
 
-  private noteAnswer(relay: AnswerRelay): void {
+  private noteAnswer(relay: GatewayAnswerDelivery): void {
     const attempt = this.request.record.attempts.at(-1)
     if (attempt !== undefined) attempt.answer = relay.record
   }
@@ -432,24 +435,24 @@
   }
 
   /** Notes the outcome of the attempt in progress and asks what to do next. */
-  private note(outcome: AttemptOutcome): NextStep {
+  private note(outcome: AttemptOutcome): RetryStep {
     const { route, reply, record, takeRetry } = this.request
     this.history.push(outcome)
     const attempt = record.attempts.at(-1)
     if (attempt !== undefined) attempt.outcome = outcome
-    return nextStep({
+    return retryStep({
       route,
       history: this.history,
       isReplyStarted: reply.isStarted,
-      isOver: this.isOver,
-      hasUntried: this.choice.hasUntried,
+      isAbandoned: this.isOver,
+      hasUntriedEndpoint: this.choice.hasUntried,
       takeRetry,
     })
   }
 
   private noteStart(): void {
     const { record } = this.request
-    this.isHandedOut = true
+    this.hasDelivered = true
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - record.receivedAt
   }
 
@@ -461,26 +464,26 @@
 
   private giveUp(): void {
     const { reply, record, service } = this.request
-    if (this.isTurnedAway) this.choice.noteTurnedAway()
+    if (this.isTurnedAway) this.choice.noteAllRejected()
     const error = finalError({
       service: service.name,
       history: this.history,
-      isCallerGone: reply.isLeft,
+      isCallerGone: reply.isCallerGone,
       isLate: this.isLate,
       noChoice: this.choice.noChoice,
     })
     record.code = error.code
     record.detail = error.message
-    if (reply.isLeft) return
-    if (reply.isStarted) reply.cut()
+    if (reply.isCallerGone) return
+    if (reply.isStarted) reply.abort()
     else reply.refuse(error)
   }
 }
 
 /** Ends an exchange whose answer is not passed on; a connection is kept where that is safe. */
-function discard(exchange: UpstreamExchange, outcome: AttemptOutcome, step: NextStep): void {
+function discard(exchange: UpstreamExchange, outcome: AttemptOutcome, step: RetryStep): void {
   if (outcome.kind === 'refused') return exchange.drain()
   if (outcome.kind === 'answered' && step === 'try-another') return exchange.drain()
-  const isLeftOpen = outcome.kind === 'answered' && !isPromising(outcome.status)
+  const isLeftOpen = outcome.kind === 'answered' && !claimsNotExecuted(outcome.status)
   if (!isLeftOpen) exchange.abort('aborted')
 }
--- a/packages/router/src/gateway/stateQuestion.ts
+++ b/packages/router/src/gateway/stateProbe.ts
@@ -2,21 +2,21 @@
 
 import { request } from 'node:http'
 import { isServerError } from '@rackwalk/decisions'
-import type { StateSign } from '@rackwalk/decisions'
+import type { StateProbeResult } from '@rackwalk/decisions'
 import { deferred } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
 /** A question that is open until it is answered or withdrawn. */
-export interface StateQuestion {
+export interface StateProbe {
   /** What it has come to so far. */
-  readonly sign: StateSign
+  readonly sign: StateProbeResult
   /** Resolves once it is written on a connection that was seen up, or has failed: its time to be answered begins. */
   readonly written: Promise<void>
   /** Resolves once it is answered or has failed. */
   readonly answered: Promise<void>
   /** On a busy processor an answer may be there and wait to be read: resolves after that. */
   readAll(): Promise<void>
-  withdraw(): void
+  cancel(): void
 }
 
 /** Whoever waits takes so many timers that prove nothing, and then knows nothing. */
@@ -35,13 +35,13 @@
 }
 
 /** Asks at IP:PORT for the state under a path. */
-export function askState(address: string, path: string): StateQuestion {
+export function startStateProbe(address: string, path: string): StateProbe {
   const [host, port] = address.split(':')
   const call = request({ host, port: Number(port), path, agent: false })
-  let sign: StateSign = 'no-connection'
+  let sign: StateProbeResult = 'no-connection'
   const written = deferred<void>()
   const answered = new Promise<void>(resolve => {
-    const finish = (found: StateSign) => {
+    const finish = (found: StateProbeResult) => {
       sign = found
       written.resolve()
       resolve()
@@ -68,13 +68,13 @@
     written: written.promise,
     answered,
     readAll: () => new Promise(resolve => setImmediate(resolve)),
-    withdraw: () => call.destroy(),
+    cancel: () => call.destroy(),
   }
 }
 
 /** Whether something comes of a question within a time; undefined where this process was too busy to know. */
-export async function comesWithin(
-  question: StateQuestion,
+export async function settlesWithin(
+  question: StateProbe,
   event: Promise<void>,
   { clock, delay }: { clock: Clock; delay: Milliseconds },
 ): Promise<boolean | undefined> {
--- a/packages/router/src/gateway/upstreamExchange.ts
+++ b/packages/router/src/gateway/upstreamExchange.ts
@@ -63,7 +63,7 @@
   private abortReason: AbortReason | undefined
   private connected = false
   private ended = false
-  private mustHandOver = false
+  private mustFlush = false
 
   constructor(
     private readonly endpoint: ExchangeEndpoint,
@@ -122,7 +122,7 @@
 
   /** Reads no more until it is resumed; has no effect on a rest that is handed over since its time is up. */
   pause(): void {
-    if (!this.mustHandOver) this.response?.pause()
+    if (!this.mustFlush) this.response?.pause()
   }
 
   resume(): void {
@@ -147,7 +147,7 @@
   }
 
   private handOver(): void {
-    this.mustHandOver = true
+    this.mustFlush = true
     this.response?.resume()
   }
 
--- a/packages/router/src/limits/fairQueue.ts
+++ b/packages/router/src/limits/fairQueue.ts
@@ -15,18 +15,18 @@
   | { readonly kind: 'refused'; readonly code: QueueRefusal; readonly waited: Milliseconds }
 
 /** A request that wants a place. */
-export interface QueueDemand {
+export interface QueueRequest {
   readonly teamId: TeamId
   readonly weight: number
   /** Greater is more urgent. */
   readonly priority: number
   /** Time, suspensions included, after which an admission is useless. */
-  readonly latestStart: Milliseconds
+  readonly startDeadline: Milliseconds
   /** Expected cost, in any unit that is the same for all; teams share it by weight. */
   readonly cost: number
 }
 
-interface Entry extends QueueDemand {
+interface Entry extends QueueRequest {
   readonly finishTag: number
   readonly queuedAt: Milliseconds
   readonly done: Deferred<QueueOutcome>
@@ -48,13 +48,13 @@
   private entries: Entry[] = []
   private virtualTime = 0
   /** Admitted and not yet at an endpoint. */
-  private underway = 0
+  private pendingDispatch = 0
   private readonly lastFinish = new Map<TeamId, number>()
 
   constructor(
     private readonly clock: Clock,
     /** Places that endpoints have free; those just admitted are not seen there yet. */
-    private readonly freePlaces: () => number,
+    private readonly freeCapacity: () => number,
   ) {}
 
   get length(): number {
@@ -62,39 +62,39 @@
   }
 
   /** Admits at once when there is capacity and nobody waits, else queues. */
-  enter(demand: QueueDemand, limits: QueueLimits): Promise<QueueOutcome> {
+  enqueue(demand: QueueRequest, limits: QueueLimits): Promise<QueueOutcome> {
     if (this.entries.length === 0 && this.hasCapacity) {
-      this.underway += 1
+      this.pendingDispatch += 1
       return Promise.resolve({ kind: 'admitted', waited: 0 })
     }
     const entry = this.createEntry(demand)
     this.entries.push(entry)
     if (this.entries.length > limits.maximumQueue) this.shedOne()
     this.armTimer(entry, limits)
-    this.serve()
+    this.admitWaiting()
     return entry.done.promise
   }
 
   /** Admits as many as there is capacity for; called whenever a place may have come free. */
-  serve(): void {
+  admitWaiting(): void {
     while (this.entries.length > 0 && this.hasCapacity) {
-      const next = this.entries.reduce(preferred)
-      this.underway += 1
+      const next = this.entries.reduce(moreUrgent)
+      this.pendingDispatch += 1
       this.virtualTime = Math.max(this.virtualTime, next.finishTag)
       this.finish(next, { kind: 'admitted', waited: this.waitedBy(next) })
     }
   }
 
   /** An admitted request is at an endpoint now, or will never be. */
-  notePlaced(): void {
-    this.underway -= 1
+  noteDispatched(): void {
+    this.pendingDispatch -= 1
   }
 
   private get hasCapacity(): boolean {
-    return this.freePlaces() > this.underway
+    return this.freeCapacity() > this.pendingDispatch
   }
 
-  private createEntry(demand: QueueDemand): Entry {
+  private createEntry(demand: QueueRequest): Entry {
     const start = Math.max(this.virtualTime, this.lastFinish.get(demand.teamId) ?? 0)
     const finishTag = start + demand.cost / demand.weight
     this.lastFinish.set(demand.teamId, finishTag)
@@ -110,7 +110,7 @@
 
   private armTimer(entry: Entry, limits: QueueLimits): void {
     if (!this.entries.includes(entry)) return
-    const untilLatest = entry.latestStart - this.clock.sinceStart()
+    const untilLatest = entry.startDeadline - this.clock.sinceStart()
     const isDeadlineFirst = untilLatest < limits.maximumWaitMilliseconds
     const wait = Math.max(0, Math.min(untilLatest, limits.maximumWaitMilliseconds))
     const code = isDeadlineFirst ? ResultCode.DeadlineUnreachable : ResultCode.Overloaded
@@ -145,7 +145,7 @@
   }
 }
 
-function preferred(left: Entry, right: Entry): Entry {
+function moreUrgent(left: Entry, right: Entry): Entry {
   if (left.priority !== right.priority) return left.priority > right.priority ? left : right
   return left.finishTag <= right.finishTag ? left : right
 }
--- a/packages/router/src/limits/ejection.ts
+++ b/packages/router/src/limits/outlierEjection.ts
@@ -15,10 +15,10 @@
 const FIRST_EJECTION_MILLISECONDS = 5_000
 const LONGEST_EJECTION_MILLISECONDS = 60_000
 /** Greatest share of a pool that may be ejected, so that a bad reading cannot empty it. */
-const EJECTION_CEILING = 0.34
+const MAXIMUM_EJECTED_SHARE = 0.34
 
 /** Leaves out endpoints that keep failing, for a while and never too many of them. */
-export class Ejection {
+export class OutlierEjection {
   private readonly health = new Map<EndpointId, Health>()
 
   constructor(private readonly clock: Clock) {}
@@ -44,12 +44,12 @@
   }
 
   /** The endpoints that may be used; over the ceiling, those whose time ends first come back. */
-  usable<Endpoint extends { readonly endpointId: EndpointId }>(
+  usableEndpoints<Endpoint extends { readonly endpointId: EndpointId }>(
     pool: readonly Endpoint[],
   ): readonly Endpoint[] {
     const ejected = pool.filter(({ endpointId }) => this.isEjected(endpointId))
     if (ejected.length === 0) return pool
-    const ceiling = Math.floor(pool.length * EJECTION_CEILING)
+    const ceiling = Math.floor(pool.length * MAXIMUM_EJECTED_SHARE)
     const keptOut = ejected
       .sort((left, right) => this.until(right.endpointId) - this.until(left.endpointId))
       .slice(0, ceiling)
--- a/packages/router/src/placement/planner.ts
+++ b/packages/router/src/placement/planner.ts
@@ -7,7 +7,7 @@
 import type { ModelEndpointSpec, PlacementSpec } from '../resources/kinds.js'
 
 /** A model endpoint as the planner sees it. */
-export interface PlaceableEndpoint {
+export interface PlannerEndpoint {
   readonly endpointId: EndpointId
   readonly spec: ModelEndpointSpec
   /** Versions in memory, by model; undefined while it has not reported. */
@@ -39,7 +39,7 @@
  */
 export function planPlacements(
   placements: readonly PlacementSpec[],
-  endpoints: readonly PlaceableEndpoint[],
+  endpoints: readonly PlannerEndpoint[],
   limits: PlanLimits,
 ): readonly PlacementOrder[] {
   const orders = placements.flatMap(placement => ordersFor(placement, endpoints))
@@ -49,7 +49,7 @@
 
 function ordersFor(
   placement: PlacementSpec,
-  endpoints: readonly PlaceableEndpoint[],
+  endpoints: readonly PlannerEndpoint[],
 ): readonly PlacementOrder[] {
   const model = placement.model as ModelId
   const able = endpoints.filter(
@@ -72,15 +72,15 @@
 }
 
 /** Endpoints with the fewest models first, in a stable order. */
-function byLoad(endpoints: readonly PlaceableEndpoint[]): PlaceableEndpoint[] {
-  const size = (endpoint: PlaceableEndpoint) => endpoint.loaded?.size ?? 0
+function byLoad(endpoints: readonly PlannerEndpoint[]): PlannerEndpoint[] {
+  const size = (endpoint: PlannerEndpoint) => endpoint.loaded?.size ?? 0
   return [...endpoints].sort(
     (left, right) => size(left) - size(right) || (left.endpointId < right.endpointId ? -1 : 1),
   )
 }
 
 function orderFor(
-  { endpointId }: PlaceableEndpoint,
+  { endpointId }: PlannerEndpoint,
   { model, version, adapters }: PlacementSpec,
   action: PlacementOrder['action'],
   reason: string,
--- a/packages/router/src/refusedBodies.ts
+++ b/packages/router/src/refusedBodyHandler.ts
@@ -8,10 +8,10 @@
 import {
   REFUSED_BODY_BYTES,
   REFUSED_BODY_MILLISECONDS,
-  refusedBodyFate,
-  returnAfterSeconds,
+  refusedBodyDisposition,
+  toRetryAfterSeconds,
 } from '@rackwalk/decisions'
-import type { LinkBudget, RefusedBodyFate } from '@rackwalk/decisions'
+import type { LinkBandwidthBudget, RefusedBodyDisposition } from '@rackwalk/decisions'
 import type { Bytes, Clock, Milliseconds } from '@rackwalk/shared'
 
 /** What became of the body of a refused request: read as it came, read later, or given up with its connection. */
@@ -21,14 +21,14 @@
 export interface RefusedBodyCounters {
   noteRefusedBody(outcome: RefusedBodyOutcome): void
   /** Bytes of refused bodies that came over the link. */
-  noteBytesInVain(bytes: Bytes): void
+  noteDiscardedBytes(bytes: Bytes): void
 }
 
 /** What the refusals of one instance work with. */
 export interface RefusedBodiesParts {
   readonly clock: Clock
   /** What the own link carries, shared with the bodies of admitted requests. */
-  readonly link: LinkBudget
+  readonly link: LinkBandwidthBudget
   readonly counters: RefusedBodyCounters
 }
 
@@ -40,19 +40,19 @@
 }
 
 /** Makes a refusal that lets its caller come back after so many seconds at the soonest. */
-export type RefusalAfter = (leastSeconds: number) => Refusal
+export type RefusalFactory = (leastSeconds: number) => Refusal
 
 /** Sends refusals at once, and reads their requests' bodies only as far as the link bears it. */
-export class RefusedBodies {
+export class RefusedBodyHandler {
   /** Connections that are held or read in vain at present. */
   private unread = 0
 
   constructor(private readonly parts: RefusedBodiesParts) {}
 
   /** Sends the whole refusal; undefined where the request has no body that is left to be seen to. */
-  refuse(response: ServerResponse, refusalAfter: RefusalAfter): RefusedBodyOutcome | undefined {
+  refuse(response: ServerResponse, refusalAfter: RefusalFactory): RefusedBodyOutcome | undefined {
     const { req: request } = response
-    if (!hasBody(request) || isUsed(request)) {
+    if (!hasBody(request) || isFullyRead(request)) {
       send(response, refusalAfter(0))
       return undefined
     }
@@ -64,36 +64,36 @@
     return outcome
   }
 
-  private fateOf(request: IncomingMessage, response: ServerResponse): RefusedBodyFate {
+  private fateOf(request: IncomingMessage, response: ServerResponse): RefusedBodyDisposition {
     const { clock, link } = this.parts
     const bytes = sizeOf(request) ?? 0
     const body = {
-      endsConnection: !response.shouldKeepAlive,
+      mustClose: !response.shouldKeepAlive,
       isPartlyRead: request.readableDidRead,
-      isSizeKnown: announcedBytes(request) !== undefined,
+      isSizeKnown: declaredBodyBytes(request) !== undefined,
       bytes,
       hasArrived: request.complete,
-      isAwaited: isAwaitingContinue(request),
-      waitMilliseconds: link.refusedWait(bytes, clock.monotonic()),
+      expectsContinue: isAwaitingContinue(request),
+      waitMilliseconds: link.refusedBodyWait(bytes, clock.monotonic()),
     }
-    return refusedBodyFate(body, this.unread)
+    return refusedBodyDisposition(body, this.unread)
   }
 
   /** The connection is read again after the hold; its caller may send the next request meanwhile. */
-  private sendAndRead(response: ServerResponse, refusal: RefusalAfter, hold: Milliseconds): void {
+  private sendAndRead(response: ServerResponse, refusal: RefusalFactory, hold: Milliseconds): void {
     const { req: request } = response
     const size = sizeOf(request)
     this.charge(size ?? 0)
-    if (request.complete) this.parts.counters.noteBytesInVain(size ?? 0)
+    if (request.complete) this.parts.counters.noteDiscardedBytes(size ?? 0)
     const isDone = request.complete && hold === 0
-    if (!isDone) whenItsTurn(response, () => this.readLater(request, hold))
-    send(response, refusal(returnAfterSeconds(hold)))
+    if (!isDone) whenSocketAssigned(response, () => this.readLater(request, hold))
+    send(response, refusal(toRetryAfterSeconds(hold)))
   }
 
   private readLater(request: IncomingMessage, hold: Milliseconds): void {
     const { socket } = request
-    const finish = this.keepUnread(socket, hold + REFUSED_BODY_MILLISECONDS)
-    if (!request.complete) this.readInVain(request, finish)
+    const finish = this.trackConnection(socket, hold + REFUSED_BODY_MILLISECONDS)
+    if (!request.complete) this.discardBody(request, finish)
     holdReading(socket, this.parts.clock, hold, () => {
       if (request.complete) finish()
     })
@@ -109,12 +109,12 @@
     if (request.complete) {
       const size = sizeOf(request) ?? 0
       this.charge(size)
-      this.parts.counters.noteBytesInVain(size)
+      this.parts.counters.noteDiscardedBytes(size)
       send(response, { ...refusal, headers })
       return
     }
     this.charge(Math.min(sizeOf(request) ?? REFUSED_BODY_BYTES, REFUSED_BODY_BYTES))
-    whenItsTurn(response, () => this.readSome(request))
+    whenSocketAssigned(response, () => this.readSome(request))
     // An answer that is ended would take the connection with it at once.
     response.writeHead(refusal.status, headers)
     response.write(refusal.body, () => request.socket.end())
@@ -122,23 +122,23 @@
 
   private readSome(request: IncomingMessage): void {
     const { socket } = request
-    this.keepUnread(socket, REFUSED_BODY_MILLISECONDS)
+    this.trackConnection(socket, REFUSED_BODY_MILLISECONDS)
     let bytes: Bytes = 0
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length
       // A socket that is paused alone is read again as soon as the request asks for more.
       if (bytes > REFUSED_BODY_BYTES) request.pause()
     })
-    this.readInVain(request, () => socket.destroySoon())
+    this.discardBody(request, () => socket.destroySoon())
   }
 
   private charge(bytes: Bytes): void {
     const { clock, link } = this.parts
-    link.noteRefused(bytes, clock.monotonic())
+    link.noteRefusedBody(bytes, clock.monotonic())
   }
 
   /** Counts a connection until it ends or `finish` is called; ends it after a time. Gives `finish`. */
-  private keepUnread(socket: Socket, milliseconds: Milliseconds): () => void {
+  private trackConnection(socket: Socket, milliseconds: Milliseconds): () => void {
     this.unread += 1
     const timer = this.parts.clock.after(milliseconds, () => socket.destroy())
     let isKept = true
@@ -154,8 +154,8 @@
   }
 
   /** Throws away what comes of a body. */
-  private readInVain(request: IncomingMessage, onEnd: () => void): void {
-    request.on('data', (chunk: Buffer) => this.parts.counters.noteBytesInVain(chunk.length))
+  private discardBody(request: IncomingMessage, onEnd: () => void): void {
+    request.on('data', (chunk: Buffer) => this.parts.counters.noteDiscardedBytes(chunk.length))
     request.once('end', onEnd)
     // Node.js would read on without counting where nobody had begun to read before the answer ends.
     request.read(0)
@@ -164,7 +164,7 @@
 }
 
 /** Earlier answers of the connection go first, and none is cut off by the bounds of a refused body behind it. */
-function whenItsTurn(response: ServerResponse, run: () => void): void {
+function whenSocketAssigned(response: ServerResponse, run: () => void): void {
   if (response.socket === null) response.once('socket', run)
   else run()
 }
@@ -174,23 +174,23 @@
   response.end(body)
 }
 
-function outcomeOf(fate: RefusedBodyFate): RefusedBodyOutcome {
+function outcomeOf(fate: RefusedBodyDisposition): RefusedBodyOutcome {
   if (fate.kind === 'close') return 'closed'
   return fate.holdMilliseconds === 0 ? 'read' : 'held'
 }
 
 function hasBody(request: IncomingMessage): boolean {
-  return announcedBytes(request) !== 0
+  return declaredBodyBytes(request) !== 0
 }
 
 /** Whether all of the body was read for its request. */
-function isUsed(request: IncomingMessage): boolean {
+function isFullyRead(request: IncomingMessage): boolean {
   return request.readableDidRead && request.readableEnded
 }
 
 /** The size as it was told or, where all is there, as it came; undefined where nobody knows it yet. */
 function sizeOf(request: IncomingMessage): Bytes | undefined {
-  const announced = announcedBytes(request)
+  const announced = declaredBodyBytes(request)
   if (announced !== undefined) return announced
   return request.complete ? request.readableLength : undefined
 }
@@ -219,7 +219,7 @@
 }
 
 /** The size of a body, told ahead; undefined where it comes in chunks. */
-export function announcedBytes({ headers }: IncomingMessage): Bytes | undefined {
+export function declaredBodyBytes({ headers }: IncomingMessage): Bytes | undefined {
   if (headers['transfer-encoding'] !== undefined) return undefined
   return Number(headers['content-length'] ?? 0)
 }
@@ -228,7 +228,7 @@
  * A caller that waits for `100 Continue` is asked for its body when the body is read, so that one who is refused never
  * sends it.
  */
-export function continueWhenRead(server: Server): void {
+export function sendContinueOnRead(server: Server): void {
   server.on('checkContinue', (request, response) => {
     request.once('resume', () => {
       if (!response.headersSent) response.writeContinue()
--- a/packages/router/src/requestPipeline.ts
+++ b/packages/router/src/requestPipeline.ts
@@ -14,7 +14,7 @@
 import type { IncomingRequest } from './callerConnection.js'
 import type { DecisionRecord } from './decisionRecord.js'
 import { errorBody, errorHeaders } from './errorBody.js'
-import type { ChatHandOver } from './filters/handOver.js'
+import type { ChatRelay } from './filters/chatRelay.js'
 import type { AdmitFilter } from './filters/admit.js'
 import type { AuthenticateFilter } from './filters/authenticate.js'
 import type { ClaimFilter } from './filters/claim.js'
@@ -22,10 +22,10 @@
 import type { DeduplicateFilter } from './filters/deduplicate.js'
 import type { DispatchFilter } from './filters/dispatch.js'
 import type { ParseFilter } from './filters/parse.js'
-import type { RelayFilter } from './filters/relay.js'
+import type { DeliveryFilter } from './filters/delivery.js'
 import type { ReserveFilter } from './filters/reserve.js'
 import type { RouteFilter } from './filters/route.js'
-import type { ScreenFilter } from './filters/screen.js'
+import type { CrashScreenFilter } from './filters/crashScreen.js'
 import type { SettleFilter } from './filters/settle.js'
 import type {
   DispatchedRequest,
@@ -40,27 +40,27 @@
 export interface RequestFilters {
   readonly authenticate: AuthenticateFilter
   readonly parse: ParseFilter
-  readonly screen: ScreenFilter
+  readonly screen: CrashScreenFilter
   readonly deduplicate: DeduplicateFilter
   readonly admit: AdmitFilter
   readonly reserve: ReserveFilter
   readonly claim: ClaimFilter
   readonly route: RouteFilter
   readonly dispatch: DispatchFilter
-  readonly relay: RelayFilter
+  readonly relay: DeliveryFilter
   readonly settle: SettleFilter
   readonly complete: CompleteFilter
 }
 
 /** Where requests go that this instance can't send to any endpoint. */
-interface PipelineRelief {
-  readonly handOver: ChatHandOver
+interface CutOffFallback {
+  readonly handOver: ChatRelay
   /** Whether no endpoint of a model or service is reached from here. */
   readonly isCutOff: (target: string) => boolean
 }
 
 /** Parts that the pipeline works with besides its filters. */
-export interface PipelineParts extends PipelineRelief {
+export interface PipelineParts extends CutOffFallback {
   readonly incarnation: IncarnationId
   readonly clock: Clock
   readonly createRequestId: () => RequestId
@@ -113,10 +113,10 @@
   ): Promise<{ code: ResultCode }> {
     const { handOver, isCutOff } = this.parts
     const mayGo = thrown instanceof NotRunError && isCutOff(request.target)
-    if (!mayGo || !handOver.mayTake(request)) throw thrown
+    if (!mayGo || !handOver.canRelay(request)) throw thrown
     // What was set aside for it here is given back first: the other instance sets it aside anew.
     request.scope.close()
-    const outcome = await handOver.run(request)
+    const outcome = await handOver.relay(request)
     if (outcome === undefined) throw new NotRunError(ResultCode.CutOff, request.target)
     return { code: outcome.kind === 'refused' ? ResultCode.RelayRefused : ResultCode.Ok }
   }
@@ -163,8 +163,8 @@
     if (error.code === ResultCode.Internal) this.parts.onFault(thrown)
     this.noteEnd(record, error.code)
     record.detail = error.message
-    if (incoming.caller.left.aborted) return
-    if (incoming.caller.hasBegun) incoming.caller.destroy()
+    if (incoming.caller.disconnectSignal.aborted) return
+    if (incoming.caller.hasSentHead) incoming.caller.destroy()
     else await this.answerError(incoming, error, record)
   }
 
--- a/packages/router/src/resources/catalogue.ts
+++ b/packages/router/src/resources/catalogue.ts
@@ -4,7 +4,7 @@
  */
 
 import { createHash } from 'node:crypto'
-import { UNTOLD_SOFTWARE_VERSION, asId } from '@rackwalk/shared'
+import { UNKNOWN_SOFTWARE_VERSION, asId } from '@rackwalk/shared'
 import type { BudgetId, EndpointId, ModelId, SoftwareVersion, TeamId } from '@rackwalk/shared'
 import type { ConfigurationFollower, Resource } from '@rackwalk/coordination'
 import type { EndpointSpec, PlacementSpec, RoutingPolicySpec, TeamSpec } from './kinds.js'
@@ -50,7 +50,7 @@
   /** The team to which a caller's key belongs. */
   findTeamByKey(key: string): Team | undefined {
     this.refresh()
-    return this.teamsByKeyHash.get(hashKey(key))
+    return this.teamsByKeyHash.get(hashApiKey(key))
   }
 
   get endpoints(): readonly ConfiguredEndpoint[] {
@@ -67,7 +67,7 @@
   softwareVersionOf(endpointId: EndpointId): SoftwareVersion {
     const spec = this.findEndpoint(endpointId)?.spec
     const stated = spec?.kind === 'model' ? spec.softwareVersion : undefined
-    return stated === undefined ? UNTOLD_SOFTWARE_VERSION : asId(stated)
+    return stated === undefined ? UNKNOWN_SOFTWARE_VERSION : asId(stated)
   }
 
   /** Whether nothing new may be sent to an endpoint, since its failure domain is being emptied. */
@@ -116,7 +116,7 @@
 }
 
 /** How a caller's key is stored: never in clear. */
-export function hashKey(key: string): string {
+export function hashApiKey(key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
 
--- a/packages/router/src/routing/endpointLinks.ts
+++ b/packages/router/src/routing/endpointLinks.ts
@@ -6,7 +6,7 @@
 import type { EndpointLink } from '@rackwalk/decisions'
 import type { Clock, EndpointId, Milliseconds } from '@rackwalk/shared'
 import type { Catalogue, ConfiguredEndpoint } from '../resources/catalogue.js'
-import type { WatchedEndpoint } from './linkWatch.js'
+import type { MonitoredEndpoint } from './linkMonitor.js'
 
 interface SeenLink {
   connectedAt: Milliseconds
@@ -23,7 +23,7 @@
   ) {}
 
   /** The endpoints of a model or service. */
-  listed(target: string): readonly WatchedEndpoint[] {
+  endpointsOf(target: string): readonly MonitoredEndpoint[] {
     const { catalogue } = this
     const serving = catalogue.endpoints.filter(
       endpoint => serves(endpoint, target) && !catalogue.isEvacuated(endpoint),
@@ -32,18 +32,18 @@
   }
 
   /** Endpoints of everything else. */
-  listedElsewhere(target: string): readonly WatchedEndpoint[] {
+  endpointsOfOthers(target: string): readonly MonitoredEndpoint[] {
     const others = this.catalogue.endpoints.filter(endpoint => !serves(endpoint, target))
     return others.map(endpoint => this.watched(endpoint, target))
   }
 
   /** An endpoint as it is listed for a model or service; undefined where it is not. */
-  find(target: string, endpointId: EndpointId): WatchedEndpoint | undefined {
+  find(target: string, endpointId: EndpointId): MonitoredEndpoint | undefined {
     const endpoint = this.catalogue.endpoints.find(other => other.endpointId === endpointId)
     return endpoint && this.watched(endpoint, target)
   }
 
-  private watched({ endpointId, spec }: ConfiguredEndpoint, service: string): WatchedEndpoint {
+  private watched({ endpointId, spec }: ConfiguredEndpoint, service: string): MonitoredEndpoint {
     const seen = this.seenOf(endpointId)
     const { clock } = this
     const link: EndpointLink = { ...seen, failureDomain: spec.failureDomain ?? '' }
@@ -52,7 +52,7 @@
       address: new URL(spec.address).host,
       link,
       noteConnected: () => (seen.connectedAt = clock.monotonic()),
-      noteUnconnected: () => (seen.failedAt = clock.monotonic()),
+      noteConnectFailed: () => (seen.failedAt = clock.monotonic()),
     }
   }
 
