--- a/packages/router/src/routing/endpointRouter.ts
+++ b/packages/router/src/routing/endpointRouter.ts
@@ -3,7 +3,7 @@
  * policy and keeps what was compared.
  */
 
-import { rendezvousChoice, suspectedChoice } from '@rackwalk/decisions'
+import { rendezvousChoice, chooseIsolationEndpoint } from '@rackwalk/decisions'
 import { NotRunError, ResultCode } from '@rackwalk/shared'
 import type { EndpointId, RandomSource, SoftwareVersion } from '@rackwalk/shared'
 import type { RoutingRecord } from '../decisionRecord.js'
@@ -36,13 +36,13 @@
 const CONTINUING_POLICY = 'continued'
 
 /** Endpoints that a request was sent to. */
-export interface EndpointTries {
+export interface AttemptHistory {
   readonly tried: ReadonlySet<EndpointId>
   /** Those that broke it off, and only once. */
-  readonly brokeOffOnce: ReadonlySet<EndpointId>
+  readonly resetOnce: ReadonlySet<EndpointId>
 }
 
-const NOT_TRIED: EndpointTries = { tried: new Set(), brokeOffOnce: new Set() }
+const NOT_TRIED: AttemptHistory = { tried: new Set(), resetOnce: new Set() }
 
 type EndpointChoice = Pick<RoutingRecord, 'endpointId' | 'compared'>
 
@@ -54,24 +54,29 @@
   constructor(private readonly parts: EndpointRouterParts) {}
 
   /** Chooses among the endpoints that were not tried yet; refuses when there is none. */
-  choose(request: ParsedRequest, tries: EndpointTries = NOT_TRIED): RoutingRecord {
+  choose(request: ParsedRequest, tries: AttemptHistory = NOT_TRIED): RoutingRecord {
     const { tried } = tries
     const hashes = request.call.kind === 'chat' ? prefixHashes(request.call.chat.prompt) : []
     const candidates = this.candidates(request, hashes)
     const untried = candidates.filter(view => !tried.has(view.endpointId))
     const isolated = this.isolate(request, candidates, tries)
-    if (isolated !== undefined) return this.note(request, ISOLATING_POLICY, isolated, hashes)
+    if (isolated !== undefined)
+      return this.recordDecision(request, ISOLATING_POLICY, isolated, hashes)
     const policy = this.policyFor(request)
-    const choice = policy.choose(this.trusted(untried), this.demandOf(request), this.parts.random)
+    const choice = policy.choose(
+      this.withoutSuspects(untried),
+      this.demandOf(request),
+      this.parts.random,
+    )
     if (choice === undefined) throw noCandidateError(this.parts, request)
-    return this.note(request, policy.name, choice, hashes)
+    return this.recordDecision(request, policy.name, choice, hashes)
   }
 
   /**
    * The engine that goes on with an answer, among those that can: the one that the request's hash names, as for a request
    * that may end endpoints. Undefined where there is none.
    */
-  chooseToContinue(
+  chooseForContinuation(
     request: ParsedRequest,
     tried: ReadonlySet<EndpointId>,
     softwareVersion: SoftwareVersion,
@@ -85,7 +90,7 @@
       .filter(endpointId => this.continues(endpointId, softwareVersion))
     const endpointId = rendezvousChoice(crashFingerprint, ids)
     if (endpointId === undefined) return undefined
-    return this.note(request, CONTINUING_POLICY, { endpointId, compared: [] }, [])
+    return this.recordDecision(request, CONTINUING_POLICY, { endpointId, compared: [] }, [])
   }
 
   private continues(endpointId: EndpointId, softwareVersion: SoftwareVersion): boolean {
@@ -96,7 +101,7 @@
   }
 
   /** Why no endpoint may get the request now, tried or not; undefined where one may, or where there is none. */
-  refusal(request: ParsedRequest): NotRunError | undefined {
+  refusalFor(request: ParsedRequest): NotRunError | undefined {
     const endsEndpoints = requestVerdict(this.parts.crashes, request) === 'refuse'
     if (endsEndpoints) return new NotRunError(ResultCode.EndsEndpoints)
     if (this.candidates(request, []).length > 0) return undefined
@@ -107,7 +112,7 @@
   private isolate(
     request: ParsedRequest,
     candidates: readonly EndpointView[],
-    tries: EndpointTries,
+    tries: AttemptHistory,
   ): EndpointChoice | undefined {
     const { crashFingerprint } = request
     const verdict = requestVerdict(this.parts.crashes, request)
@@ -116,30 +121,30 @@
     const { crashes } = this.parts
     // All chats that hold the same suspected message cost one endpoint together.
     const subject =
-      crashes.promptParts.isolatedBy(messageKeys(crashes, request)) ?? crashFingerprint
+      crashes.promptParts.isolationKey(messageKeys(crashes, request)) ?? crashFingerprint
     if (subject === undefined) return undefined
     const ids = candidates.map(({ endpointId }) => endpointId)
-    const endpointId = suspectedChoice(subject, ids, {
+    const endpointId = chooseIsolationEndpoint(subject, ids, {
       ...tries,
-      isInDoubt: candidate => crashes.isEndpointInDoubt(candidate),
+      isSuspect: candidate => crashes.isEndpointSuspect(candidate),
     })
     return endpointId === undefined ? undefined : { endpointId, compared: [] }
   }
 
   /** Without those at which it is looked whether they have ended, where others are left. */
-  private trusted(untried: readonly EndpointView[]): readonly EndpointView[] {
+  private withoutSuspects(untried: readonly EndpointView[]): readonly EndpointView[] {
     const { crashes } = this.parts
-    const trusted = untried.filter(({ endpointId }) => !crashes.isEndpointInDoubt(endpointId))
+    const trusted = untried.filter(({ endpointId }) => !crashes.isEndpointSuspect(endpointId))
     return trusted.length > 0 ? trusted : untried
   }
 
-  private note(
+  private recordDecision(
     request: ParsedRequest,
     policy: string,
     choice: EndpointChoice,
     hashes: readonly PrefixHash[],
   ): RoutingRecord {
-    if (hashes.length > 0) this.parts.endpoints.prefixes.assume(choice.endpointId, hashes)
+    if (hashes.length > 0) this.parts.endpoints.prefixes.noteSent(choice.endpointId, hashes)
     const record: RoutingRecord = { policy, outcome: 'sent', ...choice }
     request.record.routing.push(record)
     this.parts.onDecision(request, record)
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -4,18 +4,18 @@
  */
 
 import { soonestRefusal } from '@rackwalk/decisions'
-import type { HeardTimes, SendRefusal } from '@rackwalk/decisions'
+import type { LastContactTimes, SendRefusal } from '@rackwalk/decisions'
 import { endpointStart } from '@rackwalk/shared'
 import type { Clock, EndpointId, Milliseconds, ModelId, TokenCount } from '@rackwalk/shared'
-import { RecentSends } from '../advice/recentSends.js'
-import type { PermitSubject, SendPermits } from '../advice/sendPermits.js'
+import { SendHistory } from '../advice/sendHistory.js'
+import type { SendTarget, SendAdmission } from '../advice/sendAdmission.js'
 import type { Catalogue, ConfiguredEndpoint } from '../resources/catalogue.js'
-import { Ejection } from '../limits/ejection.js'
+import { OutlierEjection } from '../limits/outlierEjection.js'
 import type { EndpointView, LoadReport } from './endpointView.js'
 import { PrefixIndex } from './prefixIndex.js'
 import type { PrefixHash } from './prefixIndex.js'
 
-interface SentRequest {
+interface RecentRequest {
   readonly at: Milliseconds
   readonly promptTokens: TokenCount
 }
@@ -27,19 +27,19 @@
   /** Monotonic time at which the newest report was asked for. */
   reportAskedAt: Milliseconds
   /** What was sent there of late, oldest first. */
-  recent: SentRequest[]
+  recent: RecentRequest[]
   /** Monotonic time until which it is left alone, since it has ended and may not be back. */
   unreachableUntil: Milliseconds
   /** Requests that were sent there from here, as licences count them. */
-  readonly sends: RecentSends
+  readonly sends: SendHistory
   /** Monotonic time at which somebody first said that it leaves. */
   leavingSince: Milliseconds | undefined
   /** Whether an answer said so, and nothing was seen since of its end: a report may be older than the answer. */
-  isLeavingForGood: boolean
+  hasAnnouncedLeaving: boolean
 }
 
 /** Where the configured endpoints are looked up. */
-export type EndpointSource = Pick<Catalogue, 'endpoints' | 'findEndpoint' | 'isEvacuated'>
+export type EndpointCatalogue = Pick<Catalogue, 'endpoints' | 'findEndpoint' | 'isEvacuated'>
 
 /** Who said that an endpoint leaves. */
 export type LeavingSource = 'list' | 'answer' | 'report' | 'peer'
@@ -64,16 +64,16 @@
 export class EndpointTable {
   readonly prefixes: PrefixIndex
   private readonly states = new Map<EndpointId, EndpointState>()
-  private readonly ejection: Ejection
+  private readonly ejection: OutlierEjection
 
   constructor(
-    private readonly catalogue: EndpointSource,
+    private readonly catalogue: EndpointCatalogue,
     private readonly clock: Clock,
-    private readonly permits: Pick<SendPermits, 'takes' | 'refusalOf'>,
+    private readonly permits: Pick<SendAdmission, 'allows' | 'refusalOf'>,
     private readonly onChange: EndpointListener,
   ) {
     this.prefixes = new PrefixIndex(clock)
-    this.ejection = new Ejection(clock)
+    this.ejection = new OutlierEjection(clock)
   }
 
   /** Endpoints that may get new work for a model, as a decision sees them. */
@@ -109,7 +109,7 @@
   }
 
   /** A request goes there now. */
-  noteSent(endpointId: EndpointId, promptTokens: TokenCount): void {
+  noteRequestSent(endpointId: EndpointId, promptTokens: TokenCount): void {
     const state = this.stateOf(endpointId)
     state.inFlight += 1
     state.sends.note()
@@ -117,7 +117,7 @@
   }
 
   /** A request ended there. */
-  noteEnded(endpointId: EndpointId): void {
+  noteRequestEnded(endpointId: EndpointId): void {
     this.stateOf(endpointId).inFlight -= 1
   }
 
@@ -145,7 +145,7 @@
 
   noteLeaving(endpointId: EndpointId, source: LeavingSource): void {
     const state = this.stateOf(endpointId)
-    state.isLeavingForGood ||= source === 'answer'
+    state.hasAnnouncedLeaving ||= source === 'answer'
     if (state.leavingSince !== undefined) return
     state.leavingSince = this.clock.monotonic()
     this.onChange(endpointId, `leaving (${source})`)
@@ -183,20 +183,20 @@
   }
 
   /** Its reports can't be fetched: what it said in answers may be over with its start. */
-  noteSilent(endpointId: EndpointId): void {
-    this.stateOf(endpointId).isLeavingForGood = false
+  noteReportFailed(endpointId: EndpointId): void {
+    this.stateOf(endpointId).hasAnnouncedLeaving = false
   }
 
-  private isStillLeaving({ isLeavingForGood, leavingSince = 0 }: EndpointState): boolean {
+  private isStillLeaving({ hasAnnouncedLeaving, leavingSince = 0 }: EndpointState): boolean {
     const age = this.clock.monotonic() - leavingSince
-    return isLeavingForGood && age < LONGEST_LEAVING_MILLISECONDS
+    return hasAnnouncedLeaving && age < LONGEST_LEAVING_MILLISECONDS
   }
 
   private noteStaying(endpointId: EndpointId): void {
     const state = this.stateOf(endpointId)
     if (state.leavingSince === undefined || this.isStillLeaving(state)) return
     state.leavingSince = undefined
-    state.isLeavingForGood = false
+    state.hasAnnouncedLeaving = false
     this.onChange(endpointId, 'staying')
   }
 
@@ -204,8 +204,8 @@
     pool: readonly ConfiguredEndpoint[],
     hashes: readonly PrefixHash[],
   ): readonly EndpointView[] {
-    const open = this.usable(pool).filter(endpoint => this.permits.takes(this.subjectOf(endpoint)))
-    return this.ejection.usable(open).map(endpoint => this.viewOf(endpoint, hashes))
+    const open = this.usable(pool).filter(endpoint => this.permits.allows(this.subjectOf(endpoint)))
+    return this.ejection.usableEndpoints(open).map(endpoint => this.viewOf(endpoint, hashes))
   }
 
   private usable(pool: readonly ConfiguredEndpoint[]): readonly ConfiguredEndpoint[] {
@@ -225,7 +225,7 @@
     )
   }
 
-  private subjectOf({ endpointId, spec }: ConfiguredEndpoint): PermitSubject {
+  private subjectOf({ endpointId, spec }: ConfiguredEndpoint): SendTarget {
     return {
       // Its platform does not tell one start from the next.
       start: endpointStart(endpointId, undefined),
@@ -236,7 +236,7 @@
   }
 
   /** When something last came from an endpoint, as far as it is noted: its reports are. */
-  heard(endpointId: EndpointId): HeardTimes {
+  lastHeard(endpointId: EndpointId): LastContactTimes {
     const readAt = Number.NEGATIVE_INFINITY
     return { askedAt: this.states.get(endpointId)?.reportAskedAt ?? readAt, readAt }
   }
@@ -275,9 +275,9 @@
       reportAskedAt: Number.NEGATIVE_INFINITY,
       recent: [],
       unreachableUntil: Number.NEGATIVE_INFINITY,
-      sends: new RecentSends(this.clock),
+      sends: new SendHistory(this.clock),
       leavingSince: undefined,
-      isLeavingForGood: false,
+      hasAnnouncedLeaving: false,
     }
     this.states.set(endpointId, created)
     return created
--- a/packages/router/src/routing/linkWatch.ts
+++ b/packages/router/src/routing/linkMonitor.ts
@@ -4,13 +4,13 @@
  */
 
 import { connect } from 'node:net'
-import { isCutOff, linksToCheck, unreachedLinks } from '@rackwalk/decisions'
+import { isServiceUnreachable, linksToProbe, unreachableLinks } from '@rackwalk/decisions'
 import type { EndpointLink } from '@rackwalk/decisions'
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
 
 /** An endpoint, as far as the way to it is concerned. */
-export interface WatchedEndpoint {
+export interface MonitoredEndpoint {
   /** Service or model. */
   readonly service: string
   /** IP:PORT. */
@@ -19,17 +19,17 @@
   /** A new connection to it came up, */
   noteConnected(): void
   /** or did not. */
-  noteUnconnected(): void
+  noteConnectFailed(): void
 }
 
 /** What the watch works with. */
-export interface LinkWatchParts<Endpoint extends WatchedEndpoint> {
+export interface LinkMonitorParts<Endpoint extends MonitoredEndpoint> {
   readonly clock: Clock
   readonly random: RandomSource
   /** Endpoints of a service that are there, whether or not their links are up. */
-  readonly listed: (service: string) => readonly Endpoint[]
+  readonly endpointsOf: (service: string) => readonly Endpoint[]
   /** Endpoints of all other services. */
-  readonly listedElsewhere: (service: string) => readonly Endpoint[]
+  readonly endpointsOfOthers: (service: string) => readonly Endpoint[]
   /** This instance is cut off from a service, or no longer. */
   readonly onCutOff: (service: string, isCutOff: boolean) => void
   /** Whether a connection to IP:PORT comes up; over the network unless it is given. */
@@ -46,17 +46,17 @@
 }
 
 /** The links from one instance to endpoints. */
-export class LinkWatch<Endpoint extends WatchedEndpoint> {
+export class LinkMonitor<Endpoint extends MonitoredEndpoint> {
   /** Services whose links are checked. */
   private readonly checked = new Set<string>()
   private readonly cutOff = new Set<string>()
   /** Addresses of endpoints that are not reached, by service, as the newest check showed. */
-  private readonly lost = new Map<string, ReadonlySet<string>>()
+  private readonly unreachableAddresses = new Map<string, ReadonlySet<string>>()
   private readonly connects: (address: string) => Promise<boolean>
   private isStopped = false
 
-  constructor(private readonly parts: LinkWatchParts<Endpoint>) {
-    this.connects = parts.connects ?? comesUp
+  constructor(private readonly parts: LinkMonitorParts<Endpoint>) {
+    this.connects = parts.connects ?? canConnect
   }
 
   stop(): void {
@@ -74,20 +74,20 @@
   }
 
   /** Endpoints of a service that are not reached. */
-  unreached(service: string): ReadonlySet<Endpoint> {
-    const lost = this.lost.get(service)
+  unreachableEndpoints(service: string): ReadonlySet<Endpoint> {
+    const lost = this.unreachableAddresses.get(service)
     if (lost === undefined) return new Set()
-    return new Set(this.parts.listed(service).filter(({ address }) => lost.has(address)))
+    return new Set(this.parts.endpointsOf(service).filter(({ address }) => lost.has(address)))
   }
 
   /** A new connection to an endpoint did not come up: it is found out whether others do. */
-  noteUnconnected(endpoint: Endpoint): void {
-    endpoint.noteUnconnected()
-    this.lookAt(endpoint.service)
+  noteConnectFailed(endpoint: Endpoint): void {
+    endpoint.noteConnectFailed()
+    this.startChecking(endpoint.service)
   }
 
   /** The links to a service are in doubt, and are checked until they are not. */
-  lookAt(service: string): void {
+  startChecking(service: string): void {
     if (this.checked.has(service) || this.isStopped) return
     this.checked.add(service)
     void this.checkUntilReached(service).finally(() => {
@@ -101,29 +101,29 @@
    * of one service may have ended.
    */
   async reachesOthers(address: string, service: string): Promise<boolean> {
-    const { listed, listedElsewhere } = this.parts
-    const beside = listed(service).filter(endpoint => endpoint.address !== address)
-    const elsewhere = listedElsewhere(service)
+    const { endpointsOf, endpointsOfOthers } = this.parts
+    const beside = endpointsOf(service).filter(endpoint => endpoint.address !== address)
+    const elsewhere = endpointsOfOthers(service)
     if (beside.length + elsewhere.length === 0) return true
     return (await this.reachesAny(beside)) || this.reachesAny(elsewhere)
   }
 
   private async reachesAny(endpoints: readonly Endpoint[]): Promise<boolean> {
-    const chosen = linksToCheck(endpoints.map(linked), this.now, this.parts.random.next())
+    const chosen = linksToProbe(endpoints.map(linked), this.now, this.parts.random.next())
     const reached = await Promise.all(chosen.map(link => this.check(link)))
     return reached.includes(true)
   }
 
   private async checkUntilReached(service: string): Promise<void> {
     await this.checkOnce(service)
-    while (this.lost.has(service) && !this.isStopped) {
+    while (this.unreachableAddresses.has(service) && !this.isStopped) {
       await sleep(this.parts.clock, CHECK_MILLISECONDS)
       await this.checkOnce(service)
     }
   }
 
   private async checkOnce(service: string): Promise<void> {
-    const chosen = linksToCheck(this.linksOf(service), this.now, this.parts.random.next())
+    const chosen = linksToProbe(this.linksOf(service), this.now, this.parts.random.next())
     await Promise.all(chosen.map(link => this.check(link)))
     this.judge(service)
   }
@@ -131,17 +131,17 @@
   private async check({ endpoint }: LinkedEndpoint<Endpoint>): Promise<boolean> {
     const isUp = await this.connects(endpoint.address)
     if (isUp) endpoint.noteConnected()
-    else endpoint.noteUnconnected()
+    else endpoint.noteConnectFailed()
     return isUp
   }
 
   /** Only a check tells: endpoints that end one after the other look like a cut to requests, which try those that look idle. */
   private judge(service: string): void {
     const links = this.linksOf(service)
-    const unreached = [...unreachedLinks(links, this.now)].map(({ endpoint }) => endpoint.address)
-    if (unreached.length > 0) this.lost.set(service, new Set(unreached))
-    else this.lost.delete(service)
-    const isLost = isCutOff(links, this.now)
+    const unreached = [...unreachableLinks(links, this.now)].map(({ endpoint }) => endpoint.address)
+    if (unreached.length > 0) this.unreachableAddresses.set(service, new Set(unreached))
+    else this.unreachableAddresses.delete(service)
+    const isLost = isServiceUnreachable(links, this.now)
     if (isLost === this.cutOff.has(service)) return
     if (isLost) this.cutOff.add(service)
     else this.cutOff.delete(service)
@@ -149,7 +149,7 @@
   }
 
   private linksOf(service: string): readonly LinkedEndpoint<Endpoint>[] {
-    return this.parts.listed(service).map(linked)
+    return this.parts.endpointsOf(service).map(linked)
   }
 
   private get now(): Milliseconds {
@@ -157,12 +157,12 @@
   }
 }
 
-function linked<Endpoint extends WatchedEndpoint>(endpoint: Endpoint): LinkedEndpoint<Endpoint> {
+function linked<Endpoint extends MonitoredEndpoint>(endpoint: Endpoint): LinkedEndpoint<Endpoint> {
   return { endpoint, ...endpoint.link }
 }
 
 /** Whether a connection to IP:PORT comes up in time; nothing is sent on it. */
-function comesUp(address: string): Promise<boolean> {
+function canConnect(address: string): Promise<boolean> {
   const [host = '', port = ''] = address.split(':')
   return new Promise(resolve => {
     const socket = connect({ host, port: Number(port) })
--- a/packages/router/src/routing/prefixIndex.ts
+++ b/packages/router/src/routing/prefixIndex.ts
@@ -44,7 +44,7 @@
 }
 
 /** A block not heard of for this long is taken to be gone. */
-const DECAY_MILLISECONDS = 10 * 60_000
+const BLOCK_EXPIRY_MILLISECONDS = 10 * 60_000
 /** Blocks remembered for one endpoint. */
 const MAXIMUM_BLOCKS_PER_ENDPOINT = 20_000
 
@@ -62,7 +62,7 @@
   cachedTokens(endpointId: EndpointId, hashes: readonly PrefixHash[]): TokenCount {
     const known = this.endpoints.get(endpointId)?.blocks
     if (known === undefined) return 0
-    const oldest = this.clock.monotonic() - DECAY_MILLISECONDS
+    const oldest = this.clock.monotonic() - BLOCK_EXPIRY_MILLISECONDS
     let matched = 0
     for (const hash of hashes) {
       const at = known.get(hash)
@@ -73,7 +73,7 @@
   }
 
   /** A prompt was sent there, so its blocks will probably be cached. */
-  assume(endpointId: EndpointId, hashes: readonly PrefixHash[]): void {
+  noteSent(endpointId: EndpointId, hashes: readonly PrefixHash[]): void {
     this.store(this.blocksOf(endpointId), hashes)
   }
 
--- a/packages/router/src/routing/routingPolicy.ts
+++ b/packages/router/src/routing/routingPolicy.ts
@@ -86,40 +86,43 @@
       .sort((left, right) => right.cachedTokens - left.cachedTokens)
       .slice(0, CACHED_CANDIDATES)
     const considered = new Set([...sample(candidates, SAMPLE_SIZE, random), ...cached])
-    return best([...considered], view => expectedFirstToken(view, demand))
+    return best([...considered], view => expectedFirstTokenMilliseconds(view, demand))
   }
 }
 
 /** Expected time to the first token at an endpoint, in milliseconds. */
-export function expectedFirstToken(view: EndpointView, demand: RoutedDemand): Milliseconds {
+export function expectedFirstTokenMilliseconds(
+  view: EndpointView,
+  demand: RoutedDemand,
+): Milliseconds {
   const uncached = Math.max(0, demand.promptTokens - view.cachedTokens)
   const ahead = promptTokensAhead(view, demand)
   const prefill = ((ahead + uncached) * 1000) / view.prefillTokensPerSecond
   const running = estimatedRequests(view, demand)
   const overCapacity = Math.max(0, running - view.maximumInFlight)
-  const isFullPenalty = overCapacity * FULL_MILLISECONDS
+  const isFullPenalty = overCapacity * OVER_CAPACITY_MILLISECONDS
   return prefill + running * BATCHING_MILLISECONDS + isFullPenalty
 }
 
 /** Wait for a place that each request over an engine's capacity adds. */
-const FULL_MILLISECONDS = 250
+const OVER_CAPACITY_MILLISECONDS = 250
 
 function promptTokensAhead(view: EndpointView, demand: RoutedDemand): number {
   const reported = view.report?.queuedPromptTokens ?? 0
   const waiting = (view.report?.waiting ?? 0) * ASSUMED_PROMPT_TOKENS
   const drained = (view.reportAgeMilliseconds * view.prefillTokensPerSecond) / 1000
-  const others = 1 + (demand.instances - 1) * HERDING_GUARD
+  const others = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
   const sentSince = view.promptTokensSinceReport * others
   return Math.max(0, Math.max(reported, waiting) + sentSince - drained)
 }
 
 /** Share of this instance's own sending that each other instance is assumed to repeat. */
-const HERDING_GUARD = 0.15
+const ASSUMED_PEER_SHARE = 0.15
 
 /** Requests that an endpoint probably has now. */
 export function estimatedRequests(view: EndpointView, demand: RoutedDemand): number {
   if (view.report === undefined) return view.inFlight * demand.instances
-  const others = 1 + (demand.instances - 1) * HERDING_GUARD
+  const others = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
   const sentSince = view.sentSinceReport * others
   return Math.max(view.inFlight, view.report.running + view.report.waiting + sentSince)
 }
--- a/packages/router/src/streams/versionsSeen.ts
+++ b/packages/router/src/streams/recentVersions.ts
@@ -1,14 +1,14 @@
 /** Which software versions of each service served lately. Owns when each was last there. */
 
-import { LONGEST_STREAM_MILLISECONDS } from '@rackwalk/decisions'
+import { RESUMPTION_WINDOW_MILLISECONDS } from '@rackwalk/decisions'
 import type { Clock, Milliseconds, SoftwareVersion } from '@rackwalk/shared'
 
 /** The software versions of all services, as one instance knows them. */
-export class VersionsSeen {
+export class RecentVersions {
   /** By service, then by version: monotonic time at which it was last there. */
   private readonly seenAt = new Map<string, Map<SoftwareVersion, Milliseconds>>()
   /** By service: monotonic time at which it was first seen. */
-  private readonly since = new Map<string, Milliseconds>()
+  private readonly firstSeenAt = new Map<string, Milliseconds>()
 
   constructor(
     private readonly clock: Clock,
@@ -19,15 +19,15 @@
   /** A version is there, or was until now. */
   note(service: string, version: SoftwareVersion): void {
     const now = this.clock.monotonic()
-    if (!this.since.has(service)) this.since.set(service, now)
+    if (!this.firstSeenAt.has(service)) this.firstSeenAt.set(service, now)
     const seen = this.seenAt.get(service) ?? new Map<SoftwareVersion, Milliseconds>()
     seen.set(version, now)
     this.seenAt.set(service, seen)
   }
 
   /** Versions of which streams may be taken up again. */
-  lately(service: string): readonly SoftwareVersion[] {
-    const oldest = this.clock.monotonic() - LONGEST_STREAM_MILLISECONDS
+  recentVersions(service: string): readonly SoftwareVersion[] {
+    const oldest = this.clock.monotonic() - RESUMPTION_WINDOW_MILLISECONDS
     const listed = this.listed(service)
     const seen = this.seenAt.get(service) ?? new Map<SoftwareVersion, Milliseconds>()
     for (const [version, at] of seen) {
@@ -38,11 +38,11 @@
 
   /** Time since the service was first seen. */
   knownFor(service: string): Milliseconds {
-    const since = this.since.get(service)
+    const since = this.firstSeenAt.get(service)
     return since === undefined ? 0 : this.clock.monotonic() - since
   }
 
   get services(): readonly string[] {
-    return [...this.since.keys()]
+    return [...this.firstSeenAt.keys()]
   }
 }
--- a/packages/router/src/streams/begunStream.ts
+++ b/packages/router/src/streams/startedStream.ts
@@ -1,10 +1,10 @@
 /** What is remembered of a stream when its first event is passed on. */
 
-import { LONGEST_STREAM_MILLISECONDS } from '@rackwalk/decisions'
+import { RESUMPTION_WINDOW_MILLISECONDS } from '@rackwalk/decisions'
 import type { Milliseconds, SoftwareVersion } from '@rackwalk/shared'
 import type { RequestMetadata } from '../gateway/dialect.js'
 import { streamKey } from './streamKey.js'
-import type { BegunStream } from './streamMemory.js'
+import type { StartedStream } from './streamOriginCache.js'
 
 /** A caller counts its time from its first try, which it may have sent a little later than it is told here. */
 const SLACK_MILLISECONDS: Milliseconds = 1_000
@@ -18,11 +18,11 @@
 }
 
 /** Undefined where its caller can't take it up, or does not name the try that began it. */
-export function begunStream(
+export function startedStreamOf(
   { metadata, route, service, team }: StreamRequest,
   softwareVersion: SoftwareVersion,
-): BegunStream | undefined {
-  const { requestId, resumption, deadlineMilliseconds = LONGEST_STREAM_MILLISECONDS } = metadata
+): StartedStream | undefined {
+  const { requestId, resumption, deadlineMilliseconds = RESUMPTION_WINDOW_MILLISECONDS } = metadata
   const first = resumption === undefined ? requestId : resumption.firstRequestId
   if (!route.isResumable || first === undefined) return undefined
   return {
--- a/packages/router/src/streams/streamMemory.ts
+++ b/packages/router/src/streams/streamOriginCache.ts
@@ -5,7 +5,7 @@
 import type { Clock, Milliseconds, StreamKey } from '@rackwalk/shared'
 
 /** A stream that has begun. */
-export interface BegunStream {
+export interface StartedStream {
   readonly key: StreamKey
   readonly origin: StreamOrigin
   /** Time for which its caller may come back. */
@@ -14,16 +14,16 @@
 
 interface Entry {
   readonly origins: readonly StreamOrigin[]
-  readonly until: Milliseconds
+  readonly expiresAt: Milliseconds
   /** Whether this instance served the stream. */
-  readonly isOwn: boolean
+  readonly isLocal: boolean
 }
 
 /** Streams remembered at the most, so that callers who begin many can't fill the memory. */
 const REMEMBERED_STREAMS = 16_384
 
 /** The streams that one instance remembers. */
-export class StreamMemory {
+export class StreamOriginCache {
   /** The oldest first. */
   private readonly entries = new Map<StreamKey, Entry>()
 
@@ -34,38 +34,38 @@
   }
 
   /** Remembers a stream; one that is told to have begun in two ways keeps both, since nobody can say which is true. */
-  note({ key, origin, lifetimeMilliseconds }: BegunStream, isOwn: boolean): void {
-    const known = this.living(key)
+  note({ key, origin, lifetimeMilliseconds }: StartedStream, isOwn: boolean): void {
+    const known = this.unexpired(key)
     const origins = known?.origins ?? []
     const isKnown = origins.some(other => isSameOrigin(other, origin))
     const until = this.clock.monotonic() + lifetimeMilliseconds
     this.entries.delete(key)
     this.entries.set(key, {
       origins: isKnown ? origins : [...origins, origin],
-      until: Math.max(until, known?.until ?? 0),
-      isOwn: isOwn || known?.isOwn === true,
+      expiresAt: Math.max(until, known?.expiresAt ?? 0),
+      isLocal: isOwn || known?.isLocal === true,
     })
     this.forgetOldest()
   }
 
   /** Where a stream began; empty where nothing is remembered of it. */
   originsOf(key: StreamKey): readonly StreamOrigin[] {
-    return this.living(key)?.origins ?? []
+    return this.unexpired(key)?.origins ?? []
   }
 
   /** Streams of a service that this instance served. */
-  ownOf(service: string): readonly BegunStream[] {
+  servedLocally(service: string): readonly StartedStream[] {
     const now = this.clock.monotonic()
-    return [...this.entries].flatMap(([key, { origins, until, isOwn }]) => {
+    return [...this.entries].flatMap(([key, { origins, expiresAt, isLocal }]) => {
       const [origin] = origins
-      if (!isOwn || origin?.service !== service || until <= now) return []
-      return [{ key, origin, lifetimeMilliseconds: until - now }]
+      if (!isLocal || origin?.service !== service || expiresAt <= now) return []
+      return [{ key, origin, lifetimeMilliseconds: expiresAt - now }]
     })
   }
 
-  private living(key: StreamKey): Entry | undefined {
+  private unexpired(key: StreamKey): Entry | undefined {
     const entry = this.entries.get(key)
-    if (entry === undefined || entry.until > this.clock.monotonic()) return entry
+    if (entry === undefined || entry.expiresAt > this.clock.monotonic()) return entry
     this.entries.delete(key)
     return undefined
   }
@@ -73,8 +73,8 @@
   /** Those whose time is over go first, as far as they are the oldest; at the bound any that is the oldest. */
   private forgetOldest(): void {
     const now = this.clock.monotonic()
-    for (const [key, { until }] of this.entries) {
-      if (until > now && this.entries.size <= REMEMBERED_STREAMS) return
+    for (const [key, { expiresAt }] of this.entries) {
+      if (expiresAt > now && this.entries.size <= REMEMBERED_STREAMS) return
       this.entries.delete(key)
     }
   }
--- a/packages/router/src/streams/streamOrigins.ts
+++ b/packages/router/src/streams/streamOrigins.ts
@@ -4,16 +4,16 @@
  * decisions/retrying/streamResumption for the rule.
  */
 
-import { isMixed, isSettled, resumptionOf } from '@rackwalk/decisions'
-import type { Resumption, StreamOrigin, VersionsView } from '@rackwalk/decisions'
+import { hasMixedVersions, hasSingleVersion, resolveResumption } from '@rackwalk/decisions'
+import type { Resumption, StreamOrigin, ServiceVersions } from '@rackwalk/decisions'
 import type { Clock, SoftwareVersion, StreamKey } from '@rackwalk/shared'
-import { StreamMemory } from './streamMemory.js'
-import type { BegunStream } from './streamMemory.js'
-import { VersionsSeen } from './versionsSeen.js'
+import { StreamOriginCache } from './streamOriginCache.js'
+import type { StartedStream } from './streamOriginCache.js'
+import { RecentVersions } from './recentVersions.js'
 
 /** What instances tell each other of streams and versions. */
-export interface StreamNews {
-  readonly begun: readonly BegunStream[]
+export interface StreamGossip {
+  readonly begun: readonly StartedStream[]
   /** Versions that serve, each with its service. */
   readonly versions: readonly StreamOrigin[]
 }
@@ -40,21 +40,21 @@
   /** Whether the store told of endpoints a moment ago. */
   readonly isListFresh: () => boolean
   /** Tells those that keep each stream of it. */
-  readonly tellKeepers: (begun: readonly BegunStream[]) => void
+  readonly replicateStreams: (begun: readonly StartedStream[]) => void
   /** Tells all other instances of versions. */
-  readonly tellVersions: (versions: readonly StreamOrigin[]) => void
+  readonly broadcastVersions: (versions: readonly StreamOrigin[]) => void
   /** Answers of other instances; those that do not answer in time are left out. */
   readonly ask: (stream: ResumedStream) => Promise<readonly OriginAnswer[]>
 }
 
 /** Where the streams of the fleet began, as one instance knows it. */
 export class StreamOrigins {
-  private readonly memory: StreamMemory
-  private readonly versions: VersionsSeen
+  private readonly memory: StreamOriginCache
+  private readonly versions: RecentVersions
 
   constructor(private readonly parts: StreamOriginsParts) {
-    this.memory = new StreamMemory(parts.clock)
-    this.versions = new VersionsSeen(parts.clock, parts.listedVersions)
+    this.memory = new StreamOriginCache(parts.clock)
+    this.versions = new RecentVersions(parts.clock, parts.listedVersions)
   }
 
   /** Streams that are remembered here. */
@@ -63,24 +63,25 @@
   }
 
   /** The first event of a stream is about to be passed on: whoever keeps it is told before its caller has anything. */
-  noteBegun(stream: BegunStream): void {
+  noteStarted(stream: StartedStream): void {
     this.memory.note(stream, true)
-    if (isMixed(this.versions.lately(stream.origin.service))) this.parts.tellKeepers([stream])
+    if (hasMixedVersions(this.versions.recentVersions(stream.origin.service)))
+      this.parts.replicateStreams([stream])
   }
 
   /** An endpoint of a version is listed. */
   noteListed(origin: StreamOrigin): void {
     const isNew = this.noteVersion(origin)
-    if (isNew) this.parts.tellVersions(this.versionsOf(origin.service))
+    if (isNew) this.parts.broadcastVersions(this.versionsOf(origin.service))
   }
 
   /** An endpoint of a version is no longer listed; its streams may still be taken up. */
-  noteGone({ service, softwareVersion }: StreamOrigin): void {
+  noteUnlisted({ service, softwareVersion }: StreamOrigin): void {
     this.versions.note(service, softwareVersion)
   }
 
   /** Takes in what another instance told. */
-  observe({ begun, versions }: StreamNews): void {
+  observe({ begun, versions }: StreamGossip): void {
     for (const stream of begun) {
       this.memory.note(stream, false)
       this.noteVersion(stream.origin)
@@ -89,7 +90,7 @@
   }
 
   /** What an instance that comes now has to know. */
-  get standingVersions(): readonly StreamOrigin[] {
+  get versionsSnapshot(): readonly StreamOrigin[] {
     return this.versions.services
       .map(service => this.versionsOf(service))
       .filter(({ length }) => length > 1)
@@ -98,7 +99,7 @@
 
   /** What is known here, for another instance that asks. */
   answer({ key, service }: ResumedStream): OriginAnswer {
-    return { origins: this.remembered(key), versions: this.versions.lately(service) }
+    return { origins: this.remembered(key), versions: this.versions.recentVersions(service) }
   }
 
   /** Where a stream goes on that a caller takes up here. */
@@ -106,19 +107,19 @@
     const { service } = stream
     const own = this.answer(stream)
     const { isFresh, versions } = this.view(service)
-    const isKnown = own.origins.length > 0 || isSettled(this.view(service))
+    const isKnown = own.origins.length > 0 || hasSingleVersion(this.view(service))
     const answers = isKnown ? [] : await this.parts.ask(stream)
     const all = [own, ...answers]
-    return resumptionOf(service, {
+    return resolveResumption(service, {
       origins: all.flatMap(answer => answer.origins),
       versions: [...versions, ...answers.flatMap(answer => answer.versions)],
       isConfirmed: isFresh || answers.length > 0,
     })
   }
 
-  private view(service: string): VersionsView {
+  private view(service: string): ServiceVersions {
     return {
-      versions: this.versions.lately(service),
+      versions: this.versions.recentVersions(service),
       knownForMilliseconds: this.versions.knownFor(service),
       isFresh: this.parts.isListFresh(),
     }
@@ -129,15 +130,18 @@
   }
 
   private versionsOf(service: string): readonly StreamOrigin[] {
-    return this.versions.lately(service).map(softwareVersion => ({ service, softwareVersion }))
+    return this.versions
+      .recentVersions(service)
+      .map(softwareVersion => ({ service, softwareVersion }))
   }
 
   /** Whether the version is another one than those that served lately; what began at the only one so far has to be kept then. */
   private noteVersion({ service, softwareVersion }: StreamOrigin): boolean {
-    const before = this.versions.lately(service)
+    const before = this.versions.recentVersions(service)
     this.versions.note(service, softwareVersion)
     const isNew = before.length > 0 && !before.includes(softwareVersion)
-    if (isNew && before.length === 1) this.parts.tellKeepers(this.memory.ownOf(service))
+    if (isNew && before.length === 1)
+      this.parts.replicateStreams(this.memory.servedLocally(service))
     return isNew
   }
 }
--- a/packages/shared/src/errors.ts
+++ b/packages/shared/src/errors.ts
@@ -3,7 +3,7 @@
  * Relies on the table of result codes.
  */
 
-import type { AfterDispatchCode, NotRunCode } from './resultCodes.js'
+import type { DispatchedCode, NotRunCode } from './resultCodes.js'
 import { RESULT_TABLE, ResultCode } from './resultCodes.js'
 
 /** An error with a numbered code; `cause` is kept for the log, never shown to callers. */
@@ -49,7 +49,7 @@
 /** Says that a request reached an endpoint, or may have. */
 export class DispatchedError extends RackwalkError {
   constructor(
-    override readonly code: AfterDispatchCode,
+    override readonly code: DispatchedCode,
     detail?: string,
     readonly retryAfterSeconds = RESULT_TABLE[code].retryAfterSeconds,
   ) {
--- a/packages/shared/src/ids.ts
+++ b/packages/shared/src/ids.ts
@@ -52,7 +52,7 @@
 export type TransferId = Branded<'TransferId'>
 
 /** Endpoints that tell no software version count as one version of their own. */
-export const UNTOLD_SOFTWARE_VERSION: SoftwareVersion = asId('')
+export const UNKNOWN_SOFTWARE_VERSION: SoftwareVersion = asId('')
 
 /** The start of an endpoint at this time; undefined where its platform gives each start an id of its own. */
 export function endpointStart(endpoint: string, bornAt: number | undefined): EndpointStart {
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -1,5 +1,5 @@
 /** What every package shares: ids, units, result codes, errors, time and chance. */
-export { UNTOLD_SOFTWARE_VERSION, asId, endpointOf, endpointStart } from './ids.js'
+export { UNKNOWN_SOFTWARE_VERSION, asId, endpointOf, endpointStart } from './ids.js'
 export type {
   BudgetId,
   EndpointId,
@@ -30,5 +30,5 @@
 export type { Deferred } from './deferred.js'
 export type { Task } from './task.js'
 export { RESULT_TABLE, ResultCode, resultName } from './resultCodes.js'
-export type { AfterDispatchCode, Execution } from './resultCodes.js'
+export type { DispatchedCode, Execution } from './resultCodes.js'
 export { DispatchedError, NotRunError, RackwalkError, toRackwalkError } from './errors.js'
--- a/packages/shared/src/resultCodes.ts
+++ b/packages/shared/src/resultCodes.ts
@@ -113,7 +113,7 @@
   | ResultCode.NoEndpointOfVersion
 
 /** Codes for a request that an earlier or this attempt may have run. */
-export type AfterDispatchCode =
+export type DispatchedCode =
   | ResultCode.Ok
   | ResultCode.AlreadyRan
   | ResultCode.KeyInUse
--- a/packages/stand-ins/__tests__/answerEnds.spec.ts
+++ b/packages/stand-ins/__tests__/answerEnds.spec.ts
@@ -5,7 +5,7 @@
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { SystemClock, asId } from '@rackwalk/shared'
 import type { EndpointId } from '@rackwalk/shared'
-import { EndpointClient, HOLD_LIMITS } from '@rackwalk/router'
+import { EndpointClient, ANSWER_BUFFER_LIMITS } from '@rackwalk/router'
 import { SocketEndpoint } from '@rackwalk/stand-ins'
 
 /** Answers whose bytes are split anywhere and end anywhere, read over a real socket by a reader that pauses. */
@@ -103,7 +103,10 @@
 
 const clock = new SystemClock()
 const holding = new EndpointClient(clock, STALL_MILLISECONDS)
-const passing = new EndpointClient(clock, STALL_MILLISECONDS, { ...HOLD_LIMITS, answerBytes: 0 })
+const passing = new EndpointClient(clock, STALL_MILLISECONDS, {
+  ...ANSWER_BUFFER_LIMITS,
+  maximumAnswerBytes: 0,
+})
 
 async function read(play: Play): Promise<Reading> {
   current = play
@@ -124,12 +127,12 @@
   return new Promise(resolve => {
     let body = ''
     const finish = (kind: Reading['kind']) => {
-      given.release()
+      given.releaseBuffer()
       resolve({ kind, body, isDelimited: given.isDelimited })
     }
     const consumer = {
       isFull: false,
-      take: (chunk: Buffer) => {
+      receive: (chunk: Buffer) => {
         body += chunk.toString('latin1')
         const pause = pauses.shift()
         if (pause === undefined) return
@@ -142,7 +145,7 @@
       end: () => finish('whole'),
       fail: () => finish('broken'),
     }
-    given.start(consumer)
+    given.startReading(consumer)
   })
 }
 
--- a/packages/stand-ins/__tests__/knowledgeWatch.spec.ts
+++ b/packages/stand-ins/__tests__/knowledgeWatch.spec.ts
@@ -2,7 +2,7 @@
 import { NotRunError, ResultCode, VirtualClock } from '@rackwalk/shared'
 import { TableMirror } from '@rackwalk/coordination'
 import type { MirrorPage } from '@rackwalk/coordination'
-import { KnowledgeWatch } from '@rackwalk/daemon'
+import { StalenessMonitor } from '@rackwalk/daemon'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
 /**
@@ -34,7 +34,7 @@
     pauseMilliseconds: () => 20,
   })
   const changes: boolean[] = []
-  const watch = new KnowledgeWatch({
+  const watch = new StalenessMonitor({
     clock,
     tables: new Map([[TABLE, { mirror, boundMilliseconds: BOUND_MILLISECONDS }]]),
     reachability: () => ({
--- a/packages/stand-ins/__tests__/processes.spec.ts
+++ b/packages/stand-ins/__tests__/processes.spec.ts
@@ -10,7 +10,7 @@
 import type { BudgetId, IncarnationId, InstanceId } from '@rackwalk/shared'
 import { allocatedTokens, foldBills, readJournal, tableKeys } from '@rackwalk/coordination'
 import type { BudgetRow } from '@rackwalk/coordination'
-import { hashKey } from '@rackwalk/router'
+import { hashApiKey } from '@rackwalk/router'
 import {
   EngineStandIn,
   LocalPlatform,
@@ -79,7 +79,7 @@
       table: { ...credentials, endpoint: platform.tableUrl, name: 'rackwalk' },
       objects: { ...credentials, endpoint: platform.objectUrl, bucket: 'rackwalk' },
     },
-    operators: [{ name: 'operator', tokenHash: hashKey(TOKEN) }],
+    operators: [{ name: 'operator', tokenHash: hashApiKey(TOKEN) }],
     timings: { heartbeatMilliseconds: 200, listLagMilliseconds: 1_000, reportMilliseconds: 200 },
   }
   const file = join(folder, `${name}.yaml`)
@@ -165,7 +165,7 @@
     metadata: { name: `engine-${number}` },
     spec: { kind: 'model', models: ['assistant'], address: `http://127.0.0.1:${port}` },
   }))
-  const team = { budget: 'team', keyHashes: [hashKey(TEAM_KEY)] }
+  const team = { budget: 'team', keyHashes: [hashApiKey(TEAM_KEY)] }
   const placement = { model: 'assistant', version: '1', replicas: 2, defaultOutputTokens: 64 }
   const resources = [
     { kind: 'budgets', metadata: { name: 'team' }, spec: { team: 'team', limit: LIMIT } },
--- a/packages/stand-ins/__tests__/slowPeerAnswers.spec.ts
+++ b/packages/stand-ins/__tests__/slowPeerAnswers.spec.ts
@@ -4,7 +4,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { SystemClock, SystemRandom, sleep } from '@rackwalk/shared'
 import { TableMirror } from '@rackwalk/coordination'
-import { KnowledgeWatch, PeerRows, answerRows } from '@rackwalk/daemon'
+import { StalenessMonitor, PeerRowClient, handleRowsRequest } from '@rackwalk/daemon'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
 /**
@@ -25,7 +25,11 @@
   for (const stop of stops.splice(0)) stop()
 })
 
-type AskPeers = (table: string, after: number, patience?: number) => ReturnType<PeerRows['ask']>
+type AskPeers = (
+  table: string,
+  after: number,
+  patience?: number,
+) => ReturnType<PeerRowClient['ask']>
 
 function mirrorOn(store: MemoryRowStore, askPeers?: AskPeers) {
   const { store: client, faults } = store.connect()
@@ -49,7 +53,7 @@
 async function listenSlowly(mirror: TableMirror, delay: number | undefined): Promise<string> {
   const server: Server = createServer((request, response) => {
     if (delay === undefined) return
-    const { status, json } = answerRows(request.url ?? '/', new Map([[TABLE, mirror]]))
+    const { status, json } = handleRowsRequest(request.url ?? '/', new Map([[TABLE, mirror]]))
     setTimeout(() => response.writeHead(status).end(json), delay)
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
@@ -66,7 +70,7 @@
   store.put(TABLE, 'config', 'old')
   const peer = mirrorOn(store)
   const seeds = await Promise.all(delays.map(delay => listenSlowly(peer.mirror, delay)))
-  const peerRows = new PeerRows({
+  const peerRows = new PeerRowClient({
     own: undefined,
     seeds,
     knownAddresses: () => [],
@@ -76,7 +80,7 @@
     onMalformed: ({ form }) => expect.unreachable(form),
   })
   const instance = mirrorOn(store, (table, after, patience) => peerRows.ask(table, after, patience))
-  const watch = new KnowledgeWatch({
+  const watch = new StalenessMonitor({
     clock,
     tables: new Map([[TABLE, { mirror: instance.mirror, boundMilliseconds: BOUND_MILLISECONDS }]]),
     reachability: () => ({
--- a/packages/stand-ins/src/configuredFleet.ts
+++ b/packages/stand-ins/src/configuredFleet.ts
@@ -2,7 +2,7 @@
  * A small fleet of the OpenAI-style kind that is configured and serves, for tests that begin there.
  */
 
-import { hashKey } from '@rackwalk/router'
+import { hashApiKey } from '@rackwalk/router'
 import type { Logger } from '@rackwalk/daemon'
 import { EngineStandIn } from './engine/engineStandIn.js'
 import type { EngineOptions } from './engine/engineStandIn.js'
@@ -119,7 +119,7 @@
       ['other', OTHER_TEAM_KEY],
     ].flatMap(([name = '', key = '']) => [
       { kind: 'budgets', metadata: { name }, spec: { team: name, limit } },
-      { kind: 'teams', metadata: { name }, spec: { budget: name, keyHashes: [hashKey(key)] } },
+      { kind: 'teams', metadata: { name }, spec: { budget: name, keyHashes: [hashApiKey(key)] } },
     ])
   }
 
--- a/packages/stand-ins/src/exploration/faultyTable.ts
+++ b/packages/stand-ins/src/exploration/faultyTable.ts
@@ -4,7 +4,7 @@
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { RandomSource, TransactionId } from '@rackwalk/shared'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   QueryRange,
   Row,
   RowKey,
@@ -51,7 +51,7 @@
     return this.transactMany([{ id, writes }])
   }
 
-  async transactMany(parts: readonly IdentifiedWrites[]): Promise<TransactResult> {
+  async transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     await this.gate()
     if (this.faults.isCut) return this.fail(ResultCode.PlatformUnavailable)
     if (this.loses()) return this.fail(ResultCode.PlatformAmbiguous)
@@ -64,7 +64,7 @@
   }
 
   /** The node hears nothing, and the write arrives at some later time. */
-  private async lateWrite(parts: readonly IdentifiedWrites[]): Promise<TransactResult> {
+  private async lateWrite(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     void this.step('late write').then(() => this.table.transactMany(parts))
     return this.fail(ResultCode.PlatformAmbiguous)
   }
--- a/packages/stand-ins/src/exploration/prepaidVariants.ts
+++ b/packages/stand-ins/src/exploration/prepaidVariants.ts
@@ -41,15 +41,15 @@
   {
     name: 'repays loans as if nothing of them had been spent',
     channelOf: channel => ({
-      ask: (lender, request) => channel.ask(lender, request),
+      requestLoan: (lender, request) => channel.requestLoan(lender, request),
       repay: (lender, repayment) => channel.repay(lender, { ...repayment, spent: 0 }),
     }),
   },
   {
     name: 'spends a loan that it took for lost and called back',
     channelOf: channel => ({
-      ask: async (lender, request) => {
-        const lent = await channel.ask(lender, request)
+      requestLoan: async (lender, request) => {
+        const lent = await channel.requestLoan(lender, request)
         await channel.repay(lender, { id: request.id, budget: request.budget, spent: 0 })
         return lent
       },
@@ -69,7 +69,7 @@
     close: () => store.close(),
   }),
   channelOf: channel => ({
-    ask: () => Promise.resolve(0),
+    requestLoan: () => Promise.resolve(0),
     repay: (lender, repayment) => channel.repay(lender, repayment),
   }),
 }
--- a/packages/stand-ins/src/exploration/prepaidWorld.ts
+++ b/packages/stand-ins/src/exploration/prepaidWorld.ts
@@ -320,7 +320,7 @@
       return peer.peerFault === 'mute' || peer.isDead ? undefined : answer
     }
     return {
-      ask: (lender, request) => call(lender, peer => peer.ledger.lender.lend(request)),
+      requestLoan: (lender, request) => call(lender, peer => peer.ledger.lender.lend(request)),
       repay: async (lender, repayment) => {
         const taken = await call(lender, peer => {
           peer.ledger.lender.repay(repayment)
--- a/packages/stand-ins/src/exploration/variants.ts
+++ b/packages/stand-ins/src/exploration/variants.ts
@@ -5,20 +5,20 @@
 
 import type { Reservation, ReservationResult, SealOutcome } from '@rackwalk/coordination'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   JsonValue,
   QueryRange,
   RowKey,
   RowWrite,
   TableService,
 } from '@rackwalk/stores'
-import { BudgetLedger, Claims, HeldArchive, Journal, Sealer } from '@rackwalk/coordination'
+import { BudgetLedger, Claims, HeldEntryArchive, Journal, Sealer } from '@rackwalk/coordination'
 import type {
   BudgetLedgerParts,
   BudgetRow,
   ClaimResult,
   ClaimsParts,
-  HeldArchiveParts,
+  HeldEntryArchiveParts,
   IncarnationRecord,
   JournalParts,
   PeerReply,
@@ -43,7 +43,7 @@
   createLedger(parts: BudgetLedgerParts): BudgetLedger
   createClaims(parts: ClaimsParts): Claims
   createSealer(parts: SealerParts): Sealer
-  createArchive(parts: HeldArchiveParts): HeldArchive
+  createArchive(parts: HeldEntryArchiveParts): HeldEntryArchive
   table(table: TableService): TableService
   /** Whether a request that ran but could not be billed is called not run. */
   readonly refusesUnbilled: boolean
@@ -56,7 +56,7 @@
   createLedger: parts => new BudgetLedger(parts),
   createClaims: parts => new Claims(parts),
   createSealer: parts => new Sealer(parts),
-  createArchive: parts => new HeldArchive(parts),
+  createArchive: parts => new HeldEntryArchive(parts),
   table: table => table,
   refusesUnbilled: false,
 }
@@ -103,7 +103,7 @@
 /** Seals without asking peers for the entries that they hold. */
 class ImpatientSealer extends Sealer {
   constructor(parts: SealerParts) {
-    super({ ...parts, isKnownGone: () => true })
+    super({ ...parts, isConfirmedDead: () => true })
   }
 
   override seal(target: IncarnationRecord): Promise<SealOutcome> {
@@ -127,7 +127,7 @@
     return this.transactMany([{ id, writes }])
   }
 
-  async transactMany(parts: readonly IdentifiedWrites[]) {
+  async transactMany(parts: readonly TransactionWrites[]) {
     try {
       return await this.table.transactMany(parts)
     } catch {
@@ -152,7 +152,7 @@
 }
 
 /** Holders that all die take what they held with them. */
-class EmptyArchive extends HeldArchive {
+class EmptyArchive extends HeldEntryArchive {
   override async write(): Promise<void> {}
 }
 
--- a/packages/stand-ins/src/exploration/world.ts
+++ b/packages/stand-ins/src/exploration/world.ts
@@ -211,7 +211,7 @@
     const ticket = node.ledger.settle(reservation, entry, completion)
     if (claim !== undefined) node.claims.noteDone(claim)
     try {
-      await ticket.safe
+      await ticket.durableOrHeld
       await node.gate()
       seen.deliveredTokens = tokens
     } catch (thrown) {
@@ -290,7 +290,7 @@
       const isGivingBack = round > CLOSING_ROUNDS / 2
       for (const node of this.survivors()) {
         void this.track(node.flush())
-        if (isGivingBack) void this.track(node.ledger.giveBackAll())
+        if (isGivingBack) void this.track(node.ledger.returnAll())
       }
       this.buryTheDead()
       await this.advanceSteps(MAXIMUM_STEPS)
--- a/packages/stand-ins/src/exploration/worldNode.ts
+++ b/packages/stand-ins/src/exploration/worldNode.ts
@@ -15,11 +15,11 @@
 } from '@rackwalk/shared'
 import {
   BudgetStore,
-  HeldItems,
+  HeldEntryStore,
   IncarnationRegistry,
-  PeerHold,
+  JournalReplicator,
   Reclaimer,
-  WeighedPolicy,
+  CostWeightedPolicy,
 } from '@rackwalk/coordination'
 import type {
   Counters,
@@ -66,14 +66,14 @@
   readonly ledger: BudgetLedger
   readonly claims: Claims
   readonly registry: IncarnationRegistry
-  readonly peerHold: PeerHold
+  readonly peerHold: JournalReplicator
   readonly sealer: Sealer
   readonly reclaimer: Reclaimer
   readonly handlers: PeerHandlers
   readonly tableFaults: TableFaults = { isCut: false, lossShare: 0 }
   isDead = false
   isSealedBySomebody = false
-  private readonly held = new HeldItems()
+  private readonly held = new HeldEntryStore()
   private readonly peers: PeerChannel
   private resumed: Promise<void> | undefined
   private wake: (() => void) | undefined
@@ -102,13 +102,13 @@
       clock,
       counters,
     })
-    this.peerHold = new PeerHold({
+    this.peerHold = new JournalReplicator({
       incarnation,
       failureDomain: this.record.failureDomain,
       journal: this.journal,
       peers,
       candidates: () => this.others().map(memberInfo),
-      copies: HOLD_COPIES,
+      requiredReplicas: HOLD_COPIES,
       archive,
     })
     this.ledger = variant.createLedger({
@@ -120,7 +120,7 @@
       clock,
       random,
       counters,
-      policy: new WeighedPolicy({ overspend: 1, falseRefusal: 1 }),
+      policy: new CostWeightedPolicy({ overspend: 1, falseRefusal: 1 }),
       liveIncarnations: () => this.everyLive(),
       onSealed: () => undefined,
     })
@@ -141,7 +141,7 @@
       peers,
       random,
       counters,
-      isKnownGone: other => this.find(other)?.isDead ?? false,
+      isConfirmedDead: other => this.find(other)?.isDead ?? false,
       archive,
     })
     this.reclaimer = new Reclaimer(table, random, counters)
@@ -197,7 +197,7 @@
       },
       collectHeld: ({ writer }) => ({ items: this.held.collect(writer) }),
       lend: request => this.ledger.lend(request),
-      claimState: request => this.claims.answer(request),
+      claimState: request => this.claims.answerClaimState(request),
     }
   }
 
--- a/packages/stand-ins/src/localFleet.ts
+++ b/packages/stand-ins/src/localFleet.ts
@@ -4,7 +4,7 @@
 import type { InstanceId } from '@rackwalk/shared'
 import { RackwalkDaemon, settingsSchema } from '@rackwalk/daemon'
 import type { BoundAddresses, Logger, Settings } from '@rackwalk/daemon'
-import { hashKey } from '@rackwalk/router'
+import { hashApiKey } from '@rackwalk/router'
 import type { LocalPlatform } from './localPlatform.js'
 import { OperatorClient } from './operatorClient.js'
 
@@ -80,7 +80,7 @@
     const isReady = () =>
       this.members.every(
         ({ daemon }) =>
-          daemon.isServing && daemon.node.membership.live().length >= this.members.length,
+          daemon.isServing && daemon.node.membership.liveMembers().length >= this.members.length,
       )
     while (!isReady()) await new Promise(resolve => setTimeout(resolve, READY_POLL_MILLISECONDS))
   }
@@ -133,7 +133,7 @@
         objects: { ...credentials, endpoint: this.platform.objectUrl, bucket: 'rackwalk' },
       },
       peers: { seeds: this.members.map(({ addresses }) => addresses.peers) },
-      operators: [{ name: 'operator', tokenHash: hashKey(operatorToken) }],
+      operators: [{ name: 'operator', tokenHash: hashApiKey(operatorToken) }],
       timings: { ...timings },
       limits: { ...limits },
       log: { level: 'info' },
--- a/packages/stand-ins/src/platform/memoryRowStore.ts
+++ b/packages/stand-ins/src/platform/memoryRowStore.ts
@@ -6,7 +6,7 @@
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type {
   ChangedRow,
-  RowFeedOutcome,
+  ChangeFeedOutcome,
   RowReadOutcome,
   RowStore,
   RowTransaction,
@@ -106,7 +106,7 @@
     return { kind: 'rows', rows, version: this.version, storeTime: this.now }
   }
 
-  changes(table: string, after: number): RowFeedOutcome {
+  changes(table: string, after: number): ChangeFeedOutcome {
     if (after < this.forgottenVersion) return { kind: 'history-gone' }
     const rows: HistoryEntry[] = []
     for (let index = this.history.length - 1; index >= 0; index -= 1) {
@@ -152,7 +152,7 @@
     table: string,
     after: number,
     waitMilliseconds: Milliseconds,
-  ): Promise<RowFeedOutcome> {
+  ): Promise<ChangeFeedOutcome> {
     const outcome = await this.reading(() => this.target.changes(table, after))
     if (outcome.kind !== 'changes' || outcome.rows.length > 0) return outcome
     await sleep(this.clock, waitMilliseconds)
--- a/packages/stand-ins/src/platform/memoryTable.ts
+++ b/packages/stand-ins/src/platform/memoryTable.ts
@@ -1,9 +1,9 @@
 /** The table service without its protocol. */
 
 import type { TransactionId } from '@rackwalk/shared'
-import { rowName, versionAfter } from '@rackwalk/stores'
+import { encodeRowKey, nextRowVersion } from '@rackwalk/stores'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   QueryRange,
   Row,
   RowCondition,
@@ -46,10 +46,10 @@
     return this.transactMany([{ id, writes }])
   }
 
-  async transactMany(parts: readonly IdentifiedWrites[]): Promise<TransactResult> {
+  async transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     const writes = parts.flatMap(part => part.writes.map(write => ({ id: part.id, write })))
     // The DynamoDB API refuses a transaction that names a row twice.
-    const names = new Set(writes.map(({ write }) => rowName(write.key)))
+    const names = new Set(writes.map(({ write }) => encodeRowKey(write.key)))
     if (names.size < writes.length) throw new Error('a transaction names a row twice')
     this.writes += 1
     this.itemsWritten += writes.length
@@ -76,7 +76,7 @@
       rows.delete(sort)
       return
     }
-    const version = versionAfter(write.condition)
+    const version = nextRowVersion(write.condition)
     rows.set(sort, { version, writtenBy, text: JSON.stringify(write.value) })
   }
 
--- a/packages/stand-ins/src/platform/simulatedPlatform.ts
+++ b/packages/stand-ins/src/platform/simulatedPlatform.ts
@@ -3,7 +3,7 @@
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { Clock, IncarnationId, Milliseconds, TransactionId } from '@rackwalk/shared'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   InstanceList,
   ListedInstance,
   QueryRange,
@@ -47,7 +47,7 @@
     return this.transactMany([{ id, writes }])
   }
 
-  async transactMany(parts: readonly IdentifiedWrites[]) {
+  async transactMany(parts: readonly TransactionWrites[]) {
     await this.arrive()
     return this.table.transactMany(parts)
   }
--- a/packages/stand-ins/src/quickstart.ts
+++ b/packages/stand-ins/src/quickstart.ts
@@ -6,7 +6,7 @@
 import { cac } from 'cac'
 import { parseAllDocuments } from 'yaml'
 import * as z from 'zod'
-import { hashKey } from '@rackwalk/router'
+import { hashApiKey } from '@rackwalk/router'
 import { EngineStandIn } from './engine/engineStandIn.js'
 import { LocalFleet } from './localFleet.js'
 import { LocalPlatform } from './localPlatform.js'
@@ -65,7 +65,7 @@
 ): Promise<number> {
   const text = readFileSync(EXAMPLE, 'utf8')
     .replaceAll(/\{port:([\w-]+)\}/g, (_, name: string) => String(ports.get(name)))
-    .replaceAll(/\{hash:([\w-]+)\}/g, (_, key: string) => hashKey(key))
+    .replaceAll(/\{hash:([\w-]+)\}/g, (_, key: string) => hashApiKey(key))
   let revision = 0
   for (const document of parseAllDocuments(text)) {
     const resource = documentSchema.parse(document.toJS()) as ResourceDocument
--- a/packages/stand-ins/src/replay/crashReplay.ts
+++ b/packages/stand-ins/src/replay/crashReplay.ts
@@ -4,21 +4,21 @@
  * product follows is the real one.
  */
 
-import { CrashSuspicions, rendezvousChoice } from '@rackwalk/decisions'
-import type { CrashMark, CrashVerdict } from '@rackwalk/decisions'
+import { RequestQuarantine, rendezvousChoice } from '@rackwalk/decisions'
+import type { CrashMark, QuarantineVerdict } from '@rackwalk/decisions'
 import { SeededRandom, VirtualClock, asId, randomBelow } from '@rackwalk/shared'
 import type { EndpointStart, Milliseconds, RequestFingerprint } from '@rackwalk/shared'
 
 /** What is done about requests under which endpoints ended. */
 export interface CrashPolicy {
-  verdict(fingerprint: RequestFingerprint): CrashVerdict
+  verdict(fingerprint: RequestFingerprint): QuarantineVerdict
   noteEnd(mark: CrashMark): void
   noteAnswered(fingerprint: RequestFingerprint): void
 }
 
 /** Each try is a new request: what was done before. */
 export class NoMemory implements CrashPolicy {
-  verdict(): CrashVerdict {
+  verdict(): QuarantineVerdict {
     return 'send'
   }
 
@@ -33,10 +33,10 @@
 
   constructor(
     private readonly refusedFrom: number,
-    private readonly verdictBefore: CrashVerdict,
+    private readonly verdictBefore: QuarantineVerdict,
   ) {}
 
-  verdict(fingerprint: RequestFingerprint): CrashVerdict {
+  verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
     const count = this.ends.get(fingerprint)?.size ?? 0
     if (count >= this.refusedFrom) return 'refuse'
     return count > 0 ? this.verdictBefore : 'send'
@@ -55,18 +55,18 @@
 
 /** What the product does. */
 export class IsolatedTry implements CrashPolicy {
-  private readonly suspicions = new CrashSuspicions()
+  private readonly suspicions = new RequestQuarantine()
 
-  verdict(fingerprint: RequestFingerprint): CrashVerdict {
+  verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
     return this.suspicions.verdict(fingerprint)
   }
 
   noteEnd(mark: CrashMark): void {
-    this.suspicions.note(mark)
+    this.suspicions.noteMark(mark)
   }
 
   noteAnswered(fingerprint: RequestFingerprint): void {
-    const starts = this.suspicions.marksOf(fingerprint).map(({ start }) => start)
+    const starts = this.suspicions.openMarksOf(fingerprint).map(({ start }) => start)
     this.suspicions.clear(fingerprint, starts)
   }
 }
--- a/packages/stand-ins/src/replay/escrowRestartReplay.ts
+++ b/packages/stand-ins/src/replay/escrowRestartReplay.ts
@@ -6,7 +6,7 @@
 import {
   CoordinationNode,
   MemoryCounters,
-  WeighedPolicy,
+  CostWeightedPolicy,
   createBudgetRow,
   tableKeys,
 } from '@rackwalk/coordination'
@@ -167,7 +167,7 @@
         code: ResultCode.Ok,
         endedAt: this.clock.wallTime(),
       })
-      ticket.safe.then(
+      ticket.durableOrHeld.then(
         () => (this.spent += REQUEST_COST),
         () => undefined,
       )
@@ -213,7 +213,7 @@
       clock: this.clock,
       random: new SeededRandom(this.scenario.seed * 1_000 + this.incarnations),
       counters: new MemoryCounters(),
-      policy: new WeighedPolicy({ overspend: 1, falseRefusal: 1 }),
+      policy: new CostWeightedPolicy({ overspend: 1, falseRefusal: 1 }),
       resourceKinds: [],
       onSealed: () => undefined,
       onFault: error => {
@@ -224,8 +224,8 @@
     this.network.join(incarnation, node.handlers)
     this.list.add(listed)
     for (const other of this.instances) {
-      other.node.membership.hear(node.describe())
-      node.membership.hear(other.node.describe())
+      other.node.membership.mergeMember(node.describe())
+      node.membership.mergeMember(other.node.describe())
     }
     this.instances.push({ node, listed, isDead: false })
     node.start()
--- a/packages/stand-ins/src/replay/fleetReplay.ts
+++ b/packages/stand-ins/src/replay/fleetReplay.ts
@@ -289,17 +289,17 @@
   private fleetOf(
     { peers }: Life,
     members: MemberDirectory,
-    isSelfUsing: () => boolean,
+    hasOwnEndpointLoad: () => boolean,
   ): ActiveFleet {
     return new ActiveFleet({
-      isServing: () => members.isKnown,
+      isServing: () => members.isInitialized,
       self: () => members.self,
       others: () => members.others,
-      hears: ({ instance }) => peers.hears(instance),
+      hasRecentHeartbeat: ({ instance }) => peers.hears(instance),
       silenceMilliseconds: () => this.silenceMilliseconds,
-      isUsing: ({ instance }) => peers.isUsing(instance),
+      hasEndpointLoad: ({ instance }) => peers.isUsing(instance),
       isCutOff: () => false,
-      isSelfUsing,
+      hasOwnEndpointLoad,
       clock: this.clock,
       bounds: { minimumInDomain: 2, headroom: 2 },
       onChange: () => {},
--- a/packages/stand-ins/src/replay/namedRateReplay.ts
+++ b/packages/stand-ins/src/replay/namedRateReplay.ts
@@ -4,11 +4,11 @@
  * instance knows and keeps to is the product's own.
  */
 
-import type { AdviceNews, EndpointAdvice, RecordedInstance } from '@rackwalk/decisions'
-import { EndpointAdvices, EndpointDirectory, SendPermits } from '@rackwalk/router'
+import type { AdviceGossip, EndpointAdvice, RecordedInstance } from '@rackwalk/decisions'
+import { EndpointAdviceStore, EndpointDirectory, SendAdmission } from '@rackwalk/router'
 import type { EndpointRecord, EndpointState } from '@rackwalk/router'
 import {
-  UNTOLD_SOFTWARE_VERSION,
+  UNKNOWN_SOFTWARE_VERSION,
   SeededRandom,
   VirtualClock,
   asId,
@@ -18,7 +18,7 @@
 
 /** What an instance does about a rate that an endpoint named. */
 export interface RatePolicy {
-  takes(endpoint: EndpointState): boolean
+  allows(endpoint: EndpointState): boolean
 }
 
 /** What a policy rests on. */
@@ -26,14 +26,14 @@
   readonly clock: Clock
   readonly instance: string
   readonly recorded: readonly RecordedInstance[]
-  readonly advices: EndpointAdvices
+  readonly advices: EndpointAdviceStore
   /** Instances to which callers come, as far as this one hears of them. */
   readonly users: number
 }
 
 /** Nobody reads it: what was done before. */
 export class UnheededRate implements RatePolicy {
-  takes(): boolean {
+  allows(): boolean {
     return true
   }
 }
@@ -41,11 +41,11 @@
 /** Each of so many instances keeps to its part of it by itself. */
 export class DividedRate implements RatePolicy {
   constructor(
-    private readonly advices: EndpointAdvices,
+    private readonly advices: EndpointAdviceStore,
     private readonly parts: number,
   ) {}
 
-  takes(endpoint: EndpointState): boolean {
+  allows(endpoint: EndpointState): boolean {
     const rate = this.advices.of(endpoint.start)?.requestsPerSecond
     if (rate === undefined) return true
     const licence = { requests: 1, windowMilliseconds: (1_000 * this.parts) / rate }
@@ -55,7 +55,7 @@
 
 /** What the product does. */
 export function licensedRate({ recorded, instance, ...parts }: RatePolicyParts): RatePolicy {
-  return new SendPermits({
+  return new SendAdmission({
     ...parts,
     instance: () => instance,
     recordedInstances: () => recorded,
@@ -107,7 +107,7 @@
 interface ReplayedInstance {
   readonly id: string
   readonly directory: EndpointDirectory
-  readonly advices: EndpointAdvices
+  readonly advices: EndpointAdviceStore
   readonly policy: RatePolicy
   /** Time at which an answer first named the rate here. */
   toldAt: Milliseconds
@@ -158,10 +158,10 @@
       onChange: () => {},
     })
     for (let index = 0; index < ENDPOINTS; index += 1) directory.set(recordOf(index))
-    const advices = new EndpointAdvices({
+    const advices = new EndpointAdviceStore({
       clock,
       onChange: () => {},
-      onNews: news => this.tell(id, news),
+      broadcast: news => this.tell(id, news),
     })
     const { users, isDeaf = false, policy: create = licensedRate } = this.load
     const heard = isDeaf ? 1 : users
@@ -181,7 +181,7 @@
 
   private serve(instance: ReplayedInstance): void {
     const available = instance.directory.available(SERVICE)
-    const open = available.filter(endpoint => instance.policy.takes(endpoint))
+    const open = available.filter(endpoint => instance.policy.allows(endpoint))
     const endpoint = open[randomBelow(this.random, open.length)]
     if (endpoint === undefined) {
       this.refused += 1
@@ -199,7 +199,7 @@
 
   private noteSent({ id, toldAt }: ReplayedInstance, start: EndpointStart): void {
     const now = this.clock.monotonic()
-    this.reach(id, ({ advices }) => advices.noteAsked(start))
+    this.reach(id, ({ advices }) => advices.notePeerRequests(start))
     if (now >= NAMING_FROM) this.taken += 1
     if (now >= toldAt + TOLD_MILLISECONDS) this.counted.push(now)
   }
@@ -213,7 +213,7 @@
   }
 
   /** Datagrams reach all others after a moment, or nobody. */
-  private tell(from: string, news: AdviceNews): void {
+  private tell(from: string, news: AdviceGossip): void {
     this.reach(from, ({ advices }) => advices.observe(news))
   }
 
@@ -241,7 +241,7 @@
     service: SERVICE,
     address: `10.0.0.${index}:80`,
     failureDomain: 'domain',
-    softwareVersion: UNTOLD_SOFTWARE_VERSION,
+    softwareVersion: UNKNOWN_SOFTWARE_VERSION,
     slots: 64,
     isLeaving: false,
     coldMilliseconds: 0,
--- a/packages/stand-ins/src/replay/prepaidMember.ts
+++ b/packages/stand-ins/src/replay/prepaidMember.ts
@@ -94,7 +94,7 @@
     return ledger
   }
   return {
-    ask: async (lender, request) => (await reach(lender))?.lender.lend(request),
+    requestLoan: async (lender, request) => (await reach(lender))?.lender.lend(request),
     repay: async (lender, repayment) => {
       const ledger = await reach(lender)
       ledger?.lender.repay(repayment)
--- a/packages/stand-ins/src/replay/replay.ts
+++ b/packages/stand-ins/src/replay/replay.ts
@@ -13,7 +13,7 @@
 } from '@rackwalk/router'
 import type { EndpointState } from '@rackwalk/router'
 import {
-  UNTOLD_SOFTWARE_VERSION,
+  UNKNOWN_SOFTWARE_VERSION,
   SeededRandom,
   VirtualClock,
   asId,
@@ -138,7 +138,7 @@
         service: SERVICE,
         address: '127.0.0.1:1',
         failureDomain: `domain-${position % FAILURE_DOMAINS}`,
-        softwareVersion: UNTOLD_SOFTWARE_VERSION,
+        softwareVersion: UNKNOWN_SOFTWARE_VERSION,
         slots: capacity.slots,
         isLeaving: false,
         coldMilliseconds: 0,
--- a/packages/stand-ins/src/replay/weakProcessorReplay.ts
+++ b/packages/stand-ins/src/replay/weakProcessorReplay.ts
@@ -6,14 +6,14 @@
  */
 
 import {
-  AbandonedWork,
-  DELAY_LOOK_MILLISECONDS,
+  AbandonedRequests,
+  SAMPLE_INTERVAL_MILLISECONDS,
   ListenerPause,
-  OwnRefusals,
-  ProcessorBudget,
-  listenerWindow,
+  LocalRefusals,
+  ProcessorLoadShedder,
+  listenerOpenMilliseconds,
 } from '@rackwalk/decisions'
-import type { HeardInstances, ProcessorLook, WorkRank } from '@rackwalk/decisions'
+import type { PeerOverload, ProcessorSample, ShedRank } from '@rackwalk/decisions'
 import { ResultCode, SeededRandom } from '@rackwalk/shared'
 import type { Milliseconds } from '@rackwalk/shared'
 import TinyQueue from 'tinyqueue'
@@ -29,7 +29,7 @@
   /** Whether it closes its listener for moments while it is overloaded. */
   readonly pausesListener: boolean
   /** Others that take callers; those that are not overloaded serve whoever turns to them. */
-  readonly others: HeardInstances
+  readonly others: PeerOverload
 }
 
 /** Requests a second that callers make for the first time: at first so many, and later so many. */
@@ -70,7 +70,7 @@
 const RUN_MILLISECONDS: Milliseconds = 24_000
 /** What comes before this does not count. */
 const COUNTED_FROM_MILLISECONDS: Milliseconds = 12_000
-const RANK: WorkRank = { priority: 1, answerTokens: 50 }
+const RANK: ShedRank = { priority: 1, answerTokens: 50 }
 /** Callers of the team, each of whom remembers for so long that this instance has failed it. */
 const CALLERS = 60
 const REMEMBERED_MILLISECONDS: Milliseconds = 3_000
@@ -101,14 +101,14 @@
   private readonly probe = { isWaiting: false, madeAt: -PROBE_MILLISECONDS, waited: 0 }
   /** What is ready on the connections that it has. */
   private ready: (() => void)[] = []
-  private readonly processor = new ProcessorBudget()
-  private readonly abandoned = new AbandonedWork()
-  private lookDue: Milliseconds = DELAY_LOOK_MILLISECONDS
+  private readonly processor = new ProcessorLoadShedder()
+  private readonly abandoned = new AbandonedRequests()
+  private lookDue: Milliseconds = SAMPLE_INTERVAL_MILLISECONDS
   private readonly random: SeededRandom
   /** Apart, so that requests come at the same times whether or not it matters who sends them. */
   private readonly callers: SeededRandom
   private readonly pause = new ListenerPause()
-  private readonly refusals = new OwnRefusals()
+  private readonly refusals = new LocalRefusals()
   private isListening = true
   /** Time until which a caller goes elsewhere. */
   private readonly awayUntil: Milliseconds[] = new Array<Milliseconds>(CALLERS).fill(0)
@@ -171,13 +171,13 @@
 
   private look(): void {
     const { seesDelay, seesAcceptWait, seesAbandoned } = this.policy
-    const look: ProcessorLook = {
+    const look: ProcessorSample = {
       delayMilliseconds: seesDelay ? this.now - this.lookDue : 0,
       acceptMilliseconds: seesAcceptWait ? this.lookAtProbe() : 0,
       abandonedShare: seesAbandoned ? this.abandoned.share(this.now) : 0,
     }
-    this.processor.noteLook(look)
-    this.lookDue = this.now + DELAY_LOOK_MILLISECONDS
+    this.processor.noteSample(look)
+    this.lookDue = this.now + SAMPLE_INTERVAL_MILLISECONDS
   }
 
   /** How long the last probe waited, or the one that still waits has; makes the next one where it is due. */
@@ -251,13 +251,13 @@
   }
 
   private scheduleWindow(): void {
-    this.after(listenerWindow(this.callers.next()), () => this.closeListener())
+    this.after(listenerOpenMilliseconds(this.callers.next()), () => this.closeListener())
   }
 
   /** Whoever waits to be taken is turned away with the listener. */
   private closeListener(): void {
     const { pause, now } = this
-    pause.noteRefused(this.refusals.share(now), now)
+    pause.noteRefusedShare(this.refusals.share(now), now)
     const milliseconds = pause.pauseMilliseconds(this.policy.others, now, this.callers.next())
     if (milliseconds === 0) return this.scheduleWindow()
     this.isListening = false
@@ -277,12 +277,12 @@
   }
 
   private read(attempt: CallerTry): void {
-    if (!this.processor.takes(RANK, this.random.next())) return this.refuse(attempt)
+    if (!this.processor.admits(RANK, this.random.next())) return this.refuse(attempt)
     const readAt = this.now
     this.abandoned.noteRead(readAt)
     // The end of the connection, where its caller has left, is read in the next turn.
     if (attempt.hasLeft) this.ready.push(() => this.abandoned.noteLeft(this.now - readAt, this.now))
-    const isHeld = this.policy.confirmsCallers && this.abandoned.isSuspect(readAt)
+    const isHeld = this.policy.confirmsCallers && this.abandoned.isElevated(readAt)
     if (isHeld)
       this.after(this.abandoned.confirmationMilliseconds(readAt), () => this.confirm(attempt))
     else this.sendOn(attempt)
@@ -314,7 +314,7 @@
     if (attempt.hasLeft) return
     attempt.isOver = true
     this.count('refused')
-    const wait = this.processor.reliefMilliseconds
+    const wait = this.processor.recoveryMilliseconds
     if (attempt.number < TRIES)
       this.after(wait, () => this.connect(attempt.caller, attempt.number + 1))
   }
--- a/packages/stores/src/dynamodbTableService.ts
+++ b/packages/stores/src/dynamodbTableService.ts
@@ -12,7 +12,7 @@
 import type { Milliseconds, TransactionId } from '@rackwalk/shared'
 import { classifyServiceError } from './awsErrors.js'
 import type {
-  IdentifiedWrites,
+  TransactionWrites,
   JsonValue,
   QueryRange,
   Row,
@@ -22,7 +22,7 @@
   TableService,
   TransactResult,
 } from './tableService.js'
-import { versionAfter } from './tableService.js'
+import { nextRowVersion } from './tableService.js'
 
 /** Where and as whom the table is reached. */
 export interface DynamodbOptions {
@@ -81,7 +81,7 @@
     return this.transactMany([{ id, writes }])
   }
 
-  async transactMany(parts: readonly IdentifiedWrites[]): Promise<TransactResult> {
+  async transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     const command = new TransactWriteItemsCommand({
       TransactItems: parts.flatMap(({ id, writes }) =>
         writes.map(write => this.encodeWrite(id, write)),
@@ -147,7 +147,7 @@
 function encodeItem(id: TransactionId, write: RowWrite & { kind: 'put' }): Item {
   return {
     ...encodeKey(write.key),
-    version: { N: String(versionAfter(write.condition)) },
+    version: { N: String(nextRowVersion(write.condition)) },
     writtenBy: { S: id },
     value: { S: JSON.stringify(write.value) },
   }
--- a/packages/stores/src/index.ts
+++ b/packages/stores/src/index.ts
@@ -1,7 +1,12 @@
 /** The platform as the rest of the system sees it, and a class per protocol. */
-export { MAXIMUM_TRANSACTION_WRITES, rowName, sortKeyOf, versionAfter } from './tableService.js'
+export {
+  MAXIMUM_TRANSACTION_WRITES,
+  encodeRowKey,
+  encodeSortKey,
+  nextRowVersion,
+} from './tableService.js'
 export type {
-  IdentifiedWrites,
+  TransactionWrites,
   JsonValue,
   QueryRange,
   Row,
@@ -17,12 +22,12 @@
 export { ObjectStoreInstanceList } from './objectStoreInstanceList.js'
 export { DynamodbTableService } from './dynamodbTableService.js'
 export { S3ObjectStore } from './s3ObjectStore.js'
-export { JsonCodec, parseJson } from './textCodec.js'
+export { JsonCodec, parseJson } from './jsonCodec.js'
 export type {
   ChangedRow,
-  RefusalReason,
+  StoreRefusalReason,
   RowAddress,
-  RowFeedOutcome,
+  ChangeFeedOutcome,
   RowReadOutcome,
   RowStore,
   RowTransaction,
--- a/packages/stores/src/textCodec.ts
+++ b/packages/stores/src/jsonCodec.ts
@@ -8,7 +8,7 @@
 import type { JsonValue } from './tableService.js'
 
 /** What a form of JSON looks like and how it stands for a value. */
-export interface JsonForm<Wire, Value> {
+export interface JsonFormat<Wire, Value> {
   /** Fields that it does not name are ignored, since a newer version may write more. */
   readonly schema: z.ZodType<Wire>
   /** Gives the fields in the order in which they are written. */
@@ -18,7 +18,7 @@
 
 /** Translates values to one form of JSON and back. */
 export class JsonCodec<Wire, Value> {
-  constructor(private readonly form: JsonForm<Wire, Value>) {}
+  constructor(private readonly form: JsonFormat<Wire, Value>) {}
 
   encode(value: Value): string {
     return JSON.stringify(this.form.toWire(value))
--- a/packages/stores/src/rowStore.ts
+++ b/packages/stores/src/rowStore.ts
@@ -42,7 +42,7 @@
 }
 
 /** Why the store did not do what it was asked; in both cases nothing was done. */
-export type RefusalReason = 'throttled' | 'unavailable'
+export type StoreRefusalReason = 'throttled' | 'unavailable'
 
 /** What became of a transaction. */
 export type RowWriteOutcome =
@@ -50,7 +50,7 @@
   | { readonly kind: 'done'; readonly version: number; readonly storeTime: number }
   /** A condition did not hold; `rows` are the rows of the conditions as they are now. */
   | { readonly kind: 'conflict'; readonly rows: readonly StoredRow[]; readonly storeTime: number }
-  | { readonly kind: 'not-done'; readonly reason: RefusalReason }
+  | { readonly kind: 'not-done'; readonly reason: StoreRefusalReason }
   /** No answer: it may have been done, or may be done later while its conditions hold. */
   | { readonly kind: 'unknown' }
 
@@ -63,10 +63,10 @@
       readonly version: number
       readonly storeTime: number
     }
-  | { readonly kind: 'failed'; readonly reason: RefusalReason | 'unknown' }
+  | { readonly kind: 'failed'; readonly reason: StoreRefusalReason | 'unknown' }
 
 /** What became of a question for changes. */
-export type RowFeedOutcome =
+export type ChangeFeedOutcome =
   | {
       readonly kind: 'changes'
       readonly rows: readonly ChangedRow[]
@@ -75,7 +75,7 @@
     }
   /** The store forgot the changes after the version asked for; all rows must be read anew. */
   | { readonly kind: 'history-gone' }
-  | { readonly kind: 'failed'; readonly reason: RefusalReason | 'unknown' }
+  | { readonly kind: 'failed'; readonly reason: StoreRefusalReason | 'unknown' }
 
 /** The store; no method throws for a store that fails, since failures are outcomes. */
 export interface RowStore {
@@ -83,6 +83,6 @@
   /** All rows of one partition of a table, in the order of their keys. */
   readPartition(table: string, partition: string): Promise<RowReadOutcome>
   /** Changes of a table after a version; waits up to `waitMilliseconds` for the first. */
-  readChanges(table: string, after: number, waitMilliseconds: number): Promise<RowFeedOutcome>
+  readChanges(table: string, after: number, waitMilliseconds: number): Promise<ChangeFeedOutcome>
   close(): void
 }
--- a/packages/stores/src/tableService.ts
+++ b/packages/stores/src/tableService.ts
@@ -50,7 +50,7 @@
   | { readonly committed: false; readonly conflicts: readonly number[] }
 
 /** The writes of one transaction with its id. */
-export interface IdentifiedWrites {
+export interface TransactionWrites {
   readonly id: TransactionId
   readonly writes: readonly RowWrite[]
 }
@@ -78,20 +78,20 @@
   query(partition: string, range?: QueryRange): Promise<readonly Row[]>
   transact(id: TransactionId, writes: readonly RowWrite[]): Promise<TransactResult>
   /** Several transactions as one; each row keeps the id of its own part. */
-  transactMany(parts: readonly IdentifiedWrites[]): Promise<TransactResult>
+  transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult>
 }
 
 /** The version that a put gives its row. */
-export function versionAfter(condition: RowCondition): Version {
+export function nextRowVersion(condition: RowCondition): Version {
   return condition.kind === 'absent' ? 1 : condition.version + 1
 }
 
 /** One text for a key, for sets of keys. */
-export function rowName(key: RowKey): string {
+export function encodeRowKey(key: RowKey): string {
   return `${key.partition}\0${key.sort}`
 }
 
 /** A sort key for a count, so that text order is number order. */
-export function sortKeyOf(count: number): string {
+export function encodeSortKey(count: number): string {
   return String(count).padStart(14, '0')
 }
