--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -33,7 +33,7 @@
   async reclaim(incarnation: IncarnationId): Promise<ReclaimOutcome> {
     try {
       const journal = await readJournal(this.table, incarnation)
-      if (!journal.isSealed) return 'unsealed'
+      if (!journal.sealed) return 'unsealed'
       for (const budgetId of await this.heldBudgets(incarnation)) {
         await this.reclaimBudget(incarnation, budgetId, journal.slots)
       }
--- a/packages/coordination/src/journal/journalReader.ts
+++ b/packages/coordination/src/journal/journalReader.ts
@@ -10,7 +10,7 @@
 /** A journal as the table has it. */
 export interface JournalContents {
   readonly slots: readonly JournalSlot[]
-  readonly isSealed: boolean
+  readonly sealed: boolean
 }
 
 /** Reads a whole journal in order. */
@@ -20,7 +20,7 @@
 ): Promise<JournalContents> {
   const rows = await table.query(journalPartition(incarnation))
   const slots = rows.map(slotOf)
-  return { slots, isSealed: slots.at(-1)?.kind === 'seal' }
+  return { slots, sealed: slots.at(-1)?.kind === 'seal' }
 }
 
 /** Decodes the slot that a row holds. */
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -111,7 +111,7 @@
     const outdated = new Set<number>()
     for (;;) {
       const journal = await readJournal(this.parts.table, target)
-      if (journal.isSealed) return
+      if (journal.sealed) return
       const last = lastIndexOf(journal.slots)
       const missing = held.filter(item => item.index > last)
       const part = takePart(missing)
--- a/packages/decisions/__tests__/refusedBody.spec.ts
+++ b/packages/decisions/__tests__/refusedBody.spec.ts
@@ -45,8 +45,8 @@
     ['still coming, larger than a connection is worth', { hasArrived: false, bytes: 300_000 }, 0],
     ['arrived, larger than a connection is worth', { bytes: 300_000 }, 0],
     ['still coming in chunks', { hasArrived: false, isSizeKnown: false }, 0],
-    ['sent only when asked for', { hasArrived: false, isAwaited: true }, 0],
-    ['still coming, its connection ends', { hasArrived: false, endsConnection: true }, 0],
+    ['sent only when asked for', { hasArrived: false, expectsContinue: true }, 0],
+    ['still coming, its connection ends', { hasArrived: false, mustClose: true }, 0],
     ['arrived, many others are held', {}, 512],
     ['still coming, many others are held', { hasArrived: false }, 512],
   ])('%s', (_, body, unreadBodies) => {
--- a/packages/router/__tests__/standIns/markedChats.ts
+++ b/packages/router/__tests__/standIns/markedChats.ts
@@ -195,7 +195,7 @@
         reason: 'ended',
         stalled: false,
         end: 'endpoint-ended',
-        isLookedAt,
+        isAttributed: isLookedAt,
       })
     }
   }
@@ -208,7 +208,7 @@
     if (verdict === 'refuse') return false
     const request = {
       incoming: {
-        caller: { left: new AbortController().signal },
+        caller: { disconnectSignal: new AbortController().signal },
         headers: new Map(isMarked ? [['x-marked', '1']] : []),
       },
       call: {
@@ -223,7 +223,7 @@
       repeatable: true,
       deadline: this.clock.sinceStart() + 60_000,
       crashFingerprint: fingerprint,
-      notePlaced: () => {},
+      noteDispatched: () => {},
     }
     try {
       const { endpointId } = this.router.choose(request as never)
@@ -309,7 +309,13 @@
     const broken = { kind: 'failed', reason: 'broken off', stalled: false }
     const reply = (status: number) => ({
       kind: 'answering',
-      answer: { endpointId: engine.id, status, headers: {}, cancel: () => {}, release: () => {} },
+      answer: {
+        endpointId: engine.id,
+        status,
+        headers: {},
+        cancel: () => {},
+        releaseBuffer: () => {},
+      },
     })
     if (isMarked) this.log(member, `sent to ${engine.id}${engine.isUp ? '' : ' (front)'}`)
     if (engine.isUp) {
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -213,7 +213,10 @@
 
   /** Whether the endpoint ended under it is to be found out only of what was there. */
   private withdrawn() {
-    return { reason: 'its endpoint has ended', isLookedAt: this.wasInFlightAtTermination === false }
+    return {
+      reason: 'its endpoint has ended',
+      isAttributed: this.wasInFlightAtTermination === false,
+    }
   }
 
   private pass(chunk: Buffer): void {
--- a/packages/stand-ins/src/exploration/variants.ts
+++ b/packages/stand-ins/src/exploration/variants.ts
@@ -83,7 +83,7 @@
 class HastyLedger extends BudgetLedger {
   override settle(reservation: Reservation, entry: SettleEntry, attachment?: RowWrite) {
     const ticket = super.settle(reservation, entry, attachment)
-    return { ...ticket, safe: Promise.resolve('held' as const) }
+    return { ...ticket, durableOrHeld: Promise.resolve('held' as const) }
   }
 }
 
