--- a/examples/embed.mjs
+++ b/examples/embed.mjs
@@ -1,7 +1,7 @@
 // Budgets that cannot be overspent, in another program. Run `node examples/embed.mjs` after `npm run build`.
 import { asId } from '@rackwalk/shared'
-import { CoordinationNode, WeighedPolicy } from '@rackwalk/coordination'
-import { billOf, createBudget, standaloneParts } from '@rackwalk/coordination'
+import { CoordinationNode, CostWeightedPolicy } from '@rackwalk/coordination'
+import { createBill, createBudget, standaloneParts } from '@rackwalk/coordination'
 import { MemoryObjects, MemoryTable } from '@rackwalk/stand-ins'
 
 /** Spends from a budget until it is used up; gives the tokens that were admitted. */
@@ -9,16 +9,16 @@
   const [budgetId, teamId] = [asId('tokens'), asId('team')]
   const table = new MemoryTable()
   await createBudget(table, { budgetId, teamId, limit })
-  const policy = new WeighedPolicy({ overspend: 1, falseRefusal: 1 })
+  const policy = new CostWeightedPolicy({ overspend: 1, falseRefusal: 1 })
   const platform = { table, objects: new MemoryObjects() }
   const node = new CoordinationNode(standaloneParts({ instanceId: 'worker', policy, ...platform }))
   node.start()
   for (let admitted = 0; ; admitted += tokens) {
     const result = await node.ledger.reserve(budgetId, tokens)
     if (result.kind === 'refused') return node.leave().then(() => admitted)
-    const bill = billOf({ budgetId, teamId, requestId: `request-${admitted}`, tokens })
+    const bill = createBill({ budgetId, teamId, requestId: `request-${admitted}`, tokens })
     // Only now may the result be handed out: the bill outlives this process.
-    await node.ledger.settle(result.reservation, bill).safe
+    await node.ledger.settle(result.reservation, bill).durableOrHeld
   }
 }
 
