--- a/packages/decisions/__tests__/terminationSigns.spec.ts
+++ b/packages/decisions/__tests__/terminationSigns.spec.ts
@@ -77,14 +77,14 @@
 
   it.each(QUESTIONED)('ends nothing that was sent after the question (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
-      const later = { ...exchange, sentAt: ASKED_AT + 1, quietSince: ASKED_AT + 1 }
+      const later = { ...exchange, sentAt: ASKED_AT + 1, lastReceivedAt: ASKED_AT + 1 }
       expect(isTerminatedBy(later, sign, NOT_HEARD)).toBe(false)
     }
   })
 
   it.each(QUESTIONED)('ends nothing that had a part since the question (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
-      const begun = { ...exchange, quietSince: ASKED_AT + 1 }
+      const begun = { ...exchange, lastReceivedAt: ASKED_AT + 1 }
       expect(isTerminatedBy(begun, sign, NOT_HEARD)).toBe(false)
     }
   })
@@ -117,7 +117,7 @@
 type Rule = typeof isTerminatedBy
 
 const { sentAt } = SENT
-const LATER = { sentAt: ASKED_AT + 1, quietSince: ASKED_AT + 1 }
+const LATER = { sentAt: ASKED_AT + 1, lastReceivedAt: ASKED_AT + 1 }
 const REPEATABLE: InFlightState = { ...SENT, isRetryable: true }
 const PART: InFlightState = { ...SENT, isReplyStarted: true }
 const CASES: readonly Case[] = [
