--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The rules by which requests are placed, admitted, repeated and given up: pure code over plain
- * snapshots, without I/O, timers or logging. docs/decisions.md lists them.
+ * The rules by which requests are placed, admitted, retried and given up. They are pure functions and small state machines
+ * over plain snapshots, without I/O, timers or logging. docs/decisions.md lists them.
  */
 export { rankEndpoints } from './choosing/endpointChoice.js'
 export type { EndpointSnapshot } from './choosing/endpointChoice.js'
--- a/packages/decisions/src/stopping/answerCompleteness.ts
+++ b/packages/decisions/src/stopping/answerCompleteness.ts
@@ -1,67 +1,71 @@
 /**
- * What proves that an endpoint's answer is whole, and what becomes of one that is not?
+ * Decides whether an endpoint's answer is proven complete, and what becomes of an answer that is not.
  *
- * An answer is whole where its own framing says so, and never because it ended while nobody complained. One that is whole is
- * passed on whatever happens afterwards; nothing else is framed as complete.
+ * Inputs: how the answer is framed, how reading it ended, whether its body is truncated, whether the route allows the
+ * request to run again, and whether the caller has a part of the answer.
+ *
+ * An answer is complete only if its own framing says so, and never merely because it ended without an error. A complete
+ * answer is passed on whatever happens afterwards, and nothing else is framed as complete. Without this rule a caller
+ * could take a truncated answer for a complete one.
  */
 
 import type { RepeatableRoute } from '../retrying/retryStep.js'
 import { canRepeat } from '../retrying/retryStep.js'
 
-/** How an answer tells where it ends. */
+/** How an answer indicates its end. */
 export type AnswerFraming =
-  /** By a number of bytes. */
+  /** By a content length in bytes. */
   | 'length'
   /** By a last chunk. */
   | 'chunks'
-  /** By the end of its connection. */
+  /** By the closing of its connection. */
   | 'connection'
-  /** Its status or the method says that no body follows. */
+  /** The status or the method says that no body follows. */
   | 'bodiless'
 
-/** What the reading of an answer ended with, whichever came first. */
+/** The event that ended the reading of an answer, whichever happened first. */
 export type AnswerEnd =
-  /** All bytes of its length, or its last chunk, have come. */
+  /** All bytes of the content length, or the last chunk, have arrived. */
   | 'complete'
-  /** The endpoint closed the connection in order. */
+  /** The endpoint closed the connection in an orderly way. */
   | 'closed'
-  /** The connection broke, or its bytes were no answer. */
+  /** The connection was reset, or its bytes were no valid answer. */
   | 'reset'
-  /** Nothing came for too long. */
+  /** Nothing arrived for too long. */
   | 'silence'
-  /** Its endpoint is known to be over, and nothing broke the connection. */
+  /** The endpoint is known to have terminated, and nothing reset the connection. */
   | 'endpoint-ended'
-  /** Given up here, while the caller waits. */
+  /** This instance gave the answer up while the caller waits. */
   | 'aborted'
   | 'deadline'
   | 'caller-left'
   | 'instance-stopped'
   | 'settings-replaced'
 
-/** An answer of which no more is read. */
+/** An answer whose reading has ended. */
 export interface EndedAnswer {
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
-  /** Whether the body lacks something by itself: the end of an event, or the event that closes its stream. */
+  /** Whether the content of the body is incomplete: the end of an event or the event that closes its stream is missing. */
   readonly isBodyTruncated: boolean
 }
 
 /** What becomes of an answer and its request. */
 export type AnswerDisposition =
-  /** Passed on, and framed as complete. */
+  /** Passed on and framed as complete. */
   | 'whole'
-  /** Another endpoint goes on after the last event that the caller has. */
+  /** Another endpoint resumes after the last event that the caller has. */
   | 'continued'
   /** Another endpoint runs the request from its beginning. */
   | 'repeated'
-  /** Broken off, so that the caller sees that it is not whole. */
+  /** Broken off, so that the caller can see that it is incomplete. */
   | 'cut'
-  /** The caller is told an error in place of it. */
+  /** The caller gets an error in place of the answer. */
   | 'refused'
-  /** Nobody waits for it. */
+  /** No caller waits for it. */
   | 'dropped'
 
-/** The one end that proves an answer whole. */
+/** The only end that proves an answer complete, by its framing. */
 const COMPLETE_ENDS: Readonly<Record<AnswerFraming, AnswerEnd>> = {
   length: 'complete',
   chunks: 'complete',
@@ -69,10 +73,13 @@
   bodiless: 'complete',
 }
 
-/** Ends after which no other endpoint is asked: nobody waits any more, or this instance cannot pass an answer on. */
+/**
+ * Ends after which no other endpoint is tried, since no caller waits any more or this instance cannot deliver an
+ * answer.
+ */
 const FINAL_ENDS: ReadonlySet<AnswerEnd> = new Set(['deadline', 'caller-left', 'instance-stopped'])
 
-/** Ends that this instance or its caller brought about. */
+/** Ends that this instance or its caller caused. */
 const LOCAL_ENDS: ReadonlySet<AnswerEnd> = new Set([
   'aborted',
   'deadline',
@@ -81,7 +88,7 @@
   'settings-replaced',
 ])
 
-/** Whether an answer that is not whole tells against its endpoint. */
+/** Whether an incomplete answer counts as a failure of its endpoint. */
 export function isEndpointFailure({ end }: EndedAnswer): boolean {
   return !LOCAL_ENDS.has(end)
 }
@@ -91,7 +98,7 @@
   return end === COMPLETE_ENDS[framing] && !isBodyTruncated
 }
 
-/** What becomes of an answer, as far as attempts, endpoints and the retry budget allow. */
+/** Returns what becomes of an answer, as far as the attempts, the endpoints and the retry budget allow. */
 export function answerDisposition(
   answer: EndedAnswer,
   request: { readonly route: RepeatableRoute; readonly isReplyStarted: boolean },
--- a/packages/decisions/src/stopping/drainPhases.ts
+++ b/packages/decisions/src/stopping/drainPhases.ts
@@ -1,41 +1,44 @@
 /**
- * What happens after SIGTERM, and when?
+ * Decides when an instance moves from one phase of its shutdown to the next after SIGTERM.
  *
- * From the notice on an instance is not ready and the directory names others. Callers that still
- * hold an old answer are served for a while (linger), then new requests are refused as not run,
- * while those in progress end (finish). When all have ended, or the grace time is nearly over, the
- * instance settles its budgets (settle) and ends before the platform would kill it. Times count
- * from the notice.
+ * Inputs: the time since SIGTERM, the grace time from the settings, and the number of requests in progress. All times are
+ * milliseconds since SIGTERM.
+ *
+ * From SIGTERM on, the instance is not ready and the directory names other instances. Callers that still hold an old
+ * answer of the directory are served for a while (linger). Then new requests are refused as not run while those in
+ * progress finish (finish). When all have finished, or the grace time is nearly over, the instance settles its budgets
+ * (settle) and exits before the platform would kill it. Without these bounds the platform would kill the instance
+ * before its budgets are settled.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** Callers with an old answer of the directory are served for this long. */
+/** Time for which callers with an old answer of the directory are still served. */
 export const LINGER_MILLISECONDS: Milliseconds = 2_600
-/** The process lives at least this long, so that callers learn that it leaves. */
+/** Minimum lifetime of the process after SIGTERM, so that callers learn that the instance leaves. */
 const SHORTEST_DRAIN_MILLISECONDS: Milliseconds = 3_200
-/** Kept at the end of the grace time for settling budgets: several tries at the store. */
+/** Time reserved at the end of the grace time for settling budgets, enough for several attempts at the store. */
 const SETTLE_MILLISECONDS: Milliseconds = 900
-/** The process ends by itself this long before it would be killed. */
+/** Time before the kill at which the process exits by itself. */
 const EXIT_MILLISECONDS: Milliseconds = 200
 
-/** A drain as it stands. */
+/** The state of a drain. */
 export interface DrainState {
-  /** Time since the notice. */
+  /** Time since SIGTERM. */
   readonly elapsed: Milliseconds
-  /** Time from the notice to the kill; a setting, which may change meanwhile. */
+  /** Time from SIGTERM to the kill; a setting, which may change during the drain. */
   readonly grace: Milliseconds
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly inFlight: number
 }
 
-/** Whether the instance may stop waiting for requests and settle. */
+/** Whether the instance stops waiting for requests and settles its budgets. */
 export function shouldSettle({ elapsed, grace, inFlight }: DrainState): boolean {
   if (elapsed >= grace - SETTLE_MILLISECONDS) return true
   return inFlight === 0 && elapsed >= SHORTEST_DRAIN_MILLISECONDS
 }
 
-/** Time since the notice at which the process ends, whether or not it has settled. */
+/** Returns the time since SIGTERM at which the process exits, whether or not it has settled its budgets. */
 export function exitDelay(grace: Milliseconds): Milliseconds {
   return grace - EXIT_MILLISECONDS
 }
--- a/packages/decisions/src/stopping/finalError.ts
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -1,8 +1,12 @@
 /**
- * What is a caller told whose request came to no whole answer?
+ * Decides which error a caller gets whose request has no complete answer.
  *
- * "Not run" is said only where no attempt can have run the request. Where several attempts failed,
- * the newest of those that may have run it counts.
+ * Inputs: the outcomes of all attempts, why no endpoint was chosen, and whether the caller has disconnected or the deadline
+ * has passed. Waiting times are in milliseconds.
+ *
+ * The error says "not run" only if no attempt can have run the request, since a caller may safely send such a request
+ * again. If several attempts failed, the newest of those that may have run the request determines the error. Without
+ * this rule a request that must run only once could run twice.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -19,27 +23,31 @@
   rest: ResultCode.EndpointsResting,
 } as const
 
-/** Why no endpoint was asked at all. */
+/** Why no endpoint was chosen. */
 export type NoEndpointReason =
   | { readonly kind: 'none-listed' }
   | { readonly kind: 'none-with-room' }
-  /** All that have room may be sent nothing from here now; this is over first. `chance` in [0, 1) spreads callers. */
+  /**
+   * No endpoint with room may receive requests from this instance now. `refusal` is the one that ends first; `chance` in
+   * [0, 1) spreads the callers' returns.
+   */
   | { readonly kind: 'none-permitted'; readonly refusal: SendRefusal; readonly chance: number }
-  /** Endpoints ended under the request, and none is lost to it any more. */
+  /** Endpoints crashed under the request, and it is not sent to another one. */
   | { readonly kind: 'crashing' }
 
-/** How a request ended that came to no whole answer. */
+/** A request that ended without a complete answer. */
 export interface EndedRequest {
   readonly service: string
-  /** Outcomes of all attempts, the newest last; one that was cut short by the end has none. */
+  /** Outcomes of all attempts, the newest last. An attempt that was in progress when the request ended has none. */
   readonly history: readonly AttemptOutcome[]
   readonly isCallerGone: boolean
+  /** Whether the deadline has passed. */
   readonly isLate: boolean
-  /** Why nothing was chosen while no attempt had reached an endpoint; undefined where something was. */
+  /** Why no endpoint was chosen before any attempt had reached one, or undefined if one was chosen. */
   readonly noChoice: NoEndpointReason | undefined
 }
 
-/** The error of a request that came to no whole answer. */
+/** Returns the error of a request that ended without a complete answer. */
 export function finalError(request: EndedRequest): RackwalkError {
   if (request.isCallerGone) return new DispatchedError(ResultCode.CallerLeft)
   if (request.isLate) return lateError(request)
@@ -54,8 +62,8 @@
 
 function errorAfter({ service, history, noChoice }: EndedRequest): RackwalkError {
   if (noChoice !== undefined) return noEndpointError(service, noChoice)
-  const ran = history.filter(mayHaveRun)
-  const failure = ran.findLast(isFailure) ?? ran.at(-1)
+  const possibleRuns = history.filter(mayHaveRun)
+  const failure = possibleRuns.findLast(isFailure) ?? possibleRuns.at(-1)
   if (failure !== undefined) return errorOfRun(failure)
   if (history.at(-1)?.kind === 'refused') return new NotRunError(ResultCode.EndpointRefused)
   const detail = history.length > 0 ? 'no connection' : undefined
@@ -78,8 +86,8 @@
 }
 
 /**
- * The error where all endpoints that are free may be sent nothing now. Callers who are refused together must not return
- * together: `chance` in [0, 1) spreads them.
+ * Returns the error for the case that no endpoint with room may receive requests from this instance now. Callers who are
+ * refused together must not return together, so `chance` in [0, 1) spreads their returns.
  */
 export function allRefusedError(
   service: string,
@@ -90,7 +98,7 @@
   return new NotRunError(CODE_OF_REFUSAL[refusal.kind], service, returnAfter)
 }
 
-/** An answer is a failure of its own only where it must not be passed on. */
+/** Whether an outcome is a failure. An answer is one only if it must not be passed on. */
 function isFailure(outcome: AttemptOutcome): boolean {
   return outcome.kind !== 'answered' || claimsNotExecuted(outcome.status)
 }
