--- a/packages/decisions/src/retrying/promptPartQuarantine.ts
+++ b/packages/decisions/src/retrying/promptPartQuarantine.ts
@@ -7,7 +7,7 @@
  * engines. The quarantine of single requests cannot stop this, since every request is a new one.
  *
  * Inputs: crashes with the prompt parts that were unanswered at that endpoint, answers with their parts, and the same
- * as told by other instances. All times are monotonic milliseconds; a crash is told with its age, since monotonic
+ * as reported by other instances. All times are monotonic milliseconds; a crash is reported with its age, since monotonic
  * clocks of two instances cannot be compared.
  *
  * The crash-inducing part has crashes and never an answer. The harmless parts beside it have both, and the next harmless
--- a/packages/decisions/src/retrying/suspectEndpoints.ts
+++ b/packages/decisions/src/retrying/suspectEndpoints.ts
@@ -6,15 +6,15 @@
  * other requests are sent there and reset like those that were there at the crash. Without this rule each of them would be
  * taken for crash-inducing, isolated, and refused once it met a second front.
  *
- * Inputs: resets and terminations that this instance saw or was told of, probe results, and the time at which each
+ * Inputs: resets and terminations that this instance saw or received by gossip, probe results, and the time at which each
  * request was sent. All times are monotonic milliseconds.
  *
- * | request sent                                                   | counted against it                       |
- * | -------------------------------------------------------------- | ---------------------------------------- |
- * | before the first reset that was seen here or reported          | yes: it may have been there at the crash |
- * | after that, while the endpoint is probed or left alone         | no: it reached the front                 |
- * | after a probe showed life, or something came from the endpoint | yes: the earlier reset was no crash      |
- * | after the last report of the reset has expired                 | yes: the endpoint is back by then        |
+ * | request sent                                                      | counted against it                       |
+ * | ----------------------------------------------------------------- | ---------------------------------------- |
+ * | before the first reset that was seen here or reported             | yes: it may have been there at the crash |
+ * | after that, while the endpoint is probed or left alone            | no: it reached the front                 |
+ * | after a probe showed life, or something arrived from the endpoint | yes: the earlier reset was no crash      |
+ * | after the last report of the reset has expired                    | yes: the endpoint is back by then        |
  *
  * Until the cause of a reset is known, other requests are not sent to that endpoint either, as long as another one may be
  * tried.
--- a/packages/decisions/src/retrying/unconfirmedCrashes.ts
+++ b/packages/decisions/src/retrying/unconfirmedCrashes.ts
@@ -6,8 +6,8 @@
  * each retry would cost one more endpoint. So from the reset on, all instances send the request only to the one
  * endpoint that its hash selects. Later attempts find that endpoint terminated and cost no other.
  *
- * Inputs: resets that this instance saw or was told of, confirmed terminations, probe results and clearances. All times are
- * monotonic milliseconds.
+ * Inputs: resets that this instance saw or received by gossip, confirmed terminations, probe results and clearances.
+ * All times are monotonic milliseconds.
  *
  * The instance that probes and the instance that reported the reset may differ, and either may learn of the termination
  * first. A request that was sent in isolation is refused as soon as the termination is known, without waiting for its crash
