--- a/packages/decisions/__tests__/answerCompleteness.spec.ts
+++ b/packages/decisions/__tests__/answerCompleteness.spec.ts
@@ -8,7 +8,10 @@
 } from '@rackwalk/decisions'
 import type { AnswerEnd, AnswerDisposition, AnswerFraming } from '@rackwalk/decisions'
 
-/** What becomes of an answer, by its framing, by what it ended with and by what its route allows. */
+/**
+ * A truncated answer that is framed as complete looks whole to its caller. These tests check what becomes of an answer,
+ * by its framing, by how it ended and by what its route allows.
+ */
 
 const FRAMINGS: readonly AnswerFraming[] = ['length', 'chunks', 'connection', 'bodiless']
 const ENDS: readonly AnswerEnd[] = [
@@ -36,7 +39,7 @@
 const ROWS = FRAMINGS.flatMap(framing => ENDS.map(end => ({ framing, end })))
 const ROUTE_NAMES = Object.keys(ROUTES) as RouteName[]
 
-function fate(
+function dispositionOf(
   row: { framing: AnswerFraming; end: AnswerEnd },
   name: RouteName,
   isReplyStarted: boolean,
@@ -51,27 +54,27 @@
     ['when the caller has its head', true],
   ])('%s', (_, isReplyStarted) => {
     const table = ROWS.map(row => {
-      const fates = ROUTE_NAMES.map(name => fate(row, name, isReplyStarted))
-      return `${row.framing}, ${row.end} | ${fates.join(' | ')}`
+      const dispositions = ROUTE_NAMES.map(name => dispositionOf(row, name, isReplyStarted))
+      return `${row.framing}, ${row.end} | ${dispositions.join(' | ')}`
     })
     expect([`framing, end | ${ROUTE_NAMES.join(' | ')}`, ...table]).toMatchSnapshot()
   })
 
-  it('is never to be framed as complete while its body lacks something', () => {
+  it('is never framed as complete while its body is truncated', () => {
     for (const row of ROWS) {
       expect(isProvenComplete({ ...row, isBodyTruncated: true })).toBe(false)
-      for (const name of ROUTE_NAMES) expect(fate(row, name, true, true)).not.toBe('whole')
+      for (const name of ROUTE_NAMES) expect(dispositionOf(row, name, true, true)).not.toBe('whole')
     }
   })
 
-  it('tells against its endpoint only where the endpoint or the way to it ended it', () => {
-    const blamed = ENDS.filter(end =>
+  it('counts as a failure of its endpoint only if the endpoint or the connection to it ended it', () => {
+    const failures = ENDS.filter(end =>
       isEndpointFailure({ framing: 'chunks', end, isBodyTruncated: true }),
     )
-    expect(blamed).toEqual(['complete', 'closed', 'reset', 'silence', 'endpoint-ended'])
+    expect(failures).toEqual(['complete', 'closed', 'reset', 'silence', 'endpoint-ended'])
   })
 
-  it('is to be asked for elsewhere only where the rule of retries does the same', () => {
+  it('is repeated or resumed elsewhere only if the retry rule tries another endpoint', () => {
     for (const row of ROWS) {
       for (const name of ROUTE_NAMES) {
         for (const isReplyStarted of [false, true]) {
@@ -83,7 +86,7 @@
             hasUntriedEndpoint: true,
             takeRetry: () => true,
           })
-          const asked = ['continued', 'repeated'].includes(fate(row, name, isReplyStarted))
+          const asked = ['continued', 'repeated'].includes(dispositionOf(row, name, isReplyStarted))
           if (asked) expect(step).toBe('try-another')
         }
       }
--- a/packages/decisions/__tests__/finalError.spec.ts
+++ b/packages/decisions/__tests__/finalError.spec.ts
@@ -3,7 +3,10 @@
 import type { AttemptOutcome, NoEndpointReason } from '@rackwalk/decisions'
 import { RESULT_TABLE, ResultCode } from '@rackwalk/shared'
 
-/** What a caller is told whose request came to no whole answer. */
+/**
+ * The error of a request without a complete answer. A wrong "not run" would let the caller send a request again that
+ * must run only once.
+ */
 
 const NO_CONNECTION: AttemptOutcome = { kind: 'connect-failed', reason: 'ECONNREFUSED' }
 const REFUSED: AttemptOutcome = { kind: 'refused', status: 503 }
@@ -25,7 +28,7 @@
   'a 503 that no refusal marks': [UNMARKED_503],
 }
 
-function told(
+function errorText(
   history: readonly AttemptOutcome[],
   more: { isCallerGone?: boolean; isLate?: boolean; noChoice?: NoEndpointReason } = {},
 ): string {
@@ -42,7 +45,9 @@
 
 describe('the error of a request without a whole answer', () => {
   it('follows from its attempts', () => {
-    const table = Object.entries(HISTORIES).map(([name, history]) => `${name} | ${told(history)}`)
+    const table = Object.entries(HISTORIES).map(
+      ([name, history]) => `${name} | ${errorText(history)}`,
+    )
     expect(table).toMatchSnapshot()
   })
 
@@ -52,21 +57,21 @@
     ['no other endpoint has room', []],
   ])('never says "not run" of one that an endpoint ran and failed, where %s', (_, rest) => {
     const history: readonly AttemptOutcome[] = [{ kind: 'answered', status: 500 }, ...rest]
-    expect(told(history)).toBe('4007 ran: the endpoint answered with an error: status 500')
+    expect(errorText(history)).toBe('4007 ran: the endpoint answered with an error: status 500')
   })
 
   it('says where the deadline passed', () => {
     const table = Object.entries(HISTORIES).map(
-      ([name, history]) => `${name} | ${told(history, { isLate: true })}`,
+      ([name, history]) => `${name} | ${errorText(history, { isLate: true })}`,
     )
     expect(table).toMatchSnapshot()
   })
 
   it('says that nobody could be asked, or that the caller left', () => {
     expect([
-      told([], { noChoice: { kind: 'none-listed' } }),
-      told([], { noChoice: { kind: 'none-with-room' } }),
-      told([FAILED], { isCallerGone: true, isLate: true }),
+      errorText([], { noChoice: { kind: 'none-listed' } }),
+      errorText([], { noChoice: { kind: 'none-with-room' } }),
+      errorText([FAILED], { isCallerGone: true, isLate: true }),
     ]).toMatchSnapshot()
   })
 
--- a/packages/decisions/__tests__/fleetRetryBudget.spec.ts
+++ b/packages/decisions/__tests__/fleetRetryBudget.spec.ts
@@ -3,7 +3,7 @@
 
 const BOUNDS = { ratio: 0.2, extra: 50, windowMilliseconds: 10_000 }
 
-/** Retries that one instance may make at a moment, after so many requests. */
+/** Returns how many retries one instance may make at once after so many requests. */
 function retriesAfter(requests: number, instances: number): number {
   const budget = new FleetRetryBudget(BOUNDS)
   for (let request = 0; request < requests; request += 1) budget.noteRequest(0)
@@ -12,8 +12,8 @@
   return taken
 }
 
-describe('the retries of a fleet', () => {
-  it('are earned by requests, with an extra that all instances share', () => {
+describe('the retry budget of a fleet', () => {
+  it('is earned by requests, with an extra that all instances share', () => {
     const table = [0, 100, 1_000].map(requests =>
       [1, 5, 50].map(
         instances => `${requests} by ${instances}: ${retriesAfter(requests, instances)}`,
@@ -34,7 +34,7 @@
     `)
   })
 
-  it('come back as requests leave the window', () => {
+  it('is restored as retries leave the window', () => {
     const budget = new FleetRetryBudget({ ...BOUNDS, ratio: 0 })
     while (budget.take(0, 50));
     expect(budget.take(9_000, 50)).toBe(false)
--- a/packages/decisions/__tests__/livenessProbe.spec.ts
+++ b/packages/decisions/__tests__/livenessProbe.spec.ts
@@ -3,7 +3,10 @@
 import { wasAliveAfterReset, judgeLiveness, lastAliveAt } from '@rackwalk/decisions'
 import type { ProbeResult } from '@rackwalk/decisions'
 
-/** What looks at an endpoint that broke a request off say of it. */
+/**
+ * An endpoint that reset a request has terminated, or it is alive and reset the request for a reason of its own. These
+ * tests check what probes and other contact prove about it.
+ */
 
 const SIGNS: readonly ProbeResult[] = [
   'nobody-listens',
@@ -12,8 +15,8 @@
   'no-connection',
 ]
 
-describe('an endpoint that broke a request off', () => {
-  it('has ended, lives, or is looked at again, by what the looks show', () => {
+describe('an endpoint that reset a request', () => {
+  it('has terminated, is alive or is probed again, by the results of its probes', () => {
     const one = SIGNS.map(sign => `${sign}: ${judgeLiveness([sign], false)}`)
     const two = SIGNS.map(
       sign => `does-not-answer, ${sign}: ${judgeLiveness(['does-not-answer', sign], false)}`,
@@ -32,8 +35,9 @@
     `)
   })
 
-  // Own marks of an end that another instance saw were never told: a proven request stayed suspected only.
-  it('has ended by what another instance told, where the looks here show nothing and nothing else came', () => {
+  // Without this, an instance never broadcast its crash marks for a termination that only another instance could probe, and a
+  // proven crash-inducing request was isolated instead of refused.
+  it('has terminated if another instance reports so, the probes here prove nothing and nothing else arrived', () => {
     const told = SIGNS.map(sign => `${sign}: ${judgeLiveness([sign], false, true)}`)
     expect(told).toEqual([
       'nobody-listens: ended',
@@ -44,38 +48,38 @@
     expect(judgeLiveness(['no-connection'], true, true)).toBe('lives')
   })
 
-  it('has not ended by looks alone while other requests from here go on there', () => {
-    const looks = fc.array(fc.constantFrom(...SIGNS.filter(sign => sign !== 'nobody-listens')))
+  it('has not terminated by unanswered probes alone while other requests of this instance proceed there', () => {
+    const probes = fc.array(fc.constantFrom(...SIGNS.filter(sign => sign !== 'nobody-listens')))
     fc.assert(
-      fc.property(looks, signs => {
+      fc.property(probes, signs => {
         expect(judgeLiveness(signs, true)).not.toBe('ended')
       }),
       { seed: 7 },
     )
   })
 
-  it('has never ended by one look that a full endpoint or a lost packet would give as well', () => {
-    const looks = fc.array(fc.constantFrom(...SIGNS), { minLength: 1 })
+  it('has never terminated by a single result that a full endpoint or a lost packet would give as well', () => {
+    const probes = fc.array(fc.constantFrom(...SIGNS), { minLength: 1 })
     fc.assert(
-      fc.property(looks, signs => {
-        const isEnded = judgeLiveness(signs, false) === 'ended'
+      fc.property(probes, signs => {
+        const hasTerminated = judgeLiveness(signs, false) === 'ended'
         const newest = signs.slice(-2)
         const isTwice = newest.length === 2 && newest.every(sign => sign === 'does-not-answer')
-        expect(isEnded).toBe(signs.at(-1) === 'nobody-listens' || isTwice)
+        expect(hasTerminated).toBe(signs.at(-1) === 'nobody-listens' || isTwice)
       }),
       { seed: 7 },
     )
   })
 })
 
-describe('what came from an endpoint that broke a request off', () => {
+describe('contact with an endpoint that reset a request', () => {
   const never = Number.NEGATIVE_INFINITY
-  const looked = { brokenAt: 100, lookedAt: 130 }
+  const reset = { brokenAt: 100, lookedAt: 130 }
 
-  it('proves life by when it was asked for, or where it was read after a look', () => {
+  it('proves life by the time of the state request, or by bytes read after the first probe', () => {
     const proofs = [100, 101, 130, 131].map(at => [
-      wasAliveAfterReset(looked, { askedAt: at, readAt: never }),
-      wasAliveAfterReset(looked, { askedAt: never, readAt: at }),
+      wasAliveAfterReset(reset, { askedAt: at, readAt: never }),
+      wasAliveAfterReset(reset, { askedAt: never, readAt: at }),
     ])
     expect(proofs).toEqual([
       [false, false],
@@ -85,7 +89,7 @@
     ])
   })
 
-  it('proves life by reading alone only as of a second before', () => {
+  it('proves life at a time one second before the bytes were read, if only bytes were read', () => {
     expect(lastAliveAt({ askedAt: never, readAt: 2_000 })).toBe(1_000)
     expect(lastAliveAt({ askedAt: 1_500, readAt: 2_000 })).toBe(1_500)
   })
--- a/packages/decisions/__tests__/relays.spec.ts
+++ b/packages/decisions/__tests__/relays.spec.ts
@@ -46,14 +46,14 @@
   { kind: 'failed', reason: 'ECONNRESET' },
 ]
 
-describe('after a request was handed to another instance', () => {
-  it('nobody says that it has not run where one that it was sent to said nothing', () => {
+describe('after a request was relayed to another instance', () => {
+  it('"not run" is not passed on if an earlier instance got the request and did not answer', () => {
     const outcomes = [OUTCOMES[4], OUTCOMES[1]].flatMap(outcome => outcome ?? [])
     expect(relayStep(outcomes, AGAIN, false)).toBe('give-up')
     expect(relayStep(outcomes.slice(1), AGAIN, false)).toBe('pass-on')
   })
 
-  it('one more is asked only where the request did not run, or may run twice', () => {
+  it('one more instance is asked only if the request did not run, or may run twice', () => {
     const rows = OUTCOMES.map(outcome => {
       const steps = [
         relayStep([outcome], ONCE, true),
--- a/packages/decisions/__tests__/requestQuarantine.spec.ts
+++ b/packages/decisions/__tests__/requestQuarantine.spec.ts
@@ -5,7 +5,10 @@
 import { asId } from '@rackwalk/shared'
 import type { EndpointStart, RequestFingerprint } from '@rackwalk/shared'
 
-/** What is believed of a request after endpoints ended under it, in whatever order that is heard. */
+/**
+ * A crash-inducing request that is treated as a new one at every instance crashes every endpoint. These tests check the
+ * verdict on a request after crashes and answers, in whatever order an instance learns of them.
+ */
 
 const REQUEST = asId<RequestFingerprint>('request')
 
@@ -21,99 +24,102 @@
   return { fingerprint, start: start(name), wasIsolated }
 }
 
-/** News as an instance hears it. */
-type News =
+/** A crash mark or a clearance, as an instance receives it by gossip. */
+type Gossip =
   | { readonly kind: 'end'; readonly mark: CrashMark }
   | { readonly kind: 'clear'; readonly starts: readonly string[] }
 
-const end = (name: string, wasIsolated: boolean): News => ({
+const crash = (name: string, wasIsolated: boolean): Gossip => ({
   kind: 'end',
   mark: mark(name, wasIsolated),
 })
-const clear = (...starts: string[]): News => ({ kind: 'clear', starts })
+const clear = (...starts: string[]): Gossip => ({ kind: 'clear', starts })
 
-function believe(news: readonly News[], suspicions = new RequestQuarantine()): RequestQuarantine {
-  for (const item of news) {
-    if (item.kind === 'end') suspicions.noteMark(item.mark)
-    else suspicions.clear(REQUEST, item.starts.map(start))
+function receive(
+  gossip: readonly Gossip[],
+  quarantine = new RequestQuarantine(),
+): RequestQuarantine {
+  for (const item of gossip) {
+    if (item.kind === 'end') quarantine.noteMark(item.mark)
+    else quarantine.clear(REQUEST, item.starts.map(start))
   }
-  return suspicions
+  return quarantine
 }
 
-const CASES: Readonly<Record<string, readonly News[]>> = {
-  'nothing ended under it': [],
-  'one end, sent as any other': [end('a', false)],
-  'three ends at once, sent as any other': [end('a', false), end('b', false), end('c', false)],
-  'an end, then another one as suspected': [end('a', false), end('b', true)],
-  'the end as suspected is heard first': [end('b', true), end('a', false)],
-  'the same end told by two instances, one of which suspected it': [
-    end('a', false),
-    end('a', true),
+const CASES: Readonly<Record<string, readonly Gossip[]>> = {
+  'no crash': [],
+  'one crash, sent normally': [crash('a', false)],
+  'three crashes at once, sent normally': [crash('a', false), crash('b', false), crash('c', false)],
+  'a crash, then another one in isolation': [crash('a', false), crash('b', true)],
+  'the crash in isolation arrives first': [crash('b', true), crash('a', false)],
+  'the same crash from two instances, one of which isolated the request': [
+    crash('a', false),
+    crash('a', true),
   ],
-  'an end, then an answer': [end('a', false), clear('a')],
-  'the answer is heard before the end': [clear('a'), end('a', false)],
-  'an answer, then another end': [end('a', false), clear('a'), end('b', false)],
-  'proven, and lifted by an operator': [end('a', false), end('b', true), clear('a', 'b')],
+  'a crash, then an answer': [crash('a', false), clear('a')],
+  'the answer arrives before the crash': [clear('a'), crash('a', false)],
+  'an answer, then another crash': [crash('a', false), clear('a'), crash('b', false)],
+  'refused, then cleared by an operator': [crash('a', false), crash('b', true), clear('a', 'b')],
 }
 
 describe('the verdict on a request', () => {
-  it('follows from the ends under it', () => {
-    const rows = Object.entries(CASES).map(([name, news]) => {
-      return `${name}: ${believe(news).verdict(REQUEST)}`
+  it('follows from the crashes under the request', () => {
+    const rows = Object.entries(CASES).map(([name, gossip]) => {
+      return `${name}: ${receive(gossip).verdict(REQUEST)}`
     })
     expect(rows).toMatchInlineSnapshot(`
       [
-        "nothing ended under it: send",
-        "one end, sent as any other: isolate",
-        "three ends at once, sent as any other: isolate",
-        "an end, then another one as suspected: refuse",
-        "the end as suspected is heard first: refuse",
-        "the same end told by two instances, one of which suspected it: refuse",
-        "an end, then an answer: send",
-        "the answer is heard before the end: send",
-        "an answer, then another end: isolate",
-        "proven, and lifted by an operator: send",
+        "no crash: send",
+        "one crash, sent normally: isolate",
+        "three crashes at once, sent normally: isolate",
+        "a crash, then another one in isolation: refuse",
+        "the crash in isolation arrives first: refuse",
+        "the same crash from two instances, one of which isolated the request: refuse",
+        "a crash, then an answer: send",
+        "the answer arrives before the crash: send",
+        "an answer, then another crash: isolate",
+        "refused, then cleared by an operator: send",
       ]
     `)
   })
 
-  it('is the same in whatever order and however often the news is heard', () => {
-    const newsItem = fc.oneof(
-      fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.boolean()).map(([name, was]) => end(name, was)),
+  it('is the same in whatever order and however often gossip arrives', () => {
+    const gossipItem = fc.oneof(
+      fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.boolean()).map(([name, was]) => crash(name, was)),
       fc.constantFrom('a', 'b', 'c').map(name => clear(name)),
     )
     const shuffled = fc
-      .array(newsItem, { maxLength: 8 })
-      .chain(news =>
+      .array(gossipItem, { maxLength: 8 })
+      .chain(gossip =>
         fc.tuple(
-          fc.constant(news),
-          fc.shuffledSubarray(news, { minLength: news.length }),
-          fc.shuffledSubarray(news),
+          fc.constant(gossip),
+          fc.shuffledSubarray(gossip, { minLength: gossip.length }),
+          fc.shuffledSubarray(gossip),
         ),
       )
     fc.assert(
-      fc.property(shuffled, ([news, other, repeated]) => {
-        const expected = believe(news).verdict(REQUEST)
-        expect(believe([...other, ...repeated]).verdict(REQUEST)).toBe(expected)
+      fc.property(shuffled, ([gossip, other, repeated]) => {
+        const expected = receive(gossip).verdict(REQUEST)
+        expect(receive([...other, ...repeated]).verdict(REQUEST)).toBe(expected)
       }),
       { seed: 1, numRuns: 1_000 },
     )
   })
 
-  it('suspects none under which no endpoint ended', () => {
-    const ended = fc.array(
+  it('suspects no request under which no endpoint crashed', () => {
+    const marksOfRequests = fc.array(
       fc.tuple(fc.constantFrom('x', 'y', 'z'), fc.constantFrom('a', 'b', 'c'), fc.boolean()),
       { maxLength: 20 },
     )
     fc.assert(
-      fc.property(ended, marks => {
-        const suspicions = new RequestQuarantine()
+      fc.property(marksOfRequests, marks => {
+        const quarantine = new RequestQuarantine()
         for (const [fingerprint, name, was] of marks) {
-          suspicions.noteMark(mark(name, was, requestNamed(fingerprint)))
+          quarantine.noteMark(mark(name, was, requestNamed(fingerprint)))
         }
         const seen = new Set<string>(marks.map(([fingerprint]) => fingerprint))
         for (const fingerprint of ['x', 'y', 'z', 'another']) {
-          const isSuspect = suspicions.verdict(requestNamed(fingerprint)) !== 'send'
+          const isSuspect = quarantine.verdict(requestNamed(fingerprint)) !== 'send'
           expect(isSuspect).toBe(seen.has(fingerprint))
         }
       }),
@@ -122,25 +128,25 @@
   })
 })
 
-describe('what is remembered', () => {
+describe('the memory of the quarantine', () => {
   it('is bounded, and a refused request outlasts those that are only suspected', () => {
-    const suspicions = believe([end('a', false), end('b', true)])
+    const quarantine = receive([crash('a', false), crash('b', true)])
     for (let count = 0; count < 10_000; count += 1) {
-      suspicions.noteMark(mark('c', false, requestNamed(`many ${count}`)))
+      quarantine.noteMark(mark('c', false, requestNamed(`many ${count}`)))
     }
-    expect(suspicions.fingerprints.length).toBeLessThanOrEqual(4_096)
-    expect(suspicions.hasSuspectsInScope('many 0')).toBe(false)
-    expect(suspicions.verdict(REQUEST)).toBe('refuse')
+    expect(quarantine.fingerprints.length).toBeLessThanOrEqual(4_096)
+    expect(quarantine.hasSuspectsInScope('many 0')).toBe(false)
+    expect(quarantine.verdict(REQUEST)).toBe('refuse')
   })
 
-  it('concerns no request of which it is known without the body that it is another one', () => {
+  it('reports suspects only in the scope (path and team) of a suspected request', () => {
     const scope = REQUEST.slice(0, SCOPE_PREFIX_LENGTH)
-    const suspicions = new RequestQuarantine()
-    expect(suspicions.hasSuspectsInScope(scope)).toBe(false)
-    believe([end('a', false)], suspicions)
-    expect(suspicions.hasSuspectsInScope(scope)).toBe(true)
-    expect(suspicions.hasSuspectsInScope('another')).toBe(false)
-    believe([clear('a')], suspicions)
-    expect(suspicions.hasSuspectsInScope(scope)).toBe(false)
+    const quarantine = new RequestQuarantine()
+    expect(quarantine.hasSuspectsInScope(scope)).toBe(false)
+    receive([crash('a', false)], quarantine)
+    expect(quarantine.hasSuspectsInScope(scope)).toBe(true)
+    expect(quarantine.hasSuspectsInScope('another')).toBe(false)
+    receive([clear('a')], quarantine)
+    expect(quarantine.hasSuspectsInScope(scope)).toBe(false)
   })
 })
--- a/packages/decisions/__tests__/retryStep.spec.ts
+++ b/packages/decisions/__tests__/retryStep.spec.ts
@@ -2,7 +2,10 @@
 import { retryStep, outcomeLabel, outcomeText } from '@rackwalk/decisions'
 import type { AttemptOutcome } from '@rackwalk/decisions'
 
-/** What happens after each outcome of an attempt, by what the route allows. */
+/**
+ * The step after each outcome of an attempt, by what the route allows. A wrong step runs a request twice that must run only
+ * once, or gives up a request that another endpoint could answer.
+ */
 
 const OUTCOMES: readonly AttemptOutcome[] = [
   { kind: 'connect-failed', reason: 'ECONNREFUSED' },
--- a/packages/decisions/__tests__/streamResumption.spec.ts
+++ b/packages/decisions/__tests__/streamResumption.spec.ts
@@ -10,7 +10,10 @@
 import { asId } from '@rackwalk/shared'
 import type { SoftwareVersion } from '@rackwalk/shared'
 
-/** Where a stream goes on that its caller takes up, and who remembers where it began. */
+/**
+ * A stream that is resumed at another software version than the one that began it is corrupt. These tests check where a
+ * stream is resumed, and which instances remember where it began.
+ */
 
 const V1 = asId<SoftwareVersion>('v1')
 const V2 = asId<SoftwareVersion>('v2')
@@ -31,19 +34,19 @@
 
 describe('a stream that its caller takes up', () => {
   it('goes on at the version that began it, or nowhere', () => {
-    const rows = Object.entries(ORIGINS).flatMap(([told, origins]) =>
+    const rows = Object.entries(ORIGINS).flatMap(([remembered, origins]) =>
       Object.entries(VERSIONS).flatMap(([served, versions]) =>
         [true, false].map(isConfirmed => {
           const { origin, source } = resolveResumption('models', { origins, versions, isConfirmed })
           const where = origin === undefined ? 'nowhere' : Object.values(origin).join(' ')
-          return `${told}; served: ${served}; ${isConfirmed ? 'heard' : 'alone'}: ${where} (${source})`
+          return `${remembered}; served: ${served}; ${isConfirmed ? 'heard' : 'alone'}: ${where} (${source})`
         }),
       ),
     )
     expect(rows).toMatchSnapshot()
   })
 
-  it('needs no question only where one version has served for as long as a caller may come back', () => {
+  it('is resumed without asking other instances only if one version has served for as long as a caller may come back', () => {
     const long = RESUMPTION_WINDOW_MILLISECONDS
     const rows = [[V1], [V1, V2], []].flatMap(versions =>
       [long, long - 1].flatMap(knownForMilliseconds =>
@@ -59,29 +62,29 @@
   })
 })
 
-describe('the instances that keep where a stream began', () => {
+describe('the instances that remember where a stream began', () => {
   const fleet = Array.from({ length: 12 }, (_, index) => ({
     instance: `instance-${index}`,
     failureDomain: `domain-${index % 3}`,
   }))
-  const keepersOf = (key: string, candidates = fleet) =>
+  const replicasOf = (key: string, candidates = fleet) =>
     rankOriginReplicas(key, candidates)
       .slice(0, MINIMUM_ORIGIN_REPLICAS)
       .map(({ instance }) => instance)
 
-  it('are found without a word from the one that served it, whoever asks', () => {
+  it('are found by any instance without asking the one that served the stream', () => {
     for (let index = 0; index < 200; index += 1) {
-      const served = fleet.slice(1)
+      const serving = fleet.slice(1)
       const asking = fleet.filter((_, other) => other !== 0 && other !== 1 + (index % 11))
-      const found = keepersOf(`stream-${index}`, asking)
-      const told = keepersOf(`stream-${index}`, served)
-      expect(told.filter(keeper => found.includes(keeper)).length).toBeGreaterThanOrEqual(
+      const found = replicasOf(`stream-${index}`, asking)
+      const recorded = replicasOf(`stream-${index}`, serving)
+      expect(recorded.filter(replica => found.includes(replica)).length).toBeGreaterThanOrEqual(
         MINIMUM_ORIGIN_REPLICAS - 1,
       )
     }
   })
 
-  it('lie in more than one failure domain where there are several', () => {
+  it('lie in more than one failure domain if there are several', () => {
     for (let index = 0; index < 200; index += 1) {
       const [first, second] = rankOriginReplicas(`stream-${index}`, fleet)
       expect(first?.failureDomain).not.toBe(second?.failureDomain)
@@ -93,8 +96,8 @@
   it('carry about the same number of streams', () => {
     const counts = new Map<string, number>()
     for (let index = 0; index < 2_000; index += 1) {
-      for (const keeper of keepersOf(`stream-${index}`)) {
-        counts.set(keeper, (counts.get(keeper) ?? 0) + 1)
+      for (const replica of replicasOf(`stream-${index}`)) {
+        counts.set(replica, (counts.get(replica) ?? 0) + 1)
       }
     }
     const mean = (2_000 * MINIMUM_ORIGIN_REPLICAS) / fleet.length
--- a/packages/decisions/__tests__/terminationSigns.spec.ts
+++ b/packages/decisions/__tests__/terminationSigns.spec.ts
@@ -10,7 +10,10 @@
 } from '@rackwalk/decisions'
 import type { InFlightState, TerminationSign, StateProbeResult } from '@rackwalk/decisions'
 
-/** Which exchanges end when their endpoint is known to have ended, or may have. */
+/**
+ * An engine that terminates behind a front leaves its exchanges waiting until their deadlines. These tests check which
+ * exchanges are terminated by which sign, and that an endpoint that is only slow, full or draining loses none.
+ */
 
 const ASKED_AT = 1_000
 const SENT: InFlightState = {
@@ -43,21 +46,21 @@
   'nobody-listens',
   'turned-away',
 ]
-/** Signs that say nothing of what came, or was sent, after the question. */
-const QUESTIONED: readonly TerminationSign[] = ['silent', 'still-silent', 'cut-off']
+/** Signs that say nothing about what arrived or was sent after the probe. */
+const PROBED: readonly TerminationSign[] = ['silent', 'still-silent', 'cut-off']
 const NOT_HEARD = { askedAt: ASKED_AT, heardAt: Number.NEGATIVE_INFINITY }
 
-function endedBy(sign: TerminationSign, times = NOT_HEARD): readonly string[] {
+function terminatedBy(sign: TerminationSign, times = NOT_HEARD): readonly string[] {
   return Object.entries(EXCHANGES).flatMap(([name, exchange]) =>
     isTerminatedBy(exchange, sign, times) ? name : [],
   )
 }
 
-describe('a sign that a start of an endpoint is over', () => {
-  it('ends these exchanges there', () => {
+describe('a sign that an endpoint start is over', () => {
+  it('terminates these exchanges there', () => {
     const table = SIGNS.map(sign => {
       const asked = isAsked(sign, Object.values(EXCHANGES)) ? 'asked' : 'not asked'
-      return `${sign} | ${asked} | ${endedBy(sign).join(', ') || 'none'}`
+      return `${sign} | ${asked} | ${terminatedBy(sign).join(', ') || 'none'}`
     })
     expect(table).toMatchInlineSnapshot(`
       [
@@ -75,44 +78,47 @@
     `)
   })
 
-  it.each(QUESTIONED)('ends nothing that was sent after the question (%s)', sign => {
+  it.each(PROBED)('terminates nothing that was sent after the probe (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
       const later = { ...exchange, sentAt: ASKED_AT + 1, lastReceivedAt: ASKED_AT + 1 }
       expect(isTerminatedBy(later, sign, NOT_HEARD)).toBe(false)
     }
   })
 
-  it.each(QUESTIONED)('ends nothing that had a part since the question (%s)', sign => {
+  it.each(PROBED)('terminates nothing that received a part after the probe (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
       const begun = { ...exchange, lastReceivedAt: ASKED_AT + 1 }
       expect(isTerminatedBy(begun, sign, NOT_HEARD)).toBe(false)
     }
   })
 
-  it.each(QUESTIONED)('ends nothing where the endpoint goes on for others (%s)', sign => {
-    expect(endedBy(sign, { askedAt: ASKED_AT, heardAt: ASKED_AT + 1 })).toEqual([])
-  })
+  it.each(PROBED)(
+    'terminates nothing if the endpoint serves other requests after the probe (%s)',
+    sign => {
+      expect(terminatedBy(sign, { askedAt: ASKED_AT, heardAt: ASKED_AT + 1 })).toEqual([])
+    },
+  )
 
-  it.each(SIGNS)('ends nothing that only its caller holds back (%s)', sign => {
+  it.each(SIGNS)('terminates nothing whose reading only the caller holds up (%s)', sign => {
     for (const exchange of Object.values(EXCHANGES)) {
       expect(isTerminatedBy({ ...exchange, isPaused: true }, sign, NOT_HEARD)).toBe(false)
     }
   })
 
-  it('asks nobody where nothing could be ended by the answer', () => {
+  it('causes no probe if the result could terminate nothing', () => {
     const { 'began, may not be resumed': begun } = EXCHANGES
     expect(isAsked('away', [])).toBe(false)
     expect(isAsked('away', begun === undefined ? [] : [begun])).toBe(false)
   })
 })
 
-/** What must end, and what must not, by what is known to be so. */
+/** A sign at an exchange, and whether the exchange must be terminated. */
 interface Case {
   readonly name: string
   readonly exchange: InFlightState
   readonly sign: TerminationSign
   readonly heardAt?: number
-  readonly isOver: boolean
+  readonly isTerminated: boolean
 }
 type Rule = typeof isTerminatedBy
 
@@ -121,65 +127,81 @@
 const REPEATABLE: InFlightState = { ...SENT, isRetryable: true }
 const PART: InFlightState = { ...SENT, isReplyStarted: true }
 const CASES: readonly Case[] = [
-  { name: 'a front holds it', exchange: REPEATABLE, sign: 'silent', isOver: true },
-  { name: 'a front holds it for long', exchange: SENT, sign: 'still-silent', isOver: true },
-  { name: 'a new start', exchange: PART, sign: 'replaced', isOver: true },
-  { name: 'an engine that is slow to tell', exchange: SENT, sign: 'silent', isOver: false },
-  { name: 'a long prompt', exchange: PART, sign: 'still-silent', isOver: false },
-  { name: 'a drain', exchange: REPEATABLE, sign: 'nobody-listens', isOver: false },
-  { name: 'late news', exchange: REPEATABLE, sign: 'away', isOver: false },
-  { name: 'unannounced', exchange: REPEATABLE, sign: 'unlisted', isOver: false },
-  { name: 'full', exchange: REPEATABLE, sign: 'turned-away', isOver: false },
-  { name: 'back', exchange: { ...REPEATABLE, ...LATER }, sign: 'silent', isOver: false },
-  { name: 'busy', exchange: REPEATABLE, sign: 'silent', heardAt: ASKED_AT + 1, isOver: false },
+  { name: 'a front holds the request', exchange: REPEATABLE, sign: 'silent', isTerminated: true },
+  {
+    name: 'a front holds the request for long',
+    exchange: SENT,
+    sign: 'still-silent',
+    isTerminated: true,
+  },
+  { name: 'a new start', exchange: PART, sign: 'replaced', isTerminated: true },
+  {
+    name: 'an engine that is slow to report its state',
+    exchange: SENT,
+    sign: 'silent',
+    isTerminated: false,
+  },
+  { name: 'a long prompt', exchange: PART, sign: 'still-silent', isTerminated: false },
+  { name: 'a drain', exchange: REPEATABLE, sign: 'nobody-listens', isTerminated: false },
+  { name: 'late gossip', exchange: REPEATABLE, sign: 'away', isTerminated: false },
+  { name: 'unannounced', exchange: REPEATABLE, sign: 'unlisted', isTerminated: false },
+  { name: 'full', exchange: REPEATABLE, sign: 'turned-away', isTerminated: false },
+  { name: 'back', exchange: { ...REPEATABLE, ...LATER }, sign: 'silent', isTerminated: false },
+  {
+    name: 'busy',
+    exchange: REPEATABLE,
+    sign: 'silent',
+    heardAt: ASKED_AT + 1,
+    isTerminated: false,
+  },
   {
     name: 'a caller that reads slowly',
     exchange: { ...REPEATABLE, isPaused: true },
     sign: 'silent',
-    isOver: false,
+    isTerminated: false,
   },
 ]
 
 function wrongCases(rule: Rule): readonly string[] {
-  return CASES.flatMap(({ name, exchange, sign, heardAt = sentAt, isOver }) =>
-    rule(exchange, sign, { askedAt: ASKED_AT, heardAt }) === isOver ? [] : name,
+  return CASES.flatMap(({ name, exchange, sign, heardAt = sentAt, isTerminated }) =>
+    rule(exchange, sign, { askedAt: ASKED_AT, heardAt }) === isTerminated ? [] : name,
   )
 }
 
-/** Rules that a careless hand might write. */
-const BROKEN: Readonly<Record<string, Rule>> = {
-  'ends nothing': () => false,
-  'ends all at any sign': () => true,
-  'ends at news': (exchange, sign, times) =>
+/** Plausible faulty versions of the rule, each of which the cases must detect. */
+const FAULTY_RULES: Readonly<Record<string, Rule>> = {
+  'terminates nothing': () => false,
+  'terminates everything at any sign': () => true,
+  'terminates by gossip alone': (exchange, sign, times) =>
     sign === 'away' || isTerminatedBy(exchange, sign, times),
-  'takes a closed listener for an end': (exchange, sign, times) =>
+  'takes a closed listener for a termination': (exchange, sign, times) =>
     sign === 'nobody-listens' || isTerminatedBy(exchange, sign, times),
-  'takes a missing row for an end': (exchange, sign, times) =>
+  'takes a missing row for a termination': (exchange, sign, times) =>
     sign === 'unlisted' || isTerminatedBy(exchange, sign, times),
-  'takes a reset question for an end': (exchange, sign, times) =>
+  'takes a reset probe for a termination': (exchange, sign, times) =>
     sign === 'turned-away' || isTerminatedBy(exchange, sign, times),
-  'forgets the sending time': (exchange, sign, times) =>
+  'ignores the time of the last part': (exchange, sign, times) =>
     isTerminatedBy({ ...exchange, lastReceivedAt: 0 }, sign, times),
-  'forgets what was heard': (exchange, sign, times) =>
+  'ignores contact with the endpoint': (exchange, sign, times) =>
     isTerminatedBy(exchange, sign, { ...times, heardAt: 0 }),
-  'takes all for repeatable': (exchange, sign, times) =>
+  'takes all exchanges for retryable': (exchange, sign, times) =>
     isTerminatedBy({ ...exchange, isRetryable: true }, sign, times),
-  'forgets slow callers': (exchange, sign, times) =>
+  'ignores slow callers': (exchange, sign, times) =>
     isTerminatedBy({ ...exchange, isPaused: false }, sign, times),
 }
 
 describe('the rule', () => {
-  it('ends what must end, and nothing else', () => {
+  it('terminates what must be terminated, and nothing else', () => {
     expect(wrongCases(isTerminatedBy)).toEqual([])
   })
 
-  it.each(Object.entries(BROKEN))('would be caught if it %s', (_, rule) => {
+  it.each(Object.entries(FAULTY_RULES))('would fail the cases above if it %s', (_, rule) => {
     expect(wrongCases(rule)).not.toEqual([])
   })
 })
 
-describe('a question for the state of an endpoint', () => {
-  const ANSWERS: readonly StateProbeResult[] = [
+describe('a probe of the state of an endpoint', () => {
+  const RESULTS: readonly StateProbeResult[] = [
     'lives',
     'fails',
     'turned-away',
@@ -187,23 +209,23 @@
     'held',
     'no-connection',
   ]
-  const REASONS: readonly TerminationSign[] = ['away', 'broke-off', 'unlisted']
+  const TRIGGERS: readonly TerminationSign[] = ['away', 'broke-off', 'unlisted']
 
-  it('says this of it', () => {
-    const table = REASONS.flatMap(why =>
-      ANSWERS.map(answer => {
-        const says = [1, 2].map(count => {
-          const answers = Array<StateProbeResult>(count).fill(answer)
+  it('gives these signs', () => {
+    const table = TRIGGERS.flatMap(trigger =>
+      RESULTS.map(result => {
+        const outcomes = [1, 2].map(count => {
+          const results = Array<StateProbeResult>(count).fill(result)
           const at = [
             PROBE_TIMEOUT_MILLISECONDS - 1,
             PROBE_TIMEOUT_MILLISECONDS,
             LONG_PROBE_TIMEOUT_MILLISECONDS,
           ]
-          const told = at.map(elapsed => signOfProbes(why, answers, elapsed) ?? 'nothing')
-          const next = requiresAnotherProbe(why, answers) ? 'asked again' : 'over'
-          return `${told.join(', ')}, ${next}`
+          const signs = at.map(elapsed => signOfProbes(trigger, results, elapsed) ?? 'nothing')
+          const next = requiresAnotherProbe(trigger, results) ? 'asked again' : 'over'
+          return `${signs.join(', ')}, ${next}`
         })
-        return `${why}, ${answer} | ${says.join(' | ')}`
+        return `${trigger}, ${result} | ${outcomes.join(' | ')}`
       }),
     )
     expect(table).toMatchInlineSnapshot(`
@@ -232,7 +254,7 @@
 })
 
 describe('an exchange without a part of an answer', () => {
-  it('was there at the end only where it was sent before the first break', () => {
+  it('was in flight at the crash only if it was sent before the first reset', () => {
     const known = { brokenAt: 800, knownAt: 1_000 }
     expect([799, 800, 801].map(sentAt => wasInFlightAtCrash({ sentAt }, known))).toEqual([
       true,
@@ -241,7 +263,7 @@
     ])
   })
 
-  it('was there, where no break was seen here, only if it was sent before looks and news began', () => {
+  it('was in flight, if no reset was seen here, only if it was sent before the probes and the gossip began', () => {
     const known = { brokenAt: undefined, knownAt: 1_000 }
     expect([700, 701, 999].map(sentAt => wasInFlightAtCrash({ sentAt }, known))).toEqual([
       true,
--- a/packages/decisions/__tests__/unconfirmedCrashes.spec.ts
+++ b/packages/decisions/__tests__/unconfirmedCrashes.spec.ts
@@ -9,28 +9,33 @@
 const SECOND_START = endpointStart('endpoint-2', 8)
 const MARK = { fingerprint: FINGERPRINT, start: START, wasIsolated: false }
 
-describe('breaks at which it is looked', () => {
-  it('concern their request and its scope until they are known', () => {
-    const breaks = new UnconfirmedCrashes()
-    const beliefs = (now: number) => [
-      breaks.has(FINGERPRINT, now),
-      breaks.hasSuspectsInScope('finger', now),
-      breaks.has(OTHER, now),
+/**
+ * A crash-inducing request that is sent again while its endpoint is still being probed would pass for a harmless one,
+ * and each retry would crash one more endpoint.
+ */
+
+describe('resets whose endpoint is being probed', () => {
+  it('make their request and its scope suspect until the probe has a result', () => {
+    const resets = new UnconfirmedCrashes()
+    const state = (now: number) => [
+      resets.has(FINGERPRINT, now),
+      resets.hasSuspectsInScope('finger', now),
+      resets.has(OTHER, now),
     ]
-    expect(beliefs(0)).toEqual([false, false, false])
-    breaks.noteReset(MARK, 0)
-    expect(beliefs(0)).toEqual([true, true, false])
-    breaks.forget(SECOND_START)
-    expect(beliefs(0)).toEqual([true, true, false])
-    breaks.forget(START)
-    expect(beliefs(0)).toEqual([false, false, false])
+    expect(state(0)).toEqual([false, false, false])
+    resets.noteReset(MARK, 0)
+    expect(state(0)).toEqual([true, true, false])
+    resets.forget(SECOND_START)
+    expect(state(0)).toEqual([true, true, false])
+    resets.forget(START)
+    expect(state(0)).toEqual([false, false, false])
   })
 
   it('are forgotten after a second', () => {
-    const breaks = new UnconfirmedCrashes()
-    breaks.noteReset(MARK, 0)
-    breaks.noteReset({ ...MARK, start: SECOND_START }, 500)
-    expect([999, 1_000, 1_500].map(now => breaks.has(FINGERPRINT, now))).toEqual([
+    const resets = new UnconfirmedCrashes()
+    resets.noteReset(MARK, 0)
+    resets.noteReset({ ...MARK, start: SECOND_START }, 500)
+    expect([999, 1_000, 1_500].map(now => resets.has(FINGERPRINT, now))).toEqual([
       true,
       true,
       false,
@@ -38,38 +43,39 @@
   })
 
   it('are bounded in number', () => {
-    const breaks = new UnconfirmedCrashes()
-    breaks.noteReset(MARK, 0)
+    const resets = new UnconfirmedCrashes()
+    resets.noteReset(MARK, 0)
     for (let count = 0; count < 1_024; count += 1) {
-      breaks.noteReset({ fingerprint: OTHER, start: SECOND_START, wasIsolated: false }, 1)
+      resets.noteReset({ fingerprint: OTHER, start: SECOND_START, wasIsolated: false }, 1)
     }
-    expect([breaks.has(FINGERPRINT, 2), breaks.has(OTHER, 2)]).toEqual([false, true])
+    expect([resets.has(FINGERPRINT, 2), resets.has(OTHER, 2)]).toEqual([false, true])
   })
 
-  it('refuse what was sent as suspected once their start has ended, and nothing else', () => {
-    const breaks = new UnconfirmedCrashes()
-    breaks.noteReset({ ...MARK, wasIsolated: true }, 0)
-    breaks.noteReset({ ...MARK, fingerprint: OTHER }, 0)
-    const verdicts = (now: number) => [FINGERPRINT, OTHER].map(one => breaks.verdict(one, now))
+  it('refuse an isolated request once its endpoint start has terminated, and no other request', () => {
+    const resets = new UnconfirmedCrashes()
+    resets.noteReset({ ...MARK, wasIsolated: true }, 0)
+    resets.noteReset({ ...MARK, fingerprint: OTHER }, 0)
+    const verdicts = (now: number) =>
+      [FINGERPRINT, OTHER].map(fingerprint => resets.verdict(fingerprint, now))
     expect(verdicts(0)).toEqual(['isolate', 'isolate'])
-    breaks.noteTerminated(SECOND_START, 1)
+    resets.noteTerminated(SECOND_START, 1)
     expect(verdicts(1)).toEqual(['isolate', 'isolate'])
-    breaks.noteTerminated(START, 500)
+    resets.noteTerminated(START, 500)
     expect(verdicts(1_499)).toEqual(['refuse', 'send'])
     expect(verdicts(1_500)).toEqual(['send', 'send'])
   })
 
-  it('are refused for as long as they are told of after their end, until they are cleared', () => {
-    const breaks = new UnconfirmedCrashes()
+  it('refuse a request as long as its reset is reported after the termination, until the request is cleared', () => {
+    const resets = new UnconfirmedCrashes()
     const suspected = { ...MARK, wasIsolated: true }
-    breaks.noteReset(suspected, 0)
-    breaks.noteTerminated(START, 100)
-    breaks.noteReset(suspected, 900)
-    expect(breaks.verdict(FINGERPRINT, 1_800)).toBe('refuse')
-    breaks.clear(OTHER, [START])
-    breaks.clear(FINGERPRINT, [SECOND_START])
-    expect(breaks.verdict(FINGERPRINT, 1_800)).toBe('refuse')
-    breaks.clear(FINGERPRINT, [START])
-    expect(breaks.verdict(FINGERPRINT, 1_800)).toBe('send')
+    resets.noteReset(suspected, 0)
+    resets.noteTerminated(START, 100)
+    resets.noteReset(suspected, 900)
+    expect(resets.verdict(FINGERPRINT, 1_800)).toBe('refuse')
+    resets.clear(OTHER, [START])
+    resets.clear(FINGERPRINT, [SECOND_START])
+    expect(resets.verdict(FINGERPRINT, 1_800)).toBe('refuse')
+    resets.clear(FINGERPRINT, [START])
+    expect(resets.verdict(FINGERPRINT, 1_800)).toBe('send')
   })
 })
--- a/packages/decisions/__tests__/withdrawal.spec.ts
+++ b/packages/decisions/__tests__/withdrawal.spec.ts
@@ -2,11 +2,14 @@
 import { judgeWithdrawal } from '@rackwalk/decisions'
 import type { KnownTermination, InFlightAttempt } from '@rackwalk/decisions'
 
-/** Which exchanges are given up when their endpoint is known to have ended, by when they were sent and heard of. */
+/**
+ * A request that waits at the address of a terminated endpoint, behind a front that keeps the connection open, is never
+ * answered. These tests check which attempts are withdrawn, by when they were sent and when something last arrived.
+ */
 
-const BROKEN_AT = 10_000
-const LOOKED_AT = 10_200
-const LOOK: KnownTermination = { source: 'look', brokenAt: BROKEN_AT, lookedAt: LOOKED_AT }
+const RESET_AT = 10_000
+const PROBED_AT = 10_200
+const PROBE: KnownTermination = { source: 'look', brokenAt: RESET_AT, lookedAt: PROBED_AT }
 
 function sent(sentAt: number, part: Partial<InFlightAttempt> = {}): InFlightAttempt {
   return {
@@ -19,64 +22,69 @@
   }
 }
 
-function news(toldAt: number, firstToldAt = toldAt): KnownTermination {
+function gossip(toldAt: number, firstToldAt = toldAt): KnownTermination {
   return { source: 'news', firstToldAt, toldAt }
 }
 
-describe('an exchange without a part of an answer', () => {
+describe('an attempt without a part of an answer', () => {
   it.each([
-    ['sent before the break', 9_000, 'was-there'],
-    ['sent after the break and before the look', 10_100, 'sent-later'],
-    ['sent while it was looked', LOOKED_AT, 'none'],
-    ['sent to the endpoint that is back', 12_000, 'none'],
-  ])('by a look of this instance: %s', (_, sentAt, expected) => {
-    expect(judgeWithdrawal(sent(sentAt), LOOK, 0)).toBe(expected)
+    ['sent before the reset', 9_000, 'was-there'],
+    ['sent after the reset and before the probe', 10_100, 'sent-later'],
+    ['sent during the probe', PROBED_AT, 'none'],
+    ['sent when the endpoint is back', 12_000, 'none'],
+  ])('by a probe of this instance: %s', (_, sentAt, expected) => {
+    expect(judgeWithdrawal(sent(sentAt), PROBE, 0)).toBe(expected)
   })
 
   it.each([
-    ['sent long before the news', 9_000, news(10_000), 0, 'was-there'],
-    ['sent since the news may have left', 9_600, news(10_000), 0, 'none'],
-    ['sent since, and the news are told again', 9_600, news(10_500, 10_000), 0, 'sent-later'],
+    ['sent long before the gossip', 9_000, gossip(10_000), 0, 'was-there'],
+    ['sent after the gossip may have left', 9_600, gossip(10_000), 0, 'none'],
+    ['sent after that, and the gossip is repeated', 9_600, gossip(10_500, 10_000), 0, 'sent-later'],
     [
-      'sent before the news, and the endpoint has told its state since',
+      'sent before the gossip, and the endpoint has reported its state since',
       9_000,
-      news(10_000),
+      gossip(10_000),
       9_900,
       'none',
     ],
     [
-      'sent before the news, and the endpoint told its state before',
+      'sent before the gossip, and the endpoint reported its state before',
       9_000,
-      news(10_000),
+      gossip(10_000),
       9_400,
       'was-there',
     ],
-  ])('by what others tell: %s', (_, sentAt, end, heardAt, expected) => {
+  ])('by gossip: %s', (_, sentAt, end, heardAt, expected) => {
     expect(judgeWithdrawal(sent(sentAt), end, heardAt)).toBe(expected)
   })
 })
 
-describe('an exchange whose answer has begun', () => {
+describe('an attempt whose answer has begun', () => {
   it.each([
-    ['nothing came for a while', sent(1_000, { heardAt: 9_000 }), LOOK, 'was-there'],
-    ['pieces came until the break', sent(1_000, { heardAt: 9_900 }), LOOK, 'none'],
-    ['pieces come after the look', sent(1_000, { heardAt: 10_300 }), LOOK, 'none'],
-    ['its caller reads slowly', sent(1_000, { heardAt: 2_000, isPaused: true }), LOOK, 'none'],
-    ['only others tell of the end', sent(1_000, { heardAt: 2_000 }), news(10_000), 'none'],
+    ['nothing arrived for a while', sent(1_000, { heardAt: 9_000 }), PROBE, 'was-there'],
+    ['parts arrived until the reset', sent(1_000, { heardAt: 9_900 }), PROBE, 'none'],
+    ['parts arrive after the probe', sent(1_000, { heardAt: 10_300 }), PROBE, 'none'],
+    ['its caller reads slowly', sent(1_000, { heardAt: 2_000, isPaused: true }), PROBE, 'none'],
+    [
+      'only gossip reports the termination',
+      sent(1_000, { heardAt: 2_000 }),
+      gossip(10_000),
+      'none',
+    ],
   ])('%s', (_, attempt, end, expected) => {
     expect(judgeWithdrawal(attempt, end, 0)).toBe(expected)
   })
 })
 
-describe('an exchange that may not be repeated', () => {
+describe('an attempt whose request may not be repeated', () => {
   it.each([
-    ['at the first look', undefined, LOOK, 0, 'doubted'],
-    ['at the same look, told again', LOOKED_AT, LOOK, 0, 'doubted'],
-    ['at the next look', LOOKED_AT - 600, LOOK, 0, 'was-there'],
-    ['at the next look, after a state was told', LOOKED_AT - 600, LOOK, LOOKED_AT - 100, 'doubted'],
-    ['at the first news', undefined, news(10_000), 0, 'doubted'],
-    ['at the same news, told by another', 9_990, news(10_000), 0, 'doubted'],
-    ['at the next news', 9_500, news(10_000), 0, 'was-there'],
+    ['at the first probe', undefined, PROBE, 0, 'doubted'],
+    ['at the same probe, reported again', PROBED_AT, PROBE, 0, 'doubted'],
+    ['at the next probe', PROBED_AT - 600, PROBE, 0, 'was-there'],
+    ['at the next probe, after a state report', PROBED_AT - 600, PROBE, PROBED_AT - 100, 'doubted'],
+    ['at the first gossip', undefined, gossip(10_000), 0, 'doubted'],
+    ['at the same gossip, from another instance', 9_990, gossip(10_000), 0, 'doubted'],
+    ['at the next gossip', 9_500, gossip(10_000), 0, 'was-there'],
   ])('%s', (_, firstDoubtedAt, end, heardAt, expected) => {
     const attempt = sent(9_000, { isRepeatable: false, firstDoubtedAt })
     expect(judgeWithdrawal(attempt, end, heardAt)).toBe(expected)
