--- a/packages/decisions/src/admitting/budgetWaitLimit.ts
+++ b/packages/decisions/src/admitting/budgetWaitLimit.ts
@@ -1,51 +1,70 @@
 /**
- * How long does a request wait for its budget, and when is a refused caller told to come back?
+ * Decides how long a request waits for tokens of its budget, and after how many seconds a refused
+ * caller should retry.
  *
- * A refusal that comes early can still be made good elsewhere; one that comes late costs the caller its goal. So others are
- * asked for a loan after a part of the goal.
+ * Inputs: the route's goal for the first byte and the time left until the request's deadline, both
+ * in milliseconds, and the time after which this instance may spend the tokens by itself.
  *
- * Load pattern: a fleet has just started, nobody holds anything, and all wait for the same writes. A refusal is made good
- * nowhere then, so a request waits on. Where the budget is used up for good there is no time to come back at.
+ * A caller that is refused early can still be served by another instance within its goal; one that
+ * is refused late misses it. So a request waits for the store and for loans from other instances
+ * only for a part of the goal.
+ *
+ * Load pattern: a fleet has just started, no instance holds tokens, and all of them wait for the
+ * same writes. No other instance could serve a refused caller then, so the request waits longer
+ * (`extendedBudgetWaitLimit`). A budget that is used up for good gets no retry time: there is no
+ * time after which a retry would succeed.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Part of a route's goal that may pass before a refusal. */
-const REFUSAL_SHARE = 0.2
-/** The longest wait for the store and for loans: a loan that comes at all comes within it. */
-const LONGEST_PATIENCE_MILLISECONDS = 120
-/** Part of a route's goal, and of the time to the deadline, that may pass where nobody lends: the rest is the answer's. */
-const LAST_SHARE = 0.8
-/** The longest wait where nobody lends: a call to the store that takes longer has failed. */
-const LAST_PATIENCE_MILLISECONDS: Milliseconds = 300
-/** Where other instances hold the tokens: they may have given some by then. */
-const RETURN_AFTER_SECONDS = 0.25
-/** Callers are told hundredths of a second. */
-const HUNDREDTHS = 100
+const GOAL_SHARE = 0.2
+/**
+ * The longest wait for the store and for loans; a loan that is granted at all arrives within it.
+ */
+const MAXIMUM_WAIT_MILLISECONDS = 120
+/**
+ * Part of a route's goal, and of the time to the deadline, that may pass where no instance lends;
+ * the rest is left for the answer.
+ */
+const EXTENDED_SHARE = 0.8
+/** The longest wait where no instance lends; a call to the store that takes longer has failed. */
+const MAXIMUM_EXTENDED_WAIT_MILLISECONDS: Milliseconds = 300
+/**
+ * The shortest retry time, for tokens that other instances hold: they may have released some by
+ * then.
+ */
+const MINIMUM_RETRY_AFTER_SECONDS = 0.25
+/** Retry times are rounded to hundredths of a second. */
+const HUNDREDTHS_IN_SECOND = 100
 
-/** The longest time for which a request may wait for tokens. */
+/** Returns the longest time for which a request may wait for tokens. */
 export function budgetWaitLimit(goalMilliseconds: Milliseconds): Milliseconds {
-  return Math.min(LONGEST_PATIENCE_MILLISECONDS, REFUSAL_SHARE * goalMilliseconds)
+  return Math.min(MAXIMUM_WAIT_MILLISECONDS, GOAL_SHARE * goalMilliseconds)
 }
 
 /**
- * The longest time for which a request waits for a write, its patience included, where the pool has the tokens and nobody
- * lends them: a refusal would send its caller to others that wait for the same store.
+ * Returns the longest time for which a request waits for a write, `budgetWaitLimit` included, where
+ * the pool has the tokens and no instance lends them: a refusal would send its caller to other
+ * instances that wait for the same store.
  */
 export function extendedBudgetWaitLimit(
   goalMilliseconds: Milliseconds,
   remainingMilliseconds: Milliseconds,
 ): Milliseconds {
-  const share = LAST_SHARE * Math.min(goalMilliseconds, remainingMilliseconds)
-  const last = Math.min(LAST_PATIENCE_MILLISECONDS, share)
-  return Math.min(remainingMilliseconds, Math.max(budgetWaitLimit(goalMilliseconds), last))
+  const share = EXTENDED_SHARE * Math.min(goalMilliseconds, remainingMilliseconds)
+  const extended = Math.min(MAXIMUM_EXTENDED_WAIT_MILLISECONDS, share)
+  return Math.min(remainingMilliseconds, Math.max(budgetWaitLimit(goalMilliseconds), extended))
 }
 
 /**
- * Seconds after which a caller should come back; `waitMilliseconds` is when this instance may spend
- * the tokens by itself, undefined where it cannot tell.
+ * Returns the seconds after which a caller should retry. `waitMilliseconds` is the time after which
+ * this instance may spend the tokens by itself; undefined where it cannot tell.
  */
 export function toRetryAfterSeconds(waitMilliseconds: Milliseconds | undefined): number {
   const wait = (waitMilliseconds ?? 0) / 1000
-  return Math.max(RETURN_AFTER_SECONDS, Math.round(wait * HUNDREDTHS) / HUNDREDTHS)
+  return Math.max(
+    MINIMUM_RETRY_AFTER_SECONDS,
+    Math.round(wait * HUNDREDTHS_IN_SECOND) / HUNDREDTHS_IN_SECOND,
+  )
 }
--- a/packages/decisions/src/admitting/disconnectedAllowance.ts
+++ b/packages/decisions/src/admitting/disconnectedAllowance.ts
@@ -1,42 +1,53 @@
 /**
- * What does a holder's row allow its writer once the store is evidently out of reach?
+ * Decides how many tokens a holder's row allows its writer to spend while the store is out of
+ * reach.
  *
- * Load pattern: all instances are cut off from the store for seconds, callers go on asking, and then all of them die.
- * Nobody is left who knows what was spent, so all that the rows allowed counts as spent. Where a row allows the whole
- * holding within seconds, whoever asks for it, a cut of ten seconds takes every budget whole.
+ * Load pattern: all instances are cut off from the store for seconds, callers go on sending
+ * requests, and then all instances crash. No instance is left that knows what was spent, so
+ * everything that the rows allowed counts as spent. If a row allowed its whole holding within
+ * seconds, whatever the demand, a cut of ten seconds would use up every budget whole.
  *
- * So the allowance follows what callers ask for: a rate that is a multiple of the demand, which runs out towards a part
- * of the holding. What a death loses follows it, whatever the length of the cut, and never takes the last part.
+ * So the allowance follows demand: its rate is a multiple of the demand, and the total approaches a
+ * part of the holding. What a crash loses follows demand as well, whatever the length of the cut,
+ * and the last part of a holding is never lost.
  *
- * Limits: the multiple covers demand that grows, or comes to another holder, during a cut; a holding without callers has a
- * slow rate of its own, since callers may come to it. The part that no cut allows is left to the store's return: tokens
- * that are refused during a cut are still there after it.
+ * Inputs: the view of the budget, the unspent tokens of the holding and the tokens that its row
+ * allows in the strict window, before the cut is evident. Output: a burst in tokens, a rate in
+ * tokens a second and a limit in tokens.
+ *
+ * Limits: the multiple covers demand that grows during a cut or moves to another holder. A holding
+ * without demand gets a slow rate of its own, since callers may move to it. The part of a holding
+ * that no cut allows stays unspent until the store returns: requests that are refused for it during
+ * a cut can use its tokens afterwards.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
 import { budgetPlenty } from '../placing/holdingPolicy.js'
 import type { BudgetView } from '../placing/holdingPolicy.js'
 
-/** What a row allows beyond its first time. */
+/** What a row allows beyond its strict window. */
 export interface DisconnectedAllowance {
-  /** Tokens allowed at once, */
+  /** Tokens allowed at once when the cut becomes evident. */
   readonly cutBurst: TokenCount
-  /** and tokens a second from then on, */
+  /** Tokens a second from then on. */
   readonly cutRate: number
-  /** ever fewer of them: all together stay below this. */
+  /** Limit that burst and rate together approach and never reach. */
   readonly cutTokens: TokenCount
 }
 
-/** Times the demand when the row was written. */
+/** Factor on the demand at the time at which the row is written. */
 const DEMAND_FACTOR = 3
-/** Seconds in which a holding that nobody asks for would be allowed at its first rate. */
+/** Seconds in which a holding without demand would be spent at its initial rate. */
 const IDLE_HOLDING_SECONDS = 60
-/** Part of a holding that a row allows at the most until the next one. */
+/** Largest part of a holding that a row allows until the next row. */
 const LARGEST_SHARE = 0.75
-/** Largest requests that may be committed at once while there is plenty. */
+/** Number of largest requests that may be committed at once while tokens are plentiful. */
 const BURST_REQUESTS = 2
 
-/** The allowance of a holding with so many unspent tokens, of which the first time allows `strictTokens`. */
+/**
+ * Returns the allowance of a holding with `unspent` tokens, of which the strict window allows
+ * `strictTokens`.
+ */
 export function disconnectedAllowance(
   view: BudgetView,
   unspent: TokenCount,
--- a/packages/decisions/src/admitting/localRefusals.ts
+++ b/packages/decisions/src/admitting/localRefusals.ts
@@ -1,11 +1,16 @@
 /**
- * Which part of what comes does an instance turn away for reasons of its own?
+ * Measures which share of its requests an instance refuses for reasons of its own.
  *
- * Load pattern: all callers of a team stay with one weak instance. Its processor or its link is full, or their load keeps
- * the store's rows from it, while other instances would serve the same requests.
+ * Load pattern: all callers of a team stay with one weak instance. Its processor or its link is
+ * full, or their load keeps rows of the store from reaching it, while other instances would serve
+ * the same requests. Without this share the instance could not tell that its callers had better go
+ * elsewhere.
  *
- * Limits: refusals that any other instance would give as well, as for a budget or a service that is full, count as
- * requests that were carried; an instance that gets few requests judges by nothing.
+ * Inputs: the result code of each request that ended, with a monotonic time in milliseconds.
+ *
+ * Limits: refusals that any other instance would give as well, as for a used-up budget or a full
+ * service, count as requests that were not refused. The share is 0 while there are fewer than
+ * `MINIMUM_REQUESTS`.
  */
 
 import { ResultCode } from '@rackwalk/shared'
@@ -13,29 +18,31 @@
 import { SlidingShare } from '../slidingCount.js'
 
 const WINDOW_MILLISECONDS: Milliseconds = 1_000
-const SLICES = 10
-/** Fewer requests in that time tell nothing. */
-const LEAST_REQUESTS = 8
+const WINDOW_PARTS = 10
+/** Fewer requests in the window say nothing. */
+const MINIMUM_REQUESTS = 8
 
-/** How requests end that another instance would have carried. */
-const OWN_REFUSALS: ReadonlySet<ResultCode> = new Set([
+/** Result codes of requests that another instance would have served. */
+const LOCAL_REFUSAL_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.LinkFull,
   ResultCode.ProcessorFull,
   ResultCode.KnowledgeTooOld,
   ResultCode.CallerLeftUnsent,
 ])
 
-/** Counts requests that an instance turned away since it could not carry them itself. */
+/**
+ * Measures the share of requests that an instance refused because it could not serve them itself.
+ */
 export class LocalRefusals {
-  private readonly requests = new SlidingShare(WINDOW_MILLISECONDS, SLICES, LEAST_REQUESTS)
+  private readonly requests = new SlidingShare(WINDOW_MILLISECONDS, WINDOW_PARTS, MINIMUM_REQUESTS)
 
-  /** A request has ended so; `now` is monotonic. */
+  /** Counts a request that ended with this code; `now` is monotonic. */
   noteEnd(code: ResultCode, now: Milliseconds): void {
     this.requests.note(now)
-    if (OWN_REFUSALS.has(code)) this.requests.noteCounted(now)
+    if (LOCAL_REFUSAL_CODES.has(code)) this.requests.noteCounted(now)
   }
 
-  /** Their share of the requests that ended lately, in [0, 1]. */
+  /** Returns the share of such refusals among the requests that ended lately, in [0, 1]. */
   share(now: Milliseconds): number {
     return this.requests.at(now)
   }
--- a/packages/decisions/src/admitting/precommittedTokens.ts
+++ b/packages/decisions/src/admitting/precommittedTokens.ts
@@ -1,16 +1,22 @@
 /**
- * How many tokens does a record of a holding count as committed before anybody asks for them?
+ * Decides how many tokens a record of a holding counts as committed before any request asks for
+ * them.
  *
- * Load pattern: requests are large beside what is spent in a second. A record allows its writer a rate until the next
- * one, and each record begins it anew, so just after a record a holding would refuse a request of a small part of its
- * tokens. While the store is slow it is worse: records come rarely, and requests that the holdings cover are refused.
+ * Load pattern: requests are large beside what is spent in a second. A record allows its writer a
+ * rate until the next record, and each record starts the rate anew, so just after a record a
+ * holding would refuse a request for a small part of its tokens. While the store is slow this is
+ * worse: records are rare, and requests that the holdings cover are refused.
  *
- * So a record counts a few requests of the size that callers make as committed already; they are served at once, and
- * the next record counts anew. It is taken back with the first record after callers have gone. The stored form
- * stays what it was: whoever takes a dead instance's holding over counts those tokens as spent.
+ * So a record counts a request of the size that callers send as already committed. Such a request
+ * is served at once, and the next record counts anew. The first record after callers have gone
+ * takes the tokens back. The stored form of a record is unchanged: an instance that takes over the
+ * holding of a crashed one counts those tokens as spent.
  *
- * Limits: a death loses what is written ahead, so it is a small part of the holding, and nothing of a budget that is
- * nearly used up. Where a whole request is more than that, nothing is written: a part of one serves nobody.
+ * Inputs: the unspent tokens of the holding and the view of its budget.
+ *
+ * Limits: a crash loses the precommitted tokens, so they are a small part of the holding, and none
+ * of a budget that is nearly used up. Where a whole request is larger than that part, nothing is
+ * precommitted: a part of a request serves no caller.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
@@ -18,17 +24,20 @@
 import { secondsToExhaustion } from '../placing/holdingPolicy.js'
 import { exhaustionDistance } from './spendingBound.js'
 
-/** Requests that are written ahead. */
-const REQUESTS_AHEAD = 1
-/** Part of what is unspent that is written ahead at the most: a death loses it. */
-const LARGEST_SHARE = 0.05
-/** Demand below this, in tokens a second, is nobody's: rows round to whole tokens. */
-const LEAST_DEMAND_PER_SECOND = 1
+/** Number of largest requests that are precommitted. */
+const PRECOMMITTED_REQUESTS = 1
+/** Largest part of the unspent tokens that is precommitted; a crash loses them. */
+const MAXIMUM_SHARE = 0.05
+/** Demand below this, in tokens a second, comes from no caller: rows round to whole tokens. */
+const MINIMUM_DEMAND_PER_SECOND = 1
 
-/** Tokens that a record counts as committed ahead, of so many that are unspent. */
+/**
+ * Returns the tokens that a record of a holding with `unspent` tokens counts as committed in
+ * advance.
+ */
 export function precommittedTokens(unspent: TokenCount, view: BudgetView): TokenCount {
-  if (view.ownDemandPerSecond < LEAST_DEMAND_PER_SECOND) return 0
-  const most = LARGEST_SHARE * Math.max(0, unspent) * exhaustionDistance(secondsToExhaustion(view))
-  const wanted = Math.ceil(REQUESTS_AHEAD * view.largestRequest)
+  if (view.ownDemandPerSecond < MINIMUM_DEMAND_PER_SECOND) return 0
+  const most = MAXIMUM_SHARE * Math.max(0, unspent) * exhaustionDistance(secondsToExhaustion(view))
+  const wanted = Math.ceil(PRECOMMITTED_REQUESTS * view.largestRequest)
   return wanted <= most ? wanted : 0
 }
--- a/packages/decisions/src/admitting/starvedTeams.ts
+++ b/packages/decisions/src/admitting/starvedTeams.ts
@@ -1,15 +1,20 @@
 /**
- * Which teams get next to nothing of what they ask of an instance?
+ * Decides which teams get next to none of their requests served by an instance.
  *
- * Load pattern: all callers of one team stay with an instance that is too weak for them, or that refuses by its own
- * state. The fleet as a whole serves well, so no sum over all teams shows it.
+ * Load pattern: all callers of one team stay with an instance that is too weak for them, or that
+ * refuses for reasons of its own. The fleet as a whole serves well, so no sum over all teams shows
+ * it.
  *
- * A team is compared with all of its own requests, not with what others are served here: one that uses an instance
- * alone has nobody beside it, and an instance that refuses everybody would starve nobody. No team is served more than
- * all of its requests, so whoever gets under a quarter of what others get is found as well.
+ * Inputs: the team, the result code and whether it was served, for each request that ended, with a
+ * monotonic time in milliseconds.
  *
- * Limits: only teams with requests in the window are held; few requests tell nothing; a team has to be served twice the
- * share that starved it before that is over.
+ * A team's served requests are compared with all of its own requests, not with what other teams are
+ * served: a team that uses an instance alone has no other to compare with, and an instance that
+ * refuses all teams would starve none of them. No team is served more than all of its requests, so
+ * a team that gets less than a quarter of what others get is found as well.
+ *
+ * Limits: only teams with requests in the window are kept in memory. Few requests say nothing. A
+ * starved team has to be served twice the share that starved it before it counts as recovered.
  */
 
 import type { Milliseconds, ResultCode, TeamId } from '@rackwalk/shared'
@@ -21,29 +26,29 @@
   readonly isServed: boolean
 }
 
-/** A team began to be starved, or no longer is. */
+/** A team that became starved, or no longer is. */
 export interface StarvationChange {
   readonly team: TeamId
   readonly isStarved: boolean
   /** Requests that ended within the window, and those of them that were served. */
   readonly requests: number
   readonly served: number
-  /** The commonest code of those that were not served; undefined where all were. */
+  /** The most common code of the requests that were not served; undefined where all were. */
   readonly commonestCode: ResultCode | undefined
 }
 
 const WINDOW_MILLISECONDS = 5_000
-/** Parts of the window: the more, the less is lost when one leaves. */
+/** Parts of the window: with more parts fewer counts are lost when a part expires. */
 const PARTS = 5
 const PART_MILLISECONDS = WINDOW_MILLISECONDS / PARTS
-/** Fewer requests within the window tell nothing of a team. */
-const LEAST_REQUESTS = 10
-/** A team of which no larger share is served is starved. */
+/** Fewer requests within the window say nothing of a team. */
+const MINIMUM_REQUESTS = 10
+/** A team is starved where less than this share of its requests is served. */
 const STARVED_SHARE = 0.25
-/** A starved team of which this share is served is no longer. */
-const SERVED_SHARE = 0.5
+/** A starved team recovers once this share of its requests is served. */
+const RECOVERED_SHARE = 0.5
 
-/** Requests of one team within a part of the window. */
+/** Counts of one team's requests within a part of the window. */
 interface TeamCount {
   requests: number
   served: number
@@ -51,18 +56,21 @@
   readonly unserved: Map<ResultCode, number>
 }
 
-/** Counts requests by team over a sliding window and tells whose state changes. Times are monotonic. */
+/**
+ * Counts requests by team over a sliding window and reports teams whose state changes. Times are
+ * monotonic.
+ */
 export class StarvedTeams {
-  /** By number of the part, then by team. */
+  /** By index of the part, then by team. */
   private readonly parts = new Map<number, Map<TeamId, TeamCount>>()
   private readonly starved = new Set<TeamId>()
 
-  /** Starved teams. */
+  /** Number of starved teams. */
   get size(): number {
     return this.starved.size
   }
 
-  /** Teams that are held in memory. */
+  /** Number of teams that are kept in memory. */
   get trackedTeams(): number {
     return new Set([...this.parts.values()].flatMap(teams => [...teams.keys()])).size
   }
@@ -71,7 +79,7 @@
     return this.starved.has(team)
   }
 
-  /** A request of a team has ended. */
+  /** Counts a request of a team that has ended. */
   note({ team, code, isServed }: TeamOutcome, now: Milliseconds): void {
     const count = this.countAt(team, now)
     count.requests += 1
@@ -79,7 +87,10 @@
     else count.unserved.set(code, (count.unserved.get(code) ?? 0) + 1)
   }
 
-  /** Teams whose state changed since the last call; call it at least once for each part of the window. */
+  /**
+   * Returns the teams whose state changed since the last call; to be called at least once for each
+   * part of the window.
+   */
   takeChanges(now: Milliseconds): readonly StarvationChange[] {
     this.expire(now)
     const counts = this.sums()
@@ -92,8 +103,8 @@
     const { requests, served, unserved } = count
     const wasStarved = this.starved.has(team)
     const isStarved = wasStarved
-      ? requests > 0 && served < SERVED_SHARE * requests
-      : requests >= LEAST_REQUESTS && served < STARVED_SHARE * requests
+      ? requests > 0 && served < RECOVERED_SHARE * requests
+      : requests >= MINIMUM_REQUESTS && served < STARVED_SHARE * requests
     if (isStarved === wasStarved) return undefined
     if (isStarved) this.starved.add(team)
     else this.starved.delete(team)
