--- a/packages/decisions/__tests__/abandonedRequests.spec.ts
+++ b/packages/decisions/__tests__/abandonedRequests.spec.ts
@@ -1,38 +1,41 @@
 import { describe, expect, it } from 'vitest'
 import { AbandonedRequests } from '@rackwalk/decisions'
 
-/** Requests read each 10 ms from `from` on; each n-th caller left 13 ms after it was read. */
+/**
+ * Reads `count` requests from `from` on, one each 10 ms; the callers for which `leaves` holds leave
+ * 13 ms after their request was read. Returns the time after the last one.
+ */
 function read(
-  work: AbandonedRequests,
+  requests: AbandonedRequests,
   from: number,
   count: number,
   leaves: (index: number) => boolean,
 ) {
   for (let index = 0; index < count; index += 1) {
     const now = from + index * 10
-    work.noteRead(now)
-    if (leaves(index)) work.noteLeft(13, now + 13)
+    requests.noteRead(now)
+    if (leaves(index)) requests.noteLeft(13, now + 13)
   }
   return from + count * 10
 }
 
-describe('the work that nobody waits for', () => {
-  it('is suspected once more than a few callers had left, and no longer when they stay', () => {
-    const work = new AbandonedRequests()
+describe('requests whose callers had left before they were read', () => {
+  it('delay later requests while their share is elevated', () => {
+    const requests = new AbandonedRequests()
     const seen: string[] = []
     const note = (label: string, now: number) => {
-      const wait = work.confirmationMilliseconds(now).toFixed(0)
-      seen.push(`${label}: share ${work.share(now).toFixed(2)}, waits ${wait} ms`)
+      const wait = requests.confirmationMilliseconds(now).toFixed(0)
+      seen.push(`${label}: share ${requests.share(now).toFixed(2)}, waits ${wait} ms`)
     }
-    let now = read(work, 0, 100, () => false)
+    let now = read(requests, 0, 100, () => false)
     note('all stay', now)
-    now = read(work, now, 100, index => index % 50 === 0)
+    now = read(requests, now, 100, index => index % 50 === 0)
     note('one in fifty leaves', now)
-    now = read(work, now, 100, () => true)
+    now = read(requests, now, 100, () => true)
     note('all had left', now)
-    now = read(work, now, 50, () => false)
+    now = read(requests, now, 50, () => false)
     note('half a second later', now)
-    now = read(work, now, 100, () => false)
+    now = read(requests, now, 100, () => false)
     note('a second and a half later', now)
     expect(seen).toMatchInlineSnapshot(`
       [
@@ -45,7 +48,7 @@
     `)
   })
 
-  it('is not suspected by a handful of requests, nor by callers that leave later', () => {
+  it('do not count where there are few requests, or where callers leave later', () => {
     const few = new AbandonedRequests()
     read(few, 0, 5, () => true)
     const late = new AbandonedRequests()
--- a/packages/decisions/__tests__/configurationStaleness.spec.ts
+++ b/packages/decisions/__tests__/configurationStaleness.spec.ts
@@ -13,19 +13,19 @@
   return { ageMilliseconds, boundMilliseconds: 3_000, confirmedAgoMilliseconds: NEVER, ...more }
 }
 
-function reach(heard: number, answered: number): ContactAges {
+function contact(heard: number, answered: number): ContactAges {
   return { heardAgoMilliseconds: heard, answeredAgoMilliseconds: answered }
 }
 
 describe('rows that an instance serves by', () => {
-  it('are refused by their age only where the instance itself explains it', () => {
+  it('lead to refusals by age only where the instance itself is late', () => {
     const ages = [1_000, 2_600, 2_701, 8_000]
     const cases: readonly [string, Partial<RowStaleness>, ContactAges][] = [
-      ['a peer is heard, and none answers', {}, reach(500, NEVER)],
-      ['the store answers other calls', {}, reach(NEVER, 700)],
-      ['all fell silent', {}, reach(1_200, 1_200)],
-      ['a peer knows nothing newer either', { confirmedAgoMilliseconds: 1_200 }, reach(100, 100)],
-      ['a peer knew nothing newer earlier', { confirmedAgoMilliseconds: 1_201 }, reach(100, 100)],
+      ['a peer is heard, and none answers', {}, contact(500, NEVER)],
+      ['the store answers other calls', {}, contact(NEVER, 700)],
+      ['all fell silent', {}, contact(1_200, 1_200)],
+      ['a peer knows nothing newer either', { confirmedAgoMilliseconds: 1_200 }, contact(100, 100)],
+      ['a peer knew nothing newer earlier', { confirmedAgoMilliseconds: 1_201 }, contact(100, 100)],
     ]
     const decided = cases.map(([name, more, reachability]) => {
       const refused = ages.filter(age => isTooStale(rows(age, more), reachability))
@@ -42,13 +42,13 @@
     `)
   })
 
-  it('are served by the answer of a peer no longer than leaves a change within its bound', () => {
-    // A peer that follows the store may be late itself by a question that waits.
+  it('are confirmed by a peer for so long only that a change takes effect within its bound', () => {
+    // A peer that follows the store may itself be late by the time for which a question waits.
     const bound = 3_000
     expect(confirmationLifetime(bound) + maximumFeedWait(bound)).toBeLessThanOrEqual(0.9 * bound)
   })
 
-  it('are asked of peers before their bound, and not while a question for changes waits', () => {
+  it('are confirmed by peers that are asked before their bound, and not while a question for changes waits', () => {
     const bound = 3_000
     expect(maximumFeedWait(bound)).toBe(1_500)
     expect(shouldAskPeers(rows(maximumFeedWait(bound) + 400))).toBe(false)
--- a/packages/decisions/__tests__/disconnectedAllowance.spec.ts
+++ b/packages/decisions/__tests__/disconnectedAllowance.spec.ts
@@ -18,7 +18,10 @@
   }
 }
 
-/** What may be committed after so many seconds of a cut that begins with the row. */
+/**
+ * Returns the tokens that may be committed after `seconds` of a cut that begins when the row is
+ * written.
+ */
 function allowed(unspent: number, demandPerSecond: number, seconds: number): number {
   const row = {
     granted: unspent,
@@ -36,7 +39,7 @@
 }
 
 describe('the allowance of a cut', () => {
-  it('follows what callers ask for and leaves a part, however long the cut', () => {
+  it('follows demand and leaves a part of the holding, however long the cut', () => {
     const cases = [
       [300_000, 0],
       [300_000, 5_000],
@@ -57,7 +60,7 @@
     `)
   })
 
-  it('leaves a quarter of a holding that outlasts the first time, whoever asks for it', () => {
+  it('leaves a quarter of a holding that outlasts the strict window, whatever the demand', () => {
     const unspent = fc.integer({ min: 1, max: 10_000_000 })
     const demand = fc.integer({ min: 0, max: 100_000 })
     const seconds = fc.integer({ min: 0, max: 100_000 })
--- a/packages/decisions/__tests__/localRefusals.spec.ts
+++ b/packages/decisions/__tests__/localRefusals.spec.ts
@@ -2,7 +2,7 @@
 import { LocalRefusals } from '@rackwalk/decisions'
 import { ResultCode, resultName } from '@rackwalk/shared'
 
-/** The share after so many requests, 10 ms apart, half of which ended so. */
+/** The share after `count` requests, 10 ms apart, half of which ended with `code`. */
 function shareOf(code: ResultCode, count = 40): number {
   const refusals = new LocalRefusals()
   for (let index = 0; index < count; index += 1) {
@@ -11,8 +11,8 @@
   return refusals.share(count * 10)
 }
 
-describe('what an instance turns away for reasons of its own', () => {
-  it('is what another instance would have carried', () => {
+describe('the share of requests that an instance refuses for reasons of its own', () => {
+  it('counts only requests that another instance would have served', () => {
     const codes = Object.values(ResultCode).filter(code => typeof code === 'number')
     const own = codes.filter(code => shareOf(code) > 0).map(code => resultName(code))
     expect(own).toMatchInlineSnapshot(`
@@ -25,7 +25,7 @@
     `)
   })
 
-  it('tells nothing where few requests come, and passes with time', () => {
+  it('is 0 where there are few requests, and falls with time', () => {
     expect(shareOf(ResultCode.ProcessorFull, 6)).toBe(0)
     const refusals = new LocalRefusals()
     for (let now = 0; now < 500; now += 10) refusals.noteEnd(ResultCode.LinkFull, now)
--- a/packages/decisions/__tests__/overloadedFleet.spec.ts
+++ b/packages/decisions/__tests__/overloadedFleet.spec.ts
@@ -2,33 +2,36 @@
 import { ListenerPause, listenerOpenMilliseconds } from '@rackwalk/decisions'
 import { SeededRandom, VirtualClock } from '@rackwalk/shared'
 
-/** All instances of a fleet get more than they bear from the same moment on, and each tells the others once a second. */
+/**
+ * All instances of a fleet become overloaded at the same moment, and each reports that to the
+ * others once a second.
+ */
 
 const OVERLOADED_FROM_MILLISECONDS = 1_000
 const RUN_MILLISECONDS = 10_000
-const TELL_MILLISECONDS = 1_000
-const BELIEVED_MILLISECONDS = 3_500
+const REPORT_INTERVAL_MILLISECONDS = 1_000
+const REPORT_TTL_MILLISECONDS = 3_500
 
-interface News {
+interface ReportDelivery {
   readonly delayMilliseconds: number
-  /** Share of the news that is lost. */
+  /** Share of the reports that are lost. */
   readonly loss: number
 }
 
 class OverloadedFleet {
   private readonly clock = new VirtualClock()
   private readonly random = new SeededRandom(1)
-  /** When each was told by which other one, by both their numbers. */
-  private readonly told: Map<number, number>[]
+  /** For each instance, the time of the newest report of each other one, by index. */
+  private readonly reportTimes: Map<number, number>[]
   private readonly closed = new Set<number>()
-  /** The most instances that were closed at a time. */
+  /** The most instances that were closed at the same time. */
   mostClosed = 0
 
   constructor(
     private readonly size: number,
-    private readonly news: News,
+    private readonly delivery: ReportDelivery,
   ) {
-    this.told = Array.from({ length: size }, () => new Map<number, number>())
+    this.reportTimes = Array.from({ length: size }, () => new Map<number, number>())
     for (let instance = 0; instance < size; instance += 1) {
       const rule = new ListenerPause()
       this.open(instance, rule)
@@ -40,53 +43,56 @@
     return this.mostClosed
   }
 
-  private open(instance: number, rule: ListenerPause, toldAt = Number.NEGATIVE_INFINITY): void {
+  private open(instance: number, rule: ListenerPause, reportedAt = Number.NEGATIVE_INFINITY): void {
     this.closed.delete(instance)
     const wait = listenerOpenMilliseconds(this.random.next())
-    this.clock.after(wait, () => this.look(instance, rule, toldAt))
+    this.clock.after(wait, () => this.sample(instance, rule, reportedAt))
   }
 
-  private look(instance: number, rule: ListenerPause, toldAt: number): void {
+  private sample(instance: number, rule: ListenerPause, reportedAt: number): void {
     const now = this.clock.monotonic()
     rule.noteRefusedShare(now >= OVERLOADED_FROM_MILLISECONDS ? 1 : 0, now)
-    const mustTell = rule.isOverloaded(now) && now - toldAt >= TELL_MILLISECONDS
-    if (mustTell) this.tell(instance)
+    const mustReport = rule.isOverloaded(now) && now - reportedAt >= REPORT_INTERVAL_MILLISECONDS
+    if (mustReport) this.report(instance)
     const others = { count: this.size - 1, overloaded: this.heardOverloaded(instance, now) }
     const pause = rule.pauseMilliseconds(others, now, this.random.next())
-    const newestTold = mustTell ? now : toldAt
-    if (pause === 0) return this.open(instance, rule, newestTold)
+    const newestReportAt = mustReport ? now : reportedAt
+    if (pause === 0) return this.open(instance, rule, newestReportAt)
     this.closed.add(instance)
     this.mostClosed = Math.max(this.mostClosed, this.closed.size)
-    this.clock.after(pause, () => this.open(instance, rule, newestTold))
+    this.clock.after(pause, () => this.open(instance, rule, newestReportAt))
   }
 
-  private tell(instance: number): void {
-    for (const [other, told] of this.told.entries()) {
-      if (other === instance || this.random.next() < this.news.loss) continue
-      this.clock.after(this.news.delayMilliseconds, () =>
-        told.set(instance, this.clock.monotonic()),
+  private report(instance: number): void {
+    for (const [other, reportTimes] of this.reportTimes.entries()) {
+      if (other === instance || this.random.next() < this.delivery.loss) continue
+      this.clock.after(this.delivery.delayMilliseconds, () =>
+        reportTimes.set(instance, this.clock.monotonic()),
       )
     }
   }
 
   private heardOverloaded(instance: number, now: number): number {
-    const times = [...(this.told[instance]?.values() ?? [])]
-    return times.filter(at => now - at < BELIEVED_MILLISECONDS).length
+    const times = [...(this.reportTimes[instance]?.values() ?? [])]
+    return times.filter(at => now - at < REPORT_TTL_MILLISECONDS).length
   }
 }
 
 describe.each([2, 7, 20, 75])('%i instances that are overloaded at once', size => {
-  it.each([5, 200])('keep their listeners open where news take %i ms', async delayMilliseconds => {
-    expect(await new OverloadedFleet(size, { delayMilliseconds, loss: 0 }).run()).toBe(0)
-  })
+  it.each([5, 200])(
+    'keep their listeners open where reports take %i ms',
+    async delayMilliseconds => {
+      expect(await new OverloadedFleet(size, { delayMilliseconds, loss: 0 }).run()).toBe(0)
+    },
+  )
 })
 
-// Of two instances each is all that the other one hears.
+// A fleet of two is left out: each instance hears of only one other, so both may close.
 describe.each([7, 20, 75])('%i instances that are overloaded at once', size => {
   it.each([
     { delayMilliseconds: 1_500, loss: 0 },
     { delayMilliseconds: 5, loss: 0.5 },
-  ])('never all close where news are late or lost (%o)', async news => {
-    expect(await new OverloadedFleet(size, news).run()).toBeLessThan(size)
+  ])('never all close where reports are late or lost (%o)', async delivery => {
+    expect(await new OverloadedFleet(size, delivery).run()).toBeLessThan(size)
   })
 })
--- a/packages/decisions/__tests__/precommittedTokens.spec.ts
+++ b/packages/decisions/__tests__/precommittedTokens.spec.ts
@@ -2,7 +2,10 @@
 import { precommittedTokens } from '@rackwalk/decisions'
 import type { BudgetView } from '@rackwalk/decisions'
 
-/** A budget of which this instance and one other hold as much, with so many seconds left at their demand. */
+/**
+ * A budget of which this instance and one other hold equal parts, and which lasts `seconds` at
+ * their demand.
+ */
 function viewOf(unspent: number, seconds: number, more: Partial<BudgetView> = {}): BudgetView {
   const demandPerSecond = unspent / seconds
   return {
@@ -16,8 +19,8 @@
   }
 }
 
-describe('what a record counts as committed ahead', () => {
-  it('is a request of a holding that bears it, and nothing towards the end of a budget', () => {
+describe('the tokens that a record precommits', () => {
+  it('are those of one request where the holding is large enough, and none near the end of a budget', () => {
     const table = [30_000, 190_000, 900_000].flatMap(unspent =>
       [6, 8, 11, 14, 60].map(
         seconds =>
@@ -45,11 +48,11 @@
     `)
   })
 
-  it('is taken back when nobody asks any more', () => {
+  it('are none without demand', () => {
     expect(precommittedTokens(900_000, viewOf(900_000, 60, { ownDemandPerSecond: 0 }))).toBe(0)
   })
 
-  it('is never more than is unspent, also where that is nothing', () => {
+  it('are none where no tokens are unspent', () => {
     expect(precommittedTokens(0, viewOf(1, 60))).toBe(0)
     expect(precommittedTokens(-5, viewOf(1, 60))).toBe(0)
   })
--- a/packages/decisions/__tests__/processorLoadShedder.spec.ts
+++ b/packages/decisions/__tests__/processorLoadShedder.spec.ts
@@ -4,55 +4,61 @@
 import type { ProcessorSample, ShedRank } from '@rackwalk/decisions'
 
 /**
- * The callers of one team stay with a weak instance and send twice what its processor bears: replayed as
- * one queue on virtual time, each request with its work and the time after which it helps nobody.
+ * The callers of one team stay with a weak instance and send twice what its processor can serve.
+ * The load is replayed as one queue on virtual time; each request has its work and a goal after
+ * which its answer is too late.
  */
 
 const URGENT: ShedRank = { priority: 0, answerTokens: 30 }
 const LONG: ShedRank = { priority: 2, answerTokens: 280 }
 const PLAIN: ShedRank = { priority: 2, answerTokens: 0 }
 const KINDS = [
-  { name: 'urgent', rank: URGENT, work: 6, share: 0.3 },
-  { name: 'plain', rank: PLAIN, work: 4, share: 0.4 },
-  { name: 'long', rank: LONG, work: 14, share: 0.3 },
+  { name: 'urgent', rank: URGENT, workMilliseconds: 6, share: 0.3 },
+  { name: 'plain', rank: PLAIN, workMilliseconds: 4, share: 0.4 },
+  { name: 'long', rank: LONG, workMilliseconds: 14, share: 0.3 },
 ] as const
 const GOAL_MILLISECONDS = 500
 const RUN_MILLISECONDS = 20_000
 
-/** A look that shows nothing but the delay of a timer. */
-function lookOf(delayMilliseconds: number): ProcessorSample {
+/** A sample that shows nothing but the delay of a timer. */
+function sampleOf(delayMilliseconds: number): ProcessorSample {
   return { delayMilliseconds, acceptMilliseconds: 0, abandonedShare: 0 }
 }
 
 interface Outcome {
-  asked: number
+  received: number
   inTime: number
   late: number
   refused: number
 }
 
-/** Requests come at `load` times what the processor bears; without a budget all are taken. */
-function replay(load: number, budget: ProcessorLoadShedder | undefined) {
+/**
+ * Requests arrive at `load` times what the processor can serve; without a shedder all are admitted.
+ */
+function replay(load: number, shedder: ProcessorLoadShedder | undefined) {
   const random = new SeededRandom(7)
   const outcomes: Record<string, Outcome> = {}
-  const meanWork = KINDS.reduce((sum, { work, share }) => sum + work * share, 0)
-  const pause = meanWork / load
+  const meanWorkMilliseconds = KINDS.reduce(
+    (sum, { workMilliseconds, share }) => sum + workMilliseconds * share,
+    0,
+  )
+  const requestInterval = meanWorkMilliseconds / load
   let freeAt = 0
-  let lookAt = SAMPLE_INTERVAL_MILLISECONDS
-  for (let now = 0; now < RUN_MILLISECONDS; now += pause) {
-    for (; lookAt <= now; lookAt += SAMPLE_INTERVAL_MILLISECONDS) {
-      budget?.noteSample(lookOf(Math.max(0, freeAt - lookAt)))
+  let sampleAt = SAMPLE_INTERVAL_MILLISECONDS
+  for (let now = 0; now < RUN_MILLISECONDS; now += requestInterval) {
+    for (; sampleAt <= now; sampleAt += SAMPLE_INTERVAL_MILLISECONDS) {
+      shedder?.noteSample(sampleOf(Math.max(0, freeAt - sampleAt)))
     }
     const drawn = random.next()
     const kind = drawn < 0.3 ? KINDS[0] : drawn < 0.7 ? KINDS[1] : KINDS[2]
-    const outcome = (outcomes[kind.name] ??= { asked: 0, inTime: 0, late: 0, refused: 0 })
-    outcome.asked += 1
-    if (budget?.admits(kind.rank, random.next()) === false) {
+    const outcome = (outcomes[kind.name] ??= { received: 0, inTime: 0, late: 0, refused: 0 })
+    outcome.received += 1
+    if (shedder?.admits(kind.rank, random.next()) === false) {
       outcome.refused += 1
       freeAt = Math.max(freeAt, now) + 1
       continue
     }
-    freeAt = Math.max(freeAt, now) + kind.work
+    freeAt = Math.max(freeAt, now) + kind.workMilliseconds
     if (freeAt - now <= GOAL_MILLISECONDS) outcome.inTime += 1
     else outcome.late += 1
   }
@@ -61,13 +67,13 @@
 
 function share(outcomes: Record<string, Outcome>, name: string, what: keyof Outcome): number {
   const outcome = outcomes[name]
-  return outcome === undefined ? Number.NaN : outcome[what] / outcome.asked
+  return outcome === undefined ? Number.NaN : outcome[what] / outcome.received
 }
 
-describe('a processor to which twice comes what it bears', () => {
-  it('serves urgent work in time, and lets the longest of the least urgent go', () => {
+describe('a processor that gets twice the load it can serve', () => {
+  it('serves urgent work in time, and refuses the longest of the least urgent work', () => {
     const outcomes = replay(2, new ProcessorLoadShedder())
-    // All are late after the first second where nothing is let go.
+    // Without a shedder all answers are late after the first second.
     expect(share(replay(2, undefined), 'urgent', 'inTime')).toBeLessThan(0.1)
     expect(share(outcomes, 'urgent', 'inTime')).toBeGreaterThan(0.8)
     expect(share(outcomes, 'plain', 'inTime')).toBeGreaterThan(0.5)
@@ -75,31 +81,31 @@
     expect(share(outcomes, 'urgent', 'refused')).toBeLessThan(0.1)
   })
 
-  it('keeps few waiting for an answer that comes late', () => {
+  it('admits few requests whose answers come late', () => {
     const outcomes = replay(2, new ProcessorLoadShedder())
     for (const { name } of KINDS) expect(share(outcomes, name, 'late')).toBeLessThan(0.15)
   })
 })
 
-describe('a processor that bears what comes', () => {
+describe('a processor that can serve its load', () => {
   it('refuses nothing', () => {
     const outcomes = replay(0.7, new ProcessorLoadShedder())
     for (const { name } of KINDS) expect(share(outcomes, name, 'refused')).toBe(0)
   })
 
-  it('refuses nothing because it was paused once', () => {
-    const budget = new ProcessorLoadShedder()
-    for (const delay of [0, 0, 5_000, 0, 0, 0]) budget.noteSample(lookOf(delay))
-    expect([budget.shedShare, budget.admits(LONG, 0)]).toEqual([0, true])
+  it('refuses nothing after a single pause of the process', () => {
+    const shedder = new ProcessorLoadShedder()
+    for (const delay of [0, 0, 5_000, 0, 0, 0]) shedder.noteSample(sampleOf(delay))
+    expect([shedder.shedShare, shedder.admits(LONG, 0)]).toEqual([0, true])
   })
 
-  it('takes everything again some time after a queue has gone', () => {
-    const budget = new ProcessorLoadShedder()
-    for (let look = 0; look < 20; look += 1) budget.noteSample(lookOf(300))
-    const relief = budget.recoveryMilliseconds
-    expect(budget.shedShare).toBeGreaterThan(0.5)
-    for (let time = 0; time < relief; time += SAMPLE_INTERVAL_MILLISECONDS)
-      budget.noteSample(lookOf(0))
-    expect(budget.shedShare).toBeCloseTo(0)
+  it('admits everything again after its recovery time without a queue', () => {
+    const shedder = new ProcessorLoadShedder()
+    for (let sample = 0; sample < 20; sample += 1) shedder.noteSample(sampleOf(300))
+    const recovery = shedder.recoveryMilliseconds
+    expect(shedder.shedShare).toBeGreaterThan(0.5)
+    for (let time = 0; time < recovery; time += SAMPLE_INTERVAL_MILLISECONDS)
+      shedder.noteSample(sampleOf(0))
+    expect(shedder.shedShare).toBeCloseTo(0)
   })
 })
--- a/packages/decisions/__tests__/refusedBody.spec.ts
+++ b/packages/decisions/__tests__/refusedBody.spec.ts
@@ -2,7 +2,10 @@
 import { LinkBandwidthBudget, refusedBodyDisposition } from '@rackwalk/decisions'
 import type { RefusedBody } from '@rackwalk/decisions'
 
-/** Bodies of refused requests on a link of a million bytes a second, of which bodies may take 350,000. */
+/**
+ * Bodies of refused requests on a link of 1,000,000 bytes a second, of which bodies may take
+ * 350,000.
+ */
 
 const LINK = 1_000_000
 const BODY = 35_000
@@ -16,8 +19,11 @@
   waitMilliseconds: 0,
 }
 
-/** Callers with kept connections come again as soon as they may, for ten seconds; bytes that came a second. */
-function bytesOfEagerCallers(callers: number): number {
+/**
+ * Callers with kept connections retry as soon as they can for ten seconds; returns the bytes that
+ * arrive in a second.
+ */
+function bytesPerSecondOfRetryingCallers(callers: number): number {
   const link = new LinkBandwidthBudget(LINK)
   const freeAt = Array<number>(callers).fill(0)
   let bytes = 0
@@ -27,9 +33,9 @@
       const waitMilliseconds = link.refusedBodyWait(BODY, now)
       link.noteRefusedBody(BODY, now)
       bytes += BODY
-      const fate = refusedBodyDisposition({ ...ARRIVED, waitMilliseconds }, callers)
-      // Who is told to leave needs some time for another connection.
-      freeAt[caller] = now + (fate.kind === 'close' ? 3_000 : fate.holdMilliseconds)
+      const disposition = refusedBodyDisposition({ ...ARRIVED, waitMilliseconds }, callers)
+      // A caller whose connection is closed needs some time to open another one.
+      freeAt[caller] = now + (disposition.kind === 'close' ? 3_000 : disposition.holdMilliseconds)
     }
   }
   return bytes / 10
@@ -45,17 +51,17 @@
     ['still coming, larger than a connection is worth', { hasArrived: false, bytes: 300_000 }, 0],
     ['arrived, larger than a connection is worth', { bytes: 300_000 }, 0],
     ['still coming in chunks', { hasArrived: false, isSizeKnown: false }, 0],
-    ['sent only when asked for', { hasArrived: false, isAwaited: true }, 0],
-    ['still coming, its connection ends', { hasArrived: false, endsConnection: true }, 0],
+    ['sent only when asked for', { hasArrived: false, expectsContinue: true }, 0],
+    ['still coming, its connection ends', { hasArrived: false, mustClose: true }, 0],
     ['arrived, many others are held', {}, 512],
     ['still coming, many others are held', { hasArrived: false }, 512],
   ])('%s', (_, body, unreadBodies) => {
     expect(refusedBodyDisposition({ ...ARRIVED, ...body }, unreadBodies)).toMatchSnapshot()
   })
 
-  it('takes no more of the link than bodies may, however many callers come again at once', () => {
-    const asked = [1, 4, 16].map(bytesOfEagerCallers)
-    for (const bytes of asked) expect(bytes).toBeLessThan(LINK * 0.5)
+  it('takes no more of the link than bodies may, however many callers retry at once', () => {
+    const received = [1, 4, 16].map(bytesPerSecondOfRetryingCallers)
+    for (const bytes of received) expect(bytes).toBeLessThan(LINK * 0.5)
   })
 
   it('takes nothing from admitted bodies', () => {
--- a/packages/decisions/__tests__/settledCost.spec.ts
+++ b/packages/decisions/__tests__/settledCost.spec.ts
@@ -4,18 +4,19 @@
 const TOKENS = { prompt: 1_000, maximumOutput: 200 }
 const TOKENS_PER_EVENT = 4
 
-/** Cost of a request that a server may have run, with what the caller was given of its answer. */
+/** Cost of a request that an endpoint may have run, by what the caller was given of its answer. */
 function costOf(hasDelivered: boolean, events: number, isWhole: boolean) {
-  const result = { hasDelivered, events, isWhole }
-  return settledCost(result, TOKENS, TOKENS_PER_EVENT)
+  const answer = { hasDelivered, events, isWhole }
+  return settledCost(answer, TOKENS, TOKENS_PER_EVENT)
 }
 
-describe('what a request has cost its tenant', () => {
+describe('the cost of a request to its team', () => {
   it.each([
-    // Found on played days: it was counted at its most, and the budget refused what it owed.
+    // Guards against counting a request without an answer at its maximum: the budget then refused
+    // requests that it could have covered.
     ['that was never answered', costOf(false, 0, false), 0],
     ['whose answer came whole', costOf(true, 10, true), 1_040],
-    // Two events may have been handed out unseen.
+    // Two events may have been delivered without the instance knowing.
     ['whose answer broke off', costOf(true, 10, false), 1_048],
     ['whose answer broke off before its first event', costOf(true, 0, false), 1_008],
     ['that made more than it asked for', costOf(true, 90, true), 1_200],
@@ -23,8 +24,8 @@
     expect(cost).toBe(expected)
   })
 
-  it('is nothing for one that never ran', () => {
-    const result = { hasDelivered: false, events: 0, isWhole: false }
-    expect(settledCost(result, TOKENS, TOKENS_PER_EVENT)).toBe(0)
+  it('is 0 for one that never ran', () => {
+    const answer = { hasDelivered: false, events: 0, isWhole: false }
+    expect(settledCost(answer, TOKENS, TOKENS_PER_EVENT)).toBe(0)
   })
 })
--- a/packages/decisions/__tests__/spendingBound.spec.ts
+++ b/packages/decisions/__tests__/spendingBound.spec.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest'
 import { committedBound, strictWindowMilliseconds, timeUntilCommitted } from '@rackwalk/decisions'
 
-/** What an instance may spend by its own row while the store is away. */
+/** What an instance may spend by its own row while the store is out of reach. */
 
 const BOUND = {
   granted: 10_000,
@@ -33,7 +33,7 @@
     `)
   })
 
-  it('tells when a sum may be committed, or that it never may', () => {
+  it('returns when a sum may be committed, or that it never may', () => {
     const sums = [900, 1_100, 1_200, 1_400, 3_000, 10_000, 10_001]
     const table = sums.map(sum => `${sum}: ${timeUntilCommitted(BOUND, sum)}`)
     expect(table).toMatchInlineSnapshot(`
@@ -61,7 +61,7 @@
     )
   })
 
-  it('stands still between its first time and the evidence of a cut', () => {
+  it('does not grow between the strict window and the evidence of a cut', () => {
     const bound = { ...BOUND, strictMilliseconds: 750 }
     const times = [750, 1_000, 2_000, 2_001]
     expect(times.map(time => committedBound(bound, time))).toEqual([1_075, 1_075, 1_075, 1_576])
@@ -69,10 +69,10 @@
   })
 })
 
-describe('the spending bound of a row that names the most a cut allows', () => {
+describe('the spending bound of a row that limits what a cut allows', () => {
   const bound = { ...BOUND, cutTokens: 6_000 }
 
-  it('grows ever more slowly and leaves a part, however long the cut', () => {
+  it('grows ever more slowly and leaves a part of the holding, however long the cut', () => {
     const times = [2_000, 2_001, 3_000, 5_000, 10_000, 60_000]
     const table = times.map(time => `${time} ms: ${committedBound(bound, time)}`)
     expect(table).toMatchInlineSnapshot(`
@@ -87,7 +87,7 @@
     `)
   })
 
-  it('is at no time above that of a row without, which earlier versions assume', () => {
+  it('is never above that of a row without the limit, which earlier versions assume', () => {
     const times = fc.integer({ min: 0, max: 100_000 })
     fc.assert(
       fc.property(times, time => {
@@ -109,14 +109,14 @@
     )
   })
 
-  it('tells that what it leaves may never be committed', () => {
+  it('never allows the part that it leaves to be committed', () => {
     expect(timeUntilCommitted(bound, 7_200)).toBeUndefined()
     expect(timeUntilCommitted({ ...bound, cutTokens: 0 }, 1_201)).toBeUndefined()
     expect(committedBound({ ...bound, cutTokens: 0 }, 60_000)).toBe(1_200)
   })
 })
 
-describe('the first time of a row', () => {
+describe('the strict window of a row', () => {
   it('is shorter where the budget will soon be used up, and covers the next record', () => {
     const cases = [
       [60, 500],
--- a/packages/decisions/__tests__/starvedTeams.spec.ts
+++ b/packages/decisions/__tests__/starvedTeams.spec.ts
@@ -11,14 +11,14 @@
 interface Load {
   readonly team: TeamId
   readonly perSecond: number
-  /** Every so many is served; 0 where none is. */
+  /** One of so many requests is served; none where it is 0. */
   readonly servedEvery: number
   readonly code?: ResultCode
 }
 
-/** Plays seconds of load and gives what changed in each, as a reader of the log would see it. */
+/** Replays seconds of load and returns the changes in each as text. */
 function play(teams: StarvedTeams, from: number, seconds: number, loads: readonly Load[]) {
-  const told: string[] = []
+  const reported: string[] = []
   for (let second = from; second < from + seconds; second += 1) {
     for (const { team, perSecond, servedEvery, code = ResultCode.ProcessorFull } of loads) {
       for (let request = 0; request < perSecond; request += 1) {
@@ -30,25 +30,27 @@
     for (const change of teams.takeChanges(second * 1_000 + 999)) {
       const { team, isStarved, requests, served, commonestCode } = change
       const state = isStarved ? 'starved' : 'served'
-      told.push(`${second} s: ${team} ${state}, ${served} of ${requests}, ${commonestCode ?? '-'}`)
+      reported.push(
+        `${second} s: ${team} ${state}, ${served} of ${requests}, ${commonestCode ?? '-'}`,
+      )
     }
   }
-  return told
+  return reported
 }
 
-describe('a team that is served next to nothing', () => {
-  it('is told once, with the commonest reason, and once more when it is over', () => {
+describe('a team that gets next to none of its requests served', () => {
+  it('is reported once, with the most common reason, and once more when it recovers', () => {
     const teams = new StarvedTeams()
     const others = { team: OTHER, perSecond: 40, servedEvery: 1 }
     const refused = { team: STARVED, perSecond: 30, servedEvery: 0 }
     const late = { ...refused, perSecond: 50, code: ResultCode.KnowledgeTooOld }
     const well = { team: STARVED, perSecond: 30, servedEvery: 1 }
-    const told = [
+    const reported = [
       ...play(teams, 0, 6, [well, others]),
       ...play(teams, 6, 8, [refused, late, others]),
       ...play(teams, 14, 10, [well, others]),
     ]
-    expect(told).toMatchInlineSnapshot(`
+    expect(reported).toMatchInlineSnapshot(`
       [
         "8 s: starved starved, 60 of 300, 3011",
         "17 s: starved served, 120 of 200, 3011",
@@ -56,7 +58,7 @@
     `)
   })
 
-  it('is found where it is the only one at an instance, and where everybody is refused', () => {
+  it('is found where it is the only one at an instance, and where all teams are refused', () => {
     const alone = play(new StarvedTeams(), 0, 3, [{ team: STARVED, perSecond: 80, servedEvery: 0 }])
     expect(alone).toMatchInlineSnapshot(`
       [
@@ -72,13 +74,13 @@
     `)
   })
 
-  it('is not told of few requests, nor of a share that others may also get', () => {
+  it('is not reported by few requests, nor where a third of its requests is served', () => {
     const few = { team: STARVED, perSecond: 1, servedEvery: 0 }
     const third = { team: OTHER, perSecond: 30, servedEvery: 3 }
     expect(play(new StarvedTeams(), 0, 12, [few, third])).toEqual([])
   })
 
-  it('is over when it asks for nothing more', () => {
+  it('recovers when it sends no more requests', () => {
     const teams = new StarvedTeams()
     play(teams, 0, 4, [{ team: STARVED, perSecond: 30, servedEvery: 0 }])
     expect(teams.size).toBe(1)
@@ -105,7 +107,7 @@
     expect(teams.size).toBe(0)
   })
 
-  it('agrees with a count of all requests of the window, whatever comes', () => {
+  it('agrees with a count of all requests of the window, for any requests', () => {
     const request = fc.record({
       team: fc.constantFrom(STARVED, OTHER),
       isServed: fc.boolean(),
