--- a/packages/decisions/src/admitting/configurationStaleness.ts
+++ b/packages/decisions/src/admitting/configurationStaleness.ts
@@ -11,11 +11,11 @@
  * confirmation by a peer; and the time since the store and another instance were last in contact
  * with this one. All are in milliseconds.
  *
- * | copy older than 0.9 of its bound, and            | requests    |
- * | ------------------------------------------------ | ----------- |
- * | a peer confirmed lately that nothing is newer    | are served  |
- * | the store or a peer was in contact lately        | are refused |
- * | neither the store nor any peer was               | are served  |
+ * | copy older than 0.9 of its bound, and         | requests    |
+ * | --------------------------------------------- | ----------- |
+ * | a peer confirmed lately that nothing is newer | are served  |
+ * | the store or a peer was in contact lately     | are refused |
+ * | neither the store nor any peer was            | are served  |
  *
  * Age alone is not enough to refuse: while the store is out of reach for all instances, none can
  * have newer rows, and an instance that refused by age would refuse for the whole outage. A peer
--- a/packages/decisions/src/admitting/processorLoadShedder.ts
+++ b/packages/decisions/src/admitting/processorLoadShedder.ts
@@ -12,8 +12,8 @@
  *
  * - The delay of a timer: work that is ready waits for as long.
  * - The wait of a new connection: the process accepts one in each turn of its event loop, after all
- *   work that is ready on open connections, so callers may wait unseen for seconds while no timer is
- *   late.
+ *   work that is ready on open connections, so callers may wait unseen for seconds while no timer
+ *   is late.
  * - The share of requests whose callers had left before the requests were read.
  *
  * A queue that shows in `STANDING_QUEUE_SAMPLES` samples in a row is standing. While it stands, a
--- a/packages/decisions/src/placing/activeInstances.ts
+++ b/packages/decisions/src/placing/activeInstances.ts
@@ -1,11 +1,14 @@
 /**
- * Which instances take callers?
+ * Decides which instances are active, that is, take callers; the others stand by.
  *
- * Each instance that takes callers holds part of every budget and knows at once only of its own
- * requests, so a fleet uses no more of them than its load needs; the others stand by. Inputs are
- * what members tell of themselves (rows up to a second old, three on standby): where they run, what
- * load they can take and what they take at present. All instances choose for themselves. Two that
- * choose differently do no harm: a standby instance serves whoever comes. Ways weighed and figures:
+ * Each active instance holds part of every budget and knows at once only of its own requests, so a
+ * fleet uses no more active instances than its load needs.
+ *
+ * Inputs: what members publish of themselves in their rows, which are up to a second old, three
+ * seconds for standby instances: region, failure domain, and the requests a second that they can
+ * take and take at present; and the bounds from the settings. Each instance decides for itself. Two
+ * instances that decide differently do no harm, since a standby instance serves every caller that
+ * sends it a request. Alternatives and figures:
  * docs/design/platform-deployment.md#active-instances.
  */
 
@@ -13,38 +16,41 @@
 import type { Milliseconds } from '@rackwalk/shared'
 import { RendezvousWeights } from '../choosing/rendezvous.js'
 
-/** What the choice needs to know of an instance. */
+/** An instance, as far as the choice needs to know it. */
 export interface ActiveCandidate {
   readonly instance: string
   readonly region: string
   readonly failureDomain: string
-  /** Requests a second that it can take, by its settings. */
+  /** Requests a second that the instance can take, from its settings. */
   readonly capacity: number
-  /** Requests a second that it takes at present. */
+  /** Requests a second that the instance takes at present. */
   readonly requestsPerSecond: number
 }
 
-/** How many instances there have to be; from the settings. */
+/** Bounds on the number of active instances; from the settings. */
 export interface ActiveBounds {
-  /** Active instances that each failure domain has at least. */
+  /** Least number of active instances in each failure domain. */
   readonly minimumInDomain: number
-  /** Active instances together can take this many times the present load. */
+  /** Factor on the present load that all active instances together can take. */
   readonly headroom: number
 }
 
-/** In this time the highest load seen fades to half. */
+/** Half-life with which the highest load seen decays. */
 const LOAD_HALF_LIFE_MILLISECONDS = 15_000
-/** Names of instances say nothing, so equals are ordered by a hash under this key. */
-const ORDER_KEY = 'active'
+/** Key of the hash that orders instances of equal capacity, since their names imply no order. */
+const ORDER_HASH_KEY = 'active'
 
-/** Remembers the load, so that the choice follows a rise at once and a fall slowly. */
+/**
+ * Chooses the active instances, and remembers the load, so that the choice follows a rise at once
+ * and a fall slowly.
+ */
 export class ActiveInstances {
   private readonly loads = new Map<string, { load: number; at: Milliseconds }>()
-  private readonly order = new RendezvousWeights(ORDER_KEY)
+  private readonly order = new RendezvousWeights(ORDER_HASH_KEY)
 
   constructor(private readonly bounds: ActiveBounds) {}
 
-  /** Of the candidates those that should take callers, region by region; `now` is monotonic. */
+  /** Returns the candidates that should be active, region by region; `now` is monotonic. */
   choose<Candidate extends ActiveCandidate>(
     candidates: readonly Candidate[],
     now: Milliseconds,
@@ -52,29 +58,30 @@
     const regions = groupBy(candidates, candidate => candidate.region)
     return [...regions].flatMap(([region, members]) => {
       const present = sumOf(members, member => member.requestsPerSecond)
-      const load = this.notedLoad(region, present, now)
+      const load = this.updatePeakLoad(region, present, now)
       return chooseActive(members, load, this.bounds, this.order)
     })
   }
 
-  private notedLoad(region: string, present: number, now: Milliseconds): number {
-    const known = this.loads.get(region) ?? { load: 0, at: now }
-    const faded = known.load * 0.5 ** ((now - known.at) / LOAD_HALF_LIFE_MILLISECONDS)
-    const load = Math.max(present, faded)
+  private updatePeakLoad(region: string, present: number, now: Milliseconds): number {
+    const previous = this.loads.get(region) ?? { load: 0, at: now }
+    const decayed = previous.load * 0.5 ** ((now - previous.at) / LOAD_HALF_LIFE_MILLISECONDS)
+    const load = Math.max(present, decayed)
     this.loads.set(region, { load, at: now })
     return load
   }
 }
 
 /**
- * The fewest instances that can take the load with headroom; `order` may be kept between choices: from each failure domain in turn its
- * best, so that domains get the same number where they have as many.
+ * Returns the fewest instances that can take the load with headroom. They are taken from each
+ * failure domain in turn, the best of each first, so that all domains get the same number as far as
+ * they have as many. `order` may be kept between calls.
  */
 export function chooseActive<Candidate extends ActiveCandidate>(
   candidates: readonly Candidate[],
   load: number,
   bounds: ActiveBounds,
-  order = new RendezvousWeights(ORDER_KEY),
+  order = new RendezvousWeights(ORDER_HASH_KEY),
 ): readonly Candidate[] {
   const domains = [...groupBy(candidates, candidate => candidate.failureDomain)]
   const queues = domains
@@ -91,8 +98,9 @@
 }
 
 /**
- * An instance that takes this many times what it can has callers that do not follow the directory. Others
- * of its capacity come first, since more callers would cost it the ones that it has.
+ * An instance that takes more than this many times its capacity has callers that do not follow the
+ * directory. Other instances of its capacity are preferred, since further callers would cost it the
+ * callers that it has.
  */
 const OVERLOADED_FACTOR = 2
 
--- a/packages/decisions/src/placing/fleetShares.ts
+++ b/packages/decisions/src/placing/fleetShares.ts
@@ -1,35 +1,37 @@
 /**
- * Among how many instances is a bound of the whole fleet divided?
+ * Decides among how many instances a bound of the whole fleet is divided.
  *
- * Load pattern: hundreds of instances of which a dozen take callers. Health checks and a plain request
- * now and then come to each of the others, and all callers of a team may stay with one of them. Divided
- * among all to which anything came, connections, records of holdings and reports of load would each have
- * a small part of their measure.
+ * Load pattern: of hundreds of instances a dozen are active. Each of the others gets health checks
+ * and an occasional request, and all callers of a team may stay with one of them. If a bound was
+ * divided among all instances that get any request, then connections, records of holdings and load
+ * reports would each have only a small part of what they need.
  *
- * So a bound is divided among those that use it: the active instances, and the others that were heard
- * telling of work at endpoints. An instance that uses nothing yet takes the part that it would have if
- * all did, which bounds the sum for the moment in which many begin at once.
+ * So a bound is divided among the instances that use it: the active ones, and those whose reports
+ * show work at endpoints. An instance that does not use the bound yet takes the part that it would
+ * have if all instances did, which limits the sum while many begin to use it at once.
+ *
+ * Inputs: counts of instances, as this one knows them; the result is a number of instances.
  */
 
-/** What one instance knows of who uses a bound. */
+/** Which instances use a bound, as one instance knows it. */
 export interface FleetUsage {
   /** Whether this instance is active or has work at endpoints. */
   readonly isSelfUsing: boolean
   /** Other instances that are active or have work at endpoints. */
   readonly usingOthers: number
-  /** Other instances that serve, whether or not they use the bound. */
+  /** Other instances that serve callers, whether or not they use the bound. */
   readonly others: number
 }
 
-/** The number of instances that share a bound, this one included. */
+/** Returns the number of instances that share a bound, this one included. */
 export function fleetShareCount({ isSelfUsing, usingOthers, others }: FleetUsage): number {
   return 1 + (isSelfUsing ? usingOthers : others)
 }
 
 /**
- * The same for a bound that must hold while parts of the fleet cannot hear each other: each part then
- * chooses active instances of its own, so half of all may be active at least.
+ * Returns the same for a bound that must hold while parts of the fleet cannot communicate: each
+ * part then chooses active instances of its own, so at least half of all instances may be active.
  */
-export function partitionSafeShareCount(use: FleetUsage): number {
-  return Math.max(fleetShareCount(use), Math.ceil((1 + use.others) / 2))
+export function partitionSafeShareCount(usage: FleetUsage): number {
+  return Math.max(fleetShareCount(usage), Math.ceil((1 + usage.others) / 2))
 }
--- a/packages/decisions/src/placing/holdingPolicy.ts
+++ b/packages/decisions/src/placing/holdingPolicy.ts
@@ -1,22 +1,28 @@
 /**
- * How much of a budget should an instance hold, and how much stays in the pool? Pure policies over a
- * view of the budget; the setting `budgets.policy` chooses one.
+ * Decides how many tokens of a budget an instance should hold, and how many stay in the pool.
+ *
+ * The policies are pure functions of a view of the budget, in tokens and tokens a second; the
+ * setting `budgets.policy` selects one. A holding that is too small makes requests wait for the
+ * store or be refused while the store is out of reach; one that is too large keeps tokens from
+ * other instances, and a crash of its holder loses them.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
 
-/** What one instance knows about a budget when it decides how much of it to hold. */
+/** A budget, as one instance knows it when it decides how much of it to hold. */
 export interface BudgetView {
   /** Tokens in the pool. */
   readonly free: TokenCount
-  /** This instance's holding that nobody has spent or reserved. */
+  /** Tokens that this instance holds and has neither spent nor reserved. */
   readonly ownUnspent: TokenCount
   readonly ownDemandPerSecond: number
-  /** Live instances other than this one; those without a holding count with zeros. */
+  /** The other live instances; those without a holding count with zeros. */
   readonly others: readonly { readonly unspent: TokenCount; readonly demandPerSecond: number }[]
-  /** Whether callers are sent elsewhere; then only what is asked for here is held. */
+  /**
+   * Whether this instance is on standby; it then holds tokens only for demand that it gets itself.
+   */
   readonly isStandby: boolean
-  /** The largest request lately seen here. */
+  /** The largest request that this instance has seen lately. */
   readonly largestRequest: TokenCount
 }
 
@@ -28,7 +34,7 @@
   poolFloor(view: BudgetView): TokenCount
 }
 
-/** The same for every instance, whatever the demand: the baseline for measurements. */
+/** Gives every instance the same holding, whatever the demand; the baseline for measurements. */
 export class EqualHoldingPolicy implements HoldingPolicy {
   target(view: BudgetView): TokenCount {
     if (view.isStandby) return 0
@@ -41,29 +47,32 @@
 }
 
 /**
- * Share of the mean demand that every instance is given beyond its own, so that a shift of demand
- * finds tokens there.
+ * Share of the mean demand that every instance gets on top of its own demand while tokens are
+ * scarce, so that demand that shifts to it finds tokens there.
  */
-const BASE_SHARE = 0.35
-/** The same while there is plenty: every instance can then take a shift of demand. */
+const SCARCE_BASE_SHARE = 0.35
+/** The same while tokens are plentiful: every instance can then cover a shift of demand. */
 const PLENTY_BASE_SHARE = 1
 /**
- * A budget that lasts this many seconds at the present demand is scarce, and one that lasts
- * `PLENTY_SECONDS` is plentiful: a trade between calm days, which need tokens at hand, and days with deaths, which lose
- * those held.
+ * A budget that lasts `SCARCE_SECONDS` at the present demand is scarce, and one that lasts
+ * `PLENTY_SECONDS` is plentiful. The limits trade normal operation, which needs tokens at hand,
+ * against crashes, which lose held tokens.
  */
 const SCARCE_SECONDS = 15
 const PLENTY_SECONDS = 50
 /** A standby instance holds at most what its callers ask for in this time. */
 const STANDBY_SECONDS = 40
-/** The pool keeps this many largest requests, but not more than a share of what is unspent. */
-const FLOOR_REQUESTS = 2
-const FLOOR_SHARE = 0.25
+/**
+ * The pool keeps this many times the largest request, but not more than a share of the unspent
+ * tokens.
+ */
+const POOL_FLOOR_REQUESTS = 2
+const POOL_FLOOR_SHARE = 0.25
 
 /**
- * Holdings follow demand. While there is plenty nearly all of a budget is held, so that an instance
- * that is cut off from the store refuses no request; towards the end of a budget a growing part
- * stays in the pool, where any instance reaches it with one transaction.
+ * Holdings follow demand. While tokens are plentiful, nearly all of a budget is held, so that an
+ * instance that is cut off from the store refuses no request. Towards the end of a budget a growing
+ * part stays in the pool, where any instance gets it with one transaction.
  */
 export class DemandHoldingPolicy implements HoldingPolicy {
   target(view: BudgetView): TokenCount {
@@ -72,32 +81,36 @@
     const demands = view.others.map(other => other.demandPerSecond)
     const sum = demands.reduce((left, right) => left + right, view.ownDemandPerSecond)
     const count = view.others.length + 1
-    const evenness = BASE_SHARE + (PLENTY_BASE_SHARE - BASE_SHARE) * budgetPlenty(view)
+    const evenness =
+      SCARCE_BASE_SHARE + (PLENTY_BASE_SHARE - SCARCE_BASE_SHARE) * budgetPlenty(view)
     const base = sum > 0 ? (evenness * sum) / count : 1
-    const whole = sum + base * count
-    if (!view.isStandby) return Math.floor((holdable * (view.ownDemandPerSecond + base)) / whole)
+    const totalWeight = sum + base * count
+    if (!view.isStandby)
+      return Math.floor((holdable * (view.ownDemandPerSecond + base)) / totalWeight)
     // A standby instance gets a share of observed demand only, and 40 s of it at most, because the
     // directory sends it no new callers.
-    const share = (holdable * view.ownDemandPerSecond) / whole
+    const share = (holdable * view.ownDemandPerSecond) / totalWeight
     return Math.floor(Math.min(share, STANDBY_SECONDS * view.ownDemandPerSecond))
   }
 
   poolFloor(view: BudgetView): TokenCount {
     const total = Math.max(0, unspentTotal(view))
-    return Math.floor(Math.min(FLOOR_SHARE * total, FLOOR_REQUESTS * view.largestRequest))
+    return Math.floor(Math.min(POOL_FLOOR_SHARE * total, POOL_FLOOR_REQUESTS * view.largestRequest))
   }
 }
 
 /**
- * How long a budget will last at the present demand, from 0 (scarce: where its tokens are held
- * matters) to 1 (plentiful: it does not).
+ * Returns how long a budget will last at the present demand, from 0 (scarce: where its tokens are
+ * held matters) to 1 (plentiful: it does not matter).
  */
 export function budgetPlenty(view: BudgetView): number {
   const position = (secondsToExhaustion(view) - SCARCE_SECONDS) / (PLENTY_SECONDS - SCARCE_SECONDS)
   return Math.max(0, Math.min(1, position))
 }
 
-/** Seconds for which a budget will last at the present demand; infinite where there is none. */
+/**
+ * Returns the seconds for which a budget will last at the present demand; infinite without demand.
+ */
 export function secondsToExhaustion(view: BudgetView): number {
   const demands = view.others.map(other => other.demandPerSecond)
   const demand = demands.reduce((left, right) => left + right, view.ownDemandPerSecond)
--- a/packages/decisions/src/placing/memberReadLimiter.ts
+++ b/packages/decisions/src/placing/memberReadLimiter.ts
@@ -1,49 +1,62 @@
 /**
- * Does an instance read the members ahead of time, since it hears of one that it does not know?
+ * Decides whether an instance reads the member rows ahead of schedule because it got a message from
+ * an instance that it does not know.
  *
- * Load pattern: an instance has just begun to serve. It knows the others from its first read; they would not know it until
- * their next one, and tell it nothing until then: it sends callers to engines whose ends all others have heard of. It makes
- * itself heard as soon as its row stands, so one read then is enough.
+ * Load pattern: an instance has just begun to serve. It knows the others from its first read, but
+ * they would learn of it only at their next scheduled read and send it no gossip until then: it
+ * would send requests to endpoints whose crashes all others have been told of. The new instance
+ * sends its first message as soon as its row is written, so one read at that time is enough.
  *
- * | heard of one that is not known                        | members are read           |
- * | ----------------------------------------------------- | -------------------------- |
- * | reads ahead of time are left                          | at once                    |
- * | a moment after the last such read                     | after that moment, once    |
- * | none is left: a whole fleet starts, or anybody writes | at the usual time          |
+ * | message of an unknown instance arrives                   | members are read      |
+ * | -------------------------------------------------------- | --------------------- |
+ * | while reads ahead of schedule are left                   | at once               |
+ * | within `READ_SPACING_MILLISECONDS` of the last such read | after that time, once |
+ * | while none is left: a whole fleet starts, or a flood     | at the scheduled time |
  *
- * Limits: who sends a datagram is not proved, and each read costs the store a call. At most `READS_AHEAD` are made together
- * and one a second after that, however many are heard of: a fleet that starts at once, or a flood of made-up names, costs
- * each instance no more than that on top of the usual reads.
+ * Inputs: the monotonic times, in milliseconds, at which such messages arrive.
+ *
+ * Limits: the sender of a datagram is not authenticated, and each read costs the store a call. At
+ * most `READ_BURST` reads are made together and one a second after that, however many messages
+ * arrive. So neither a fleet that starts at once nor a flood of made-up names costs an instance
+ * more than that on top of the scheduled reads.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** Reads that may be made together: who is heard before its row stands is read for again, */
+/**
+ * Reads that may be made together, since a message may arrive before its sender's row is written.
+ */
 export const READ_BURST = 3
-/** one of which is won back in this time. */
+/** Time in which one more read becomes available. */
 const READ_REFILL_MILLISECONDS: Milliseconds = 1_000
-/** A row that was not there in one read may be in the next one after this time. */
+/**
+ * Time between two reads: a row that was missing in one read may be present in the next one after
+ * this.
+ */
 const READ_SPACING_MILLISECONDS: Milliseconds = 50
 
-/** Bounds the reads of members ahead of their time. Times are monotonic. */
+/** Limits reads of the members ahead of schedule. Times are monotonic. */
 export class MemberReadLimiter {
-  private left = READ_BURST
-  private countedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  private readAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private available = READ_BURST
+  private refilledAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private lastReadAt: Milliseconds = Number.NEGATIVE_INFINITY
 
-  /** An instance that is not known was heard of; after how long the members are read for it, undefined where they are not. */
+  /**
+   * Takes one read for a message of an unknown instance: returns the delay after which the members
+   * are to be read, or undefined where they are not.
+   */
   take(now: Milliseconds): Milliseconds | undefined {
     this.refill(now)
-    const isDue = this.readAt > now
-    if (this.left < 1 || isDue) return undefined
-    this.left -= 1
-    this.readAt = Math.max(now, this.readAt + READ_SPACING_MILLISECONDS)
-    return this.readAt - now
+    const isScheduled = this.lastReadAt > now
+    if (this.available < 1 || isScheduled) return undefined
+    this.available -= 1
+    this.lastReadAt = Math.max(now, this.lastReadAt + READ_SPACING_MILLISECONDS)
+    return this.lastReadAt - now
   }
 
   private refill(now: Milliseconds): void {
-    const won = (now - this.countedAt) / READ_REFILL_MILLISECONDS
-    this.left = Math.min(READ_BURST, this.left + won)
-    this.countedAt = now
+    const refilled = (now - this.refilledAt) / READ_REFILL_MILLISECONDS
+    this.available = Math.min(READ_BURST, this.available + refilled)
+    this.refilledAt = now
   }
 }
--- a/packages/decisions/src/placing/originReplicas.ts
+++ b/packages/decisions/src/placing/originReplicas.ts
@@ -1,42 +1,57 @@
 /**
- * Which instances remember where a stream began?
+ * Decides which instances remember the origin of a stream: the service and software version that
+ * began it.
  *
- * Load pattern: an instance ends right after the first event, often together with others of its failure domain, and the callers of
- * its streams come back elsewhere at once.
+ * Load pattern: an instance crashes right after a stream's first event, often together with others
+ * of its failure domain, and the callers of its streams reconnect to other instances at once. If
+ * none of these finds the origin, the stream cannot be resumed while endpoints of several software
+ * versions serve.
  *
- * Rendezvous over the stream's key: whoever is asked to go on finds the keepers without a word from the one that has ended, and
- * an instance that comes or goes moves only its own keys. The first two lie in different failure domains where there are two.
+ * Inputs: the stream's key, the other instances with their failure domains, and the streams a
+ * second that begin at this instance.
  *
- * Limits: each stream costs a datagram for each keeper while versions are mixed, so the number of keepers falls with the streams
- * that begin here, down to three; who asks need not know it.
+ * Rendezvous hashing over the stream's key selects the replicas: an instance that is asked to
+ * resume a stream finds them without a message from the instance that crashed, and an instance that
+ * joins or leaves moves only its own keys. The first two replicas are in different failure domains
+ * where there are two.
+ *
+ * Limits: each stream costs a datagram for each replica while software versions are mixed, so the
+ * number of replicas falls with the rate of streams that begin here, down to
+ * `MINIMUM_ORIGIN_REPLICAS`. An instance that looks for the origin need not know that number.
  */
 
 import { rendezvousOrder } from '../choosing/rendezvous.js'
 
-/** An instance that may keep. */
+/** An instance that may remember the origin of a stream. */
 export interface OriginReplica {
   readonly instance: string
   readonly failureDomain: string
 }
 
-/** Instances that are told of one stream at least, */
+/** Least number of instances that a stream's origin is sent to. */
 export const MINIMUM_ORIGIN_REPLICAS = 3
-/** and at the most: nearly all streams are found then where most of a fleet ends at once. */
+/**
+ * Largest number of instances that a stream's origin is sent to: with so many, nearly all streams
+ * are found when most of a fleet crashes at once.
+ */
 const MAXIMUM_ORIGIN_REPLICAS = 8
-/** Bytes a second in which an instance tells more than the least number of keepers. */
+/** Bytes a second that an instance may send for replicas beyond the least number. */
 const REPLICATION_BYTES_PER_SECOND = 6_000
-/** The news of one stream with the head of its datagram. */
-const NEWS_BYTES = 120
+/** Size of the message on one stream, including the header of its datagram. */
+const MESSAGE_BYTES = 120
 
-/** How many instances are told of a stream, by the streams that begin here in a second. */
+/**
+ * Returns how many instances a stream's origin is sent to, by the streams that begin here in a
+ * second.
+ */
 export function originReplicaCount(streamsPerSecond: number): number {
-  const borne = Math.floor(
-    REPLICATION_BYTES_PER_SECOND / (NEWS_BYTES * Math.max(1, streamsPerSecond)),
+  const affordable = Math.floor(
+    REPLICATION_BYTES_PER_SECOND / (MESSAGE_BYTES * Math.max(1, streamsPerSecond)),
   )
-  return Math.min(MAXIMUM_ORIGIN_REPLICAS, Math.max(MINIMUM_ORIGIN_REPLICAS, borne))
+  return Math.min(MAXIMUM_ORIGIN_REPLICAS, Math.max(MINIMUM_ORIGIN_REPLICAS, affordable))
 }
 
-/** All candidates, those that keep a stream first. */
+/** Returns all candidates, the replicas of a stream first. */
 export function rankOriginReplicas<Candidate extends OriginReplica>(
   key: string,
   candidates: readonly Candidate[],
--- a/packages/decisions/src/placing/recordInterval.ts
+++ b/packages/decisions/src/placing/recordInterval.ts
@@ -1,39 +1,43 @@
 /**
- * How often does an instance record what it spent of a holding?
+ * Decides how often an instance records what it has spent of a holding.
  *
- * Load pattern: hundreds of instances, dozens of budgets, and a dozen instances that hold tokens. What is
- * not recorded is hidden at a death and unknown to the others, so records come as often as the store
- * takes them from all holders together. Reckoned by all instances that serve anybody, a holding would be
- * recorded so rarely that the tokens which a refused caller wants lie with others whose rows are seconds old.
+ * Load pattern: hundreds of instances, dozens of budgets, and a dozen instances that hold tokens.
+ * Spending that is not recorded is lost at a crash and unknown to other instances, so records are
+ * written as often as the store accepts them from all holders together. If all serving instances
+ * counted as holders, a holding would be recorded so rarely that the tokens which a refused caller
+ * needs would be at instances whose rows are seconds old.
  *
- * Limits: all records together take part of the store's writes, those of one budget part of what its
- * partition takes; the rest is for requests that cannot be covered without a write.
+ * Inputs: the numbers of recorded holdings, and the writes a second that the store accepts; the
+ * result is in milliseconds.
+ *
+ * Limits: all records together use a part of the store's writes, and those of one budget a part of
+ * what its partition accepts. The rest is for requests that cannot be covered without a write.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** Holdings that are recorded, by all instances together. */
+/** Numbers of holdings that all instances together record. */
 export interface RecordedHoldings {
   readonly inAll: number
-  /** Of the budget that most instances hold. */
+  /** Holdings of the budget that the most instances hold. */
   readonly inOneBudget: number
 }
 
-/** Writes a second that the store takes, in all and for one partition; from the settings. */
+/** Writes a second that the store accepts, in all and for one partition; from the settings. */
 export interface RecordBounds {
   readonly writesPerSecond: number
   readonly partitionWritesPerSecond: number
 }
 
-/** Least time between two records of one holding. */
+/** Shortest time between two records of one holding. */
 const SHORTEST_RECORD_MILLISECONDS = 500
 /** Share of the store's writes that periodic records may take. */
 const RECORD_SHARE = 0.3
 
-/** Time between two records of one holding. */
+/** Returns the time between two records of one holding. */
 export function recordInterval(holdings: RecordedHoldings, bounds: RecordBounds): Milliseconds {
   const { writesPerSecond, partitionWritesPerSecond } = bounds
-  const all = (holdings.inAll * 1000) / (RECORD_SHARE * writesPerSecond)
-  const one = (holdings.inOneBudget * 1000) / (RECORD_SHARE * partitionWritesPerSecond)
-  return Math.max(SHORTEST_RECORD_MILLISECONDS, all, one)
+  const fleetInterval = (holdings.inAll * 1000) / (RECORD_SHARE * writesPerSecond)
+  const budgetInterval = (holdings.inOneBudget * 1000) / (RECORD_SHARE * partitionWritesPerSecond)
+  return Math.max(SHORTEST_RECORD_MILLISECONDS, fleetInterval, budgetInterval)
 }
--- a/packages/decisions/src/placing/silenceDetector.ts
+++ b/packages/decisions/src/placing/silenceDetector.ts
@@ -1,41 +1,50 @@
 /**
- * Which instances have fallen silent, so that no caller is sent to them?
+ * Decides which instances are silent, so that no caller is sent to them.
  *
- * Load pattern: all instances lose power and start within a second of each other. In a large fleet a
- * sign of life takes seconds to come round, so each has heard one or two of the others when callers ask
- * it for addresses. Taking all the others for silent, each would name itself alone, and each of them become a
- * holder of every budget.
+ * Load pattern: all instances lose power and start within a second of each other. In a large fleet
+ * a heartbeat takes seconds to reach all instances, so each has heard one or two of the others when
+ * callers ask it for addresses. An instance that took all others for silent would name only itself,
+ * and each instance would become a holder of every budget.
  *
- * So an instance counts as silent only after this one has listened for it for as long as silence takes to
- * notice: either it was heard and then no more, or nothing came in all that time.
+ * So an instance counts as silent only after this one has listened for it for as long as silence
+ * takes to be noticed: either it was heard before and no more, or nothing was heard in all that
+ * time.
+ *
+ * Inputs: the instances, whether each was heard lately, and monotonic times in milliseconds.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** Remembers since when each instance is listened for, and which were heard. */
+/**
+ * Remembers since when this instance listens for each other one, and which of them it has heard.
+ */
 export class SilenceDetector {
-  /** By instance: monotonic time at which listening began, long ago where it was heard since. */
+  /**
+   * By instance: monotonic time at which listening began; negative infinity once the instance was
+   * heard.
+   */
   private awaitedSince: ReadonlyMap<string, Milliseconds> = new Map()
 
   /**
-   * Of the instances those that have not fallen silent; `hears` tells whether one was heard within
-   * `patience`, and `now` is monotonic. An instance that is no longer named is forgotten.
+   * Returns the instances that are not silent. `isHeardOf` returns whether an instance was heard
+   * within `patience`, and `now` is monotonic. An instance that is missing from `instances` is
+   * forgotten.
    */
   selectNonSilent<Instance extends { readonly instance: string }>(
     instances: readonly Instance[],
-    hears: (instance: Instance) => boolean,
+    isHeardOf: (instance: Instance) => boolean,
     now: Milliseconds,
     patience: Milliseconds,
   ): readonly Instance[] {
     const awaitedSince = new Map<string, Milliseconds>()
-    const audible = instances.filter(each => {
-      const since = this.awaitedSince.get(each.instance) ?? now
-      const isHeard = hears(each)
-      // Who was heard once is silent as soon as it is heard no more.
-      awaitedSince.set(each.instance, isHeard ? Number.NEGATIVE_INFINITY : since)
+    const nonSilent = instances.filter(candidate => {
+      const since = this.awaitedSince.get(candidate.instance) ?? now
+      const isHeard = isHeardOf(candidate)
+      // An instance that was heard before is silent as soon as it is heard no more.
+      awaitedSince.set(candidate.instance, isHeard ? Number.NEGATIVE_INFINITY : since)
       return isHeard || now - since < patience
     })
     this.awaitedSince = awaitedSince
-    return audible
+    return nonSilent
   }
 }
