--- a/packages/decisions/src/choosing/endpointAdvice.ts
+++ b/packages/decisions/src/choosing/endpointAdvice.ts
@@ -1,79 +1,84 @@
 /**
- * What does an endpoint say of itself in the head of an answer, beside the answer? Three things bear on what it is sent
- * next: a rate that it takes from the whole fleet, that it leaves, and that it wants rest from whom it turned away.
+ * Reads what an endpoint says of itself in the header fields of an answer. Three statements affect
+ * what it is sent next: the rate that it accepts from the whole fleet, that it is leaving, and for
+ * how long an instance whose request it rejected should send it nothing (a rest).
  *
- * Load pattern: an endpoint in need goes on answering, and says what it bears only there: no row tells it, and while
- * the store is away no row tells anything.
+ * Load pattern: an overloaded endpoint goes on answering and says only there what it can take. No
+ * row contains it, and while the store is out of reach rows do not change at all.
  *
- * Limits: text that is no rate, no time and no plain yes changes nothing that was known, and is told as a fault. What is
- * asked for is bounded: nobody may shut a fleet out of an endpoint for longer than its operator allows.
+ * Inputs: the text of the header fields, the wall-clock time in Unix milliseconds, and the longest
+ * rest that the operator allows, in milliseconds. Results are requests a second and milliseconds.
+ *
+ * Limits: text that is not a rate, a time or a plain yes changes nothing that was known and is
+ * reported as a fault. A rest is bounded, and so is the interval between requests that a rate
+ * implies: an endpoint must not exclude the whole fleet for longer than its operator allows.
  */
 
 import type { EndpointStart, Milliseconds } from '@rackwalk/shared'
 
-/** A rate as it stands in a head. */
+/** A rate, as it stands in a header field. */
 interface RateHeader {
   readonly text: string
-  /** Seconds in which so many requests are taken. */
+  /** Length of the window to which the number of requests applies, in seconds. */
   readonly windowSeconds: number
 }
 
-/** What stands in the head of an answer, translated from the names that a platform gives it. */
+/** Header fields of an answer, mapped from the names that a platform gives them. */
 export interface AdviceHeaders {
-  /** All that bound the requests of the whole fleet; empty where none is named. */
+  /** All rates for requests of the whole fleet; empty where the answer names none. */
   readonly rates: readonly RateHeader[]
   readonly leaving: string | undefined
-  /** Only where the answer turns the request away: seconds, or a date. */
+  /** Seconds or a date; only where the answer rejects the request. */
   readonly rest: string | undefined
 }
 
-/** A rate that an answer names: requests a second, that it names none, or that it can't be read. */
+/** Requests a second that an answer names, or that it names none or an unreadable one. */
 type AdvertisedRate = number | 'none' | 'unreadable'
 
-/** Fields that can't be read. */
+/** Fields that cannot be read. */
 type UnreadableField = 'rate' | 'leaving' | 'rest'
 
 /** What one answer says of its endpoint. */
 export interface EndpointAdvice {
   readonly rate: AdvertisedRate
   readonly isLeaving: boolean
-  /** Undefined where it asks for no rest. */
+  /** How long to send nothing to the endpoint; undefined where it asks for no rest. */
   readonly restMilliseconds: Milliseconds | undefined
   readonly faults: readonly UnreadableField[]
 }
 
-/** What instances tell each other of a start of an endpoint. */
+/** Advice of an endpoint's start, as instances gossip it. */
 export interface AdviceGossip {
   readonly start: EndpointStart
-  /** Requests a second that it takes; absent where it names no rate any more. */
+  /** Requests a second that the endpoint accepts; absent where it no longer names a rate. */
   readonly requestsPerSecond?: number
-  /** Whether it said that it leaves, which holds until its end. */
+  /** Whether the endpoint said that it is leaving, which holds until it ends. */
   readonly isLeaving?: boolean
-  /** Time since an answer said so. */
+  /** Time since the answer that said so. */
   readonly ageMilliseconds: Milliseconds
 }
 
-/** What an answer is read with. */
+/** What is needed to interpret an answer. */
 export interface AdviceContext {
-  /** Unix milliseconds, against which a date counts. */
+  /** Unix milliseconds, to which a date is compared. */
   readonly wallTime: Milliseconds
-  /** No endpoint is left alone for longer than this by its own word. */
+  /** Longest time for which an endpoint may ask to be sent nothing. */
   readonly longestRestMilliseconds: Milliseconds
 }
 
-/** An answer that says nothing. */
+/** An answer without advice. */
 export const NO_ADVICE_HEADERS: AdviceHeaders = { rates: [], leaving: undefined, rest: undefined }
 
 const SECOND_MILLISECONDS: Milliseconds = 1_000
-/** Longer text is no number and no date. */
-const LONGEST_TEXT = 64
+/** Longest text that is parsed; a number or a date is never longer. */
+const MAXIMUM_TEXT_LENGTH = 64
 const DECIMAL_PATTERN = /^\d+(?:\.\d+)?$/
 /** `Sun, 06 Nov 1994 08:49:37 GMT`, the one form of a date that a sender may use. */
 const DATE_PATTERN = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/
 const YES = new Set(['1', 'true'])
 const NO = new Set(['0', 'false'])
 
-/** Reads what an answer says of its endpoint. */
+/** Parses what an answer says of its endpoint. */
 export function parseAdvice(texts: AdviceHeaders, context: AdviceContext): EndpointAdvice {
   const rate = readRates(texts.rates, context)
   const isLeaving = readYesOrNo(texts.leaving)
@@ -90,7 +95,10 @@
   }
 }
 
-/** The strictest of several; a field that names several at once may mean any of them. */
+/**
+ * Returns the strictest of several rates; a field that contains several at once may mean any of
+ * them.
+ */
 function readRates(rates: readonly RateHeader[], context: AdviceContext): AdvertisedRate {
   if (rates.length === 0) return 'none'
   const read = rates.flatMap(({ text, windowSeconds }) =>
@@ -98,7 +106,8 @@
   )
   const strictest = Math.min(...read)
   if (!Number.isFinite(strictest)) return 'unreadable'
-  // Somebody has to ask again, or it never becomes known that the endpoint takes more.
+  // A rate below this floor would mean that no request is ever sent, so no instance would learn
+  // that the endpoint accepts more again.
   return Math.max(strictest, SECOND_MILLISECONDS / context.longestRestMilliseconds)
 }
 
@@ -114,22 +123,22 @@
 ): Milliseconds | 'unreadable' | undefined {
   if (text === undefined) return undefined
   const seconds = readDecimal(text.trim())
-  const wished =
+  const requested =
     seconds === undefined ? readDate(text.trim()) - wallTime : seconds * SECOND_MILLISECONDS
-  if (Number.isNaN(wished)) return 'unreadable'
-  return Math.min(longestRestMilliseconds, Math.max(0, wished))
+  if (Number.isNaN(requested)) return 'unreadable'
+  return Math.min(longestRestMilliseconds, Math.max(0, requested))
 }
 
 function readDecimal(text: string): number | undefined {
-  return text.length <= LONGEST_TEXT && DECIMAL_PATTERN.test(text) ? Number(text) : undefined
+  return text.length <= MAXIMUM_TEXT_LENGTH && DECIMAL_PATTERN.test(text) ? Number(text) : undefined
 }
 
-/** Not a number where the text is no date. */
+/** Returns NaN where the text is not a date. */
 function readDate(text: string): Milliseconds {
   return DATE_PATTERN.test(text) ? Date.parse(text) : Number.NaN
 }
 
-/** The advice in words, for lines of the log; undefined where there is none. */
+/** Returns the advice as text for log lines; undefined where there is none. */
 export function adviceText({
   rate,
   isLeaving,
--- a/packages/decisions/src/choosing/endpointReachability.ts
+++ b/packages/decisions/src/choosing/endpointReachability.ts
@@ -1,53 +1,68 @@
 /**
- * Does this instance reach an endpoint, a failure domain, a service at all?
+ * Decides whether this instance can reach an endpoint's failure domain, or a service at all.
  *
- * Load pattern: an instance loses its links to endpoints while callers, peers and the store go on reaching it. Each of its
- * requests tries one endpoint after the other and is refused, though other instances serve the same requests at that moment. Connections that were
- * open may live on, so that answers prove nothing; only a new connection that comes up or does not says something of a link.
+ * Load pattern: an instance loses its links to endpoints while callers, peers and the store still
+ * reach it. Each of its requests tries one endpoint after the other and is then refused, although
+ * other instances serve the same requests at that moment. Connections that were open before may
+ * live on, so answers prove nothing; only the outcome of a new connection says something about a
+ * link.
  *
- * | new connections                                                       | unreached                  |
- * | --------------------------------------------------------------------- | -------------------------- |
- * | the newest to one endpoint did not come up                            | nothing: it may have ended |
- * | the newest to two of a failure domain, and none came up there since   | the failure domain         |
- * | the newest to three of a service, and none came up anywhere since     | the service: it is cut off |
+ * | newest connections to                                      | unreachable                    |
+ * | ---------------------------------------------------------- | ------------------------------ |
+ * | one endpoint failed                                        | none: the endpoint may be down |
+ * | two of a failure domain failed, none succeeded there since | the failure domain             |
+ * | three of a service failed, none succeeded since            | the service: it is cut off     |
  *
  * Where there are fewer endpoints than that, all have to fail.
  *
- * Limits: endpoints that are all gone look alike from here, so the belief leads to another instance that reaches them, and
- * never says of an endpoint that it has ended. It is forgotten unless new failures renew it: somebody has to check.
+ * Inputs: for each endpoint its failure domain and the monotonic times, in milliseconds, at which a
+ * new connection last succeeded and last failed.
+ *
+ * Limits: endpoints that are all down look the same from here. So the result only leads to another
+ * instance that may reach them, and never counts as a sign that an endpoint has ended. It expires
+ * unless new failures renew it, so links have to be probed.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** What new connections to one endpoint have shown; times are monotonic. */
+/** Outcomes of new connections to one endpoint; times are monotonic. */
 export interface EndpointLink {
   readonly failureDomain: string
-  /** When one came up last; long ago where none did. */
+  /** When a connection last succeeded; negative infinity if never. */
   readonly connectedAt: Milliseconds
-  /** When one last did not come up. */
+  /** When a connection last failed; negative infinity if never. */
   readonly failedAt: Milliseconds
 }
 
-/** A failure says something of a link for so long: three checks may be lost. */
+/** Time for which a failure counts; up to three probes may be lost in it. */
 const FAILURE_TTL_MILLISECONDS: Milliseconds = 2_000
-/** Endpoints of a failure domain that fail with it, */
-const FAILURES_IN_DOMAIN = 2
-/** and of a service: in a large one several may end at the same time. */
-const FAILURES_IN_SERVICE = 3
-/** Links that one check looks at: enough to show that a service is cut off. */
+/** Endpoints of a failure domain that have to fail for the domain to count as unreachable. */
+const DOMAIN_FAILURE_THRESHOLD = 2
+/**
+ * Endpoints of a service that have to fail for the service to count as unreachable: in a large
+ * service several endpoints may end at the same time.
+ */
+const SERVICE_FAILURE_THRESHOLD = 3
+/** Links that are probed at once: enough to show that a service is unreachable. */
 const PROBED_LINKS = 4
 
-/** Whether the newest connection to an endpoint did not come up a moment ago. */
+/** Whether the newest connection to an endpoint failed a moment ago. */
 function hasFailed({ connectedAt, failedAt }: EndpointLink, now: Milliseconds): boolean {
   return failedAt > connectedAt && now - failedAt < FAILURE_TTL_MILLISECONDS
 }
 
-/** Whether an instance reaches no endpoint of a service, given the links to all that may take requests. */
+/**
+ * Whether this instance reaches no endpoint of a service, given the links to all that may take
+ * requests.
+ */
 export function isServiceUnreachable(links: readonly EndpointLink[], now: Milliseconds): boolean {
-  return areUnreachable(links, FAILURES_IN_SERVICE, now)
+  return areUnreachable(links, SERVICE_FAILURE_THRESHOLD, now)
 }
 
-/** The links of a service that are lost with their failure domain or all together, those that were not tried included. */
+/**
+ * Returns the links of a service that are unreachable with their failure domain or all together,
+ * including links that were not tried.
+ */
 export function unreachableLinks<Link extends EndpointLink>(
   links: readonly Link[],
   now: Milliseconds,
@@ -55,28 +70,29 @@
   if (isServiceUnreachable(links, now)) return new Set(links)
   const failed = links.filter(link => hasFailed(link, now))
   const domains = new Set(failed.map(({ failureDomain }) => failureDomain))
-  const lost = [...domains].flatMap(domain => {
+  const unreachable = [...domains].flatMap(domain => {
     const inDomain = links.filter(({ failureDomain }) => failureDomain === domain)
-    const isDomain = inDomain.length >= FAILURES_IN_DOMAIN
-    return isDomain && areUnreachable(inDomain, FAILURES_IN_DOMAIN, now) ? inDomain : []
+    const hasEnoughLinks = inDomain.length >= DOMAIN_FAILURE_THRESHOLD
+    return hasEnoughLinks && areUnreachable(inDomain, DOMAIN_FAILURE_THRESHOLD, now) ? inDomain : []
   })
-  return new Set(lost)
+  return new Set(unreachable)
 }
 
 function areUnreachable(
   links: readonly EndpointLink[],
-  needed: number,
+  threshold: number,
   now: Milliseconds,
 ): boolean {
   if (links.length === 0) return false
-  const newest = Math.max(...links.map(({ connectedAt }) => connectedAt))
-  const failures = links.filter(link => hasFailed(link, now) && link.failedAt > newest)
-  return failures.length >= Math.min(needed, links.length)
+  const newestConnectedAt = Math.max(...links.map(({ connectedAt }) => connectedAt))
+  const failures = links.filter(link => hasFailed(link, now) && link.failedAt > newestConnectedAt)
+  return failures.length >= Math.min(threshold, links.length)
 }
 
 /**
- * The links to check after a failure, spread over failure domains: first those that were not seen to fail, since one that
- * comes up tells the end of an endpoint from a cut. `chance` in [0, 1) spreads instances over the endpoints.
+ * Returns the links to probe after a failure, spread over failure domains. Links that did not fail
+ * come first, since a connection that succeeds tells the end of one endpoint from a cut. `chance`
+ * in [0, 1) spreads instances over the endpoints.
  */
 export function linksToProbe<Link extends EndpointLink>(
   links: readonly Link[],
@@ -84,15 +100,15 @@
   chance: number,
 ): readonly Link[] {
   const offset = Math.floor(chance * links.length)
-  const turned = [...links.slice(offset), ...links.slice(0, offset)]
-  const sound = turned.filter(link => !hasFailed(link, now))
-  const failed = turned.filter(link => hasFailed(link, now))
-  const seen = new Map<string, number>()
-  const placed = [...sound, ...failed].map(link => {
-    const place = seen.get(link.failureDomain) ?? 0
-    seen.set(link.failureDomain, place + 1)
-    return { link, place }
+  const rotated = [...links.slice(offset), ...links.slice(0, offset)]
+  const notFailed = rotated.filter(link => !hasFailed(link, now))
+  const failed = rotated.filter(link => hasFailed(link, now))
+  const countByDomain = new Map<string, number>()
+  const ranked = [...notFailed, ...failed].map(link => {
+    const rankInDomain = countByDomain.get(link.failureDomain) ?? 0
+    countByDomain.set(link.failureDomain, rankInDomain + 1)
+    return { link, rankInDomain }
   })
-  placed.sort((left, right) => left.place - right.place)
-  return placed.slice(0, PROBED_LINKS).map(({ link }) => link)
+  ranked.sort((left, right) => left.rankInDomain - right.rankInDomain)
+  return ranked.slice(0, PROBED_LINKS).map(({ link }) => link)
 }
--- a/packages/decisions/src/choosing/rateQuota.ts
+++ b/packages/decisions/src/choosing/rateQuota.ts
@@ -1,23 +1,31 @@
 /**
- * How much of a rate that the whole fleet has to keep may this instance use at one endpoint?
+ * Decides how much of a rate that the whole fleet has to keep this instance may use at one
+ * endpoint.
  *
- * Load pattern: an endpoint that has just started, or returned, is empty and so looks best to every instance at once,
- * and bears only a few requests a second; one in need names what it bears in its answers. The instances that choose may
- * be cut from each other and from the store at that moment. A weight, as proxies use for slow start, bounds nothing
- * then, and a rate that each instance keeps to by itself is exceeded as many times as there are instances.
+ * Load pattern: an endpoint that has just started, or returned, is empty and so looks best to every
+ * instance at once, but can take only a few requests a second; an overloaded endpoint names the
+ * rate that it can take in its answers. At that moment the instances may be cut off from each other
+ * and from the store. A weight, as proxies use for slow start, bounds nothing then, and a rate that
+ * each instance keeps by itself is exceeded as many times as there are instances.
  *
- * So the rate is given out beforehand: a few instances hold a licence for each start of the endpoint, the first ones in
- * an order by hash over all instances that are recorded, whether or not they are heard at present, those to which callers
- * come before the others. Each licence is a whole request a second or more. Nothing is asked and nothing told, so the sum holds while all are cut off from each
- * other.
+ * So the rate is divided beforehand: for each start of an endpoint a few instances hold a quota.
+ * They are the first ones in an order by hash over all recorded instances, whether or not these are
+ * heard from at present; instances with callers come before the others. Each quota is a whole
+ * request a second or more. No message is needed, so the sum holds while all instances are cut off
+ * from each other.
  *
- * Somebody has to go on asking an endpoint that named a rate, or nobody learns that it takes more again. Those that hold
- * a licence may be dead, or get no callers. So where nothing is heard of the endpoint, the next in the order may ask,
- * each a while after the one before it.
+ * Requests have to go on to an endpoint that named a rate, or no instance would learn that it can
+ * take more again. The holders of quotas may have crashed, or get no callers. So while no answer or
+ * gossip about the endpoint arrives, further instances of the order may send to it, each
+ * `SUBSTITUTE_AFTER_MILLISECONDS` after the one before it.
  *
- * Limits: licences add up to what the endpoint bears, and the bound that callers' operators set lies above that; the
- * difference covers instances that know of others a moment earlier or later, and those that stand in. Who is not yet
- * recorded, or does not know the others yet, has no licence. What is not licensed goes to other endpoints.
+ * Inputs: the rate in requests a second, the recorded instances and, in milliseconds, the time
+ * since an answer or gossip about the endpoint last arrived.
+ *
+ * Limits: quotas add up to what the endpoint can take, and the bound that operators of callers set
+ * is higher than that; the difference covers instances that learn of others a moment earlier or
+ * later, and substitutes. An instance that is not recorded yet, or does not know the others yet,
+ * has no quota. Requests beyond the quota go to other endpoints.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -25,45 +33,52 @@
 
 /** How the endpoints of a service warm up; from the configuration. */
 export interface WarmUpBounds {
-  /** Requests a second that a cold endpoint bears from the whole fleet. */
+  /** Requests a second that a cold endpoint can take from the whole fleet. */
   readonly requestsPerSecond: number
-  /** How long an endpoint stays cold after a start. */
+  /** Time after a start for which an endpoint is cold. */
   readonly durationMilliseconds: Milliseconds
 }
 
-/** What one instance may send to one endpoint: so many requests in any window of this length. */
+/** Requests that one instance may send to one endpoint in any window of this length. */
 export interface RateQuota {
   readonly requests: number
   readonly windowMilliseconds: Milliseconds
 }
 
-/** What each of the instances that hold a licence may send, and how many hold one. */
+/** The quota of each holder, and the number of holders. */
 export interface RateShares {
   readonly holders: number
   readonly quota: RateQuota
 }
 
-/** Bounds are reckoned by the second. */
+/** Rates are in requests a second. */
 const SECOND_MILLISECONDS: Milliseconds = 1_000
-/** Requests that one licence allows in its window at the most: the sends to an endpoint are remembered one by one. */
+/**
+ * Largest number of requests in one quota's window, since each send to an endpoint is remembered.
+ */
 const MAXIMUM_QUOTA_REQUESTS = 32
-/** Time without a word of an endpoint after which one more instance may ask it. */
+/**
+ * Time without answers or gossip about an endpoint after which one more instance may send to it.
+ */
 const SUBSTITUTE_AFTER_MILLISECONDS: Milliseconds = 4_000
-/** What an instance that stands in may send. */
+/** Quota of a substitute. */
 const SUBSTITUTE_QUOTA: RateQuota = {
   requests: 1,
   windowMilliseconds: SUBSTITUTE_AFTER_MILLISECONDS,
 }
 
-/** What an endpoint that rested is sent from each instance until it has taken something: requests that waited come all at once. */
+/**
+ * Quota of each instance for an endpoint after its rest, until the endpoint has accepted a request:
+ * requests that waited for the end of the rest are sent all at once.
+ */
 export const RECOVERY_QUOTA: RateQuota = { requests: 1, windowMilliseconds: 500 }
 
-/** How a rate is given out among so many recorded instances; at least one. */
+/** Divides a rate among recorded instances; there is at least one holder. */
 export function divideRate(requestsPerSecond: number, instances: number): RateShares {
   const holders = Math.max(1, Math.min(instances, Math.floor(requestsPerSecond)))
-  const whole = Math.max(1, Math.floor(requestsPerSecond / holders))
-  const requests = Math.min(MAXIMUM_QUOTA_REQUESTS, whole)
-  const shortest = (SECOND_MILLISECONDS * requests) / whole
+  const requestsPerHolder = Math.max(1, Math.floor(requestsPerSecond / holders))
+  const requests = Math.min(MAXIMUM_QUOTA_REQUESTS, requestsPerHolder)
+  const shortest = (SECOND_MILLISECONDS * requests) / requestsPerHolder
   const windowMilliseconds = Math.max(
     shortest,
     (SECOND_MILLISECONDS * requests * holders) / requestsPerSecond,
@@ -71,16 +86,16 @@
   return { holders, quota: { requests, windowMilliseconds } }
 }
 
-/** An instance, as the store has it. */
+/** An instance, as recorded in the store. */
 export interface RecordedInstance {
   readonly instance: string
-  /** Whether callers come to it, by its own row. */
+  /** Whether the instance has callers, by its own row. */
   readonly isWorking: boolean
 }
 
 /**
- * Place of an instance among all that are recorded, in the order that belongs to one start of an endpoint; 0 is first.
- * Undefined where it is not among them.
+ * Returns the rank of an instance among all recorded ones, in the order that belongs to one start
+ * of an endpoint; 0 is first. Undefined where the instance is not recorded.
  */
 export function quotaRank(
   instance: string,
@@ -98,8 +113,8 @@
 }
 
 /**
- * What an instance at this place may send where nothing was heard of the endpoint for so long; undefined where it may
- * send nothing.
+ * Returns the quota of an instance at this rank while no answer or gossip about the endpoint
+ * arrived for `silenceMilliseconds`; undefined where it may send nothing.
  */
 export function quotaAtRank(
   rank: number,
@@ -107,6 +122,6 @@
   silenceMilliseconds: Milliseconds,
 ): RateQuota | undefined {
   if (rank < holders) return quota
-  const standIns = Math.floor(silenceMilliseconds / SUBSTITUTE_AFTER_MILLISECONDS)
-  return rank < holders + standIns ? SUBSTITUTE_QUOTA : undefined
+  const substitutes = Math.floor(silenceMilliseconds / SUBSTITUTE_AFTER_MILLISECONDS)
+  return rank < holders + substitutes ? SUBSTITUTE_QUOTA : undefined
 }
--- a/packages/decisions/src/choosing/rejectionQuota.ts
+++ b/packages/decisions/src/choosing/rejectionQuota.ts
@@ -1,50 +1,63 @@
 /**
- * May a request be sent to an endpoint that may turn it away, where the endpoint bears only few that it turns away?
+ * Decides whether a request may be sent to an endpoint that may reject it, where the endpoint can
+ * take only a few rejections.
  *
- * Load pattern: an endpoint in need falls over where it has to turn away more than so many requests in a second, and says
- * so in its answers. Callers press, each instance sees a free place that the others see as well, and what is turned away is
- * tried at the next endpoint, which is full too.
+ * Load pattern: an overloaded endpoint fails once it has to reject more than some number of
+ * requests in a second, and names that number in its answers. Under load each instance sees a free
+ * slot that the others see as well, and rejected requests are tried at the next endpoint, which is
+ * full too.
  *
- * | places in use, by all that is known | sent                                                              |
- * | ----------------------------------- | ----------------------------------------------------------------- |
- * | fewer than three quarters           | as to any other                                                   |
- * | more                                | within this instance's part of half of what may be turned away    |
+ * | slots known to be in use  | requests are sent                              |
+ * | ------------------------- | ---------------------------------------------- |
+ * | fewer than three quarters | as to any other endpoint                       |
+ * | more                      | within this instance's quota of half the limit |
  *
- * The part is a licence as for a named rate: the sum of all licences holds while instances can't hear each other.
+ * The quota is divided as that of a named rate (`rateQuota.ts`): the sum of all quotas holds while
+ * instances cannot communicate.
  *
- * Limits: what others have sent in the last milliseconds is not known, so the quarter that is left and the other half of
- * the bound cover what is sent at the same moment. An endpoint that gives away more places than it says is not protected.
+ * Inputs: the rejections a second that the endpoint names, its slots and running requests, and the
+ * recorded instances.
+ *
+ * Limits: an instance does not know what others have sent in the last milliseconds, so the
+ * remaining quarter of the slots and the other half of the limit cover requests that are sent at
+ * the same moment. An endpoint that assigns more slots than it reports is not protected.
  */
 
 import { quotaAtRank, quotaRank, divideRate } from './rateQuota.js'
 import type { RateQuota, RecordedInstance } from './rateQuota.js'
 
-/** An endpoint as full as this may turn the next request away. */
+/** An endpoint with this share of its slots in use may reject the next request. */
 const SAFE_SHARE = 0.75
-/** Part of the bound that is given out. */
+/** Part of the rejection limit that is divided into quotas. */
 const DISTRIBUTED_SHARE = 0.5
 const COUNT_PATTERN = /^\d{1,9}$/
 
-/** Requests that an endpoint bears to turn away in a second, as an answer names them; undefined where it names none. */
+/**
+ * Parses the rejections a second that an endpoint can take, as an answer names them; undefined
+ * where the text names none.
+ */
 export function parseRejectionLimit(text: string | undefined): number | undefined {
   const value = text?.trim() ?? ''
   return COUNT_PATTERN.test(value) ? Number(value) : undefined
 }
 
-/** Whether an endpoint with so many places in use may turn a request away. */
+/** Whether an endpoint with `running` of its `slots` in use may reject a request. */
 export function isNearlyFull(running: number, slots: number): boolean {
   return running >= Math.max(1, Math.floor(slots * SAFE_SHARE))
 }
 
-/** What one instance may send in spite of that; undefined where it may send nothing. */
+/**
+ * Returns the quota of requests that one instance may send to a nearly full endpoint; undefined
+ * where it may send none.
+ */
 export function rejectionQuota(
-  turnAwaysPerSecond: number,
+  rejectionsPerSecond: number,
   instance: string,
   recorded: readonly RecordedInstance[],
   start: string,
 ): RateQuota | undefined {
   const rank = quotaRank(instance, recorded, start)
-  const risked = turnAwaysPerSecond * DISTRIBUTED_SHARE
-  if (rank === undefined || risked === 0) return undefined
-  return quotaAtRank(rank, divideRate(risked, recorded.length), 0)
+  const distributed = rejectionsPerSecond * DISTRIBUTED_SHARE
+  if (rank === undefined || distributed === 0) return undefined
+  return quotaAtRank(rank, divideRate(distributed, recorded.length), 0)
 }
--- a/packages/decisions/src/choosing/rendezvous.ts
+++ b/packages/decisions/src/choosing/rendezvous.ts
@@ -1,10 +1,10 @@
-/** Choices that instances make alike without a word between them, by hashing. */
+/** Choices that all instances make the same way without communication, by hashing. */
 
 import { hash } from 'node:crypto'
 
 /**
- * Rendezvous (highest random weight) hashing: every instance that knows the same
- * candidates picks the same one, and a candidate that leaves moves only its own keys.
+ * Orders candidates by rendezvous (highest random weight) hashing: every instance that knows the
+ * same candidates picks the same one first, and a candidate that leaves moves only its own keys.
  * The choice is for efficiency; two instances that choose differently do no harm.
  */
 export function rendezvousOrder<Candidate extends string>(
@@ -17,19 +17,19 @@
     .map(({ candidate }) => candidate)
 }
 
-/** Weights a memory keeps at the most: more than there are instances in a region. */
-const REMEMBERED_WEIGHTS = 2_000
+/** Largest number of weights that are cached: more than there are instances in a region. */
+const CACHED_WEIGHTS = 2_000
 
 /**
- * Weights of candidates under one key, each hashed once: hashing all of them at each look is a large part of what an
- * idle instance computes.
+ * Caches the weights of candidates under one key, each hashed once: hashing all of them for each
+ * comparison would be a large part of what an idle instance computes.
  */
 export class RendezvousWeights {
   private readonly weights = new Map<string, string>()
 
   constructor(private readonly key: string) {}
 
-  /** Orders as `rendezvousOrder` does: negative where `left` comes first. */
+  /** Compares as `rendezvousOrder` orders: negative where `left` comes first. */
   compare(left: string, right: string): number {
     return compareWeights(this.weightOf(right), this.weightOf(left))
   }
@@ -37,14 +37,14 @@
   private weightOf(candidate: string): string {
     const known = this.weights.get(candidate)
     if (known !== undefined) return known
-    if (this.weights.size >= REMEMBERED_WEIGHTS) this.weights.clear()
+    if (this.weights.size >= CACHED_WEIGHTS) this.weights.clear()
     const weight = weightOf(this.key, candidate)
     this.weights.set(candidate, weight)
     return weight
   }
 }
 
-/** The candidate that the key belongs to, if there is any candidate. */
+/** Returns the candidate that the key belongs to; undefined where there are no candidates. */
 export function rendezvousChoice<Candidate extends string>(
   key: string,
   candidates: readonly Candidate[],
@@ -60,7 +60,9 @@
   return best
 }
 
-/** One call is cheaper than a hash object, and each choice weighs all candidates. */
+/**
+ * Uses the one-shot `hash`, which is cheaper than a hash object; each choice weighs all candidates.
+ */
 function weightOf(key: string, candidate: string): string {
   return hash('sha1', `${key}\0${candidate}`, 'hex')
 }
--- a/packages/decisions/src/choosing/sendRefusal.ts
+++ b/packages/decisions/src/choosing/sendRefusal.ts
@@ -1,30 +1,36 @@
 /**
- * Why may an endpoint that is listed and has room be sent nothing from here now, and when should a caller come back who
- * was refused since it holds for all of them?
+ * States why an endpoint that is listed and has room may be sent nothing by this instance now, and
+ * selects when a caller should retry that was refused because this applies to all endpoints.
  *
- * Load pattern: a few endpoints of a service say what they bear, and while they are sent nothing, or refuse at once, they
- * look best to every choice. A request that waits for one of them, or is sent to find out, is lost for its caller.
+ * Load pattern: a few endpoints of a service say what they can take. While nothing is sent to them,
+ * or while they reject at once, they look best to every choice. A request that waits for one of
+ * them, or that is sent to find out, is lost for its caller.
+ *
+ * Inputs: the refusals of all endpoints, with their waits in milliseconds.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** What an endpoint has said, or what it is, that forbids to send it something. */
+/** What forbids sending to an endpoint. */
 type SendRefusalKind =
-  /** It is warming up, and this instance may send it no more for now. */
+  /** The endpoint is warming up, and this instance's quota for it is used up. */
   | 'cold'
-  /** It turned this instance away and asked for rest, or rested a moment ago and is asked little at first. */
+  /**
+   * The endpoint rejected a request of this instance and asked for rest, or its rest ended a moment
+   * ago and it is sent little at first.
+   */
   | 'rest'
-  /** It named a rate, of which this instance has no part left. */
+  /** The endpoint named a rate, and this instance's quota of it is used up. */
   | 'rate'
 
 /** Why an endpoint may be sent nothing now. */
 export interface SendRefusal {
   readonly kind: SendRefusalKind
-  /** Time until it may, as far as this instance can tell. */
+  /** Time until the endpoint may be sent something, as far as this instance knows. */
   readonly waitMilliseconds: Milliseconds
 }
 
-/** The refusal that is over first; undefined where there is none. */
+/** Returns the refusal that ends first; undefined where there is none. */
 export function soonestRefusal(refusals: readonly SendRefusal[]): SendRefusal | undefined {
   let soonest: SendRefusal | undefined
   for (const refusal of refusals) {
--- a/packages/decisions/src/choosing/slowness.ts
+++ b/packages/decisions/src/choosing/slowness.ts
@@ -1,24 +1,33 @@
 /**
- * How slow is an endpoint beside the others of its service?
+ * Decides how slow an endpoint is relative to the others of its service.
  *
- * Load pattern: endpoints of unlike speed, or one that turns slow. What counts is the pace of answers
- * at their quickest, when nothing is read beside them, so that load does not look like slowness.
+ * Load pattern: endpoints of different speed, or one that becomes slow. What counts is the interval
+ * between an answer's events at its shortest, when no prompt is read concurrently, so that load
+ * does not look like slowness. Without this factor, a slow endpoint would get as many requests as a
+ * fast one with the same load.
+ *
+ * Inputs: intervals in milliseconds an event; the result is a factor.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 import { trackQuantile } from './trackQuantile.js'
 
-/** Part of the endpoints that are quicker than the usual one: most may be slow for a while. */
-const QUICKER_SHARE = 0.25
+/**
+ * Share of the endpoints that are faster than the baseline; most endpoints may be slow for a while.
+ */
+const BASELINE_QUANTILE = 0.25
 
 /**
- * Weights of a pace that is slower than the one known, and of one that is quicker. Readings beside a
- * stream slow most of its paces, so the known pace follows the quickest tenth or so. An endpoint with
- * five streams a second that turns slow is known to be so in about two seconds.
+ * Weights of an interval that is longer than the known one, and of one that is shorter. Prefill
+ * beside a stream lengthens most of its intervals, so the known value follows about the shortest
+ * tenth. An endpoint with five streams a second that becomes slow is known to be so in about two
+ * seconds.
  */
 const INTERVAL_WEIGHTS = { above: 0.03, below: 0.3 }
 
-/** The pace to believe in after one more was observed; milliseconds an event. */
+/**
+ * Returns the estimate of an endpoint's interval after one more observation; milliseconds an event.
+ */
 export function nextEventInterval(
   known: Milliseconds | undefined,
   observed: Milliseconds,
@@ -26,17 +35,19 @@
   return trackQuantile(known, observed, INTERVAL_WEIGHTS)
 }
 
-/** The pace of a usual endpoint among these; undefined where none is known. */
-export function baselineEventInterval(paces: readonly Milliseconds[]): Milliseconds | undefined {
-  const sorted = [...paces].sort((left, right) => left - right)
-  return sorted[Math.floor(QUICKER_SHARE * sorted.length)]
+/** Returns the interval of a usual endpoint among these; undefined where none is known. */
+export function baselineEventInterval(
+  intervals: readonly Milliseconds[],
+): Milliseconds | undefined {
+  const sorted = [...intervals].sort((left, right) => left - right)
+  return sorted[Math.floor(BASELINE_QUANTILE * sorted.length)]
 }
 
-/** How many times as long as usual an endpoint takes; 1 for one that is quick or unknown. */
+/** Returns how many times as long as usual an endpoint takes; 1 for one that is fast or unknown. */
 export function slownessFactor(
-  pace: Milliseconds | undefined,
-  usual: Milliseconds | undefined,
+  interval: Milliseconds | undefined,
+  baseline: Milliseconds | undefined,
 ): number {
-  if (pace === undefined || usual === undefined || usual <= 0) return 1
-  return Math.max(1, pace / usual)
+  if (interval === undefined || baseline === undefined || baseline <= 0) return 1
+  return Math.max(1, interval / baseline)
 }
--- a/packages/decisions/src/choosing/trackQuantile.ts
+++ b/packages/decisions/src/choosing/trackQuantile.ts
@@ -1,15 +1,16 @@
 /**
- * Which value do scattered observations point to, when the larger or the smaller ones count more? An
- * average with unlike weights follows a quantile, keeps one number, and forgets what is long past.
+ * Estimates a quantile of scattered observations. A moving average that gives unequal weights to
+ * larger and smaller observations follows a quantile, keeps one number, and forgets old
+ * observations.
  */
 
-/** Weights of observations above the value known and below it, each in (0, 1]. */
+/** Weights of observations above the known value and below it, each in (0, 1]. */
 export interface QuantileWeights {
   readonly above: number
   readonly below: number
 }
 
-/** The value to believe in after one more observation; the first one is believed as it is. */
+/** Returns the estimate after one more observation; the first observation is returned as it is. */
 export function trackQuantile(
   known: number | undefined,
   observed: number,
