--- a/packages/decisions/__tests__/activeInstances.spec.ts
+++ b/packages/decisions/__tests__/activeInstances.spec.ts
@@ -11,7 +11,7 @@
   return { instance, failureDomain, ...rest, ...more }
 }
 
-/** So many instances in each of three failure domains. */
+/** Returns `inDomain` instances in each of three failure domains. */
 function fleet(inDomain: number, more: Partial<ActiveCandidate> = {}): ActiveCandidate[] {
   return ['a', 'b', 'c'].flatMap(domain =>
     Array.from({ length: inDomain }, (_, index) => candidate(`${domain}-${index}`, domain, more)),
@@ -22,24 +22,24 @@
   return chosen.map(({ instance }) => instance).sort()
 }
 
-describe('the instances that take callers', () => {
-  it('are the least of each failure domain while there is little load', () => {
+describe('the active instances', () => {
+  it('are the least number in each failure domain while there is little load', () => {
     const chosen = chooseActive(fleet(10), 0, BOUNDS)
     const domains = chosen.map(({ failureDomain }) => failureDomain).sort()
     expect(domains).toEqual(['a', 'a', 'b', 'b', 'c', 'c'])
   })
 
-  it('bear the load with headroom, evenly over failure domains', () => {
+  it('can take the load with headroom, evenly over failure domains', () => {
     const chosen = chooseActive(fleet(10), 240, BOUNDS)
     expect(chosen.length).toBe(12)
     expect(chosen.filter(({ failureDomain }) => failureDomain === 'a').length).toBe(4)
   })
 
-  it('are all where the load asks for more than there are', () => {
+  it('are all instances where the load needs more than there are', () => {
     expect(chooseActive(fleet(3), 10_000, BOUNDS).length).toBe(9)
   })
 
-  it('are the ones that bear most', () => {
+  it('are the ones with the largest capacity', () => {
     const large = [
       candidate('large-1', 'a', { capacity: 200 }),
       candidate('large-2', 'a', { capacity: 200 }),
@@ -49,13 +49,13 @@
     expect(chosen.filter(({ failureDomain }) => failureDomain === 'a').length).toBe(2)
   })
 
-  it('are not those that more callers come to than they can bear, while others are as strong', () => {
+  it('are not overloaded ones while others have the same capacity', () => {
     const [first = ''] = names(chooseActive(fleet(6), 0, BOUNDS))
-    const crowded = fleet(6).map(member =>
+    const withOverloaded = fleet(6).map(member =>
       member.instance === first ? { ...member, requestsPerSecond: 85 } : member,
     )
-    expect(names(chooseActive(crowded, 0, BOUNDS))).not.toContain(first)
-    const all = names(chooseActive(crowded, 10_000, BOUNDS))
+    expect(names(chooseActive(withOverloaded, 0, BOUNDS))).not.toContain(first)
+    const all = names(chooseActive(withOverloaded, 10_000, BOUNDS))
     expect(all).toContain(first)
   })
 
--- a/packages/decisions/__tests__/budgetSharers.spec.ts
+++ b/packages/decisions/__tests__/budgetSharers.spec.ts
@@ -1,14 +1,14 @@
 import { describe, expect, it } from 'vitest'
 import { demandValidSince, budgetLenders, budgetSharers } from '@rackwalk/decisions'
 
-/** Who shares a budget, and who is asked for tokens. */
+/** Which instances share a budget, and which are asked for tokens. */
 
 describe('the sharers of a budget', () => {
-  it('are those that serve callers and those whose rows tell of demand, each once', () => {
+  it('are those that serve callers and those whose rows show demand, each once', () => {
     expect(budgetSharers(['a', 'b'], ['b', 'c'])).toEqual(['a', 'b', 'c'])
   })
 
-  it('tell of demand for 15 s, and never before a time of the store is known', () => {
+  it('count by the demand in their rows for 15 s, and never before a time of the store is known', () => {
     expect([demandValidSince(20_000), demandValidSince(undefined)]).toEqual([5_000, Infinity])
   })
 })
--- a/packages/decisions/__tests__/endpointAdvice.spec.ts
+++ b/packages/decisions/__tests__/endpointAdvice.spec.ts
@@ -17,7 +17,7 @@
 }
 
 describe('what an endpoint says of itself in an answer', () => {
-  it('is nothing where its head has none of the fields', () => {
+  it('is nothing where the answer has none of the header fields', () => {
     const advice = read({})
     expect(advice).toEqual({
       rate: 'none',
@@ -28,7 +28,7 @@
     expect(adviceText(advice)).toBeUndefined()
   })
 
-  it('is a rate, in whatever window it is counted, and the strictest of several', () => {
+  it('is a rate, for any window, and the strictest of several', () => {
     const texts = [
       '1.3',
       '20',
@@ -68,7 +68,7 @@
     expect(read({ rates: several }).rate).toBe(4)
   })
 
-  it('is that it leaves, by a plain yes alone', () => {
+  it('is that it is leaving, by a plain yes only', () => {
     const texts = ['1', 'true', '0', 'false', 'soon', '']
     const table = texts.map(leaving => `${leaving}: ${adviceText(read({ leaving })) ?? '-'}`)
     expect(table).toMatchInlineSnapshot(`
@@ -83,7 +83,7 @@
     `)
   })
 
-  it('is a rest, in seconds or until a date, never longer than is allowed', () => {
+  it('is a rest, in seconds or until a date, up to the longest one allowed', () => {
     const rests = [
       '3',
       '0.25',
@@ -115,7 +115,7 @@
     `)
   })
 
-  it('is bounded and never throws, whatever stands there', () => {
+  it('is bounded and never throws, for any text', () => {
     const anyText = fc.oneof(
       fc.string(),
       fc.constantFrom('9'.repeat(100_000), 'x'.repeat(100_000)),
--- a/packages/decisions/__tests__/endpointChoice.spec.ts
+++ b/packages/decisions/__tests__/endpointChoice.spec.ts
@@ -2,7 +2,7 @@
 import { rankEndpoints } from '@rackwalk/decisions'
 import type { EndpointSnapshot } from '@rackwalk/decisions'
 
-/** Which endpoint gets a request: scores in prompt tokens, the smallest wins. */
+/** Which endpoint gets a request: scores are in prompt tokens, and the smallest wins. */
 
 const IDLE: EndpointSnapshot = {
   id: 'idle',
@@ -63,10 +63,10 @@
     )
   })
 
-  it('takes a shared prompt to the same endpoint, whatever the chance', () => {
+  it('sends a shared prompt to the same endpoint, whatever the chance', () => {
     const open = ['a', 'b', 'c'].map(id => endpoint(id, {}))
-    const favourites = [0, 0.4, 0.8].map(chance => rank(open, 'manual-1', chance).split(' ')[0])
-    expect(new Set(favourites).size).toBe(1)
+    const chosen = [0, 0.4, 0.8].map(chance => rank(open, 'manual-1', chance).split(' ')[0])
+    expect(new Set(chosen).size).toBe(1)
   })
 
   it('spreads requests over endpoints that are alike', () => {
--- a/packages/decisions/__tests__/endpointReachability.spec.ts
+++ b/packages/decisions/__tests__/endpointReachability.spec.ts
@@ -5,7 +5,7 @@
 const NOW = 10_000
 const LONG_AGO = Number.NEGATIVE_INFINITY
 
-/** `+` came up, `-` did not, `.` was never tried; a letter names the failure domain. */
+/** `+` succeeded, `-` failed, `.` was never tried; the letter is the failure domain. */
 function linksOf(text: string): readonly (EndpointLink & { name: string })[] {
   return text.split(' ').map((name, index) => ({
     name,
@@ -15,12 +15,12 @@
   }))
 }
 
-function unreachedOf(text: string, now = NOW): string {
+function unreachableOf(text: string, now = NOW): string {
   return [...unreachableLinks(linksOf(text), now)].map(({ name }) => name).join(' ') || 'none'
 }
 
-describe('the links that an instance takes for lost', () => {
-  it('are those of a failure domain or a service to which nothing comes up', () => {
+describe('the links that an instance considers unreachable', () => {
+  it('are those of a failure domain or a service to which no new connection succeeds', () => {
     const cases = [
       'a- a. a. b+ b+ c+',
       'a- a- a. b+ b+ c+',
@@ -33,7 +33,7 @@
       'a- b+',
       'a-',
     ]
-    expect(cases.map(text => `${text} => ${unreachedOf(text)}`)).toMatchInlineSnapshot(`
+    expect(cases.map(text => `${text} => ${unreachableOf(text)}`)).toMatchInlineSnapshot(`
       [
         "a- a. a. b+ b+ c+ => none",
         "a- a- a. b+ b+ c+ => a- a- a.",
@@ -49,25 +49,25 @@
     `)
   })
 
-  it('are forgotten unless a new failure renews the belief', () => {
-    expect(unreachedOf('a- a- a-', NOW + 1_800)).toBe('a- a- a-')
-    expect(unreachedOf('a- a- a-', NOW + 2_000)).toBe('none')
+  it('expire unless a new failure renews them', () => {
+    expect(unreachableOf('a- a- a-', NOW + 1_800)).toBe('a- a- a-')
+    expect(unreachableOf('a- a- a-', NOW + 2_000)).toBe('none')
   })
 
-  it('are none where a connection came up after the failures, whichever endpoint took it', () => {
+  it('are none where a connection succeeded after the failures, to whichever endpoint', () => {
     const failed = linksOf('a- b- c-')
     const recovered = { failureDomain: 'c', connectedAt: NOW, failedAt: LONG_AGO, name: 'c+' }
     expect(isServiceUnreachable(failed, NOW)).toBe(true)
     expect(isServiceUnreachable([...failed, recovered], NOW)).toBe(false)
   })
 
-  it('are no links where a service has no endpoint', () => {
+  it('are none where a service has no endpoint', () => {
     expect(isServiceUnreachable([], NOW)).toBe(false)
     expect(unreachableLinks([], NOW).size).toBe(0)
   })
 })
 
-describe('the links that are checked after a failure', () => {
+describe('the links that are probed after a failure', () => {
   it('are spread over failure domains, those that did not fail first', () => {
     const chosen = linksToProbe(linksOf('a- a. a. b. b. c- c.'), NOW, 0)
     expect(chosen.map(({ name }) => name)).toMatchInlineSnapshot(`
--- a/packages/decisions/__tests__/fleetSharers.spec.ts
+++ b/packages/decisions/__tests__/fleetSharers.spec.ts
@@ -2,7 +2,9 @@
 import { partitionSafeShareCount, recordInterval, fleetShareCount } from '@rackwalk/decisions'
 import type { FleetUsage } from '@rackwalk/decisions'
 
-/** Among how many a bound of the fleet is divided, and how often holdings are recorded. */
+/**
+ * Among how many instances a bound of the fleet is divided, and how often holdings are recorded.
+ */
 
 const CASES: readonly (readonly [string, FleetUsage])[] = [
   ['a single instance', { isSelfUsing: true, usingOthers: 0, others: 0 }],
@@ -15,7 +17,7 @@
 describe('a bound of the whole fleet', () => {
   it('is divided among those that use it', () => {
     const shares = CASES.map(
-      ([name, use]) => `${name}: ${fleetShareCount(use)}, ${partitionSafeShareCount(use)}`,
+      ([name, usage]) => `${name}: ${fleetShareCount(usage)}, ${partitionSafeShareCount(usage)}`,
     )
     expect(shares).toMatchInlineSnapshot(`
       [
@@ -28,13 +30,14 @@
     `)
   })
 
-  it('is never used in more than whole by those that use it and one that begins', () => {
+  it('is not exceeded by the instances that use it, and hardly by one that begins to', () => {
     const users = 13
-    const using =
+    const usedShare =
       users / fleetShareCount({ isSelfUsing: true, usingOthers: users - 1, others: 194 })
-    const beginner = 1 / fleetShareCount({ isSelfUsing: false, usingOthers: users, others: 194 })
-    expect(using).toBeLessThanOrEqual(1)
-    expect(beginner).toBeLessThan(0.01)
+    const newUserShare =
+      1 / fleetShareCount({ isSelfUsing: false, usingOthers: users, others: 194 })
+    expect(usedShare).toBeLessThanOrEqual(1)
+    expect(newUserShare).toBeLessThan(0.01)
   })
 })
 
--- a/packages/decisions/__tests__/holdingPolicy.spec.ts
+++ b/packages/decisions/__tests__/holdingPolicy.spec.ts
@@ -2,15 +2,15 @@
 import { DemandHoldingPolicy } from '@rackwalk/decisions'
 import type { BudgetView } from '@rackwalk/decisions'
 
-/** A budget of 100,000 tokens of which three others hold as much as this instance. */
+/** A budget of 100,000 tokens of which this instance and three others hold 20,000 each. */
 function view(more: Partial<BudgetView>): BudgetView {
   const others = [1, 2, 3].map(() => ({ unspent: 20_000, demandPerSecond: 0 }))
   const known = { free: 20_000, ownUnspent: 20_000, ownDemandPerSecond: 0, others }
   return { ...known, isStandby: false, largestRequest: 0, ...more }
 }
 
-/** The others ask for so many tokens a second together. */
-function askingOthers(perSecond: number): BudgetView['others'] {
+/** The other instances have this demand in tokens a second together. */
+function othersWithDemand(perSecond: number): BudgetView['others'] {
   return [1, 2, 3].map(() => ({ unspent: 20_000, demandPerSecond: perSecond / 3 }))
 }
 
@@ -21,14 +21,14 @@
   ['all demand here, plenty, on standby', { ownDemandPerSecond: 1_000, isStandby: true }],
   ['all demand here, scarce', { ownDemandPerSecond: 10_000 }],
   ['all demand here, scarce, on standby', { ownDemandPerSecond: 10_000, isStandby: true }],
-  ['all demand elsewhere, plenty', { others: askingOthers(1_000) }],
-  ['all demand elsewhere, scarce', { others: askingOthers(10_000) }],
-  ['all demand elsewhere, on standby', { others: askingOthers(1_000), isStandby: true }],
+  ['all demand elsewhere, plenty', { others: othersWithDemand(1_000) }],
+  ['all demand elsewhere, scarce', { others: othersWithDemand(10_000) }],
+  ['all demand elsewhere, on standby', { others: othersWithDemand(1_000), isStandby: true }],
   ['large requests, scarce', { ownDemandPerSecond: 10_000, largestRequest: 8_000 }],
 ]
 
 describe('DemandHoldingPolicy', () => {
-  it('holds by demand, evenly while nobody asks, and next to nothing ahead of demand on standby', () => {
+  it('holds by demand, evenly without demand, and nothing ahead of demand on standby', () => {
     const policy = new DemandHoldingPolicy()
     const table = CASES.map(([name, more]) => {
       const seen = view(more)
--- a/packages/decisions/__tests__/readingHarm.spec.ts
+++ b/packages/decisions/__tests__/readingHarm.spec.ts
@@ -7,7 +7,7 @@
   prefillInterference,
 } from '@rackwalk/decisions'
 
-/** What reading a prompt costs streams, in prompt tokens, and when it counts. */
+/** The cost of prefill for concurrent streams, in prompt tokens, and when it counts. */
 
 const FULL = { stretch: 1, room: 1 }
 const IDLE = { running: 0, pendingTokens: 0, uncachedTokens: 0, recentTokens: 0, slowness: 1 }
@@ -25,8 +25,8 @@
     ['the endpoint is slow', { running: 10, uncachedTokens: 9_000, slowness: 2 }, 300],
     ['long prompts were read and the answer is long', { recentTokens: 6_000 }, 300],
     ['long prompts were read and the answer is short', { recentTokens: 6_000 }, 30],
-  ] as const)('where %s', (_, place, answerTokens) => {
-    expect(prefillInterference({ ...IDLE, ...place }, answerTokens, FULL)).toMatchSnapshot()
+  ] as const)('where %s', (_, endpoint, answerTokens) => {
+    expect(prefillInterference({ ...IDLE, ...endpoint }, answerTokens, FULL)).toMatchSnapshot()
   })
 
   it.each([
@@ -37,13 +37,13 @@
     ['too long while three of four read', [9_000, 9_000, 9_000, 0], 1.2],
     ['too long while all read', [9_000, 9_000, 9_000, 9_000], 1.2],
   ] as const)('counts where pauses are %s', (_, pending, stretch) => {
-    const places = pending.map(pendingTokens => ({ pendingTokens }))
-    expect(interferenceWeights(places, stretch)).toMatchSnapshot()
+    const endpoints = pending.map(pendingTokens => ({ pendingTokens }))
+    expect(interferenceWeights(endpoints, stretch)).toMatchSnapshot()
   })
 
-  it('is never negative, nor more than all streams and what was read lately are worth', () => {
+  it('is never negative, nor more than the cost of all streams and of what was read lately', () => {
     const tokens = fc.integer({ min: 0, max: 100_000 })
-    const place = fc.record({
+    const endpoint = fc.record({
       running: fc.integer({ min: 0, max: 200 }),
       pendingTokens: tokens,
       uncachedTokens: tokens,
@@ -51,7 +51,7 @@
       slowness: fc.double({ min: 1, max: 10, noNaN: true }),
     })
     fc.assert(
-      fc.property(place, tokens, (known, answerTokens) => {
+      fc.property(endpoint, tokens, (known, answerTokens) => {
         const harm = prefillInterference(known, answerTokens, FULL)
         expect(harm).toBeGreaterThanOrEqual(0)
         expect(harm).toBeLessThanOrEqual(1_181 * known.running + 2 * known.recentTokens)
@@ -61,11 +61,11 @@
 })
 
 describe('how far long prompts stretch pauses', () => {
-  it('is told by pauses beside long prompts only', () => {
+  it('is observed in pauses beside long prompts only', () => {
     expect([0, 5_999, 6_000].map(isDuringLongPrefill)).toEqual([false, false, true])
   })
 
-  it('follows the longest tenth, and settles whatever it began with', () => {
+  it('follows the longest tenth, and converges from any first value', () => {
     const observed = [0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1, 1.1, 1.2, 1.3]
     const settle = (first: number) => {
       let known: number | undefined = first
--- a/packages/decisions/__tests__/rebalanceTolerance.spec.ts
+++ b/packages/decisions/__tests__/rebalanceTolerance.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { rebalanceTolerance } from '@rackwalk/decisions'
 
-/** A budget of which one instance holds all, with so many seconds left at its demand. */
+/** A budget of which one instance holds all, and which lasts `seconds` at its demand. */
 function viewOf(seconds: number) {
   return {
     free: 0,
--- a/packages/decisions/__tests__/rejectionQuota.spec.ts
+++ b/packages/decisions/__tests__/rejectionQuota.spec.ts
@@ -3,8 +3,8 @@
 
 const INSTANCES = ['one', 'two', 'three'].map(instance => ({ instance, isWorking: true }))
 
-describe('an endpoint that bears few requests that it turns away', () => {
-  it('names them by a whole number, and nothing else is one', () => {
+describe('an endpoint that can take few rejections', () => {
+  it('names its limit by a whole number, and other text is no limit', () => {
     const texts = ['6', ' 12 ', '0', '', '-1', '1.5', 'many', undefined]
     expect(texts.map(parseRejectionLimit)).toEqual([
       6,
@@ -18,7 +18,7 @@
     ])
   })
 
-  it('may turn one away where three quarters of its places are in use', () => {
+  it('may reject a request where three quarters of its slots are in use', () => {
     const cases = [
       [5, 8],
       [6, 8],
@@ -37,12 +37,12 @@
     ])
   })
 
-  it('is sent no more at that risk by all instances together than half of what it bears', () => {
+  it('is sent, while nearly full, no more by all instances together than half of its limit', () => {
     for (const bound of [1, 2, 5, 6, 40]) {
-      const licences = INSTANCES.flatMap(({ instance }) => {
+      const quotas = INSTANCES.flatMap(({ instance }) => {
         return rejectionQuota(bound, instance, INSTANCES, 'start') ?? []
       })
-      const perSecond = licences.reduce((sum, { requests, windowMilliseconds }) => {
+      const perSecond = quotas.reduce((sum, { requests, windowMilliseconds }) => {
         return sum + (requests * 1_000) / windowMilliseconds
       }, 0)
       expect(perSecond).toBeLessThanOrEqual(bound / 2 + 1e-9)
--- a/packages/decisions/__tests__/relays.spec.ts
+++ b/packages/decisions/__tests__/relays.spec.ts
@@ -2,30 +2,30 @@
 import { chooseRelayPeer, relayOutcomeText, relayStep } from '@rackwalk/decisions'
 import type { RelayCandidate, RelayOutcome } from '@rackwalk/decisions'
 
-const SOUND: RelayCandidate = {
+const NEAR: RelayCandidate = {
   instance: 'near',
   failureDomain: 'own',
   isCutOff: false,
   isOverloaded: false,
 }
-const FAR = { ...SOUND, instance: 'far', failureDomain: 'other' }
-const BUSY = { ...SOUND, instance: 'busy', isOverloaded: true }
-const CUT = { ...SOUND, instance: 'cut', isCutOff: true }
+const FAR = { ...NEAR, instance: 'far', failureDomain: 'other' }
+const BUSY = { ...NEAR, instance: 'busy', isOverloaded: true }
+const CUT = { ...NEAR, instance: 'cut', isCutOff: true }
 
 function chosen(candidates: readonly RelayCandidate[], chance = 0): string | undefined {
   return chooseRelayPeer(candidates, 'own', chance)?.instance
 }
 
 describe('the instance that takes a request of one that is cut off', () => {
-  it('is near, reaches endpoints, and bears what it gets, as far as there is one', () => {
-    expect(chosen([CUT, BUSY, FAR, SOUND])).toBe('near')
+  it('is in the same failure domain, reaches endpoints and is not overloaded, as far as there is one', () => {
+    expect(chosen([CUT, BUSY, FAR, NEAR])).toBe('near')
     expect(chosen([CUT, BUSY, FAR])).toBe('far')
     expect(chosen([CUT, BUSY])).toBe('busy')
     expect(chosen([CUT])).toBeUndefined()
   })
 
   it('is any of equals', () => {
-    const equals = ['one', 'two'].map(instance => ({ ...SOUND, instance }))
+    const equals = ['one', 'two'].map(instance => ({ ...NEAR, instance }))
     expect([0, 0.4, 0.5, 0.99].map(chance => chosen(equals, chance))).toEqual([
       'one',
       'one',
@@ -35,8 +35,8 @@
   })
 })
 
-const ONCE = { isIdempotent: false, isStreaming: false, isResumable: false }
-const AGAIN = { ...ONCE, isIdempotent: true }
+const NOT_REPEATABLE = { isIdempotent: false, isStreaming: false, isResumable: false }
+const REPEATABLE = { ...NOT_REPEATABLE, isIdempotent: true }
 
 const OUTCOMES: readonly RelayOutcome[] = [
   { kind: 'not-sent' },
@@ -46,20 +46,20 @@
   { kind: 'failed', reason: 'ECONNRESET' },
 ]
 
-describe('after a request was handed to another instance', () => {
-  it('nobody says that it has not run where one that it was sent to said nothing', () => {
+describe('after a request was relayed to another instance', () => {
+  it('the caller is not told that it has not run where an instance that it was sent to gave no answer', () => {
     const outcomes = [OUTCOMES[4], OUTCOMES[1]].flatMap(outcome => outcome ?? [])
-    expect(relayStep(outcomes, AGAIN, false)).toBe('give-up')
-    expect(relayStep(outcomes.slice(1), AGAIN, false)).toBe('pass-on')
+    expect(relayStep(outcomes, REPEATABLE, false)).toBe('give-up')
+    expect(relayStep(outcomes.slice(1), REPEATABLE, false)).toBe('pass-on')
   })
 
   it('one more is asked only where the request did not run, or may run twice', () => {
     const rows = OUTCOMES.map(outcome => {
       const steps = [
-        relayStep([outcome], ONCE, true),
-        relayStep([outcome], AGAIN, true),
-        relayStep([outcome], AGAIN, false),
-        relayStep([{ kind: 'not-sent' }, outcome], AGAIN, true),
+        relayStep([outcome], NOT_REPEATABLE, true),
+        relayStep([outcome], REPEATABLE, true),
+        relayStep([outcome], REPEATABLE, false),
+        relayStep([{ kind: 'not-sent' }, outcome], REPEATABLE, true),
       ]
       return `${relayOutcomeText(outcome)}: ${steps.join(', ')}`
     })
