--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,41 +1,45 @@
-/** Time as an interface, so that tests and simulations can drive it. Owns no timers itself. */
+/** Time as an interface, so that tests and simulations can control it. */
 
 import { uptime } from 'node:os'
 import type { Milliseconds } from './quantities.js'
 
-/** A pending timer; cancelling one that fired is harmless. */
+/** A pending timer; cancelling one that has fired has no effect. */
 export interface Timer {
   cancel(): void
 }
 
 /**
- * Time as the decisions see it. Whatever orders or expires something uses one of the two that never go back, since a wall
- * clock that is set back would revive what had expired. They differ where the machine was suspended.
+ * Sources of time. Code that orders or expires something uses `monotonic` or `sinceStart`, which
+ * never go back: a wall clock that is set back would revive what had expired. The two differ where
+ * the machine was suspended.
  */
 export interface Clock {
   /**
-   * Milliseconds since an arbitrary start, without the time of suspensions. For whatever allows more the longer it takes:
-   * spending, retries, sends to an endpoint that warms up.
+   * Milliseconds since an arbitrary start, not counting suspensions of the machine. For whatever
+   * allows more as time passes: spending, retries, requests to an endpoint that is warming up.
    */
   monotonic(): Milliseconds
   /**
-   * The same with the time of suspensions, whatever is done to the time of day. For whatever must not be believed or
-   * awaited for too long: ages of rows, leases, deadlines.
+   * Milliseconds since an arbitrary start, counting suspensions, whatever is done to the time of
+   * day. For whatever must not be trusted or awaited for too long: ages of rows, leases, deadlines.
    */
   sinceStart(): Milliseconds
   /** Milliseconds since 1970, for records that people read. */
   wallTime(): Milliseconds
-  /** Runs once the delay has passed by `monotonic`, never earlier. */
+  /** Calls `run` once the delay has passed by `monotonic`, never earlier. */
   after(delay: Milliseconds, run: () => void): Timer
 }
 
-/** Where a clock reads time. */
+/** Where a clock reads time from. */
 export interface TimeSources {
-  /** Never goes back, and stands still while the machine is suspended. */
+  /** Never goes back, and stops while the machine is suspended. */
   steady(): Milliseconds
-  /** Goes on while the machine is suspended; may be set forward or back. */
+  /** Continues while the machine is suspended; may be set forward or back. */
   timeOfDay(): Milliseconds
-  /** Goes on while the machine is suspended, and is never set; costs more than the others. */
+  /**
+   * Continues while the machine is suspended, and is never set; a read costs more than one of the
+   * others.
+   */
   sinceBoot(): Milliseconds
 }
 
@@ -48,26 +52,27 @@
 }
 
 /**
- * By so much more than the steady clock the time of day must have moved between two looks for a suspension: no
- * slewing of the time of day does that, and nothing that ages here is meant to be exact to half a second.
+ * The time of day must have advanced by this much more than the steady clock between two reads for
+ * a suspension to be assumed. Slewing of the time of day never does that, and no age here needs to
+ * be exact to half a second.
  */
 const SUSPENSION_MILLISECONDS: Milliseconds = 500
 
 /**
- * The clock of the process. The steady clock of Node.js doesn't count suspensions. The time of day goes on in one, but also
- * jumps where somebody sets it, so the time since boot tells which of the two it was; it is asked only then, since it is read
- * from the system.
+ * The clock of the process. The steady clock of Node.js does not count suspensions. The time of day
+ * continues during one, but also jumps when it is set, so the time since boot tells the two cases
+ * apart. It is read only after a jump, since reading it is a system call.
  */
 export class SystemClock implements Clock {
   private suspended: Milliseconds = 0
-  /** The time of day, less the steady clock, at the last look. */
-  private lead: Milliseconds
-  /** The time since boot, less the steady clock, at the last jump of the time of day. */
-  private bootLead: Milliseconds
+  /** The time of day minus the steady clock, at the last read. */
+  private dayTimeOffset: Milliseconds
+  /** The time since boot minus the steady clock, at the last jump of the time of day. */
+  private bootTimeOffset: Milliseconds
 
   constructor(private readonly sources: TimeSources = PROCESS_TIME) {
-    this.lead = sources.timeOfDay() - sources.steady()
-    this.bootLead = sources.sinceBoot() - sources.steady()
+    this.dayTimeOffset = sources.timeOfDay() - sources.steady()
+    this.bootTimeOffset = sources.sinceBoot() - sources.steady()
   }
 
   monotonic(): Milliseconds {
@@ -76,18 +81,20 @@
 
   sinceStart(): Milliseconds {
     const steady = this.sources.steady()
-    const lead = this.sources.timeOfDay() - steady
-    const jump = lead - this.lead
-    if (jump >= SUSPENSION_MILLISECONDS) this.suspended += Math.min(jump, this.suspendedSinceJump())
-    this.lead = lead
+    const dayTimeOffset = this.sources.timeOfDay() - steady
+    const jump = dayTimeOffset - this.dayTimeOffset
+    if (jump >= SUSPENSION_MILLISECONDS) this.suspended += Math.min(jump, this.takeSuspension())
+    this.dayTimeOffset = dayTimeOffset
     return steady + this.suspended
   }
 
-  /** Time for which the machine was suspended since the time of day jumped last. */
-  private suspendedSinceJump(): Milliseconds {
-    const bootLead = this.sources.sinceBoot() - this.sources.steady()
-    const suspended = bootLead - this.bootLead
-    this.bootLead = bootLead
+  /**
+   * Returns the time for which the machine was suspended since the last jump of the time of day.
+   */
+  private takeSuspension(): Milliseconds {
+    const bootTimeOffset = this.sources.sinceBoot() - this.sources.steady()
+    const suspended = bootTimeOffset - this.bootTimeOffset
+    this.bootTimeOffset = bootTimeOffset
     return suspended >= SUSPENSION_MILLISECONDS ? suspended : 0
   }
 
@@ -102,19 +109,20 @@
   }
 }
 
-/** Node.js takes a longer time for none. */
-const LONGEST_TIMEOUT_MILLISECONDS: Milliseconds = 2 ** 31 - 1
+/** The longest delay that Node.js accepts; it fires a timer with a longer one at once. */
+const MAXIMUM_TIMEOUT_MILLISECONDS: Milliseconds = 2 ** 31 - 1
 
 /**
- * Timers of Node.js count whole milliseconds and may fire up to two early. Whoever then looks at the clock would find that
- * the time is not over yet, and take an end by its deadline for one by something else.
+ * Timers of Node.js count whole milliseconds and may fire up to two milliseconds early. Code that
+ * then read the clock would find that the deadline has not been reached, and attribute an end by
+ * deadline to another cause. So a timer that fires early waits for the rest.
  */
 class SystemTimer implements Timer {
   private handle: NodeJS.Timeout | undefined
 
   constructor(
     private readonly sources: TimeSources,
-    /** By the steady clock. */
+    /** Due time by the steady clock. */
     private readonly due: Milliseconds,
     private readonly run: () => void,
   ) {}
@@ -124,7 +132,7 @@
   }
 
   readonly wait = (): void => {
-    this.handle = setTimeout(this.fire, Math.min(this.remaining(), LONGEST_TIMEOUT_MILLISECONDS))
+    this.handle = setTimeout(this.fire, Math.min(this.remaining(), MAXIMUM_TIMEOUT_MILLISECONDS))
   }
 
   private readonly fire = (): void => {
@@ -137,7 +145,7 @@
   }
 }
 
-/** Resolves after a delay on the given clock. */
+/** Resolves after a delay by the given clock. */
 export function sleep(clock: Clock, delay: Milliseconds): Promise<void> {
   return new Promise(resolve => clock.after(delay, resolve))
 }
--- a/packages/shared/src/deferred.ts
+++ b/packages/shared/src/deferred.ts
@@ -5,7 +5,9 @@
   reject(error: Error): void
 }
 
-/** What `Promise.withResolvers` gives, which Node.js 20 does not have yet. */
+/**
+ * Returns a promise with its resolvers, as `Promise.withResolvers` does, which Node.js 20 lacks.
+ */
 export function deferred<Value>(): Deferred<Value> {
   let resolve: (value: Value) => void = () => {}
   let reject: (error: Error) => void = () => {}
--- a/packages/shared/src/errors.ts
+++ b/packages/shared/src/errors.ts
@@ -1,15 +1,15 @@
 /**
- * Errors that carry a numbered result code, in three classes: any, "not run", and "may have run".
- * Relies on the table of result codes.
+ * Errors that carry a numbered result code, in three classes: any code, codes of requests that were
+ * not run, and codes of requests that may have run.
  */
 
 import type { DispatchedCode, NotRunCode } from './resultCodes.js'
 import { RESULT_TABLE, ResultCode } from './resultCodes.js'
 
-/** An error with a numbered code; `cause` is kept for the log, never shown to callers. */
+/** An error with a numbered code; `cause` is kept for the log and never shown to callers. */
 export class RackwalkError extends Error {
   static {
-    // At the prototype, so that the stack begins with it.
+    // Set on the prototype, so that the stack begins with this name.
     RackwalkError.prototype.name = 'RackwalkError'
   }
 
@@ -17,8 +17,9 @@
 
   constructor(code: ResultCode, detail?: string, cause?: Error) {
     const { stackTraceLimit } = Error
-    // A refusal is an answer: its code says what happened, and an instance at its limit makes hundreds a second, of which
-    // a trace would take a noticeable part of the processor.
+    // Captures no stack trace for an error without a cause. Such an error is an answer whose code
+    // says what happened, and an overloaded instance creates hundreds a second; their traces would
+    // take a noticeable part of the processor.
     if (cause === undefined) Error.stackTraceLimit = 0
     super(messageOf(code, detail, cause), cause && { cause })
     Error.stackTraceLimit = stackTraceLimit
@@ -28,13 +29,14 @@
 
 function messageOf(code: ResultCode, detail?: string, cause?: Error): string {
   const { message } = RESULT_TABLE[code]
-  const own = detail ? `${message}: ${detail}` : message
-  return cause === undefined ? own : `${own}: ${cause.message}`
+  const text = detail ? `${message}: ${detail}` : message
+  return cause === undefined ? text : `${text}: ${cause.message}`
 }
 
 /**
- * Says that a request was not run. Its constructor takes only codes of that class. It is made before dispatch, or where
- * no attempt was sent or all were turned away, so that "not run" stays true.
+ * The request was not run. The constructor accepts only codes of that class. The error is created
+ * before dispatch, or where no attempt was sent or all attempts were rejected, so that "not run"
+ * stays true.
  */
 export class NotRunError extends RackwalkError {
   constructor(
@@ -46,7 +48,7 @@
   }
 }
 
-/** Says that a request reached an endpoint, or may have. */
+/** The request reached an endpoint, or may have. */
 export class DispatchedError extends RackwalkError {
   constructor(
     override readonly code: DispatchedCode,
@@ -57,7 +59,7 @@
   }
 }
 
-/** Turns whatever was thrown into a numbered error. */
+/** Converts any thrown value to a numbered error. */
 export function toRackwalkError(thrown: unknown): RackwalkError {
   if (thrown instanceof RackwalkError) return thrown
   const cause = thrown instanceof Error ? thrown : new Error(String(thrown))
--- a/packages/shared/src/groupBy.ts
+++ b/packages/shared/src/groupBy.ts
@@ -1,4 +1,4 @@
-/** Items by the key that each of them has, in the order of their first appearance. */
+/** Groups items by key, in the order in which the keys first appear. */
 export function groupBy<Item, Key>(
   items: readonly Item[],
   keyOf: (item: Item) => Key,
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package shares: ids, units, result codes, errors, time and chance. */
+/** What all packages share: ids, units, result codes, errors, time and randomness. */
 export { UNKNOWN_SOFTWARE_VERSION, asId, endpointOf, endpointStart } from './ids.js'
 export type {
   BudgetId,
--- a/packages/shared/src/quantities.ts
+++ b/packages/shared/src/quantities.ts
@@ -1,10 +1,10 @@
-/** Units of the quantities that cross module boundaries. */
+/** Units of quantities that cross module boundaries. */
 
-/** Whole model tokens, prompt and generated alike. */
+/** Whole model tokens, of prompts and of generated text alike. */
 export type TokenCount = number
-/** A duration, or a point on a clock of its own. */
+/** A duration, or a point in time on a particular clock. */
 export type Milliseconds = number
 /** A size in memory or on the wire. */
 export type Bytes = number
-/** Counts changes of one configuration or one row; greater is newer. */
+/** Number of changes of one configuration or row; a greater one is newer. */
 export type Version = number
--- a/packages/shared/src/randomSource.ts
+++ b/packages/shared/src/randomSource.ts
@@ -1,20 +1,20 @@
-/** Random choices and unique ids as an interface, so that tests and simulations can repeat a run. */
+/** Randomness and unique ids as an interface, so that tests and simulations can repeat a run. */
 
 import { randomInt, randomUUID } from 'node:crypto'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 
-/** Source of the random choices that decisions make; seeded in tests and benches. */
+/** Source of the random choices in decisions; seeded in tests and benches. */
 export interface RandomSource {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   next(): number
-  /** An identifier that no other call gives. */
+  /** Returns an identifier that no other call returns. */
   uniqueId(): string
 }
 
 const FRACTION_STEPS = 2 ** 40
 
-/** Randomness of the operating system. */
+/** Random numbers of the operating system. */
 export class SystemRandom implements RandomSource {
   next(): number {
     return randomInt(FRACTION_STEPS) / FRACTION_STEPS
@@ -25,7 +25,7 @@
   }
 }
 
-/** Repeatable randomness: the same seed gives the same sequence. */
+/** Repeatable random numbers: the same seed produces the same sequence. */
 export class SeededRandom implements RandomSource {
   private readonly generator
   private issued = 0
@@ -44,7 +44,7 @@
   }
 }
 
-/** A whole number in [0, bound). */
+/** Returns a whole number in [0, bound). */
 export function randomBelow(random: RandomSource, bound: number): number {
   return Math.floor(random.next() * bound)
 }
--- a/packages/shared/src/resultCodes.ts
+++ b/packages/shared/src/resultCodes.ts
@@ -1,7 +1,7 @@
 /**
- * Every numbered result that a caller, an operator or a log can meet. The table beside
- * the enum says whether the request ran, whether it may be repeated as it is, and after
- * how long; docs/result-codes.md is checked against it.
+ * All numbered results that may appear to a caller, an operator or in a log. The table beside the
+ * enum states whether the request ran, whether it may be repeated unchanged, and after how many
+ * seconds; docs/result-codes.md is checked against it.
  */
 export enum ResultCode {
   Ok = 0,
@@ -73,10 +73,10 @@
   Internal = 9001,
 }
 
-/** Whether a request reached an endpoint. */
+/** Whether an endpoint ran the request. */
 export type Execution = 'not-run' | 'ran' | 'unknown'
 
-/** Codes that may be given only before the first byte went to an endpoint. */
+/** Codes that may be returned only before the first byte was sent to an endpoint. */
 export type NotRunCode =
   | ResultCode.MalformedRequest
   | ResultCode.BodyTooLarge
@@ -112,7 +112,7 @@
   | ResultCode.OriginUnknown
   | ResultCode.NoEndpointOfVersion
 
-/** Codes for a request that an earlier or this attempt may have run. */
+/** Codes for a request that this or an earlier attempt may have run. */
 export type DispatchedCode =
   | ResultCode.Ok
   | ResultCode.AlreadyRan
@@ -126,10 +126,10 @@
   | ResultCode.EndpointError
   | ResultCode.EndpointBrokeOff
 
-/** What one code tells its reader. */
+/** Properties of one result code. */
 export interface ResultDescription {
   readonly httpStatus: number
-  /** Absent where no request is concerned, as in settings. */
+  /** Undefined where no request is concerned, as for settings. */
   readonly execution?: Execution
   readonly repeatable: boolean
   readonly retryAfterSeconds?: number
@@ -146,7 +146,7 @@
   return { httpStatus, execution, repeatable, message, retryAfterSeconds }
 }
 
-/** The one message table. */
+/** The message table; result messages are defined nowhere else. */
 export const RESULT_TABLE: Readonly<Record<ResultCode, ResultDescription>> = {
   [ResultCode.Ok]: row(200, 'ran', false, 'done'),
 
@@ -322,7 +322,7 @@
   [ResultCode.Internal]: row(500, undefined, false, 'internal error'),
 }
 
-/** The name of a code in the enum, for tables and metrics. */
+/** Returns the name of a code in the enum, for tables and metrics. */
 export function resultName(code: ResultCode): string {
   return ResultCode[code]
 }
--- a/packages/shared/src/task.ts
+++ b/packages/shared/src/task.ts
@@ -1,8 +1,8 @@
-/** The life of a task: it owns its sockets, timers and state between start and stop. */
+/** Lifecycle of a task, which owns its sockets, timers and state between start and stop. */
 export interface Task {
   start(): Promise<void>
-  /** Finishes what is in progress and takes nothing new. */
+  /** Finishes work in progress and accepts nothing new. */
   drain(): Promise<void>
-  /** Gives up sockets and timers at once. */
+  /** Releases sockets and timers at once. */
   stop(): Promise<void>
 }
--- a/packages/shared/src/virtualClock.ts
+++ b/packages/shared/src/virtualClock.ts
@@ -1,4 +1,6 @@
-/** A clock for tests and simulations: hours pass in milliseconds, and timers fire in a fixed order. */
+/**
+ * A clock for tests and simulations: hours pass in milliseconds, and timers fire in a fixed order.
+ */
 
 import TinyQueue from 'tinyqueue'
 import type { Clock, Timer } from './clock.js'
@@ -11,7 +13,7 @@
   isCancelled: boolean
 }
 
-/** A clock that moves only when told to; tests and benches drive the real code on it. */
+/** A clock that advances only on request; tests and benches run the production code on it. */
 export class VirtualClock implements Clock {
   private now: Milliseconds = 0
   private suspended: Milliseconds = 0
@@ -30,7 +32,7 @@
     return this.now + this.suspended
   }
 
-  /** The machine was suspended for so long, just now: no timer counts that time. */
+  /** Simulates a suspension of the machine for this long, which no timer counts. */
   suspend(duration: Milliseconds): void {
     this.suspended += duration
   }
@@ -47,16 +49,16 @@
     }
   }
 
-  /** Moves time on, running what falls due in order and letting promises settle between. */
+  /** Advances time; runs due timers in order and lets promises settle between them. */
   async advance(duration: Milliseconds): Promise<void> {
     const end = this.now + duration
     await settlePromises()
-    for (let next = this.timers.peek(); next !== undefined; next = this.timers.peek()) {
-      if (next.due > end) break
+    for (let timer = this.timers.peek(); timer !== undefined; timer = this.timers.peek()) {
+      if (timer.due > end) break
       this.timers.pop()
-      if (next.isCancelled) continue
-      this.now = next.due
-      next.run()
+      if (timer.isCancelled) continue
+      this.now = timer.due
+      timer.run()
       await settlePromises()
     }
     this.now = end
