--- a/packages/shared/__tests__/errors.spec.ts
+++ b/packages/shared/__tests__/errors.spec.ts
@@ -10,7 +10,7 @@
 const { message } = RESULT_TABLE[ResultCode.Internal]
 
 describe('a numbered error', () => {
-  it('says its code, the detail and what caused it', () => {
+  it('contains the message of its code, the detail and the cause', () => {
     const cause = new Error('100 %s of it broke')
     const error = new RackwalkError(ResultCode.Internal, '50 %d', cause)
     expect(error.message).toBe(`${message}: 50 %d: 100 %s of it broke`)
@@ -19,14 +19,14 @@
     expect(error.stack).toMatch(/^RackwalkError: .*\n +at /)
   })
 
-  it('has no trace where nothing caused it, and leaves those of others', () => {
+  it('has no stack trace without a cause, and leaves those of other errors', () => {
     const error = new NotRunError(ResultCode.MalformedRequest)
     expect(error.stack).toBe(`RackwalkError: ${error.message}`)
     expect(error).not.toHaveProperty('cause')
     expect(new Error('other').stack).toMatch(/\n +at /)
   })
 
-  it('is made of whatever was thrown', () => {
+  it('is created from any thrown value', () => {
     expect(toRackwalkError('text').message).toBe(`${message}: text`)
     const error = new RackwalkError(ResultCode.Internal)
     expect(toRackwalkError(error)).toBe(error)
--- a/packages/shared/__tests__/systemClock.spec.ts
+++ b/packages/shared/__tests__/systemClock.spec.ts
@@ -2,7 +2,9 @@
 import { SystemClock } from '@rackwalk/shared'
 import type { TimeSources } from '@rackwalk/shared'
 
-/** What ages by the clock of the process, whatever happens to the machine and to its time of day. */
+/**
+ * How the clock of the process advances when the machine is suspended or its time of day is set.
+ */
 
 class MachineTime implements TimeSources {
   steadyTime = 1_000
@@ -36,38 +38,38 @@
   }
 }
 
-/** Milliseconds that pass on both clocks through what happens. */
-function ageing(happen: (time: MachineTime, look: () => void) => void) {
+/** Milliseconds that pass on both clocks during the simulated events. */
+function elapsedDuring(simulate: (time: MachineTime, read: () => void) => void) {
   const time = new MachineTime()
   const clock = new SystemClock(time)
-  const [steady, since] = [clock.monotonic(), clock.sinceStart()]
-  happen(time, () => clock.sinceStart())
-  return { monotonic: clock.monotonic() - steady, sinceStart: clock.sinceStart() - since }
+  const [steady, sinceStart] = [clock.monotonic(), clock.sinceStart()]
+  simulate(time, () => clock.sinceStart())
+  return { monotonic: clock.monotonic() - steady, sinceStart: clock.sinceStart() - sinceStart }
 }
 
 describe('the clock of a process', () => {
-  it('ages what is known by a suspension, and by nothing that is done to the time of day', () => {
+  it('counts suspensions in sinceStart, and no change of the time of day', () => {
     expect({
-      'time passes': ageing(time => time.pass(2_000)),
-      'a suspension': ageing(time => time.suspend(10_000)),
-      'set forward': ageing(time => time.step(10_000)),
-      'set back': ageing(time => time.step(-10_000)),
-      'set forward and back': ageing((time, look) => {
+      'time passes': elapsedDuring(time => time.pass(2_000)),
+      'a suspension': elapsedDuring(time => time.suspend(10_000)),
+      'set forward': elapsedDuring(time => time.step(10_000)),
+      'set back': elapsedDuring(time => time.step(-10_000)),
+      'set forward and back': elapsedDuring((time, read) => {
         time.step(10_000)
-        look()
+        read()
         time.step(-10_000)
       }),
-      'set forward, then a suspension': ageing((time, look) => {
+      'set forward, then a suspension': elapsedDuring((time, read) => {
         time.step(10_000)
-        look()
+        read()
         time.suspend(3_000)
       }),
-      'a suspension, then set forward': ageing((time, look) => {
+      'a suspension, then set forward': elapsedDuring((time, read) => {
         time.suspend(3_000)
-        look()
+        read()
         time.step(10_000)
       }),
-      'set forward in a suspension': ageing(time => {
+      'set forward in a suspension': elapsedDuring(time => {
         time.suspend(3_000)
         time.step(10_000)
       }),
@@ -110,7 +112,9 @@
   })
 })
 
-/** A deadline that fired early was told as another end, since the clock had not come to it. */
+/**
+ * A deadline that fired early was reported as another cause, since the clock had not reached it.
+ */
 describe('a timer of the clock of a process', () => {
   it('does not fire before its delay has passed by that clock', async () => {
     const clock = new SystemClock()
@@ -125,7 +129,7 @@
     expect(Math.max(...earliness)).toBeLessThanOrEqual(0)
   })
 
-  // Node.js makes a delay that it can't count one millisecond, with a warning each time.
+  // Node.js replaces a delay that it cannot represent by one millisecond, with a warning each time.
   it('asks for no longer delay at a time than Node.js can count', () => {
     const clock = new SystemClock()
     const asked = vi.spyOn(globalThis, 'setTimeout')
