--- a/packages/decisions/__tests__/spendingBound.spec.ts
+++ b/packages/decisions/__tests__/spendingBound.spec.ts
@@ -49,7 +49,7 @@
     `)
   })
 
-  it('allows a sum at the time that it tells, and not a second before', () => {
+  it('allows a sum at the time that it returns, and not a second before', () => {
     const sums = fc.integer({ min: 1_001, max: 10_000 })
     fc.assert(
       fc.property(sums, sum => {
@@ -97,7 +97,7 @@
     )
   })
 
-  it('allows a sum at the time that it tells, and not a second before', () => {
+  it('allows a sum at the time that it returns, and not a second before', () => {
     const sums = fc.integer({ min: 1_001, max: 7_190 })
     fc.assert(
       fc.property(sums, sum => {
--- a/packages/decisions/src/admitting/configurationStaleness.ts
+++ b/packages/decisions/src/admitting/configurationStaleness.ts
@@ -21,8 +21,8 @@
  * have newer rows, and an instance that refused by age would refuse for the whole outage. A peer
  * that answers sends either newer rows or says that it has none. Where no peer answers, an instance
  * that got an answer of the store to another call, or a message of a peer, is not cut off: it is
- * itself late, and refuses. An instance in contact with nobody is cut off, and serves by the copy
- * it has.
+ * itself late, and refuses. An instance in contact with no other is cut off, and serves by the
+ * copy it has.
  *
  * Limits: the margin before the bound covers the time in which a request reaches its endpoint.
  * Peers are asked well before the bound, so that their answers have arrived by then. A peer's
--- a/packages/decisions/src/admitting/localRefusals.ts
+++ b/packages/decisions/src/admitting/localRefusals.ts
@@ -3,8 +3,8 @@
  *
  * Load pattern: all callers of a team stay with one weak instance. Its processor or its link is
  * full, or their load keeps rows of the store from reaching it, while other instances would serve
- * the same requests. Without this share the instance could not tell that its callers had better go
- * elsewhere.
+ * the same requests. Without this share the instance could not decide to make callers connect
+ * elsewhere (`ListenerPause`).
  *
  * Inputs: the result code of each request that ended, with a monotonic time in milliseconds.
  *
--- a/packages/decisions/src/admitting/settledCost.ts
+++ b/packages/decisions/src/admitting/settledCost.ts
@@ -5,6 +5,9 @@
  * the tokens that count for an event. The cost is the prompt, once, and the events that were
  * delivered. It is 0 where the caller was given no part of an answer, whether or not an endpoint
  * worked on the request: docs/design/gateway-routing.md#what-a-request-costs.
+ *
+ * If a request counted at the maximum that was reserved for it, its budget would refuse requests
+ * that it could cover.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
--- a/packages/decisions/src/choosing/endpointChoice.ts
+++ b/packages/decisions/src/choosing/endpointChoice.ts
@@ -5,7 +5,8 @@
  * this instance and, as last reported by datagrams, from the others; the load in the endpoint's
  * newest answer; and how much of this prompt the endpoint would have to read. The score is the
  * expected wait, expressed as the number of prompt tokens that are read before the request's turn;
- * the smallest score wins. Trials of the weights: docs/design/gateway-routing.md.
+ * the smallest score wins. A choice by the number of requests alone would not show how much prompt
+ * has to be read before the request's turn. Trials of the weights: docs/design/gateway-routing.md.
  *
  * The OpenAI-style kind has its own rule (router/routing/routingPolicy.ts): its engines publish
  * what they have cached and how much prompt is waiting, and operators select a policy in a
--- a/packages/decisions/src/choosing/endpointReachability.ts
+++ b/packages/decisions/src/choosing/endpointReachability.ts
@@ -91,8 +91,8 @@
 
 /**
  * Returns the links to probe after a failure, spread over failure domains. Links that did not fail
- * come first, since a connection that succeeds tells the end of one endpoint from a cut. `chance`
- * in [0, 1) spreads instances over the endpoints.
+ * come first, since a connection that succeeds distinguishes the end of one endpoint from a cut.
+ * `chance` in [0, 1) spreads instances over the endpoints.
  */
 export function linksToProbe<Link extends EndpointLink>(
   links: readonly Link[],
--- a/packages/decisions/src/placing/activeInstances.ts
+++ b/packages/decisions/src/placing/activeInstances.ts
@@ -1,8 +1,9 @@
 /**
  * Decides which instances are active, that is, take callers; the others stand by.
  *
- * Each active instance holds part of every budget and knows at once only of its own requests, so a
- * fleet uses no more active instances than its load needs.
+ * Each active instance holds part of every budget and knows at once only of its own requests. With
+ * more active instances than the load needs, budgets would be split into small holdings and each
+ * instance would see less of the load. So a fleet uses no more of them than its load needs.
  *
  * Inputs: what members publish of themselves in their rows, which are up to a second old, three
  * seconds for standby instances: region, failure domain, and the requests a second that they can
