--- a/packages/daemon/src/gateway/acceptProbe.ts
+++ b/packages/daemon/src/gateway/acceptProbe.ts
@@ -1,36 +1,39 @@
 /**
- * Tells how long a new connection of a caller waits to be taken. The loop takes one in each turn, after all that is
- * ready on those it has, so what waits is seen by no timer and no count; a connection that the process makes
- * to its own listener waits in the same queue. Owns that connection.
+ * Measures how long a new caller connection waits to be accepted. The event loop accepts one connection per turn,
+ * after all events that are ready on open connections, so no timer and no counter sees the wait. A connection that
+ * the process opens to its own listener waits in the same queue. Owns that connection.
  */
 
 import { connect } from 'node:net'
 import type { Server, Socket } from 'node:net'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Time between two probes; each costs about what a refused connection does. */
+/** Time between two probes; each costs about as much as a refused connection. */
 const PROBE_MILLISECONDS = 200
 
-/** Measures the wait of new connections, as long as somebody asks. */
+/** Measures the accept delay of new connections; probes only while `measure` is called. */
 export class AcceptProbe {
   private probe: Socket | undefined
-  /** Connections that were taken while the probe was not yet connected on its own side. */
+  /** Connections that were accepted before the probe was connected on its client side. */
   private acceptedEarly: { readonly socket: Socket; readonly takenAt: Milliseconds }[] = []
   private madeAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** How long the last probe waited. */
+  /** Accept delay of the last probe. */
   private waited: Milliseconds = 0
 
   constructor(
-    /** For callers. */
+    /** The listener for callers. */
     listener: Server,
-    /** IP:PORT at which it listens. */
+    /** IP:PORT at which the listener listens. */
     private readonly address: string,
     private readonly clock: Clock,
   ) {
     listener.prependListener('connection', (socket: Socket) => this.noteTaken(socket))
   }
 
-  /** How long the last probe waited, or the one that still waits has; makes the next one where it is due. */
+  /**
+   * Returns the accept delay of the last probe, or the age of a probe that still waits; starts the next probe when it
+   * is due.
+   */
   measure(): Milliseconds {
     const age = this.clock.monotonic() - this.madeAt
     if (this.probe !== undefined) return age
@@ -45,14 +48,18 @@
     this.acceptedEarly = []
     this.madeAt = this.clock.monotonic()
     probe.on('connect', () => this.noteConnected(probe))
-    // A listener that is closed, or a queue that is full, says nothing of how long others wait; nor does a probe that ended
-    // unseen: counted as waiting for ever, it would make an instance with time to spare refuse requests.
+    // A closed listener or a full queue does not show how long other connections wait, nor does a probe that was
+    // closed before it was accepted. Counting such a probe as waiting forever would make an instance with spare
+    // capacity refuse requests.
     probe.on('error', () => {})
     probe.on('close', () => this.noteClosed(probe))
     probe.unref()
   }
 
-  /** A probe is told from a caller by its port, which is known once it is connected; it goes no further. */
+  /**
+   * A probe is told apart from a caller by its local port, which is known once the probe is connected. The accepted
+   * side of a probe is destroyed.
+   */
   private noteTaken(socket: Socket): void {
     const { probe } = this
     if (probe === undefined) return
@@ -61,7 +68,7 @@
     else this.match(probe, socket, takenAt)
   }
 
-  /** The listener may have had its side first. */
+  /** The listener may have accepted the probe before its client side was connected. */
   private noteConnected(probe: Socket): void {
     const taken = this.acceptedEarly
     this.acceptedEarly = []
--- a/packages/daemon/src/gateway/activeConfiguration.ts
+++ b/packages/daemon/src/gateway/activeConfiguration.ts
@@ -1,6 +1,6 @@
 /**
- * The operator's word as this instance follows it: the configuration, and the failure domains that are being
- * emptied. Owns both; neither goes back to an older version when history is read again.
+ * The operator's configuration as this instance follows it, and the failure domains that are being evacuated. Owns
+ * both; the configuration never returns to an older version when the change feed is read again from an earlier point.
  */
 
 import { RouteTable } from '@rackwalk/router'
@@ -8,43 +8,43 @@
 import type { ChangedRow } from '@rackwalk/stores'
 import type { PlatformAdapter } from './platformAdapter.js'
 
-/** What follows a change. */
+/** Callbacks on a change, and the source that reads the rows. */
 export interface ActiveConfigurationParts {
   readonly source: PlatformAdapter['configuration']
-  /** A newer version is in force. */
+  /** A newer version took effect; `before` is the version that it replaced. */
   readonly onConfiguration: (routes: RouteTable, before: number) => void
-  /** Nothing new may be sent to a failure domain, or it may be used again. */
+  /** No new requests may be sent to a failure domain, or it may be used again. */
   readonly onEvacuation: (failureDomain: string, isEvacuated: boolean) => void
-  /** A document that is no configuration; the version before stays in force. */
+  /** A row could not be parsed as a configuration; the previous version stays in force. */
   readonly onRefused: (detail: string) => void
 }
 
-/** Longest text of a fault that is told. */
+/** Longest fault text that is reported. */
 const LONGEST_DETAIL = 500
-/** What is known before the first version. */
+/** Version before any configuration is known. */
 const NO_VERSION = -1
 
-/** Follows the rows in which the operator says what is in force. */
+/** Follows the rows of the configuration and of evacuations. */
 export class ActiveConfiguration {
   private known: RouteTable | undefined
   private readonly evacuated = new Set<string>()
 
   constructor(private readonly parts: ActiveConfigurationParts) {}
 
-  /** Undefined until one is known. */
+  /** Undefined until a configuration is known. */
   get routes(): RouteTable | undefined {
     return this.known
   }
 
-  /** Failure domains that are being emptied. */
+  /** Failure domains that are being evacuated. */
   get evacuations(): readonly string[] {
     return [...this.evacuated]
   }
 
-  /** Takes in rows as they now are; with `isWhole` they are all that there are. */
+  /** Applies rows in their current state; with `isWhole` they are all rows that exist. */
   observe(rows: readonly ChangedRow[], isWhole: boolean): void {
     this.observeEvacuations(rows, isWhole)
-    // A feed that was behind gives every version that it missed, oldest first.
+    // A feed that was behind returns every version that it missed, oldest first.
     const row = rows.findLast(({ key }) => key === this.parts.source.key)
     if (row?.value !== undefined) this.take(row.value)
   }
@@ -59,7 +59,7 @@
       present.add(failureDomain)
     }
     if (!isWhole) return
-    // History was lost, or was never seen: a row that is not there was taken away meanwhile.
+    // The change history was lost or never read: a missing row was removed in the meantime.
     const missing = this.evacuations.filter(failureDomain => !present.has(failureDomain))
     for (const failureDomain of missing) this.restore(failureDomain)
   }
@@ -78,7 +78,7 @@
     const configuration = this.parse(value)
     if (configuration === undefined) return
     const before = this.known?.version ?? NO_VERSION
-    // History may be read again from an older point: what is in force never goes back.
+    // The feed may be read again from an older point; the version in force never goes back.
     if (configuration.version <= before) return
     this.known = new RouteTable(configuration)
     this.parts.onConfiguration(this.known, before)
--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -1,7 +1,7 @@
 /**
- * What this instance knows of the fleet at present: who serves, who of them takes callers, and at which
- * addresses. Owns a short-lived view, since decisions ask for it often; relies on the members' rows, on the
- * datagrams for who was heard of, and on decisions/placing/activeInstances.
+ * What this instance currently knows of the fleet: which instances serve, which of them take callers, and at which
+ * addresses. Owns a short-lived view, since decisions query it often; relies on the member rows, on the load
+ * datagrams for heartbeats, and on decisions/placing/activeInstances.
  */
 
 import {
@@ -14,44 +14,44 @@
 import type { MemberRow } from '@rackwalk/coordination'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** What the view of the fleet rests on. */
+/** Inputs of the fleet view. */
 export interface ActiveFleetParts {
-  /** Whether this instance takes callers; asked far more often than the own row. */
+  /** Whether this instance takes callers; cheaper than `self`, and called far more often. */
   readonly isServing: () => boolean
   readonly self: () => MemberRow
-  /** Other instances that serve, as the store has them. */
+  /** Other instances that serve, by their rows in the store. */
   readonly others: () => readonly MemberRow[]
-  /** Whether an instance was heard of lately; true where nothing is ever heard of it. */
+  /** Whether an instance sent a heartbeat recently; true for an instance that sends no datagrams. */
   readonly hasRecentHeartbeat: (member: MemberRow) => boolean
-  /** An instance that is heard of was heard of within this time. */
+  /** An instance is silent when it sent nothing for this long. */
   readonly silenceMilliseconds: () => Milliseconds
-  /** Whether an instance told of work at endpoints lately. */
+  /** Whether an instance recently reported work at endpoints. */
   readonly hasEndpointLoad: (member: MemberRow) => boolean
-  /** The same for this instance. */
+  /** Whether this instance has work at endpoints. */
   readonly hasOwnEndpointLoad: () => boolean
-  /** Whether an instance, or this one, reaches no endpoint of some service. */
+  /** Whether an instance (this one included) reaches no endpoint of some service. */
   readonly isCutOff: (member: MemberRow) => boolean
   readonly clock: Clock
   readonly bounds: ActiveBounds
-  /** This instance became active or began to stand by. */
+  /** This instance became active or went on standby. */
   readonly onChange: (isActive: boolean, activeInstances: number) => void
 }
 
 interface FleetView {
   readonly at: Milliseconds
-  /** The own row as it was then; undefined while this instance took no callers. */
+  /** This instance's own row at that time; undefined while it took no callers. */
   readonly self: MemberRow | undefined
   readonly isSelfActive: boolean
   readonly activeOthers: readonly MemberRow[]
   readonly usingOthers: readonly MemberRow[]
   readonly idleOthers: readonly MemberRow[]
-  /** Names of those that have fallen silent. */
+  /** Names of the silent instances. */
   readonly silentOthers: ReadonlySet<string>
 }
 
-/** Age up to which a view of the fleet is used again: members change within seconds. */
+/** A view of the fleet is reused up to this age: members change within seconds. */
 const VIEW_MILLISECONDS = 100
-/** Other instances that started at the same time are known after this time. */
+/** After this time, other instances that started at the same time are known. */
 const DISCOVERY_MILLISECONDS = 2_000
 
 function activeCountOf({ isSelfActive, activeOthers }: FleetView): number {
@@ -63,7 +63,7 @@
   private readonly selection: ActiveInstances
   private readonly silent = new SilenceDetector()
   private view: FleetView | undefined
-  /** Set where the view lacks somebody who is known by now. */
+  /** Set when the cached view lacks an instance that is known by now. */
   private isInvalidated = false
   /** Time at which this instance began to serve. */
   private selfSince: Milliseconds = 0
@@ -72,64 +72,61 @@
     this.selection = new ActiveInstances(parts.bounds)
   }
 
-  /** The members have changed: the next question is answered by a new view. */
+  /** The members have changed: the next query computes a new view. */
   invalidate(): void {
     this.isInvalidated = true
   }
 
-  /** Whether callers are sent here. */
+  /** Whether the directory sends callers to this instance. */
   get isSelfActive(): boolean {
     return this.currentView().isSelfActive
   }
 
   /**
-   * Whether this instance should hold tokens ahead of demand. One that has just begun to serve
-   * knows few of the others yet, and so always takes itself for active.
+   * Whether this instance should hold tokens ahead of demand. An instance that has just begun to serve knows few of
+   * the others yet and therefore always considers itself active.
    */
   get isSelfSettled(): boolean {
     const { at, isSelfActive } = this.currentView()
     return isSelfActive && at - this.selfSince >= DISCOVERY_MILLISECONDS
   }
 
-  /** Other instances to which callers are sent. */
+  /** Other instances that the directory sends callers to. */
   get activeOthers(): readonly MemberRow[] {
     return this.currentView().activeOthers
   }
 
-  /**
-   * Other instances that use endpoints: the active ones, and those with work there though callers
-   * are not sent to them.
-   */
+  /** Other instances that use endpoints: the active ones, and standby instances that have work at endpoints. */
   get usingOthers(): readonly MemberRow[] {
     return this.currentView().usingOthers
   }
 
-  /** Other instances that use nothing of the fleet's at present, or have fallen silent. */
+  /** Other instances that currently use no shared resources of the fleet, or are silent. */
   get idleOthers(): readonly MemberRow[] {
     return this.currentView().idleOthers
   }
 
-  /** Whether another instance has fallen silent. */
+  /** Whether another instance is silent. */
   isSilent(instance: string): boolean {
     return this.currentView().silentOthers.has(instance)
   }
 
-  /** How many instances take callers, this one counted where it does. */
+  /** Number of instances that take callers, this one included if it does. */
   get activeCount(): number {
     return activeCountOf(this.currentView())
   }
 
-  /** The number of instances that share a bound of the whole fleet, this one included. */
+  /** Number of instances that share a fleet-wide bound, this one included. */
   get sharers(): number {
     return fleetShareCount(this.use)
   }
 
-  /** The same for a bound that must hold while parts of the fleet cannot hear each other. */
+  /** Number of sharers for a bound that must hold even while the fleet is partitioned. */
   get worstCaseSharers(): number {
     return partitionSafeShareCount(this.use)
   }
 
-  /** Addresses for a caller of a region; of all regions where it has no instance. */
+  /** Addresses for a caller of a region; addresses of all regions when that region has no instance. */
   addresses(region: string | undefined): readonly string[] {
     const { self, isSelfActive, activeOthers } = this.currentView()
     const active = isSelfActive && self !== undefined ? [self, ...activeOthers] : activeOthers
@@ -137,7 +134,10 @@
     return this.preferReaching(near.length > 0 ? near : active).map(member => member.callerAddress)
   }
 
-  /** Those that reach endpoints: the active ones, or else any other; all where nobody says that it does. */
+  /**
+   * The members that reach endpoints: active ones, otherwise standby ones; all active members if every instance is
+   * cut off.
+   */
   private preferReaching(active: readonly MemberRow[]): readonly MemberRow[] {
     const reaches = (member: MemberRow) => !this.parts.isCutOff(member)
     const reaching = active.filter(reaches)
@@ -148,7 +148,7 @@
     return standby.length > 0 ? standby : active
   }
 
-  /** Addresses for peers of the active others in a failure domain. */
+  /** Peer addresses of the other active instances in a failure domain. */
   failureDomainAddresses(failureDomain: string): readonly string[] {
     return this.activeOthers
       .filter(member => member.failureDomain === failureDomain && member.peerAddress !== '')
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Other instances to which callers may go. One that has fallen silent is left out long before
-   * its row shows it, unless this instance hears nobody and may be the one that is cut off.
+   * Other instances that callers may use. A silent instance is left out long before its row shows that it is gone,
+   * unless this instance hears no instance at all and may itself be the one that is cut off.
    */
   private reachable(others: readonly MemberRow[]): readonly MemberRow[] {
     const { hasRecentHeartbeat, clock, silenceMilliseconds } = this.parts
--- a/packages/daemon/src/gateway/adviceCoordinator.ts
+++ b/packages/daemon/src/gateway/adviceCoordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Joins what endpoints say of themselves with those who must know: the choice of an endpoint here, the other instances,
- * the log. Owns the memory and the permits; relies on the exchange of datagrams to tell at once.
+ * Connects the advice that endpoints give about themselves (rate limits, leaving) with its consumers: the choice of
+ * an endpoint here, the other instances, and the log. Owns the advice store and the send permits; relies on the
+ * datagram exchange for broadcasts.
  */
 
 import type { AdviceGossip, RecordedInstance, WarmUpBounds } from '@rackwalk/decisions'
@@ -8,22 +9,25 @@
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
 
-/** What the watch works with. */
+/** What the coordinator needs. */
 export interface AdviceCoordinatorParts {
   readonly clock: Clock
   readonly instance: string
   readonly recordedInstances: () => readonly RecordedInstance[] | undefined
-  /** Undefined where the endpoints of a service need no warm-up. */
+  /** Undefined when the endpoints of a service need no warm-up. */
   readonly boundsOf: (service: string) => WarmUpBounds | undefined
-  /** Tells all other instances, whether or not they use endpoints. */
+  /** Broadcasts to all other instances, whether or not they use endpoints. */
   readonly tell: (news: readonly AdviceGossip[]) => void
   readonly telemetry: GatewayTelemetry
 }
 
-/** A datagram may be lost: each is sent again after this time. Who loses both is told by the endpoint itself. */
+/**
+ * A datagram may be lost, so each one is sent again after this time. An instance that misses both gets the advice
+ * from the endpoint itself.
+ */
 const REPEAT_MILLISECONDS: Milliseconds = 250
 
-/** What one instance does about what endpoints say of themselves. */
+/** Applies and shares the advice that endpoints give about themselves. */
 export class AdviceCoordinator {
   readonly advices: EndpointAdviceStore
   readonly permits: SendAdmission
@@ -43,12 +47,12 @@
     })
   }
 
-  /** Another instance told what endpoints say. */
+  /** Another instance reported the advice of endpoints. */
   observe(news: readonly AdviceGossip[]): void {
     for (const one of news) this.advices.observe(one)
   }
 
-  /** Another instance has requests in progress at an endpoint; undefined where none is listed under its id. */
+  /** Another instance has requests in progress at an endpoint; undefined when no endpoint is listed under its id. */
   noteAsked(start: EndpointStart | undefined): void {
     if (start !== undefined) this.advices.notePeerRequests(start)
   }
--- a/packages/daemon/src/gateway/adviceGossip.ts
+++ b/packages/daemon/src/gateway/adviceGossip.ts
@@ -1,6 +1,6 @@
 /**
- * News of what endpoints say of themselves, as datagrams between instances. They travel as news of requests that end
- * endpoints do: in the form of a load report that comes too late, which an earlier version drops. Owns nothing.
+ * Gossip about the advice of endpoints, as datagrams between instances. The messages are encoded like crash gossip:
+ * as outdated load reports, which earlier versions drop. Owns nothing.
  */
 
 import { asId } from '@rackwalk/shared'
@@ -9,14 +9,14 @@
 import { gossipReports } from './crashGossip.js'
 import type { GossipEntry } from './crashGossip.js'
 
-/** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
+/** Prefix of an entry's endpoint field; it cannot clash with an endpoint id, since no id contains a space. */
 const SAYS_PREFIX = 'says '
-/** Requests a second that it takes. */
+/** Requests per second that the endpoint accepts. */
 const RATE_PART = 'rate'
-/** That it leaves. */
+/** The endpoint is leaving. */
 const LEAVING_PART = 'leaving'
 
-/** The reports that tell this. */
+/** Encodes advice as gossip reports. */
 export function encodeAdviceGossip(
   news: readonly AdviceGossip[],
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
@@ -24,7 +24,7 @@
   return gossipReports(news.map(entryOf), identity)
 }
 
-/** What such a report tells; entries of any other kind are passed over. */
+/** Decodes the advice in a gossip report; entries of other kinds are ignored. */
 export function decodeAdviceGossip({ loads }: PeerLoadReport): readonly AdviceGossip[] {
   return loads.flatMap(({ endpoint, pendingTokens, parts }) => {
     if (!endpoint.startsWith(SAYS_PREFIX)) return []
@@ -33,7 +33,7 @@
     return [
       {
         start: asId(endpoint.slice(SAYS_PREFIX.length)),
-        // A rate of nothing would keep everybody away for good.
+        // A rate of 0 would keep all instances away from the endpoint for good.
         ...(rate > 0 ? { requestsPerSecond: rate } : {}),
         ...(isLeaving ? { isLeaving } : {}),
         ageMilliseconds: pendingTokens,
--- a/packages/daemon/src/gateway/auxiliaryListeners.ts
+++ b/packages/daemon/src/gateway/auxiliaryListeners.ts
@@ -1,6 +1,6 @@
 /**
- * The short questions that an instance answers beside requests: readiness, addresses, peers, metrics. Owns
- * nothing; relies on the adapter for how the platform spells them.
+ * The short calls that an instance answers beside requests: readiness, directory, peers, metrics. Owns nothing;
+ * relies on the adapter for the platform's protocol.
  */
 
 import type { Server } from 'node:http'
@@ -18,7 +18,7 @@
 import type { RelayHandler } from './peerListener.js'
 import type { PlainAnswer, PlatformAdapter } from './platformAdapter.js'
 
-/** What the answers rest on. */
+/** What the answers are built from. */
 export interface AuxiliaryListenersParts {
   readonly adapter: PlatformAdapter
   readonly isReady: () => boolean
@@ -27,23 +27,23 @@
   readonly streams: StreamOrigins
   readonly mirrors: ReadonlyMap<string, TableMirror>
   readonly metrics: GatewayMetrics
-  /** Serves what another instance hands over. */
+  /** Serves a request that another instance relays. */
   readonly relayed: RelayHandler
-  /** How long callers keep the addresses that they were told, in seconds. */
+  /** How long callers keep the addresses of a directory answer, in seconds. */
   readonly addressSeconds: () => number
 }
 
-/** A listener and the IP:PORT at which it shall listen. */
+/** A listener and the IP:PORT at which it has to listen. */
 export interface AddressedListener {
   readonly server: Server
   readonly address: string
 }
 
-/** Answers short questions, a listener for each kind. */
+/** Answers short calls, with one listener per kind. */
 export class AuxiliaryListeners {
   constructor(private readonly parts: AuxiliaryListenersParts) {}
 
-  /** A listener for each kind of question that has an address in the settings. */
+  /** Returns a listener for each kind of call that has an address in the settings. */
   listeners(listen: GatewaySettings['listen']): readonly AddressedListener[] {
     const answerers: readonly [string | undefined, PlainHandler][] = [
       [listen.readiness, url => this.readiness(url)],
--- a/packages/daemon/src/gateway/crashCoordinator.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Joins what an instance finds out of requests that end endpoints with those who must know: the other instances, the
- * store, the log. Owns the guard and the records; relies on the exchange of datagrams to tell at once.
+ * Connects what this instance finds out about requests that crash endpoints with its consumers: the other instances,
+ * the store, and the log. Owns the guard and the crash records; relies on the datagram exchange for broadcasts.
  */
 
 import { CrashRecordStore } from '@rackwalk/coordination'
@@ -18,23 +18,26 @@
 import type { RowStore } from '@rackwalk/stores'
 import type { GatewayTelemetry } from './gatewayTelemetry.js'
 
-/** What the watch works with. */
+/** What the coordinator needs. */
 export interface CrashCoordinatorParts {
   readonly clock: Clock
   readonly store: RowStore
   readonly directory: () => EndpointDirectory
   readonly links: LinkMonitor<EndpointState>
-  /** Tells all other instances, whether or not they use endpoints. */
+  /** Broadcasts to all other instances, whether or not they use endpoints. */
   readonly broadcast: (news: CrashGossip) => void
-  /** How many instances that reaches. */
+  /** Number of instances that a broadcast is sent to. */
   readonly gossipPeerCount: () => number
   readonly telemetry: GatewayTelemetry
 }
 
-/** A datagram may be lost: each is sent again after this time; the store's rows make good what is lost twice. */
+/**
+ * A datagram may be lost, so each one is sent again after this time; the rows in the store make up for messages that
+ * are lost twice.
+ */
 const REPEAT_MILLISECONDS: Milliseconds = 250
 
-/** What one instance does about requests that end endpoints. */
+/** Detects, records and shares requests that crash endpoints. */
 export class CrashCoordinator {
   readonly guard: CrashGuard
   readonly records: CrashRecordStore
@@ -64,7 +67,7 @@
     this.guard.stop()
   }
 
-  /** Takes in what another instance found out. */
+  /** Applies crash gossip of another instance. */
   observe(news: CrashGossip): void {
     this.guard.applyNews(news)
     this.noteAway(news)
@@ -93,7 +96,7 @@
     if (isWorthIt) this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(again))
   }
 
-  /** A part that is refused is kept as a request is, under a key that no request has. */
+  /** A refused prompt part is recorded like a refused request, under a key that no request has. */
   private notePart(part: PromptPartKey, isRefused: boolean): void {
     const event = isRefused ? 'deadly_prompt_part' : 'sound_prompt_part'
     this.parts.telemetry.note(event, { part })
--- a/packages/daemon/src/gateway/crashGossip.ts
+++ b/packages/daemon/src/gateway/crashGossip.ts
@@ -1,6 +1,6 @@
 /**
- * News of requests that end endpoints, as datagrams between instances. They have the form of a load report that comes too
- * late (sequence 0), so that an earlier version, which knows nothing of them, drops them as such. Owns nothing.
+ * Crash gossip: messages about requests that crash endpoints, as datagrams between instances. They are encoded as
+ * outdated load reports (sequence 0), so that earlier versions, which do not know them, drop them. Owns nothing.
  */
 
 import type { CrashMark, CrashGossip } from '@rackwalk/decisions'
@@ -8,9 +8,9 @@
 import type { PromptPartKey } from '@rackwalk/shared'
 import type { PeerLoadReport } from '@rackwalk/router'
 
-/** Of all reports that tell news; no report of load has it, since their sequences count from 1. */
+/** Sequence of all gossip reports; no load report has it, since load reports count from 1. */
 const GOSSIP_SEQUENCE = 0
-/** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
+/** Prefixes of an entry's endpoint field; they cannot clash with an endpoint id, since no id contains a space. */
 const ENDED_PREFIX = 'ended '
 const SUSPECTED_PREFIX = 'suspected '
 const CLEARED_PREFIX = 'cleared '
@@ -20,20 +20,23 @@
 const DEADLY_PARTS_ENTRY = 'parts deadly'
 const SOUND_PARTS_ENTRY = 'parts sound'
 const TRIED_PARTS_ENTRY = 'parts tried'
-/** Parts in one entry: a prompt may have many. */
+/** Prompt parts in one entry, since a prompt may have many. */
 export const PARTS_PER_ENTRY = 8
-/** Entries in one datagram, each part beyond the first of one counted as well: it stays under 1,300 bytes with ids of 40 characters. */
+/**
+ * Entries in one datagram, where each part of an entry beyond the first counts as an entry as well: with ids of 40
+ * characters, a datagram stays under 1,300 bytes.
+ */
 const ENTRIES_PER_DATAGRAM = 12
 
-/** One piece of news, in the form of an entry of load. */
+/** One gossip message, in the form of a load entry. */
 export type GossipEntry = PeerLoadReport['loads'][number]
 
-/** Whether a report tells news, and not of load. */
+/** Whether a report carries gossip rather than load. */
 export function isGossip({ sequence }: PeerLoadReport): boolean {
   return sequence === GOSSIP_SEQUENCE
 }
 
-/** The reports that tell this. */
+/** Encodes crash gossip as reports. */
 export function encodeCrashGossip(
   news: CrashGossip,
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
@@ -48,7 +51,7 @@
   return gossipReports(entries, identity)
 }
 
-/** Reports that carry news, each small enough for one datagram. */
+/** Builds gossip reports, each small enough for one datagram. */
 export function gossipReports(
   entries: readonly GossipEntry[],
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
@@ -73,7 +76,7 @@
   return datagrams
 }
 
-/** What such a report tells; entries of any other kind are passed over. */
+/** Decodes crash gossip; entries of other kinds are ignored. */
 export function decodeCrashGossip({ loads }: PeerLoadReport): CrashGossip {
   const away = loads.flatMap(({ endpoint }) => startsOf(AWAY_PREFIX, endpoint))
   const lives = loads.flatMap(({ endpoint }) => startsOf(LIVES_PREFIX, endpoint))
@@ -107,7 +110,10 @@
   ]
 }
 
-/** That it was sent as suspected stands where a report of load has what is running, and the age where it has the tokens that wait. */
+/**
+ * Encodes prompt part keys. Whether the request was sent as a suspect one is stored in the `running` field of the
+ * load entry, and the age in `pendingTokens`.
+ */
 function keyEntries(
   endpoint: string,
   keys: readonly PromptPartKey[],
--- a/packages/daemon/src/gateway/createActiveFleet.ts
+++ b/packages/daemon/src/gateway/createActiveFleet.ts
@@ -1,4 +1,4 @@
-/** Where the view of the fleet is read from. Owns nothing. */
+/** Wires the fleet view to its sources. Owns nothing. */
 
 import type { MemberDirectory, MemberRow } from '@rackwalk/coordination'
 import type { PeerOverload } from '@rackwalk/decisions'
@@ -8,7 +8,7 @@
 import type { EndpointSubsystem } from './endpointSubsystem.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** The parts that know of the fleet. */
+/** The sources of the fleet view. */
 export interface ActiveFleetSources extends Pick<ActiveFleetParts, 'onChange'> {
   readonly settings: GatewaySettings
   readonly members: MemberDirectory
@@ -17,10 +17,10 @@
   readonly clock: Clock
 }
 
-/** An instance that has heard nobody for this long is cut off from all others. */
+/** An instance that has heard no other instance for this long is cut off from all of them. */
 const CUT_OFF_MILLISECONDS: Milliseconds = 1_500
 
-/** The fleet as this instance sees it. */
+/** Creates the fleet view of this instance. */
 export function createActiveFleet(sources: ActiveFleetSources): ActiveFleet {
   const { settings, members, known, isReady, clock, onChange } = sources
   const { activeInDomain, headroom } = settings.membership
@@ -40,7 +40,10 @@
   })
 }
 
-/** Of the other active instances those that are heard, to which callers may go. */
+/**
+ * Of the other active instances that this one hears, and that callers can therefore use: how many there are, and how
+ * many are overloaded.
+ */
 export function heardInstances(
   { fleetLoad, overloaded }: EndpointSubsystem,
   activeOthers: readonly MemberRow[],
--- a/packages/daemon/src/gateway/createPeerClients.ts
+++ b/packages/daemon/src/gateway/createPeerClients.ts
@@ -1,4 +1,6 @@
-/** The calls of one gateway instance to others over HTTP: for rows and for loans. Owns how long each is awaited. */
+/**
+ * Creates the HTTP clients with which a gateway instance calls others, for rows and for loans. Owns their timeouts.
+ */
 
 import type { MemberDirectory } from '@rackwalk/coordination'
 import type { Milliseconds, RandomSource } from '@rackwalk/shared'
@@ -8,19 +10,19 @@
 import { PeerLoanClient } from './peerLoanClient.js'
 import { PeerRowClient } from './peerRowClient.js'
 
-/** Wait for a peer's answer. */
+/** Timeout of a call for rows. */
 const ROWS_TIMEOUT_MILLISECONDS: Milliseconds = 400
-/** The same where a request waits for it; the peer itself may ask the store first. */
+/** Timeout of a loan call, shorter since a request waits for it; the peer itself may query the store first. */
 const LOAN_TIMEOUT_MILLISECONDS: Milliseconds = 90
 
-/** What such calls rest on. */
+/** What the clients are built from. */
 export interface PeerClientSources {
   readonly settings: GatewaySettings
   readonly members: MemberDirectory
   readonly telemetry: GatewayTelemetry
 }
 
-/** Asks other instances for tokens. */
+/** Creates the client that borrows tokens from other instances. */
 export function createPeerLoans(
   { members, telemetry }: PeerClientSources,
   fleet: ActiveFleet,
@@ -33,7 +35,7 @@
   })
 }
 
-/** Asks other instances for rows of the store. */
+/** Creates the client that reads rows of the store from other instances. */
 export function createPeerRows(
   { settings, members, telemetry }: PeerClientSources,
   fleet: ActiveFleet,
--- a/packages/daemon/src/gateway/cutOffGossip.ts
+++ b/packages/daemon/src/gateway/cutOffGossip.ts
@@ -1,19 +1,19 @@
 /**
- * The news that an instance reaches no endpoint of a service, as a datagram between instances, and who told it lately. It
- * travels as the news of overload does, which an earlier version drops. Owns when each instance last told it, and the timer
- * that tells it again.
+ * Gossip about instances that reach no endpoint of a service, as datagrams between instances, and a record of which
+ * instances reported it lately. The messages are encoded like overload gossip, which earlier versions drop. Owns the
+ * time of each instance's last report and the timer that repeats this instance's own.
  */
 
 import type { PeerLoadReport } from '@rackwalk/router'
 import type { Clock, Milliseconds, Timer } from '@rackwalk/shared'
 import { gossipReports } from './crashGossip.js'
 
-/** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
+/** Prefix of an entry's endpoint field; it cannot clash with an endpoint id, since no id contains a space. */
 const CUT_OFF_PREFIX = 'instance cut off from '
-/** An instance counts as cut off for so many intervals of its news: two may be lost. */
+/** An instance counts as cut off for this many gossip intervals, so that two messages may be lost. */
 const EXPIRY_INTERVALS = 3.5
 
-/** The reports that tell from which services this instance is cut off. */
+/** Encodes the services from which this instance is cut off as gossip reports. */
 export function encodeCutOffGossip(
   services: readonly string[],
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
@@ -24,16 +24,16 @@
   return gossipReports(entries, identity)
 }
 
-/** The services from which the instance of a report that carries news is cut off. */
+/** Decodes the services from which the sender of a gossip report is cut off. */
 export function decodeCutOffGossip({ loads }: PeerLoadReport): readonly string[] {
   return loads.flatMap(({ endpoint }) =>
     endpoint.startsWith(CUT_OFF_PREFIX) ? [endpoint.slice(CUT_OFF_PREFIX.length)] : [],
   )
 }
 
-/** What the knowledge of cuts works with. */
+/** What the record of cut-off instances needs. */
 export interface CutOffInstancesParts {
-  /** This instance. */
+  /** Name of this instance. */
   readonly instance: string
   readonly clock: Clock
   /** Time between two datagrams of an instance that stays cut off. */
@@ -45,7 +45,7 @@
 
 /** Instances that reach no endpoint of some service, this one included. */
 export class CutOffInstances {
-  /** By instance, then by service: when it was told last. */
+  /** By instance, then by service: time of the last report. */
   private readonly reportedAt = new Map<string, Map<string, Milliseconds>>()
   private timer: Timer | undefined
 
@@ -55,7 +55,7 @@
     this.timer?.cancel()
   }
 
-  /** An instance told it of these services. */
+  /** An instance reported that it is cut off from these services. */
   note(instance: string, services: readonly string[]): void {
     if (services.length === 0) return
     const told = this.reportedAt.get(instance) ?? new Map<string, Milliseconds>()
@@ -63,13 +63,16 @@
     this.reportedAt.set(instance, told)
   }
 
-  /** Whether an instance told it of a service lately. */
+  /** Whether an instance lately reported that it is cut off from a service. */
   has(instance: string, service: string): boolean {
     const toldAt = this.reportedAt.get(instance)?.get(service)
     return toldAt !== undefined && this.isCurrent(toldAt)
   }
 
-  /** Whether an instance told it of any service lately: callers do better elsewhere. */
+  /**
+   * Whether an instance lately reported that it is cut off from any service, so that callers should use another
+   * instance.
+   */
   hasAny(instance: string): boolean {
     const told = this.reportedAt.get(instance)
     if (told === undefined) return false
@@ -78,7 +81,7 @@
     return false
   }
 
-  /** This instance is cut off from a service, or no longer: it is told for as long as that lasts. */
+  /** Updates this instance's own state and repeats the broadcast for as long as it is cut off from any service. */
   refreshOwn(): void {
     this.timer?.cancel()
     const { instance, clock, gossipMilliseconds, ownServices, broadcast } = this.parts
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the directory of endpoints as the platform lists them. Entries lapse while the store is away; those
- * of endpoints that live are back soon after it, and the others are gone. Owns when the store came back.
+ * Keeps the endpoint directory in step with the platform's rows. Rows expire while the store is away. The rows of
+ * live endpoints return soon after the outage; the endpoints of the others are gone. Owns the time at which the store
+ * came back.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
@@ -9,16 +10,16 @@
 import type { EndpointDirectory, EndpointRecord } from '@rackwalk/router'
 
 /**
- * An entry that is missing after an outage may come back for this long. The platform says about two
- * seconds; what is missing after that is gone.
+ * How long an entry that is missing after an outage may still come back. The platform states about two seconds; an
+ * entry that is missing for longer is gone.
  */
 const LAPSE_MILLISECONDS = 1_800
 
-/** What a follower works with. */
+/** What the follower needs. */
 export interface EndpointFollowerParts {
   readonly directory: EndpointDirectory
   readonly clock: Clock
-  /** Undefined where the row describes no endpoint. */
+  /** Undefined when the row describes no endpoint. */
   readonly parse: (key: string, value: string) => EndpointRecord | undefined
   readonly onMalformedRow: (row: RowAddress) => void
 }
@@ -46,8 +47,8 @@
   }
 
   /**
-   * A row that names no endpoint did not lapse: somebody wrote it, and whatever was listed under its key before is
-   * no longer known to be there, so nothing more is sent to it.
+   * A malformed row did not expire: it was written. The endpoint listed under its key before is no longer known to
+   * exist, so no more requests are sent to it.
    */
   private leaveOut(row: ChangedRow): void {
     this.parts.onMalformedRow(row)
@@ -59,9 +60,9 @@
     this.isReachable = isReachable
   }
 
-  /** Not positive where nothing explains a missing entry but that its endpoint is gone. */
+  /** Not positive when a missing entry can only mean that its endpoint is gone. */
   private get lapseMilliseconds(): Milliseconds {
-    // The first rows after an outage are told before the store counts as reachable again.
+    // The first rows after an outage arrive before the store counts as reachable again.
     if (!this.isReachable) return LAPSE_MILLISECONDS
     return this.regainedAt + LAPSE_MILLISECONDS - this.parts.clock.monotonic()
   }
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance knows of endpoints, wired together: which are listed, what they said of themselves, which requests
- * end them, what the fleet has in progress there. Owns these parts and the datagrams that keep them alike on all
+ * What an instance knows of endpoints, wired together: the listed endpoints, their advice, the requests that crash
+ * them, and the load of the whole fleet at them. Owns these parts and the datagrams that keep them in step on all
  * instances; decides nothing.
  */
 
@@ -19,11 +19,11 @@
 import { OverloadedInstances } from './overloadGossip.js'
 import { StreamCoordinator } from './streamCoordinator.js'
 
-/** What the knowledge rests on. */
+/** What the subsystem needs. */
 export interface EndpointSubsystemParts {
   readonly instance: string
   readonly incarnation: string
-  /** IP:PORT for datagrams; undefined where this instance takes none. */
+  /** IP:PORT for datagrams; undefined when this instance takes none. */
   readonly loadAddress: string | undefined
   readonly clock: Clock
   readonly random: RandomSource
@@ -31,11 +31,11 @@
   readonly telemetry: GatewayTelemetry
   readonly members: MemberDirectory
   readonly fleet: () => ActiveFleet
-  /** Reads the members without waiting for their time. */
+  /** Reads the member rows at once instead of at their next interval. */
   readonly readMembers: () => void
-  /** Whether the list of endpoints is as new as it has to be. */
+  /** Whether the list of endpoints is as recent as it has to be. */
   readonly isListFresh: () => boolean
-  /** By the configuration in force; undefined where it has no such service. */
+  /** The service in the configuration in force; undefined when it has no such service. */
   readonly service: (name: string) => GatewayService | undefined
 }
 
@@ -46,13 +46,13 @@
   readonly advice: AdviceCoordinator
   readonly fleetLoad: FleetLoad
   readonly exchange: LoadExchange | undefined
-  /** Other instances that get more than they bear. */
+  /** Other instances that are overloaded. */
   readonly overloaded: OverloadedInstances
   /** Which endpoints this instance reaches. */
   readonly links: LinkMonitor<EndpointState>
   /** Instances that reach no endpoint of some service. */
   readonly cutOff: CutOffInstances
-  /** Where streams began. */
+  /** The origins (endpoint software versions) of streams. */
   readonly streams: StreamCoordinator
 
   constructor(private readonly parts: EndpointSubsystemParts) {
@@ -70,7 +70,7 @@
     this.exchange = this.createExchange()
   }
 
-  /** What the way of a request asks and tells of endpoints. */
+  /** The endpoint-related parts of the gateway's request path. */
   get gatewayParts() {
     const { directory, fleetLoad, links, crashes, streams, advice } = this
     const { advices, permits, turnAways } = advice
@@ -98,7 +98,10 @@
     this.exchange?.stop()
   }
 
-  /** An instance is on record: this one can be known to others now, or another is told what holds. */
+  /**
+   * An instance's row was written: either other instances can know this one from now on, or another instance is sent
+   * the current state.
+   */
   noteRecorded(isSelf: boolean): void {
     this.parts.fleet().invalidate()
     if (isSelf) this.exchange?.announce()
@@ -202,8 +205,8 @@
       directory: this.directory,
       clock,
       capacityOf: name => service(name)?.engine?.capacity,
-      // An instance that stands by tells of prompts alone: they make others wait for as long as they are
-      // read, while endpoints' own answers tell of its plain requests soon enough.
+      // A standby instance reports prompts alone: other requests wait while an endpoint reads a prompt, whereas the
+      // endpoints' own answers soon show the standby instance's plain requests.
       isTold: name => fleet().isSelfActive || service(name)?.engine !== undefined,
       users: () => fleet().usingOthers.length + 1,
       onSent: () => this.exchange?.noteSent(),
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -1,6 +1,6 @@
 /**
- * The tables of the store that an instance follows, and how often it reads each. Owns nothing: it makes a
- * mirror for each table and connects it to who listens.
+ * The store tables that an instance follows, and how often it reads each. Owns nothing: creates a mirror for each
+ * table and connects it to its listener.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
@@ -27,32 +27,34 @@
 import { EndpointFollower } from './endpointFollower.js'
 
 /**
- * Times of the feeds: each call to the store has a price, and the store
- * takes a bounded number a second. How long a question for changes waits at the store, on tables
- * that rarely change:
+ * Feed intervals: each call to the store has a price, and the store accepts a bounded number of calls per second.
+ * This is how long a change query waits at the store, for tables that rarely change.
  */
 const FEED_WAIT_MILLISECONDS = 2_000
 const CONFIGURATION_PAUSE_MILLISECONDS = 20
-/** One call in this time: the store answers at once when something changes, and each call has a price. */
+/**
+ * Time in which one call is made at the most: the store answers at once when a row changes, and each call has a
+ * price.
+ */
 const CRASH_WAIT_MILLISECONDS = 20_000
-/** Each endpoint renews its row about once a second; a list this old is new enough. */
+/** Each endpoint renews its row about once a second; a list of this age is recent enough. */
 const ENDPOINT_PAUSE_MILLISECONDS = 250
-/** A standby instance reads less often: few requests depend on what it knows. */
+/** A standby instance reads less often, since few requests depend on what it knows. */
 const STANDBY_ENDPOINT_PAUSE_MILLISECONDS = 800
 const STANDBY_MEMBER_PAUSE_MILLISECONDS = 1_400
 const MEMBER_PAUSE_MILLISECONDS = 700
 const PREPAID_PAUSE_MILLISECONDS = 400
 /**
- * An instance that stands by takes these tables from an active one of its failure domain where what that knows is
- * no older than this: with its own pause the sight of endpoints stays well under the time that a leaving endpoint is
- * given.
+ * A standby instance reads these tables from an active instance of its failure domain if that instance's rows are no
+ * older than this. Together with the standby pause, the age of the endpoint list stays well below the time that a
+ * leaving endpoint is given.
  */
 const NEAR_ENDPOINT_MILLISECONDS = 600
 const NEAR_MEMBER_MILLISECONDS = 1_500
-/** Time between two reads, as a share of that between two records of a holding. */
+/** Time between two reads, as a share of the time between two records of a holding. */
 const PREPAID_PAUSE_SHARE = 0.5
 
-/** How old what is known of two tables may be. */
+/** Maximum ages of the rows of two tables. */
 interface FreshnessBounds {
   readonly configurationMilliseconds: Milliseconds
   readonly endpointsMilliseconds: Milliseconds
@@ -68,7 +70,7 @@
   readonly ledger: PrepaidLedger
   readonly crashRecords: CrashRecordStore
   readonly peerRows: PeerRowClient
-  /** Whether callers are sent to this instance. */
+  /** Whether the directory sends callers to this instance. */
   readonly isActive: () => boolean
   readonly freshness: FreshnessBounds
   readonly onConfiguration: (rows: readonly ChangedRow[], isWhole: boolean) => void
@@ -80,20 +82,20 @@
 interface FollowedTable {
   readonly table: string
   readonly partitions: () => readonly string[]
-  /** Least time between two calls. */
+  /** Shortest time between two calls. */
   readonly pauseMilliseconds: () => Milliseconds
-  /** Whether its changes are wanted at present; always where absent. */
+  /** Whether changes of the table are currently needed; always, if absent. */
   readonly isWanted?: () => boolean
-  /** How long a question for changes may wait at the store; 0 where they come all the time. */
+  /** How long a change query may wait at the store; 0 for tables that change all the time. */
   readonly waitMilliseconds: Milliseconds
-  /** Whether peers may tell of it while the store is away. */
+  /** Whether peers may supply its rows while the store is unreachable. */
   readonly isServedByPeers: boolean
-  /** A near peer may tell what is no older than this; where absent the store alone is asked. */
+  /** A nearby peer may supply rows that are no older than this; if absent, only the store is asked. */
   readonly peerStalenessMilliseconds?: Milliseconds
   readonly listener: MirrorListener
 }
 
-/** A mirror for each table, by its name; none is started. */
+/** Creates a mirror for each table, by table name; none is started. */
 export function followTables(parts: FollowedTablesParts): ReadonlyMap<string, TableMirror> {
   const { members, ledger } = parts
   const tables: readonly FollowedTable[] = [
@@ -104,7 +106,8 @@
       pauseMilliseconds: () =>
         parts.isActive() ? MEMBER_PAUSE_MILLISECONDS : STANDBY_MEMBER_PAUSE_MILLISECONDS,
       waitMilliseconds: 0,
-      // Who starts while the store is away would take itself for the only one and name itself alone.
+      // An instance that starts while the store is unreachable would otherwise consider itself the only one and list
+      // only itself in the directory.
       isServedByPeers: true,
       peerStalenessMilliseconds: NEAR_MEMBER_MILLISECONDS,
       listener: {
@@ -116,10 +119,10 @@
       table: PREPAID_TABLE,
       partitions: () => ledger.budgets,
       pauseMilliseconds: () => prepaidPause(ledger),
-      // An instance that stands by reads the rows of a budget when a caller comes for it.
+      // A standby instance reads the rows of a budget when a caller needs it.
       isWanted: parts.isActive,
       waitMilliseconds: 0,
-      // Holdings mean something only as the store has them.
+      // Holdings are valid only as the store has them.
       isServedByPeers: false,
       listener: { onRows: (rows, isWhole) => ledger.observe(rows, isWhole) },
     },
@@ -129,12 +132,12 @@
   )
 }
 
-/** Reads the members without waiting for their time. */
+/** Reads the member rows at once instead of at their next interval. */
 export function readMembersSoon(mirrors: ReadonlyMap<string, TableMirror>): void {
   mirrors.get(MEMBER_TABLE)?.requestRead()
 }
 
-/** Rows that hardly ever change: instances that are heard tell of the news before the store does. */
+/** Rows that hardly ever change: gossip of reachable instances arrives before the store's rows do. */
 function crashTable({ crashRecords }: FollowedTablesParts): FollowedTable {
   return {
     table: CRASH_TABLE,
@@ -151,12 +154,12 @@
   return Math.max(PREPAID_PAUSE_MILLISECONDS, ledger.recordMilliseconds() * PREPAID_PAUSE_SHARE)
 }
 
-/** How long a question for changes of a table with this bound waits at the store. */
+/** How long a change query waits at the store for a table with this staleness bound. */
 function feedWait(boundMilliseconds: Milliseconds): Milliseconds {
   return Math.min(FEED_WAIT_MILLISECONDS, maximumFeedWait(boundMilliseconds))
 }
 
-/** What the operator and the endpoints write. */
+/** The tables that the operator and the endpoints write. */
 function externalTables(parts: FollowedTablesParts): readonly FollowedTable[] {
   const { configuration, endpoints } = parts.adapter
   const { configurationMilliseconds, endpointsMilliseconds } = parts.freshness
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -1,6 +1,6 @@
 /**
- * One instance of the gateway kind: every part, wired together. Owns the configuration in force and the
- * phase of the instance's life; relies on each part for what it does.
+ * One instance of the gateway kind: wires all parts together. Owns the configuration in force and the lifecycle phase
+ * of the instance; delegates everything else to its parts.
  */
 
 import { SystemClock, SystemRandom } from '@rackwalk/shared'
@@ -51,18 +51,18 @@
 import type { PlatformAdapter } from './platformAdapter.js'
 import type { SettingsOutcome } from './settingsWatcher.js'
 
-/** What may be replaced in tests and in programs that embed a daemon. */
+/** What tests and embedding programs may replace. */
 export interface GatewayDaemonOptions {
   readonly clock?: Clock
   readonly random?: RandomSource
   readonly logger?: Logger
-  /** The store; made by the adapter where absent. */
+  /** The store; created by the adapter if absent. */
   readonly store?: RowStore
 }
 
-/** One instance that serves generic routes: every part, wired together. */
+/** One instance that serves generic routes, with all its parts. */
 export class GatewayDaemon {
-  /** Names this run of the process. */
+  /** Identifies this run of the process. */
   private readonly incarnation: string
   private readonly clock: Clock
   private readonly random: RandomSource
@@ -71,11 +71,11 @@
   private readonly store: MeteredStore
   private readonly storeClock: StoreClock
   private readonly members: MemberDirectory
-  /** Requests that callers send here. */
+  /** Rate of the requests that callers send to this instance. */
   private readonly requestRate: DemandMeter
   private readonly fleet: ActiveFleet
   private readonly ledger: PrepaidLedger
-  /** What is known of endpoints. */
+  /** What this instance knows of endpoints. */
   private readonly endpoints: EndpointSubsystem
   private readonly gateway: Gateway
   private readonly mirrors: ReadonlyMap<string, TableMirror>
@@ -109,7 +109,7 @@
     )
     this.storeClock = new StoreClock(this.clock)
     this.incarnation = this.random.uniqueId().slice(0, 8)
-    // A stray request, as a health check sends, must not make an instance count as working.
+    // A single stray request, such as a health check, must not make the instance count as loaded.
     this.requestRate = new DemandMeter(this.clock, DEMAND_WINDOW_MILLISECONDS)
     this.configuration = this.createConfiguration()
     this.members = this.createMembers()
@@ -132,7 +132,7 @@
     this.otherListeners = this.createOtherListeners()
   }
 
-  /** Listens and begins to follow the store. */
+  /** Opens the listeners and begins to follow the store. */
   async start(): Promise<void> {
     const { callers } = this.settings.listen
     const opened = [this.callerListener.open(), listenAll(this.otherListeners)]
@@ -154,12 +154,12 @@
     return this.configuration.routes !== undefined && isOpen
   }
 
-  /** What is known here of a team's budget. */
+  /** Describes what this instance knows of a team's budget. */
   describeBudget(team: string): Readonly<Record<string, unknown>> {
     return this.ledger.describe(team)
   }
 
-  /** Brings requests in progress to their end, settles and leaves. */
+  /** Finishes requests in progress, settles the holdings and leaves the fleet. */
   async drain(): Promise<void> {
     if (this.isDrainStarted) return
     this.isDrainStarted = true
@@ -176,7 +176,7 @@
     this.note('instance_left', { ...result, ...this.waiting.logFields })
   }
 
-  /** The settings file changed; what can change in a running process does. */
+  /** Handles a change of the settings file; settings that can change in a running process take effect. */
   noteSettings(outcome: SettingsOutcome): void {
     const { cause } = outcome
     if (outcome.kind === 'refused') {
@@ -187,12 +187,12 @@
     this.note('settings_in_force', { cause })
   }
 
-  /** Tells of a fault of the program; what it touched is given up, the rest goes on. */
+  /** Reports an internal error: the operation that failed is abandoned and the process continues. */
   noteFault(error: unknown): void {
     this.telemetry.noteFault(error)
   }
 
-  /** Stops at once. */
+  /** Stops immediately. */
   stop(): void {
     for (const mirror of this.mirrors.values()) mirror.stop()
     this.health.stop()
@@ -262,7 +262,7 @@
       store: this.store,
       storeClock: this.storeClock,
       clock: this.clock,
-      // The process's clock counts from its start, at which its predecessor was dead.
+      // The process's clock starts at 0 with the process, and the previous process had terminated by then.
       startedAt: 0,
       policy: budgets.policy === 'equal' ? new EqualHoldingPolicy() : new DemandHoldingPolicy(),
       isActive: () => this.fleet.isSelfSettled,
@@ -456,7 +456,7 @@
     this.becomeMember()
   }
 
-  /** Others learn of this instance once it can serve. */
+  /** Other instances learn of this one only once it can serve. */
   private becomeMember(): void {
     if (this.isMember) return
     this.isMember = true
--- a/packages/daemon/src/gateway/gatewayGauges.ts
+++ b/packages/daemon/src/gateway/gatewayGauges.ts
@@ -1,4 +1,4 @@
-/** Where the gauges of a gateway instance are read. Owns nothing. */
+/** Connects the gauges of a gateway instance to their sources. Owns nothing. */
 
 import type { MemberDirectory, PrepaidLedger, TableMirror } from '@rackwalk/coordination'
 import type {
@@ -15,7 +15,7 @@
 import type { OpenConnections } from './openConnections.js'
 import type { PausableListener } from './pausableListener.js'
 
-/** The parts that know the values. */
+/** The parts that the gauges read. */
 export interface GatewayGaugeSources {
   readonly gateway: Gateway
   readonly members: MemberDirectory
@@ -28,13 +28,13 @@
   readonly configuration: ActiveConfiguration
   readonly callerConnections: OpenConnections
   readonly callerListener: PausableListener
-  /** Follows the configuration; its age is that of the store's last answer. */
+  /** Mirror of the configuration table; its age is that of the store's last answer. */
   readonly configurationMirror: TableMirror | undefined
   readonly health: InstanceHealth
   readonly isReady: () => boolean
 }
 
-/** Readers of all gauges. */
+/** Creates the readers of all gauges. */
 export function gaugesOf(sources: GatewayGaugeSources): GatewayGauges {
   const { gateway, members, fleet, ledger, endpoints, configuration } = sources
   return {
--- a/packages/daemon/src/gateway/gatewayListeners.ts
+++ b/packages/daemon/src/gateway/gatewayListeners.ts
@@ -10,12 +10,12 @@
 import { listenOn } from '../observe/listenOn.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
-/** Callers may take up a connection that rested almost this long; it must still be there. */
+/** Callers may reuse a connection that was idle for almost the idle time, so it must still be open then. */
 const IDLE_SLACK_MILLISECONDS = 1_000
 const LONGEST_HEADER_BYTES = 64 * 1024
 const HEADER_MILLISECONDS = 10_000
 
-/** The listener for callers; a configuration changes its limits. */
+/** Creates the listener for callers; a configuration changes its limits. */
 export function createCallerListener(
   handle: (request: IncomingMessage, response: ServerResponse) => void,
 ): Server {
@@ -27,7 +27,7 @@
   return server
 }
 
-/** Puts the limits of a configuration in force for connections from now on. */
+/** Applies the limits of a configuration to connections from now on. */
 export function applyLimits(server: Server, limits: GatewayLimits): void {
   server.keepAliveTimeout = limits.idleMilliseconds + IDLE_SLACK_MILLISECONDS
   server.headersTimeout = limits.headerMilliseconds + IDLE_SLACK_MILLISECONDS
@@ -35,13 +35,13 @@
 
 /** Longest body of a call to a plain listener. */
 const LONGEST_PLAIN_BODY_BYTES = 64 * 1024
-/** A caller that sends a call more slowly keeps no connection with it. */
+/** A caller that takes longer to send a call is disconnected. */
 const PLAIN_CALL_MILLISECONDS = 10_000
 
 /** Answers a path; `body` is empty for calls without one. */
 export type PlainHandler = (url: string, body: string) => PlainAnswer | Promise<PlainAnswer>
 
-/** A listener that gives plain answers to short calls. */
+/** Creates a listener that gives plain answers to short calls. */
 export function createPlainListener(answer: PlainHandler): Server {
   const limits = {
     requestTimeout: PLAIN_CALL_MILLISECONDS,
@@ -50,7 +50,7 @@
   return createServer(limits, (request, response) => handlePlainRequest(request, response, answer))
 }
 
-/** Reads a short call to its end and answers it. */
+/** Reads the whole body of a short call and answers it. */
 export function handlePlainRequest(
   request: IncomingMessage,
   response: ServerResponse,
@@ -69,7 +69,7 @@
   })
 }
 
-/** Listens at all addresses; fails with `CannotListen` where one cannot be bound. */
+/** Listens at all addresses; rejects with `CannotListen` if one cannot be bound. */
 export async function listenAll(
   listeners: readonly { readonly server: Server; readonly address: string }[],
 ): Promise<void> {
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of a gateway instance. Owns their registry; names and labels are an interface to operators
- * and change only on purpose.
+ * The metrics of a gateway instance. Owns their registry. Names and labels are an interface to operators and must not
+ * change by accident.
  */
 
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
@@ -14,7 +14,7 @@
 const PAUSE_BUCKETS = [0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5]
 const TOTAL_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 15, 60]
 
-/** Values read when somebody asks for the metrics. */
+/** Values that are read when the metrics are scraped. */
 export interface GatewayGauges {
   readonly inFlight: () => number
   readonly instances: () => number
@@ -259,15 +259,15 @@
     this.tokens.inc({ tenant: team }, spent ?? 0)
   }
 
-  /** A dead instance may have handed these tokens out, or not. */
+  /** Counts tokens that a terminated instance may or may not have spent. */
   noteTakeover(team: string, { reserved, ahead, allowed }: Takeover): void {
     for (const [part, tokens] of Object.entries({ reserved, ahead, allowed })) {
-      // A counter throws at less than nothing, and the row may come from another writer.
+      // A counter throws on a negative value, and the row may come from another writer.
       this.assumedTokens.inc({ tenant: team, part }, Math.max(0, tokens))
     }
   }
 
-  /** A request of a team that is served next to nothing was not served either. */
+  /** A request of a team that is served almost nothing was also not served. */
   noteStarvedRequest(team: TeamId, code: ResultCode): void {
     this.starvedRequests.inc({ tenant: team, code: String(code) })
   }
@@ -396,7 +396,7 @@
   }
 }
 
-/** What a team's own people ask first; the codes tell the rest. */
+/** A coarse outcome for a team's own use; the result codes give the details. */
 function teamOutcome(code: ResultCode): 'served' | 'refused' | 'failed' {
   if (code === ResultCode.Ok) return 'served'
   return RESULT_TABLE[code].execution === 'not-run' ? 'refused' : 'failed'
--- a/packages/daemon/src/gateway/gatewaySettings.ts
+++ b/packages/daemon/src/gateway/gatewaySettings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of an instance that serves generic routes on a platform of its own protocol: names, bounds,
- * defaults and what each is for. docs/settings.md is made from it.
+ * Settings of an instance that serves generic routes on a platform with its own protocol: names, bounds, defaults and
+ * descriptions. docs/settings.md is generated from this schema.
  */
 
 import * as z from 'zod'
@@ -140,5 +140,5 @@
     .describe('What is logged'),
 })
 
-/** Settings that were checked, with defaults filled in. */
+/** Validated settings, with defaults filled in. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>
--- a/packages/daemon/src/gateway/gatewayTelemetry.ts
+++ b/packages/daemon/src/gateway/gatewayTelemetry.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance tells of itself: lines of the log, events counted, malformed input. Owns the logger, the batch
- * of changes and, once the parts that it reads are there, the metrics.
+ * What an instance reports about itself: log lines, event counts, malformed input. Owns the logger, the batch of
+ * changes and, once the parts that the gauges read exist, the metrics.
  */
 
 import { ResultCode } from '@rackwalk/shared'
@@ -27,15 +27,15 @@
 
 type Fields = Readonly<Record<string, unknown>>
 
-/** The log of an instance, bounded as its settings say. */
+/** Creates the log of an instance, with the rate limit of its settings. */
 export function createGatewayLogger({ log, instance }: GatewaySettings, clock: Clock): Logger {
   const inner = new JsonLogger(log.level, instance.id)
   return new BoundedLogger(inner, clock, log.linesPerSecond)
 }
 
-/** Counts and tells what an instance does and believes. */
+/** Counts and logs what an instance does and detects. */
 export class GatewayTelemetry implements RefusedBodyCounters, AcceptQueueObserver {
-  /** Undefined until all parts that gauges read are there. */
+  /** Undefined until all parts that the gauges read exist. */
   private metrics: GatewayMetrics | undefined
   private readonly malformed: MalformedInputLog
   private readonly changes: ChangeBatch
@@ -45,19 +45,19 @@
     this.changes = new ChangeBatch((event, fields) => logger.info(event, fields))
   }
 
-  /** Begins to count; call it once. */
+  /** Creates the metrics, from which point events are counted; call it once. */
   createMetrics(gauges: GatewayGauges): GatewayMetrics {
     this.metrics = new GatewayMetrics(gauges)
     return this.metrics
   }
 
-  /** An event of which each is a line. */
+  /** Counts an event and logs a line for it. */
   note(event: string, fields: Fields): void {
     this.count(event)
     this.logger.info(event, fields)
   }
 
-  /** A change of what is believed of one of many; those that come together are one line. */
+  /** Counts a state change of one of many objects; changes that occur together share a log line. */
   noteChange(event: string, kind: string, fields: Fields): void {
     this.count(event)
     this.changes.note(event, { kind, fields })
@@ -68,12 +68,12 @@
     this.noteChange('member_state', state, { member, state })
   }
 
-  /** The holding of a dead instance was ended. */
+  /** The holding of a terminated instance was closed. */
   noteTakeover(budget: string, takeover: Takeover): void {
     this.metrics?.noteTakeover(budget, takeover)
   }
 
-  /** A fault of the program; what it touched is given up, the rest goes on. */
+  /** An internal error: the operation that failed is abandoned and the process continues. */
   noteFault(error: unknown): void {
     const detail = error instanceof Error ? (error.stack ?? error.message) : String(error)
     this.count('fault')
@@ -95,7 +95,10 @@
     this.logger[isServed ? 'info' : 'warn']('request', requestLogFields(record))
   }
 
-  /** An endpoint ended unannounced; each request that it had not begun to answer is named, and `told` others get to know. */
+  /**
+   * An endpoint crashed. Names the requests that it had not begun to answer; `told` is the number of instances that
+   * are informed.
+   */
   noteEndpointEnd({ endpoint, signs, unanswered }: EndpointCrash, told: number): void {
     const { id, service } = endpoint
     this.metrics?.noteEndpointEnd(service)
@@ -105,7 +108,7 @@
     this.logger.warn('server_ended', fields)
   }
 
-  /** The listener for callers was closed for a moment. */
+  /** The listener for callers was paused. */
   noteListenerPause(): void {
     this.metrics?.noteListenerPause()
   }
@@ -122,7 +125,7 @@
     this.note('waiting_connections', { isTaken, detail })
   }
 
-  /** A request of a team that is served next to nothing was not served either. */
+  /** A request of a team that is served almost nothing was also not served. */
   noteStarvedRequest(team: TeamId, code: ResultCode): void {
     this.metrics?.noteStarvedRequest(team, code)
   }
--- a/packages/daemon/src/gateway/gracefulShutdown.ts
+++ b/packages/daemon/src/gateway/gracefulShutdown.ts
@@ -1,36 +1,36 @@
 /**
- * Brings an instance to its planned end inside the time that it is given, by the phases of
- * decisions/stopping/drainPhases.ts. Owns nothing; the daemon gives the acts.
+ * Shuts an instance down within its grace time, in the phases of decisions/stopping/drainPhases.ts. Owns nothing; the
+ * daemon supplies the actions.
  */
 
 import { LINGER_MILLISECONDS, exitDelay, shouldSettle } from '@rackwalk/decisions'
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Time between two looks at the requests in progress. */
+/** Time between two checks of the requests in progress. */
 const POLL_MILLISECONDS = 20
 
-/** The acts of a planned stop, and what it asks. */
+/** The actions of a planned shutdown, and the values it reads. */
 export interface GracefulShutdownParts {
   readonly clock: Clock
   readonly graceMilliseconds: () => Milliseconds
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly inFlight: () => number
-  /** No new requests from now on. */
+  /** Refuses new requests from now on. */
   readonly refuse: () => void
   readonly closeListener: () => void
-  /** Gives back what this instance holds; true once the store has all of it. */
+  /** Returns this instance's holdings; true once the store has recorded all of them. */
   readonly settle: () => Promise<boolean>
 }
 
-/** How a planned stop ended. */
+/** The outcome of a planned shutdown. */
 export interface GracefulShutdownResult {
-  /** Requests that the grace time did not suffice for. */
+  /** Requests that were still in progress when the grace time was over. */
   readonly cutOff: number
   readonly isSettled: boolean
 }
 
-/** Lets callers go elsewhere, ends what is in progress and settles. */
+/** Lets callers move to other instances, finishes the requests in progress and settles the holdings. */
 export async function shutDownGracefully(
   parts: GracefulShutdownParts,
 ): Promise<GracefulShutdownResult> {
@@ -40,7 +40,7 @@
   await waitForRequests(parts, startedAt)
   parts.closeListener()
   const cutOff = parts.inFlight()
-  // What the store does not take in time is settled by the next incarnation's bound.
+  // Holdings that the store does not record in time are settled by the next incarnation, by their upper bound.
   const isSettled = await Promise.race([parts.settle(), graceEnd(parts, startedAt)])
   return { cutOff, isSettled }
 }
--- a/packages/daemon/src/gateway/instanceHealth.ts
+++ b/packages/daemon/src/gateway/instanceHealth.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance watches of its own service: how old what it knows is, and whom it serves next to nothing. Owns both
- * watches; tells the telemetry of their changes.
+ * Monitors the instance's own service: the age of the rows that it serves by, and the teams that it serves almost
+ * nothing. Owns both monitors; reports their changes to the telemetry.
  */
 
 import type { Clock } from '@rackwalk/shared'
@@ -11,17 +11,17 @@
 import type { MonitoredTable } from './stalenessMonitor.js'
 import { StarvationMonitor } from './starvationMonitor.js'
 
-/** What the watches work with. */
+/** What the monitors need. */
 export interface InstanceHealthParts {
   readonly clock: Clock
   readonly telemetry: GatewayTelemetry
   readonly gateway: Pick<Gateway, 'admissionState' | 'inFlight'>
-  /** Tables whose changes have to be in force in time, by name. */
+  /** Tables whose changes have to take effect within a bound, by name. */
   readonly tables: ReadonlyMap<string, MonitoredTable>
   readonly reachability: () => ContactAges
 }
 
-/** The watches of one instance over its own service. */
+/** The health monitors of one instance. */
 export class InstanceHealth {
   private readonly knowledge: StalenessMonitor
   private readonly starvation: StarvationMonitor
@@ -53,12 +53,12 @@
     this.starvation.stop()
   }
 
-  /** Throws where a request may not be served by what is known here. */
+  /** Throws if no request may be served because the known rows are too old. */
   checkStaleness(): void {
     this.knowledge.check()
   }
 
-  /** Whether what is known of a table is as new as it has to be. */
+  /** Whether the known rows of a table are as recent as they have to be. */
   isFresh(table: string): boolean {
     const watched = this.parts.tables.get(table)
     return watched !== undefined && watched.mirror.age <= watched.boundMilliseconds
@@ -69,7 +69,7 @@
     this.starvation.noteRecord(record)
   }
 
-  /** Teams that are served next to nothing here. */
+  /** Number of teams that are served almost nothing here. */
   get starvedTeams(): number {
     return this.starvation.size
   }
--- a/packages/daemon/src/gateway/listenerPauses.ts
+++ b/packages/daemon/src/gateway/listenerPauses.ts
@@ -1,6 +1,6 @@
 /**
- * Closes the listener for callers for moments while this instance gets more than it bears, and tells the others that it
- * does. Owns the timer; the rule is in decisions/admitting/listenerPause.
+ * Briefly closes the listener for callers while this instance is overloaded, and broadcasts the overload to the other
+ * instances. Owns the timer; the rule is in decisions/admitting/listenerPause.
  */
 
 import { ListenerPause, listenerOpenMilliseconds } from '@rackwalk/decisions'
@@ -9,25 +9,25 @@
 import type { PausableListener } from './pausableListener.js'
 import { OVERLOAD_GOSSIP_MILLISECONDS } from './loadExchange.js'
 
-/** What the pauses rest on. */
+/** What the pauses need. */
 export interface ListenerPausesParts {
   readonly clock: Clock
   readonly random: RandomSource
   readonly listener: PausableListener
-  /** Share of the requests of the last moments that this instance turned away for reasons of its own. */
+  /** Share of recent requests that this instance refused for reasons of its own. */
   readonly refusedShare: () => number
   readonly others: () => PeerOverload
   /** Whether new requests may begin here. */
   readonly isServing: () => boolean
-  /** Tells the others that this instance gets more than it bears. */
+  /** Broadcasts that this instance is overloaded. */
   readonly gossipOverload: () => void
   readonly onPause: () => void
-  /** The instance began to pause its listener, or ceased to. */
+  /** The instance began or stopped pausing its listener. */
   readonly onChange: (isPausing: boolean, refusedShare: number, others: PeerOverload) => void
   readonly onFault: (error: unknown) => void
 }
 
-/** Pauses of one instance's listener. */
+/** Controls the pauses of one instance's listener. */
 export class ListenerPauses {
   private readonly rule = new ListenerPause()
   private timer: Timer | undefined
@@ -44,7 +44,7 @@
     this.timer = clock.after(listenerOpenMilliseconds(random.next()), () => this.evaluate())
   }
 
-  /** The listener stays as it is. */
+  /** Leaves the listener in its current state. */
   stop(): void {
     this.isStopped = true
     this.timer?.cancel()
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -1,7 +1,7 @@
 /**
- * Datagrams in which instances tell each other what they have in progress at the endpoints. A lost one
- * costs a worse choice, never a wrong answer. Owns the socket and the times of sending; relies on FleetLoad
- * for what to tell and for what to do with what it is told.
+ * Datagrams in which instances report their load at the endpoints to each other. A lost datagram causes a worse
+ * choice, never a wrong answer. Owns the socket and the send times; relies on FleetLoad for the reports to send and
+ * for handling received ones.
  */
 
 import { createSocket } from 'node:dgram'
@@ -19,21 +19,21 @@
 import { encodeOverloadGossip, reportsOverload } from './overloadGossip.js'
 import { decodeStreamGossip, encodeVersionGossip } from './streamGossip.js'
 
-/** Time between two reports in a small fleet, and of what must be told at once in any. */
+/** Time between two reports in a small fleet, and the delay of urgent messages in any fleet. */
 const SHORTEST_INTERVAL_MILLISECONDS = 20
-/** Bytes a second that one instance sends in reports, to all that get them together, */
+/** Bytes per second that one instance sends in reports, to all receivers together. */
 const REPORT_BYTES_PER_SECOND = 12_000
-/** and in signs of life to the others. */
+/** Bytes per second that one instance sends in heartbeats to the other instances. */
 const HEARTBEAT_BYTES_PER_SECOND = 5_000
-/** A report with the head of its datagram, on a calm day, */
+/** Typical size of a report under low load, with its datagram headers. */
 const REPORT_BYTES = 110
-/** and a sign of life. */
+/** Size of a heartbeat with its datagram headers. */
 const HEARTBEAT_BYTES = 80
-/** An instance that stays overloaded tells it this often in a small fleet. */
+/** Time between two overload messages of an instance that stays overloaded, in a small fleet. */
 export const OVERLOAD_GOSSIP_MILLISECONDS: Milliseconds = 1_000
-/** An instance with nothing new gives a sign of life this often, */
+/** Time after which an instance with nothing new to report sends a heartbeat. */
 const HEARTBEAT_MILLISECONDS = 250
-/** and counts as silent when this many of them are missing. */
+/** An instance counts as silent when this many of its heartbeats are missing. */
 const MISSED_HEARTBEATS = 4
 
 /** Another instance, as the exchange reaches it. */
@@ -44,7 +44,7 @@
   readonly address: string
 }
 
-/** Those of the members that take reports. */
+/** The members that take reports. */
 export function loadPeersOf(members: readonly MemberRow[]): readonly LoadPeer[] {
   return members
     .filter(({ loadAddress }) => loadAddress !== '')
@@ -53,60 +53,63 @@
     })
 }
 
-/** Names one life: who starts again at the same address knows nothing of what the one before was told. */
+/**
+ * Identifies one incarnation: an instance that restarts at the same address does not know what its predecessor was
+ * sent.
+ */
 function incarnationKeyOf({ address, incarnation }: LoadPeer): string {
   return `${address} ${incarnation}`
 }
 
-/** What the exchange works with. */
+/** What the exchange needs. */
 export interface LoadExchangeParts {
   /** IP:PORT at which this instance takes reports. */
   readonly address: string
-  /** Others that use endpoints: they get every report. */
+  /** Other instances that use endpoints; every report is sent to them. */
   readonly reportPeers: () => readonly LoadPeer[]
-  /** The others: they get signs of life. */
+  /** All other instances, which get heartbeats only. */
   readonly heartbeatPeers: () => readonly LoadPeer[]
   readonly fleetLoad: FleetLoad
-  /** Names this instance in news. */
+  /** Identifies this instance in gossip. */
   readonly identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>
-  /** Another instance told of requests that end endpoints. */
+  /** Another instance reported requests that crash endpoints. */
   readonly onCrashGossip: (news: CrashGossip) => void
-  /** Another instance told what endpoints say of themselves. */
+  /** Another instance reported the advice of endpoints. */
   readonly onAdviceGossip: (news: readonly AdviceGossip[]) => void
-  /** Another instance told where streams began, or of software versions. */
+  /** Another instance reported the origins of streams, or software versions. */
   readonly onStreamGossip: (news: StreamGossip) => void
-  /** Another instance told that it gets more than it bears. */
+  /** Another instance reported that it is overloaded. */
   readonly onOverloaded: (instance: string) => void
-  /** Another instance told from which services it is cut off. */
+  /** Another instance reported the services from which it is cut off. */
   readonly onCutOff: (instance: string, services: readonly string[]) => void
-  /** A datagram came in the name of this instance, which may not be known. */
+  /** A datagram arrived in the name of an instance, which may be unknown. */
   readonly onSender: (sender: Pick<PeerLoadReport, 'instance' | 'incarnation'>) => void
-  /** What holds of endpoints by their own word, for instances that may not have heard it. */
+  /** Advice of endpoints that currently holds, for instances that may have missed it. */
   readonly standingAdvice: () => readonly AdviceGossip[]
-  /** The same of breaks and ends, */
+  /** Connection resets and crashes that currently hold, for the same instances. */
   readonly standingCrashes: () => CrashGossip
-  /** and of software versions that serve side by side. */
+  /** Software versions that serve side by side, for the same instances. */
   readonly standingVersions: () => readonly StreamOrigin[]
   readonly clock: Clock
   readonly onMalformed: (form: MalformedInput) => void
 }
 
-/** Sends this instance's reports and takes those of others. */
+/** Sends this instance's reports and receives those of others. */
 export class LoadExchange {
   private socket: Socket | undefined
   private timer: Timer | undefined
-  /** Set while something waits to be told at once. */
+  /** Set while an urgent report is pending. */
   private urgentTimer: Timer | undefined
-  /** Set while newcomers wait to be told what holds. */
+  /** Set while new instances wait for the current state. */
   private newcomerTimer: Timer | undefined
   private sentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private heartbeatSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private overloadSentAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** An instance that is heard of was heard of within this time; reckoned at each report. */
+  /** An instance is silent when it sent nothing for this long; recomputed at each report. */
   silenceMilliseconds: Milliseconds = MISSED_HEARTBEATS * HEARTBEAT_MILLISECONDS
-  /** Lives to which the last report went. */
+  /** Incarnations that the last report was sent to. */
   private reportedPeers: ReadonlySet<string> = new Set()
-  /** Lives that were told what holds of endpoints, or were there when it was told to all. */
+  /** Incarnations that were sent the current state of endpoints, or were present when it was broadcast. */
   private informedPeers: ReadonlySet<string> = new Set()
 
   constructor(private readonly parts: LoadExchangeParts) {}
@@ -115,7 +118,7 @@
     const { host, port } = parseAddress(this.parts.address)
     const socket = createSocket('udp4')
     socket.on('message', (bytes, { address, port }) => this.receive(bytes, `${address}:${port}`))
-    // Without the socket, choices rest on own requests and on what endpoints tell.
+    // Without the socket, choices rely on this instance's own requests and on what endpoints report.
     socket.on('error', () => this.stop())
     socket.bind(port, host, () => this.schedule())
     this.socket = socket
@@ -129,7 +132,7 @@
     this.socket = undefined
   }
 
-  /** Something was sent to an endpoint: who is at home there is told before the next report. */
+  /** A request was sent to an endpoint: instances that prefer that endpoint are told before the next report. */
   noteSent(): void {
     if (this.urgentTimer !== undefined || this.interval <= SHORTEST_INTERVAL_MILLISECONDS) return
     this.urgentTimer = this.parts.clock.after(SHORTEST_INTERVAL_MILLISECONDS, () => {
@@ -138,13 +141,13 @@
     })
   }
 
-  /** Others can know of this instance now: those that heard it before could not. */
+  /** Other instances can know this one from now on; those that heard it before could not use its reports. */
   announce(): void {
     this.reportedPeers = new Set()
     this.noteNewcomer()
   }
 
-  /** Another instance has begun to serve: it is told what holds before the next report. */
+  /** Another instance has begun to serve: it is sent the current state before the next report. */
   noteNewcomer(): void {
     if (this.socket === undefined) return
     this.newcomerTimer ??= this.parts.clock.after(SHORTEST_INTERVAL_MILLISECONDS, () => {
@@ -153,22 +156,22 @@
     })
   }
 
-  /** Others that are told of news. */
+  /** Number of other instances that gossip is sent to. */
   get gossipPeerCount(): number {
     return this.parts.reportPeers().length + this.parts.heartbeatPeers().length
   }
 
-  /** Tells all others of requests that end endpoints, at once. */
+  /** Broadcasts crash gossip at once. */
   gossipCrashes(news: CrashGossip): void {
     this.broadcast(encodeCrashGossip(news, this.parts.identity))
   }
 
-  /** Tells all others what endpoints say of themselves, at once. */
+  /** Broadcasts the advice of endpoints at once. */
   gossipAdvice(news: readonly AdviceGossip[]): void {
     this.broadcast(encodeAdviceGossip(news, this.parts.identity))
   }
 
-  /** Tells all others that this instance gets more than it bears, unless it did lately. */
+  /** Broadcasts that this instance is overloaded, unless it did so recently. */
   gossipOverload(): void {
     const now = this.parts.clock.monotonic()
     if (now - this.overloadSentAt < this.overloadGossipMilliseconds) return
@@ -176,22 +179,22 @@
     this.broadcast(encodeOverloadGossip(this.parts.identity))
   }
 
-  /** Tells all others from which services this instance is cut off. */
+  /** Broadcasts the services from which this instance is cut off. */
   gossipCutOff(services: readonly string[]): void {
     this.broadcast(encodeCutOffGossip(services, this.parts.identity))
   }
 
-  /** The news grows rarer with the number of instances that get it, as signs of life do: each may cost as much. */
+  /** Like heartbeats, overload gossip becomes rarer with the number of receivers; both may use the same bandwidth. */
   get overloadGossipMilliseconds(): Milliseconds {
     return Math.max(OVERLOAD_GOSSIP_MILLISECONDS, this.heartbeatBandwidthInterval)
   }
 
-  /** Tells all others news, at once. */
+  /** Sends gossip to all other instances at once. */
   broadcast(reports: readonly PeerLoadReport[]): void {
     this.sendReports([...this.parts.reportPeers(), ...this.parts.heartbeatPeers()], reports)
   }
 
-  /** Tells these others news, at once. */
+  /** Sends gossip to these instances at once. */
   sendReports(peers: readonly LoadPeer[], reports: readonly PeerLoadReport[]): void {
     for (const report of reports) this.sendTo(peers, report)
   }
@@ -206,18 +209,18 @@
     })
   }
 
-  /** Reports grow rarer with the number of instances that get them, so that their bytes stay bounded. */
+  /** Reports become rarer with the number of receivers, so that the bytes they use stay bounded. */
   private get interval(): Milliseconds {
     const bytes = this.parts.reportPeers().length * REPORT_BYTES
     return Math.max(SHORTEST_INTERVAL_MILLISECONDS, (bytes * 1000) / REPORT_BYTES_PER_SECOND)
   }
 
-  /** All instances know about the same number of others, and so the interval of their signs. */
+  /** All instances know about the same number of others, and therefore about the same heartbeat interval. */
   private get heartbeatInterval(): Milliseconds {
     return Math.max(HEARTBEAT_MILLISECONDS, this.interval, this.heartbeatBandwidthInterval)
   }
 
-  /** Time in which the bytes for signs suffice for one to each other instance. */
+  /** Time in which the heartbeat bandwidth suffices for one heartbeat to each other instance. */
   private get heartbeatBandwidthInterval(): Milliseconds {
     return (this.gossipPeerCount * HEARTBEAT_BYTES * 1000) / HEARTBEAT_BYTES_PER_SECOND
   }
@@ -240,7 +243,7 @@
     }
   }
 
-  /** Who begins to use endpoints would know only of changes until the next whole report. */
+  /** An instance that begins to use endpoints would otherwise learn only of changes until the next whole report. */
   private reportToNewPeers(): void {
     const peers = this.parts.reportPeers()
     const newcomers = peers.filter(peer => !this.reportedPeers.has(incarnationKeyOf(peer)))
@@ -249,7 +252,10 @@
     this.informNewcomers()
   }
 
-  /** Who wasn't there when an endpoint said something, broke off or ended would send there until it finds out itself. */
+  /**
+   * An instance that missed an endpoint's advice, connection resets or crash would otherwise send requests there
+   * until it found out itself.
+   */
   private informNewcomers(): void {
     const { reportPeers, heartbeatPeers, identity, standingAdvice, standingCrashes } = this.parts
     const { standingVersions } = this.parts
--- a/packages/daemon/src/gateway/loadReport.ts
+++ b/packages/daemon/src/gateway/loadReport.ts
@@ -1,6 +1,6 @@
 /**
- * The bytes of a report about load, which instances send each other in datagrams. Owns nothing; what is not
- * of the form is no report at all.
+ * The encoding of a load report, which instances send each other in datagrams. Owns nothing; bytes that do not have
+ * this form are not decoded at all.
  */
 
 import { parseJson } from '@rackwalk/stores'
@@ -13,7 +13,7 @@
 /** `[instance, incarnation, sequence, isWhole, loads]` */
 type WireReport = readonly [string, string, number, boolean, readonly WireLoad[]]
 
-/** The bytes of a report. */
+/** Encodes a report. */
 export function encodeReport(report: PeerLoadReport): Buffer {
   const { instance, incarnation, sequence, isWhole } = report
   const entries = report.loads.map(({ endpoint, running, pendingTokens, parts }) => {
@@ -22,7 +22,7 @@
   return Buffer.from(JSON.stringify([instance, incarnation, sequence, isWhole, entries]))
 }
 
-/** Undefined where the bytes are no report. */
+/** Returns undefined if the bytes are not a report. */
 export function decodeReport(bytes: Buffer): PeerLoadReport | undefined {
   const report = parseJson(bytes.toString('utf8'))
   if (!isReport(report)) return undefined
@@ -36,7 +36,8 @@
   return { instance, incarnation, sequence, isWhole, loads }
 }
 
-// Checked by hand: an instance of a large fleet takes hundreds a second, most of them in its first seconds.
+// Validated by hand rather than with a schema: an instance of a large fleet receives hundreds of reports a second,
+// most of them in its first seconds.
 function isReport(value: unknown): value is WireReport {
   if (!isList(value) || value.length !== 5) return false
   const [instance, incarnation, sequence, isWhole, loads] = value
--- a/packages/daemon/src/gateway/meteredStore.ts
+++ b/packages/daemon/src/gateway/meteredStore.ts
@@ -1,4 +1,4 @@
-/** The store with its calls counted: each has a price and a limit. Owns when it last answered. */
+/** A store that counts its calls, since each has a price and a limit. Owns the time of the last answer. */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type {
@@ -9,7 +9,7 @@
   RowWriteOutcome,
 } from '@rackwalk/stores'
 
-/** What a call to the store was for. */
+/** The kind of a call to the store. */
 export type StoreCall = 'write' | 'read' | 'feed'
 
 type OutcomeKind = (RowWriteOutcome | RowReadOutcome | ChangeFeedOutcome)['kind']
@@ -21,7 +21,7 @@
   'unknown',
 ])
 
-/** Counts the calls to the store by table and outcome: each has a price and a limit. */
+/** Counts the calls to the store by table and outcome, since each has a price and a limit. */
 export class MeteredStore implements RowStore {
   private answeredAt: Milliseconds = Number.NEGATIVE_INFINITY
 
@@ -31,7 +31,7 @@
     private readonly count: (call: StoreCall, table: string, outcome: string) => void,
   ) {}
 
-  /** Time since the store last did what it was asked; a call that it turned away is no answer. */
+  /** Time since the store last carried out a call; a rejected call does not count as an answer. */
   get answeredAgoMilliseconds(): Milliseconds {
     return this.clock.sinceStart() - this.answeredAt
   }
--- a/packages/daemon/src/gateway/openConnections.ts
+++ b/packages/daemon/src/gateway/openConnections.ts
@@ -1,4 +1,4 @@
-/** The connections that a listener has open at present. Owns the set of their sockets. */
+/** The open connections of a listener. Owns the set of their sockets. */
 
 import type { Server } from 'node:http'
 import type { Socket } from 'node:net'
@@ -14,7 +14,7 @@
     })
   }
 
-  /** How many there are. */
+  /** Number of open connections. */
   get size(): number {
     return this.sockets.size
   }
--- a/packages/daemon/src/gateway/overloadGossip.ts
+++ b/packages/daemon/src/gateway/overloadGossip.ts
@@ -1,19 +1,19 @@
 /**
- * The news that an instance gets more than it bears, as a datagram between instances, and who told it lately. It travels as
- * news of requests that end endpoints do: in the form of a load report that comes too late, which an earlier version
- * drops. Owns when each instance last told it.
+ * Gossip about overloaded instances, as datagrams between instances, and a record of which instances reported it
+ * lately. The messages are encoded like crash gossip: as outdated load reports, which earlier versions drop. Owns the
+ * time of each instance's last report.
  */
 
 import type { PeerLoadReport } from '@rackwalk/router'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import { gossipReports } from './crashGossip.js'
 
-/** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
+/** Value of an entry's endpoint field; it cannot clash with an endpoint id, since no id contains a space. */
 const OVERLOADED_ENTRY = 'instance overloaded'
-/** An instance counts as overloaded for so many intervals of its news: two may be lost. */
+/** An instance counts as overloaded for this many gossip intervals, so that two messages may be lost. */
 const EXPIRY_INTERVALS = 3.5
 
-/** The reports that tell that this instance is overloaded. */
+/** Encodes that this instance is overloaded as gossip reports. */
 export function encodeOverloadGossip(
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
@@ -23,12 +23,12 @@
   )
 }
 
-/** Whether a report that carries news tells that its instance is overloaded. */
+/** Whether a gossip report says that its sender is overloaded. */
 export function reportsOverload({ loads }: PeerLoadReport): boolean {
   return loads.some(({ endpoint }) => endpoint === OVERLOADED_ENTRY)
 }
 
-/** Instances that said lately that they get more than they bear. */
+/** Instances that lately reported that they are overloaded. */
 export class OverloadedInstances {
   private readonly reportedAt = new Map<string, Milliseconds>()
 
@@ -38,12 +38,12 @@
     private readonly gossipMilliseconds: () => Milliseconds,
   ) {}
 
-  /** An instance told it. */
+  /** An instance reported that it is overloaded. */
   note(instance: string): void {
     this.reportedAt.set(instance, this.clock.monotonic())
   }
 
-  /** Whether it did lately. */
+  /** Whether an instance lately reported that it is overloaded. */
   has(instance: string): boolean {
     const toldAt = this.reportedAt.get(instance)
     if (toldAt === undefined) return false
--- a/packages/daemon/src/gateway/pausableListener.ts
+++ b/packages/daemon/src/gateway/pausableListener.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for callers, which can stop taking new connections for a while: the kernel refuses them then, and open ones
- * are served on, idle ones included. Owns whether and where it listens.
+ * The listener for callers, which can be paused: the kernel then refuses new connections, while open ones, including
+ * idle ones, are still served. Owns whether and where it listens.
  */
 
 import { Server as NetServer } from 'node:net'
@@ -10,7 +10,7 @@
 import { AcceptQueue } from '../callers/acceptQueue.js'
 import { listenOn, withPort } from '../observe/listenOn.js'
 
-/** Time between two tries to listen again where the address is taken. */
+/** Time between two attempts to listen again while the address is taken. */
 const REOPEN_MILLISECONDS: Milliseconds = 100
 
 /** A listener that can be paused. */
@@ -23,34 +23,34 @@
     /** IP:PORT. */
     private address: string,
     private readonly clock: Clock,
-    /** The address was taken while the listener was paused; it is tried again. */
+    /** The address was taken by another process while the listener was paused; listening is retried. */
     private readonly onTaken: (error: unknown) => void,
     private readonly waiting = new AcceptQueue(),
   ) {}
 
-  /** Whether new connections are taken. */
+  /** Whether new connections are accepted. */
   get isListening(): boolean {
     return this.server.listening
   }
 
-  /** Whether another process holds the address, so that no caller is taken until it gives it back. */
+  /** Whether another process holds the address, so that no caller is accepted until the address is free again. */
   get isAddressTaken(): boolean {
     return this.isPortHeld
   }
 
-  /** Begins to listen; fails with `CannotListen`. */
+  /** Begins to listen; rejects with `CannotListen`. */
   async open(): Promise<void> {
     const port = await listenOn(this.server, this.address)
     this.address = withPort(this.address, port)
   }
 
-  /** Takes no new connections until it is resumed; those that wait are served. */
+  /** Accepts no new connections until resumed; connections that wait in the accept queue are served. */
   pause(): void {
-    // Closing it as an HTTP server would end the idle connections as well.
+    // The close method of an HTTP server would also close the idle connections.
     this.waiting.drainAndClose(this.server, () => NetServer.prototype.close.call(this.server))
   }
 
-  /** Listens again, as soon as the address is free; not after a close. */
+  /** Listens again as soon as the address is free; does nothing after a close. */
   async resume(): Promise<void> {
     while (!this.isClosed && !this.isListening) {
       try {
@@ -65,13 +65,16 @@
     if (this.isClosed) this.close()
   }
 
-  /** Takes no new connections any more, and ends idle ones; those that wait are served. */
+  /**
+   * Accepts no new connections from now on and closes idle ones; connections that wait in the accept queue are
+   * served.
+   */
   close(): void {
     this.isClosed = true
     this.waiting.drainAndClose(this.server, () => this.server.close())
   }
 
-  /** Ends at once with all connections, as a death would. */
+  /** Closes the listener and all connections at once, as a crash would. */
   stop(): void {
     this.isClosed = true
     this.server.close()
--- a/packages/daemon/src/gateway/peerCall.ts
+++ b/packages/daemon/src/gateway/peerCall.ts
@@ -1,25 +1,25 @@
-/** One HTTP call to another instance, answered in time or not at all. */
+/** One HTTP call to another instance, with a timeout. */
 
 import { request } from 'node:http'
 import type { Agent } from 'node:http'
 import type { Milliseconds } from '@rackwalk/shared'
 import { parseAddress } from '../observe/listenOn.js'
 
-/** One call to another instance, answered in time or not at all. */
+/** One HTTP call to another instance. */
 export interface PeerCall {
   /** IP:PORT. */
   readonly address: string
   readonly path: string
-  /** JSON to send; without it the call is a `GET`. */
+  /** JSON to send; without it, the call is a `GET`. */
   readonly body?: string
-  /** Keeps connections; without it each call opens one. */
+  /** Keeps connections alive; without it, each call opens its own. */
   readonly agent?: Agent
   readonly timeoutMilliseconds: Milliseconds
 }
 
 const LONGEST_ANSWER_BYTES = 8 * 1024 * 1024
 
-/** The text of a good and whole answer; undefined where there was none in time. */
+/** Returns the text of a complete answer with status 200, or undefined if none arrived in time. */
 export function callPeer(call: PeerCall): Promise<string | undefined> {
   const { address, path, body, agent = false, timeoutMilliseconds } = call
   const { host, port } = parseAddress(address)
--- a/packages/daemon/src/gateway/peerListener.ts
+++ b/packages/daemon/src/gateway/peerListener.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for other instances: short questions, and requests that they hand over since they reach no endpoint. Owns
- * nothing.
+ * The listener for other instances: it answers short calls and serves requests that they relay because they reach no
+ * endpoint. Owns nothing.
  */
 
 import { createServer } from 'node:http'
@@ -9,19 +9,19 @@
 import { handlePlainRequest } from './gatewayListeners.js'
 import type { PlainHandler } from './gatewayListeners.js'
 
-/** Serves a request that the instance of this name handed over. */
+/** Serves a request that was relayed by the instance of this name. */
 export type RelayHandler = (
   request: IncomingMessage,
   response: ServerResponse,
   relayedBy: string,
 ) => void
 
-/** A peer that sends more slowly keeps no connection with it. */
+/** A peer that takes longer to send a call is disconnected. */
 const CALL_MILLISECONDS = 10_000
-/** A request carries the headers of its caller. */
+/** A relayed request carries the headers of its caller. */
 const LONGEST_HEADER_BYTES = 64 * 1024
 
-/** A listener that answers peers' questions and serves what they hand over. */
+/** Creates a listener that answers peers' calls and serves the requests that they relay. */
 export function createPeerListener(answer: PlainHandler, relayed: RelayHandler): Server {
   const limits = {
     requestTimeout: CALL_MILLISECONDS,
--- a/packages/daemon/src/gateway/peerLoanClient.ts
+++ b/packages/daemon/src/gateway/peerLoanClient.ts
@@ -1,6 +1,6 @@
 /**
- * Loans of prepaid tokens between instances, over the listener for peers. Owns the paths and forms
- * of the messages and the connections to peers; relies on the lender and the borrower to decide.
+ * Loans of prepaid tokens between instances, over the listener for peers. Owns the paths and encodings of the
+ * messages and the connections to peers; the lender and the borrower make the decisions.
  */
 
 import { Agent } from 'node:http'
@@ -49,14 +49,14 @@
 
 const answerSchema = z.object({ lent: z.number().nonnegative() })
 
-/** Stands for the tokens that a lender gives. */
+/** The number of tokens that a lender lends. */
 const answerCodec = new JsonCodec<z.infer<typeof answerSchema>, TokenCount>({
   schema: answerSchema,
   toWire: lent => ({ lent }),
   fromWire: ({ lent }) => lent,
 })
 
-/** Answers a peer that wants to borrow or repays; undefined where the path is neither. */
+/** Answers a peer that wants to borrow or repay; undefined if the path is neither. */
 export async function handleLoanRequest(
   path: string,
   body: string,
@@ -74,17 +74,17 @@
   return { status: 200, body: {} }
 }
 
-/** What the calls for loans work with. */
+/** What the client needs. */
 export interface PeerLoanClientParts {
-  /** IP:PORT at which an instance takes calls from peers; undefined where it is not known. */
+  /** IP:PORT at which an instance takes calls from peers; undefined if unknown. */
   readonly addressOf: (instance: string) => string | undefined
-  /** Whether an instance gives no sign of life any more. */
+  /** Whether an instance sends no heartbeats any more. */
   readonly isSilent: (instance: string) => boolean
   readonly timeoutMilliseconds: Milliseconds
   readonly onMalformed: (form: MalformedInput) => void
 }
 
-/** Asks other instances for loans. */
+/** Requests loans from other instances. */
 export class PeerLoanClient implements LoanChannel {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: MAXIMUM_CONNECTIONS })
 
@@ -111,7 +111,7 @@
     this.agent.destroy()
   }
 
-  /** The answer's text; undefined where there was none, or not a good one, in time. */
+  /** Returns the answer's text, or undefined if no successful answer arrived in time. */
   private post(instance: string, path: string, body: string): Promise<string | undefined> {
     const address = this.parts.addressOf(instance)
     if (address === undefined || address === '') return Promise.resolve(undefined)
--- a/packages/daemon/src/gateway/peerRowClient.ts
+++ b/packages/daemon/src/gateway/peerRowClient.ts
@@ -1,6 +1,6 @@
 /**
- * Instances give each other the rows that they have heard from the store, while it does not answer
- * those who ask. Owns the path and the form of an answer; relies on the mirrors for the rows.
+ * Lets instances read store rows from each other while the store does not answer them. Owns the path and the encoding
+ * of an answer; relies on the mirrors for the rows.
  */
 
 import * as z from 'zod'
@@ -21,20 +21,20 @@
       table: z.string(),
       partition: z.string(),
       key: z.string(),
-      // A row that was removed has no value.
+      // A removed row has no value.
       value: z.string().optional(),
       version: z.number(),
     }),
   ),
   isWhole: z.boolean(),
   version: z.number(),
-  // Earlier versions do not tell it.
+  // Earlier versions do not send it.
   age: z.number().optional(),
 })
 
 type PageWire = z.infer<typeof pageSchema>
 
-/** The form of an answer with rows. */
+/** Encoding of an answer with rows. */
 const pageCodec = new JsonCodec<PageWire, MirrorPage>({
   schema: pageSchema,
   toWire: ({ rows, isWhole, version, age }) => ({
@@ -57,7 +57,7 @@
   }),
 })
 
-/** Answers a peer's question for the rows of a table. */
+/** Answers a peer's query for the rows of a table. */
 export function handleRowsRequest(
   url: string,
   mirrors: ReadonlyMap<string, TableMirror>,
@@ -69,38 +69,38 @@
   return page === undefined ? { status: 503 } : { status: 200, json: pageCodec.encode(page) }
 }
 
-/** What the questions for rows work with. */
+/** What the client needs. */
 export interface PeerRowClientParts {
-  /** Where this instance answers such questions itself. */
+  /** Address at which this instance itself answers such queries. */
   readonly own: string | undefined
-  /** Addresses that are asked whether or not an instance is known there. */
+  /** Addresses to query whether or not an instance is known there. */
   readonly seeds: readonly string[]
-  /** Addresses of other instances, in no order; empty texts among them name none. */
+  /** Addresses of other instances, in no particular order; empty strings stand for none. */
   readonly knownAddresses: () => readonly string[]
-  /** Addresses of active instances of the own failure domain, in no order. */
+  /** Addresses of active instances of the same failure domain, in no particular order. */
   readonly nearAddresses: () => readonly string[]
   readonly random: RandomSource
   readonly timeoutMilliseconds: Milliseconds
   readonly onMalformed: (form: MalformedInput) => void
 }
 
-/** One question for rows. */
+/** One query for rows. */
 interface RowsQuery {
   readonly table: string
-  /** Rows up to this version are known. */
+  /** Rows up to this version are known already. */
   readonly after: number
   readonly timeoutMilliseconds: Milliseconds
 }
 
-/** Asks other instances for newer rows. */
+/** Queries other instances for newer rows. */
 export class PeerRowClient {
   private askedBefore: string | undefined
 
   constructor(private readonly parts: PeerRowClientParts) {}
 
   /**
-   * Asks any other instance, chosen at random but for the one that was asked before it: that may be silent. Waits the
-   * usual time unless one is named.
+   * Queries a random other instance, except the one that was queried last, since that one may be silent. Uses the
+   * default timeout unless one is given.
    */
   ask(
     table: string,
@@ -115,7 +115,7 @@
     return this.askAt(address, { table, after, timeoutMilliseconds })
   }
 
-  /** Asks an active instance nearby, chosen at random. */
+  /** Queries a random active instance nearby. */
   askNear(table: string, after: number): Promise<MirrorPage | undefined> {
     const timeoutMilliseconds = this.parts.timeoutMilliseconds
     const address = this.choose(this.parts.nearAddresses())
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -1,65 +1,65 @@
 /**
- * What the gateway kind asks of the module that knows a platform: how its headers, store, documents and
- * questions are spelled. An adapter translates; it decides nothing and keeps nothing.
+ * What a gateway instance needs from the module that knows a platform: the encodings of its headers, store, documents
+ * and calls. An adapter translates; it decides nothing and keeps no state.
  */
 
 import type { RowStore } from '@rackwalk/stores'
 import type { Dialect, GatewayConfiguration, EndpointRecord } from '@rackwalk/router'
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** Where rows lie that somebody else writes. */
+/** Location of rows that other systems write. */
 interface RowSource {
   readonly table: string
   readonly partition: string
 }
 
-/** An answer to whoever asks for addresses or readiness. */
+/** An answer to a directory or readiness call. */
 export interface PlainAnswer {
   readonly status: number
-  /** Text as it is; anything else is sent as JSON. */
+  /** A string is sent as text; any other value is sent as JSON. */
   readonly body?: unknown
-  /** JSON that is written out already. */
+  /** JSON that is already serialized. */
   readonly json?: string
 }
 
-/** What a caller says when it asks where to go. */
+/** What a caller states in a directory call. */
 interface DirectoryQuestion {
   readonly region: string | undefined
   readonly failureDomain: string | undefined
 }
 
-/** Where the store is, and who is told of answers that are not of its protocol. */
+/** Location of the store, and the callback for answers that violate its protocol. */
 interface StoreOptions {
   /** IP:PORT. */
   readonly address: string
-  /** Wait for an answer beyond the time that a call asks the store itself to wait. */
+  /** Timeout beyond the time that a call itself asks the store to wait. */
   readonly timeoutMilliseconds: Milliseconds
-  /** Such an answer counts as none; `call` is its method and path. */
+  /** Such an answer counts as missing; `call` is its method and path. */
   readonly onMalformedAnswer: (call: string) => void
 }
 
-/** Translates one platform's protocol; it decides nothing and keeps nothing. */
+/** Translates one platform's protocol; decides nothing and keeps no state. */
 export interface PlatformAdapter {
   readonly dialect: Dialect
   createStore(options: StoreOptions): RowStore
   readonly configuration: RowSource & {
     readonly key: string
-    /** Throws where the document is not understood. */
+    /** Throws if the document cannot be parsed. */
     parse(value: string): GatewayConfiguration
-    /** The failure domain that a row under this key asks to empty; undefined for other rows. */
+    /** The failure domain that a row with this key evacuates; undefined for other rows. */
     readEvacuation(key: string): string | undefined
   }
   readonly endpoints: RowSource & {
-    /** Undefined where the row describes no endpoint. */
+    /** Undefined if the row describes no endpoint. */
     parse(key: string, value: string): EndpointRecord | undefined
   }
-  /** Undefined where the path is no question for addresses. */
+  /** Undefined if the path is not a directory call. */
   readDirectoryQuestion(url: string): DirectoryQuestion | undefined
   directoryAnswer(addresses: readonly string[], seconds: number): PlainAnswer
   isReadinessQuestion(url: string): boolean
 }
 
-/** What a module named in the settings exports. */
+/** The exports of an adapter module named in the settings. */
 export interface PlatformModule {
   createPlatformAdapter(): PlatformAdapter
 }
--- a/packages/daemon/src/gateway/relayPeers.ts
+++ b/packages/daemon/src/gateway/relayPeers.ts
@@ -1,6 +1,6 @@
 /**
- * The other instances that take requests which this one can't send to any endpoint. Owns the connections to them; the rule
- * is in decisions/choosing/relayPeer.
+ * The other instances to which this one relays requests that it cannot send to any endpoint. Owns the connections to
+ * them; the rule is in decisions/choosing/relayPeer.
  */
 
 import { chooseRelayPeer } from '@rackwalk/decisions'
@@ -12,7 +12,7 @@
 import type { EndpointSubsystem } from './endpointSubsystem.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** What the choice rests on. */
+/** What the choice needs. */
 export interface FleetRelayPeersParts {
   readonly failureDomain: string
   readonly fleet: ActiveFleet
@@ -21,10 +21,10 @@
   readonly isOverloaded: (instance: string) => boolean
 }
 
-/** Connections to one instance: its callers' requests are bounded by what it admits. */
+/** Connections to one instance; its own admission bounds the requests that it takes. */
 const MOST_CONNECTIONS = 256
 
-/** The instances of the fleet, as far as they take requests of this one's callers. */
+/** The instances of the fleet that take relayed requests. */
 export class FleetRelayPeers implements RelayPeers {
   /** By address. */
   private readonly agents = new Map<string, EndpointAgent>()
@@ -50,7 +50,7 @@
     for (const agent of this.agents.values()) agent.destroy()
   }
 
-  /** Those that take callers, or else those that stand by. */
+  /** The active instances that take relays, otherwise the standby ones. */
   private get candidates(): readonly MemberRow[] {
     const { fleet } = this.parts
     const takesRelays = ({ instance, takesRelays, state }: MemberRow) =>
@@ -66,7 +66,7 @@
   }
 }
 
-/** The others of an instance with these settings. */
+/** Creates the relay peers of an instance with these settings. */
 export function createRelayPeers(
   { instance }: GatewaySettings,
   { cutOff, overloaded }: EndpointSubsystem,
--- a/packages/daemon/src/gateway/requestLogFields.ts
+++ b/packages/daemon/src/gateway/requestLogFields.ts
@@ -1,9 +1,9 @@
-/** The line of the log that tells of one request, field by field as collectors know it. */
+/** The log line of a request, with field names that log collectors rely on. */
 
 import { outcomeText, relayOutcomeText } from '@rackwalk/decisions'
 import type { AttemptRecord, GatewayRecord, RelayRecord } from '@rackwalk/router'
 
-/** Fields of the line; those of which nothing is known are left out of its JSON. */
+/** Returns the fields of the line; undefined fields are omitted from its JSON. */
 export function requestLogFields(record: GatewayRecord): Readonly<Record<string, unknown>> {
   return {
     request: record.requestId,
@@ -37,7 +37,7 @@
   }
 }
 
-/** The first try of a stream that is taken up again; empty where its caller does not name it. */
+/** The id of the first request of a resumed stream; empty if its caller does not name it. */
 function resumedRequest({ resumption }: GatewayRecord): string | undefined {
   return resumption === undefined ? undefined : (resumption.firstRequestId ?? '')
 }
--- a/packages/daemon/src/gateway/runGateway.ts
+++ b/packages/daemon/src/gateway/runGateway.ts
@@ -1,4 +1,4 @@
-/** Starts a gateway instance and ties it to the signals of its process. */
+/** Starts a gateway instance and handles the signals of its process. */
 
 import { resolve } from 'node:path'
 import { pathToFileURL } from 'node:url'
@@ -7,7 +7,7 @@
 import type { PlatformModule } from './platformAdapter.js'
 import { SettingsWatcher } from './settingsWatcher.js'
 
-/** Starts a gateway instance and ties it to the signals of its process. */
+/** Starts a gateway instance and handles the signals of its process. */
 export async function runGateway(
   file: string,
   settings: GatewaySettings,
--- a/packages/daemon/src/gateway/selfMember.ts
+++ b/packages/daemon/src/gateway/selfMember.ts
@@ -1,10 +1,10 @@
-/** What an instance tells the others of itself, as its settings say. Owns nothing. */
+/** The row that an instance publishes about itself, from its settings. Owns nothing. */
 
 import type { MemberDirectoryParts } from '@rackwalk/coordination'
 import type { GatewaySettings } from './gatewaySettings.js'
 import { capacityOf } from './instanceCapacity.js'
 
-/** The part of the own row that never changes in a life of the instance. */
+/** The part of the instance's own row that never changes during an incarnation. */
 export function selfMember(
   { instance, listen }: GatewaySettings,
   incarnation: string,
--- a/packages/daemon/src/gateway/settingsWatcher.ts
+++ b/packages/daemon/src/gateway/settingsWatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the settings anew on a signal and when the file has changed by itself. Owns the text last read; a
- * file with a fault is refused as a whole.
+ * Reloads the settings on a signal and when the file changes. Owns the text that was read last; a file with a fault
+ * is rejected as a whole.
  */
 
 import { readFileSync } from 'node:fs'
@@ -9,16 +9,16 @@
 import { gatewaySettingsSchema } from './gatewaySettings.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** What a look at the settings file found. */
+/** The outcome of reloading the settings file. */
 export type SettingsOutcome =
   | { readonly kind: 'changed'; readonly settings: GatewaySettings; readonly cause: string }
-  /** The file is not valid; the settings before stay in force as a whole. */
+  /** The file is not valid; all previous settings stay in force. */
   | { readonly kind: 'refused'; readonly faults: readonly string[]; readonly cause: string }
 
-/** The platform may change the file without a signal. */
+/** The platform may change the file without sending a signal. */
 const POLL_MILLISECONDS = 1_000
 
-/** Reads the settings anew on a signal and when the file has changed by itself. */
+/** Reloads the settings on a signal and when the file changes. */
 export class SettingsWatcher {
   private text: string | undefined
 
@@ -63,7 +63,7 @@
     try {
       return readFileSync(this.file, 'utf8')
     } catch {
-      // While the file is being replaced it may be away; the settings in force stay.
+      // The file may be missing while it is being replaced; the settings stay in force.
       return undefined
     }
   }
--- a/packages/daemon/src/gateway/stalenessMonitor.ts
+++ b/packages/daemon/src/gateway/stalenessMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * Watches how old the rows are by which this instance serves, and asks peers before they are too old. Owns
- * when peers last answered; the rule is in decisions/admitting/freshKnowledge.
+ * Monitors the age of the rows by which this instance serves, and queries peers before the rows are too old. Owns the
+ * times of the peers' last answers; the rule is in decisions/admitting/configurationStaleness.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -16,13 +16,13 @@
 import type { GatewaySettings } from './gatewaySettings.js'
 import type { PlatformAdapter } from './platformAdapter.js'
 
-/** A table whose changes have to be in force after a time. */
+/** A table whose changes have to take effect within a bound. */
 export interface MonitoredTable {
   readonly mirror: TableMirror
   readonly boundMilliseconds: Milliseconds
 }
 
-/** The tables of an instance whose changes have to be in force in time, by name. */
+/** Returns the tables whose changes have to take effect within a bound, by name. */
 export function monitoredTables(
   { configuration, endpoints }: Pick<PlatformAdapter, 'configuration' | 'endpoints'>,
   mirrors: ReadonlyMap<string, TableMirror>,
@@ -39,7 +39,7 @@
   return new Map(tables)
 }
 
-/** What the instance went by when it began or ceased to refuse. */
+/** The state on which the instance began or stopped refusing requests. */
 export interface StalenessChange {
   readonly isRefusing: boolean
   readonly table: string
@@ -47,7 +47,7 @@
   readonly reachability: ContactAges
 }
 
-/** Fields of the line about such a change; an age that is infinite is left out of its JSON. */
+/** Fields of the log line about such a change; an infinite age is omitted from its JSON. */
 export function stalenessFields(change: StalenessChange): Readonly<Record<string, unknown>> {
   const { isRefusing, table, rows, reachability } = change
   return {
@@ -59,7 +59,7 @@
   }
 }
 
-/** Fields of a line about who was heard, and when. */
+/** Fields of a log line about the last contact with the store and with peers. */
 export function reachabilityFields({
   answeredAgoMilliseconds,
   heardAgoMilliseconds,
@@ -74,29 +74,29 @@
   return Number.isFinite(milliseconds) ? Math.round(milliseconds) : undefined
 }
 
-/** What the watch works with. */
+/** What the monitor needs. */
 export interface StalenessMonitorParts {
   readonly clock: Clock
-  /** By name, for the text of a refusal. */
+  /** By name, which is used as the detail of a refusal. */
   readonly tables: ReadonlyMap<string, MonitoredTable>
   readonly reachability: () => ContactAges
-  /** The instance began to refuse by the age of what it knows, or ceased to. */
+  /** The instance began or stopped refusing requests because of the age of its rows. */
   readonly onChange: (change: StalenessChange) => void
   readonly onFault: (error: unknown) => void
 }
 
-/** Time between two looks; a look costs no call unless rows are old, and a bound has ten of them. */
+/** Time between two checks. A check costs no call unless rows are old, and a staleness bound spans ten of them. */
 const CHECK_INTERVAL_MILLISECONDS = 200
-/** Peers asked at each look: one may be cut off from the store as well. */
+/** Peers queried at each check: one of them may be cut off from the store as well. */
 const PEERS_PER_CHECK = 2
-/** Questions for a table that wait at the most: their answers share the link that makes them late. */
+/** Most queries for a table that are pending at a time: their answers share the link that delays them. */
 const MAXIMUM_PENDING_QUERIES = 16
 
 /** Keeps an instance from serving by rows that are too old through its own fault. */
 export class StalenessMonitor {
-  /** When the newest question was sent that a peer answered, by table. */
+  /** Send time of the newest query that a peer answered, by table. */
   private readonly confirmedAt = new Map<string, Milliseconds>()
-  /** Questions that wait for their answers, by table. */
+  /** Number of pending queries, by table. */
   private readonly pendingQueries = new Map<string, number>()
   private timer: Timer | undefined
   private staleTable: string | undefined
@@ -114,7 +114,7 @@
     this.timer?.cancel()
   }
 
-  /** Throws where a request may not be served by what is known here. */
+  /** Throws if no request may be served because the known rows are too old. */
   check(): void {
     const table = this.findStaleTable()
     if (table === undefined) return
@@ -144,7 +144,7 @@
     })
   }
 
-  /** Questions overlap: one that waits behind a full link must not keep the next from being sent. */
+  /** Queries overlap, so that one query that waits behind a full link does not hold up the next. */
   private ask(name: string, { mirror, boundMilliseconds }: MonitoredTable): void {
     for (let asked = 0; asked < PEERS_PER_CHECK; asked += 1) {
       const waiting = this.pendingQueries.get(name) ?? 0
@@ -172,7 +172,7 @@
   private findStaleTable(): string | undefined {
     const reachability = this.parts.reachability()
     for (const [name, watched] of this.parts.tables) {
-      // What was never read is waited for: the instance is not ready then.
+      // A table that was never read is skipped: the instance is not ready until it is loaded.
       if (!watched.mirror.isLoaded) continue
       if (isTooStale(this.known(name, watched), reachability)) return name
     }
--- a/packages/daemon/src/gateway/starvationMonitor.ts
+++ b/packages/daemon/src/gateway/starvationMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * Tells operators which teams are served next to nothing here, and in which state the instance is then. Owns the time
- * of looking; the rule is in decisions/admitting/starvedTeams.
+ * Reports to operators which teams are served almost nothing here, and the state of the instance at that time. Owns
+ * the check interval; the rule is in decisions/admitting/starvedTeams.
  */
 
 import { ResultCode, resultName } from '@rackwalk/shared'
@@ -9,24 +9,27 @@
 import type { StarvationChange } from '@rackwalk/decisions'
 import type { GatewayRecord } from '@rackwalk/router'
 
-/** What the watch works with. */
+/** What the monitor needs. */
 export interface StarvationMonitorParts {
   readonly clock: Clock
-  /** What this instance knows of itself, for the line. */
+  /** This instance's own state, for the log line. */
   readonly ownState: () => Readonly<Record<string, unknown>>
-  /** A team's state changed. */
+  /** A team became starved, or is no longer. */
   readonly onChange: (event: StarvationEvent, fields: Readonly<Record<string, unknown>>) => void
-  /** A request of a starved team was not served either. */
+  /** A request of a starved team was also not served. */
   readonly onUnserved: (team: TeamId, code: ResultCode) => void
 }
 
 type StarvationEvent = 'team_starved' | 'team_served'
 
 const LOOK_MILLISECONDS: Milliseconds = 1_000
-/** Teams told of at one look, so that an outage for all fills no log; the gauge counts every one. */
+/**
+ * Teams reported per check, so that an outage that affects all teams does not flood the log; the gauge counts all of
+ * them.
+ */
 const MAXIMUM_LOGGED_TEAMS = 8
 
-/** Refusals that a team brings about by itself: no instance would serve such a request. */
+/** Refusals that the team itself causes: no instance would serve such a request. */
 const CLIENT_CAUSED_CODES: ReadonlySet<ResultCode> = new Set([
   ResultCode.MalformedRequest,
   ResultCode.BodyTooLarge,
@@ -37,14 +40,14 @@
   ResultCode.EndsEndpoints,
 ])
 
-/** Watches how much of its requests each team is served here. */
+/** Monitors what share of its requests each team is served here. */
 export class StarvationMonitor {
   private readonly teams = new StarvedTeams()
   private timer: Timer | undefined
 
   constructor(private readonly parts: StarvationMonitorParts) {}
 
-  /** Starved teams. */
+  /** Number of starved teams. */
   get size(): number {
     return this.teams.size
   }
--- a/packages/daemon/src/gateway/streamCoordinator.ts
+++ b/packages/daemon/src/gateway/streamCoordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Joins what an instance remembers of streams with the others: tells those that keep a stream, asks them where one began that
- * its caller takes up here. Owns the memory and the questions.
+ * Connects this instance's records of stream origins with the other instances: replicates them to the instances that
+ * keep a stream's origin, and queries those for a stream that is resumed here. Owns the records and the queries.
  */
 
 import { DemandMeter } from '@rackwalk/coordination'
@@ -21,23 +21,23 @@
 import { StreamOriginClient } from './streamOriginClient.js'
 import { encodeStreamStarts, encodeVersionGossip } from './streamGossip.js'
 
-/** What the watch works with. */
+/** What the coordinator needs. */
 export interface StreamCoordinatorParts {
   readonly clock: Clock
   readonly identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>
   readonly directory: () => EndpointDirectory
   readonly fleet: () => ActiveFleet
   readonly exchange: () => LoadExchange | undefined
-  /** Whether the store told of endpoints a moment ago. */
+  /** Whether the store's list of endpoints was read a moment ago. */
   readonly isListFresh: () => boolean
   readonly telemetry: GatewayTelemetry
 }
 
-/** What one instance does so that streams go on at the software version that began them. */
+/** Keeps resumed streams at the software version that began them. */
 export class StreamCoordinator {
   readonly origins: StreamOrigins
   private readonly originClient: StreamOriginClient
-  /** Streams of which others are told. */
+  /** Rate of the streams that are replicated to other instances. */
   private readonly announcedStreams: DemandMeter
 
   constructor(private readonly parts: StreamCoordinatorParts) {
@@ -67,14 +67,14 @@
     else this.origins.noteListed(record)
   }
 
-  /** Others that are heard of. */
+  /** Other instances that are not silent. */
   private get others(): readonly MemberRow[] {
     const fleet = this.parts.fleet()
     const all = [...fleet.usingOthers, ...fleet.idleOthers]
     return all.filter(({ instance }) => !fleet.isSilent(instance))
   }
 
-  /** Streams for the same keeper share its datagrams. */
+  /** Streams for the same replica share its datagrams. */
   private tellKeepers(begun: readonly StartedStream[]): void {
     const { others } = this
     this.announcedStreams.add(begun.length)
--- a/packages/daemon/src/gateway/streamGossip.ts
+++ b/packages/daemon/src/gateway/streamGossip.ts
@@ -1,6 +1,6 @@
 /**
- * News of where streams began and of software versions, as datagrams between instances. They travel as news of requests that
- * end endpoints do: in the form of a load report that comes too late, which an earlier version drops. Owns nothing.
+ * Gossip about the origins of streams and about software versions, as datagrams between instances. The messages are
+ * encoded like crash gossip: as outdated load reports, which earlier versions drop. Owns nothing.
  */
 
 import { asId, groupBy } from '@rackwalk/shared'
@@ -11,13 +11,13 @@
 import { PARTS_PER_ENTRY, gossipReports } from './crashGossip.js'
 import type { GossipEntry } from './crashGossip.js'
 
-/** Entries of a report are named for endpoints, and no endpoint has a blank in its id. */
+/** Prefixes of an entry's endpoint field; they cannot clash with an endpoint id, since no id contains a space. */
 const BEGUN_PREFIX = 'streams begun at '
 const SERVES_PREFIX = 'version serves '
 
 type Identity = Pick<PeerLoadReport, 'instance' | 'incarnation'>
 
-/** The reports that tell where streams began. */
+/** Encodes the origins of streams as gossip reports. */
 export function encodeStreamStarts(
   begun: readonly StartedStream[],
   identity: Identity,
@@ -29,7 +29,7 @@
   )
 }
 
-/** The reports that tell which versions serve. */
+/** Encodes the versions that serve as gossip reports. */
 export function encodeVersionGossip(
   versions: readonly StreamOrigin[],
   identity: Identity,
@@ -40,7 +40,7 @@
   )
 }
 
-/** What such a report tells; entries of any other kind are passed over. */
+/** Decodes stream gossip; entries of other kinds are ignored. */
 export function decodeStreamGossip({ loads }: PeerLoadReport): StreamGossip {
   return {
     begun: loads.flatMap(({ endpoint, parts }) => {
@@ -56,7 +56,7 @@
   }
 }
 
-/** The lifetime of each stream stands where a report of load has the tokens of a part. */
+/** Stores the lifetime of each stream in the `tokens` field of a part. */
 function begunEntries(origin: string, streams: readonly StartedStream[]): readonly GossipEntry[] {
   const entries: GossipEntry[] = []
   for (let from = 0; from < streams.length; from += PARTS_PER_ENTRY) {
--- a/packages/daemon/src/gateway/streamOriginClient.ts
+++ b/packages/daemon/src/gateway/streamOriginClient.ts
@@ -1,6 +1,6 @@
 /**
- * Questions between instances about where a stream began, over the listener for peers: first to those that keep it, then to
- * others. Owns the path and the forms of the messages and the connections to peers.
+ * Queries between instances for the origin of a stream, over the listener for peers: first to the instances that keep
+ * it, then to others. Owns the path, the encodings of the messages and the connections to peers.
  */
 
 import { Agent } from 'node:http'
@@ -16,9 +16,12 @@
 import type { PlainAnswer } from './platformAdapter.js'
 
 const ORIGIN_PATH = '/streams/origin'
-/** A caller waits for the answers, twice at the most. */
+/** Timeout of an answer; a caller waits for it twice at the most. */
 const ANSWER_MILLISECONDS: Milliseconds = 90
-/** Others that are asked where no keeper knows: the one that served the stream may be among them. */
+/**
+ * Further instances that are queried when no replica knows the origin: the one that served the stream may be among
+ * them.
+ */
 const FALLBACK_PEERS = 12
 /** Connections to one peer. */
 const MAXIMUM_CONNECTIONS = 4
@@ -53,7 +56,7 @@
   }),
 })
 
-/** Answers a peer that is asked to go on with a stream; undefined where the path is another one. */
+/** Answers a peer's query for the origin of a stream; undefined if the path is another one. */
 export function handleOriginRequest(
   path: string,
   body: string,
@@ -65,20 +68,20 @@
   return { status: 200, json: answerCodec.encode(streams.answer(question)) }
 }
 
-/** What the questions work with. */
+/** What the client needs. */
 export interface StreamOriginClientParts {
-  /** Other instances that are heard of. */
+  /** Other instances that are not silent. */
   readonly others: () => readonly MemberRow[]
   readonly onMalformed: (form: MalformedInput) => void
 }
 
-/** Asks other instances where streams began. */
+/** Queries other instances for the origins of streams. */
 export class StreamOriginClient {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: MAXIMUM_CONNECTIONS })
 
   constructor(private readonly parts: StreamOriginClientParts) {}
 
-  /** What the others know of a stream; those that do not answer in time are left out. */
+  /** Returns what the others know of a stream; instances that do not answer in time are left out. */
   async ask(stream: ResumedStream): Promise<readonly OriginAnswer[]> {
     const reached = this.parts.others().filter(({ peerAddress }) => peerAddress !== '')
     const others = rankOriginReplicas(stream.key ?? '', reached)
@@ -120,7 +123,7 @@
   }
 }
 
-/** Whether others may know what these do not. */
+/** Whether other instances may know what these do not. */
 function isInDoubt(answers: readonly OriginAnswer[]): boolean {
   const isKnown = answers.some(({ origins }) => origins.length > 0)
   const versions = new Set(answers.flatMap(answer => answer.versions))
--- a/packages/daemon/src/gateway/unknownSenderMonitor.ts
+++ b/packages/daemon/src/gateway/unknownSenderMonitor.ts
@@ -1,32 +1,32 @@
 /**
- * Notices instances that are heard of before their rows were read, and has the members read for them. Owns nothing but the
- * bound on such reads; the rule is in decisions/placing/newcomerReads.
+ * Detects instances that send datagrams before their rows were read, and triggers a read of the member rows. Owns
+ * only the limiter of such reads; the rule is in decisions/placing/memberReadLimiter.
  */
 
 import { MemberReadLimiter } from '@rackwalk/decisions'
 import type { PeerLoadReport } from '@rackwalk/router'
 import type { Clock } from '@rackwalk/shared'
 
-/** What the watch works with. */
+/** What the monitor needs. */
 export interface UnknownSenderMonitorParts {
-  /** The name of this instance. */
+  /** Name of this instance. */
   readonly instance: string
-  /** Whether there is a row of this life of an instance. */
+  /** Whether there is a row of this incarnation of an instance. */
   readonly knows: (instance: string, incarnation: string) => boolean
-  /** Reads the members without waiting for their time. */
+  /** Reads the member rows at once instead of at their next interval. */
   readonly readMembers: () => void
-  /** A datagram came from an instance that is not known. */
+  /** A datagram came from an unknown instance. */
   readonly onUnknown: () => void
   readonly clock: Clock
 }
 
-/** What one instance does when it hears of others that it does not know. */
+/** Reacts to datagrams of instances whose rows were not read yet. */
 export class UnknownSenderMonitor {
   private readonly reads = new MemberReadLimiter()
 
   constructor(private readonly parts: UnknownSenderMonitorParts) {}
 
-  /** A datagram came in the name of an instance; its address proves nothing, the store's row does. */
+  /** A datagram arrived in the name of an instance. Its address proves nothing; only the row in the store does. */
   note({ instance, incarnation }: Pick<PeerLoadReport, 'instance' | 'incarnation'>): void {
     const { knows, onUnknown, readMembers, clock } = this.parts
     if (instance === this.parts.instance || knows(instance, incarnation)) return
