--- a/packages/daemon/src/callers/acceptQueue.ts
+++ b/packages/daemon/src/callers/acceptQueue.ts
@@ -1,7 +1,7 @@
 /**
- * Connections that are up and wait in the kernel's queue before a listener. The kernel resets them when the listener closes, and
- * their callers can't tell whether their requests ran; so a listener that owes its callers an answer takes them first. Owns whether
- * that can be done here.
+ * Established connections that wait in the kernel's accept queue of a listener. The kernel resets them when the
+ * listener closes, and their callers cannot tell whether their requests ran. A listener that still has to answer its
+ * callers therefore accepts these connections first. Owns whether that is possible on this system.
  */
 
 import { closeSync } from 'node:fs'
@@ -12,37 +12,40 @@
 import { loadNativeSockets } from './nativeSockets.js'
 import type { NativeSockets } from './nativeSockets.js'
 
-/** Who is told of what was taken and what could not be. */
+/** Observes which queued connections were accepted and which could not be. */
 export interface AcceptQueueObserver {
-  /** This many connections that waited were taken, and are served. */
+  /** This many queued connections were accepted and are served. */
   readonly noteAccepted: (count: number) => void
   /**
-   * Connections that waited may have been reset, for this cause: the system's word of an error, `library` (there is none to take
-   * with, or it failed), `many` (more than are taken at a time) or `descriptor` (no socket could be made of one).
+   * Queued connections may have been reset, for this cause: the name of a system error, `library` (the native library
+   * is missing or failed), `many` (more than are accepted at a time) or `descriptor` (no socket could be created from
+   * one).
    */
   readonly noteUnaccepted: (cause: string) => void
-  /** From now on what waits is taken, or is reset for this cause. */
+  /** From now on queued connections are accepted, or are reset for this cause. */
   readonly noteDrainingChange: (isTaken: boolean, detail: string) => void
 }
 
-/** More come while some are taken; this bounds the time and the memory that one close may cost. */
+/**
+ * More connections may arrive while some are accepted; this bounds the time and the memory that one close may cost.
+ */
 const MAXIMUM_ACCEPTED = 1_024
 
 const { EAGAIN, EINTR, ECONNABORTED, EPROTO } = constants.errno
-/** Errors of one connection; others may wait behind it. */
+/** Errors of a single connection; others may wait behind it. */
 const TRANSIENT_ERRORS: ReadonlySet<number> = new Set([EINTR, ECONNABORTED, EPROTO])
 
-/** For programs and tests that ask for nothing. */
+/** For programs and tests that need no observer. */
 const NOOP_OBSERVER: AcceptQueueObserver = {
   noteAccepted: () => {},
   noteUnaccepted: () => {},
   noteDrainingChange: () => {},
 }
 
-/** Takes what waits before a listener that closes. */
+/** Accepts the queued connections of a listener that closes. */
 export class AcceptQueue {
   private native: NativeSockets | undefined
-  /** Why there is no library; a load that failed is not tried again. */
+  /** Why the library is unavailable; a load that failed is not retried. */
   private missing: string | undefined
   private isDrainable = true
   private acceptedCount = 0
@@ -52,15 +55,19 @@
     private readonly load: () => NativeSockets = loadNativeSockets,
   ) {}
 
-  /** How many were taken so far, as a field of a line. */
+  /** Number of connections accepted so far, as a log field. */
   get logFields(): { readonly taken: number } {
     return { taken: this.acceptedCount }
   }
 
-  /** Closes a listener by `close`; what waited before it is served by it as any other connection is. */
+  /**
+   * Closes a listener with `close`, and lets it serve the connections that were queued before like any other
+   * connection.
+   */
   drainAndClose(server: Server, close: () => void): void {
     const taken: number[] = []
-    // In the same turn and before they are made sockets: whatever comes in between is reset.
+    // Accepting and closing happen in the same turn of the event loop, and sockets are created only afterwards: a
+    // connection that arrives between the two is reset.
     try {
       this.take(server, taken)
     } finally {
@@ -117,7 +124,7 @@
     }
   }
 
-  /** One that fails keeps none of the others from being served; its error is thrown after them. */
+  /** A connection that fails does not keep the others from being served; its error is thrown after them. */
   private handOverEach(server: Server, left: IterableIterator<number>): void {
     for (const descriptor of left) {
       try {
@@ -136,14 +143,16 @@
       socket.setNoDelay(true)
       server.emit('connection', socket)
     } catch (error) {
-      // Nobody may have it by now who would end it.
+      // The server may not have taken over the socket, so that nothing else would close it.
       socket.destroy()
       throw error
     }
     this.acceptedCount += 1
   }
 
-  /** With the properties that an HTTP server gives its own; closes a descriptor of which none can be made. */
+  /**
+   * Creates a socket with the options that an HTTP server uses for its own; closes a descriptor for which that fails.
+   */
   private socketOf(descriptor: number): Socket | undefined {
     try {
       return new Socket({ fd: descriptor, allowHalfOpen: true, readable: true, writable: true })
@@ -155,14 +164,17 @@
   }
 }
 
-/** Node.js has no public way to the descriptor of a listener; it is absent where it doesn't listen, and elsewhere negative. */
+/**
+ * Node.js has no public access to a listener's descriptor. It is absent unless the server listens, and negative on
+ * systems without descriptors.
+ */
 function descriptorOf(server: Server): number | undefined {
   const { _handle: handle } = server as { readonly _handle?: { readonly fd?: number } | null }
   const descriptor = handle?.fd ?? -1
   return descriptor < 0 ? undefined : descriptor
 }
 
-/** Takes until nothing waits; tells why some may be left. */
+/** Accepts until the queue is empty; returns a cause if connections may be left in it. */
 function takeAll(native: NativeSockets, listener: number, taken: number[]): string | undefined {
   for (let tries = 0; tries < MAXIMUM_ACCEPTED; tries += 1) {
     const outcome = native.accept(listener)
--- a/packages/daemon/src/callers/callerServer.ts
+++ b/packages/daemon/src/callers/callerServer.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for callers of the OpenAI-style kind. Owns its connections and their bound; relies on the
- * request path for every answer.
+ * The listener for callers of the OpenAI-style kind. Owns its connections and their limit; delegates every answer to
+ * the request path.
  */
 
 import { createServer } from 'node:http'
@@ -23,7 +23,7 @@
 import { incomingRequest } from './httpCallerConnection.js'
 import type { AcceptQueue } from './acceptQueue.js'
 
-/** Parts that the callers' listener works with. */
+/** What the listener for callers needs. */
 export interface CallerServerParts {
   readonly pipeline: RequestPipeline
   readonly catalogue: Catalogue
@@ -36,13 +36,13 @@
 
 const BEARER = /^Bearer +(\S+)$/i
 const REQUEST_PATH = /^\/v1\/requests\/([^/]+)$/
-/** Time for which a kept connection may stay idle. */
+/** How long a keep-alive connection may stay idle. */
 const IDLE_MILLISECONDS = 65_000
 
-/** Connections past the limit that are still told why they are refused. */
+/** Factor on the connection limit: up to it, connections beyond the limit still get an error answer. */
 const HARD_LIMIT_FACTOR = 2
 
-/** The listener that callers use. */
+/** The listener for callers. */
 export class CallerServer {
   private readonly server: Server
   private connections = 0
@@ -53,7 +53,7 @@
       {
         maxHeaderSize: limits.headerBytes,
         headersTimeout: limits.headerMilliseconds,
-        // The body's own limit is the pipeline's; streams of services may last longer.
+        // The pipeline limits the time of the body; streams of services may last longer.
         requestTimeout: 0,
         keepAliveTimeout: IDLE_MILLISECONDS,
         connectionsCheckingInterval: Math.max(100, Math.floor(limits.headerMilliseconds / 4)),
@@ -71,7 +71,10 @@
     return listenOn(this.server, address)
   }
 
-  /** Takes no new connections; idle ones are closed, those in use stay, and those that wait are taken and answered. */
+  /**
+   * Accepts no new connections and closes idle ones; connections in use stay, and queued ones are accepted and
+   * answered.
+   */
   refuseNew(): void {
     this.parts.waiting.drainAndClose(this.server, () => this.server.close())
     this.server.closeIdleConnections()
@@ -143,7 +146,7 @@
     answerJson(response, 200, { object: 'list', data })
   }
 
-  /** A team may ask about its own requests only; others do not exist for it. */
+  /** A team may query only its own requests; for any other request the answer is "not found". */
   private async answerRequest(team: Team, requestId: RequestId, response: ServerResponse) {
     const record = await this.parts.explain(requestId)
     if (record === undefined || record.teamId !== team.teamId) {
--- a/packages/daemon/src/callers/createAcceptQueue.ts
+++ b/packages/daemon/src/callers/createAcceptQueue.ts
@@ -1,10 +1,10 @@
-/** Ties the taking of waiting connections to the counters and the log of the OpenAI-style kind. */
+/** Connects the accept queue to the counters and the log of the OpenAI-style kind. */
 
 import type { Logger } from '../observe/logger.js'
 import type { Metrics } from '../observe/metrics.js'
 import { AcceptQueue } from './acceptQueue.js'
 
-/** Takes what waits before the listener for callers, counted and told. */
+/** Creates the accept queue of the listener for callers, with its metrics and log lines. */
 export function createAcceptQueue(metrics: Metrics, logger: Logger): AcceptQueue {
   return new AcceptQueue({
     noteAccepted: count => metrics.noteAcceptedConnections(count),
--- a/packages/daemon/src/callers/createRefusedBodies.ts
+++ b/packages/daemon/src/callers/createRefusedBodies.ts
@@ -1,4 +1,7 @@
-/** Refusals of an instance of the OpenAI-style kind, on the link that its settings name. Owns nothing. */
+/**
+ * Creates the handler of refused bodies for an instance of the OpenAI-style kind, with the link bandwidth in its
+ * settings. Owns nothing.
+ */
 
 import type { Clock } from '@rackwalk/shared'
 import { LinkBandwidthBudget } from '@rackwalk/decisions'
@@ -7,7 +10,7 @@
 import { linkBytesPerSecond } from '../gateway/instanceCapacity.js'
 import type { Settings } from '../settings/schema.js'
 
-/** What the listeners for callers and operators share. */
+/** Creates the handler that the listeners for callers and operators share. */
 export function createRefusedBodies(
   limits: Settings['limits'],
   clock: Clock,
--- a/packages/daemon/src/callers/httpCallerConnection.ts
+++ b/packages/daemon/src/callers/httpCallerConnection.ts
@@ -1,5 +1,5 @@
 /**
- * A caller's request and answer over HTTP, as the filters see them. Owns whether the caller has left.
+ * A caller's request and answer over HTTP, as the filters see them. Owns whether the caller has disconnected.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -40,16 +40,16 @@
   refuse(refusal: RefusalFactory): Promise<void> {
     if (this.response.destroyed) return Promise.resolve()
     this.refusedBodies.refuse(this.response, refusal)
-    // One whose body is still coming stays open for a while, and nobody waits for that.
+    // The connection of a request whose body is still arriving stays open for a while; refusing does not wait for it.
     return this.response.writableEnded ? this.settled(['finish', 'close']) : Promise.resolve()
   }
 
   write(chunk: Buffer): boolean {
-    // A caller that left takes everything.
+    // Writing to a caller that has disconnected always succeeds.
     return this.response.destroyed || this.response.write(chunk)
   }
 
-  /** Found by the drain test: an instance that stops before this cuts the answer off. */
+  /** Resolves once the answer was sent: an instance that stops earlier cuts the answer off. */
   end(chunk?: Buffer): Promise<void> {
     if (this.response.destroyed) return Promise.resolve()
     this.response.end(chunk)
@@ -57,7 +57,7 @@
   }
 
   destroy(): void {
-    // Without chunks, an orderly close would be taken for the end of the answer.
+    // Without chunked encoding, an orderly close would be taken for the end of the answer.
     if (!this.response.useChunkedEncodingByDefault) this.response.socket?.resetAndDestroy()
     this.response.destroy()
   }
@@ -79,7 +79,7 @@
   }
 }
 
-/** An HTTP request as the pipeline takes it. */
+/** Converts an HTTP request to the pipeline's form. */
 export function incomingRequest(
   request: IncomingMessage,
   response: ServerResponse,
--- a/packages/daemon/src/callers/nativeSockets.ts
+++ b/packages/daemon/src/callers/nativeSockets.ts
@@ -1,24 +1,25 @@
 /**
- * Calls of the system's C library for which Node.js has no function. Alone knows the library that makes them, which may be
- * missing; it is loaded when it is first asked for, so that a process that never asks pays neither time nor memory.
+ * Calls into the system's C library for which Node.js has no function. Only this module knows the library that makes
+ * them, which may be missing; it is loaded on first use, so that a process that never uses it pays neither time nor
+ * memory.
  */
 
 import { createRequire } from 'node:module'
 
-/** Calls on the descriptor of a listener. Like those of Node.js, they give an error as its negative number. */
+/** Calls on the descriptor of a listener. As in Node.js, an error is returned as its negative number. */
 export interface NativeSockets {
-  /** Takes one connection that waits and gives its descriptor. */
+  /** Accepts one queued connection and returns its descriptor. */
   readonly accept: (listener: number) => number
-  /** Bounds how many connections may wait from now on; those that do stay. */
+  /** Limits how many connections may be queued from now on; those already queued stay. */
   readonly limitBacklog: (listener: number, length: number) => number
 }
 
-/** The calls can't be made here. */
+/** The native calls are not available on this system. */
 export class NativeSocketsMissing extends Error {
   override readonly name = 'NativeSocketsMissing'
 }
 
-/** What is used of the library. */
+/** The part of the library that is used. */
 interface ForeignFunctions {
   readonly load: (path: null) => {
     readonly func: (declaration: string) => (...values: readonly (number | null)[]) => number
@@ -26,16 +27,19 @@
   readonly errno: () => number
 }
 
-/** Flags of a descriptor as Node.js makes its own: no call on it waits, and no other program inherits it. */
+/**
+ * Descriptor flags that Node.js sets on its own sockets: calls do not block, and child programs do not inherit the
+ * descriptor.
+ */
 const NONBLOCKING = 0o4000
 const CLOSED_AT_EXECUTION = 0o2000000
 
-/** Loads the library and finds the calls; fails with `NativeSocketsMissing`. */
+/** Loads the library and looks up the calls; throws `NativeSocketsMissing`. */
 export function loadNativeSockets(): NativeSockets {
   if (process.platform !== 'linux') throw new NativeSocketsMissing(`not on ${process.platform}`)
   try {
     const library = createRequire(import.meta.url)('koffi') as ForeignFunctions
-    // The process's own symbols, so that each call goes where those of Node.js itself go.
+    // Looks up the symbols in the process itself, so that each call uses the same library as Node.js.
     const system = library.load(null)
     const accept = system.func('int accept4(int, void *, void *, int)')
     const listen = system.func('int listen(int, int)')
@@ -46,7 +50,7 @@
       limitBacklog: (listener, length) => outcome(listen(listener, length)),
     }
   } catch (error) {
-    // The library says that its binary is missing by an error without a code.
+    // The library reports a missing binary with an error that has no code.
     const [detail = ''] = (error instanceof Error ? error.message : String(error)).split('\n')
     throw new NativeSocketsMissing(detail, { cause: error })
   }
--- a/packages/daemon/src/operators/budgetRowWrites.ts
+++ b/packages/daemon/src/operators/budgetRowWrites.ts
@@ -1,4 +1,4 @@
-/** What a change of a budget's resource means for its row, in the same transaction. */
+/** The write to a budget's row that accompanies a change of the budget's resource, in the same transaction. */
 
 import { asId } from '@rackwalk/shared'
 import type { BudgetId, TeamId } from '@rackwalk/shared'
@@ -14,9 +14,9 @@
 import type { BudgetSpec } from '@rackwalk/router'
 
 /**
- * The write of a budget's row that goes with the resource's, so that an accepted limit is
- * in force for the next allocation anywhere. The row outlives the resource: allocations of
- * a deleted budget still have to be accounted for.
+ * Returns the write to a budget's row that accompanies the write of its resource, so that an accepted limit is in
+ * force for the next allocation on any instance. The row outlives the resource: allocations of a deleted budget still
+ * have to be accounted for.
  */
 export async function budgetRowWrites(
   table: TableService,
--- a/packages/daemon/src/operators/openApi.ts
+++ b/packages/daemon/src/operators/openApi.ts
@@ -1,6 +1,6 @@
 /**
- * The machine-readable description of the operator API, drawn from what serves it, so that it cannot say
- * something else.
+ * The OpenAPI description of the operator API, generated from the routes and schemas that the server uses, so that
+ * the two cannot differ.
  */
 
 import * as z from 'zod'
@@ -28,7 +28,7 @@
   'DELETE /v1/{kind}/{name}': 'Delete a resource',
 }
 
-/** The OpenAPI description, made from the routes and schemas that the server uses. */
+/** Builds the OpenAPI description from the routes and schemas that the server uses. */
 export function openApiDescription(routes: readonly OperatorRoute[]) {
   const paths: Record<string, Record<string, unknown>> = {}
   for (const route of routes) {
--- a/packages/daemon/src/operators/operatorAuthentication.ts
+++ b/packages/daemon/src/operators/operatorAuthentication.ts
@@ -1,4 +1,4 @@
-/** Which operator asks? Settings hold hashes of tokens, never the tokens. */
+/** Authenticates operators. Settings hold hashes of tokens, never the tokens. */
 
 import type { IncomingMessage } from 'node:http'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
@@ -7,7 +7,7 @@
 
 const BEARER = /^Bearer +(\S+)$/i
 
-/** Names the operator whose token a request shows; throws when there is none. */
+/** Returns the name of the operator whose token a request carries; throws if no operator has that token. */
 export function authenticateOperator(
   request: IncomingMessage,
   operators: Settings['operators'],
--- a/packages/daemon/src/operators/operatorRoute.ts
+++ b/packages/daemon/src/operators/operatorRoute.ts
@@ -1,4 +1,4 @@
-/** What one route of the operator API is made of; routes and their description share it. */
+/** The type of an operator API route, shared by the routes and their description. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 
@@ -10,11 +10,11 @@
   readonly url: URL
 }
 
-/** Method, path pattern and handler; the description of the API lists the same. */
+/** Method, path pattern and handler; the API description is generated from the same routes. */
 export interface OperatorRoute {
   readonly method: string
-  /** Parts in braces are names. */
+  /** Segments in braces are parameters. */
   readonly path: string
-  /** Called with the names of the path, in their order. */
+  /** Called with the path's parameters, in their order. */
   readonly handle: (request: OperatorRequest, ...names: string[]) => Promise<void> | void
 }
--- a/packages/daemon/src/operators/operatorRoutes.ts
+++ b/packages/daemon/src/operators/operatorRoutes.ts
@@ -1,6 +1,6 @@
 /**
- * The operator API: a table of routes with what each does. Owns nothing; relies on the resource API, the
- * books and the fleet's state.
+ * The routes of the operator API and their handlers. Owns nothing; relies on the resource API, the stored rows and
+ * the fleet's state.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -42,7 +42,7 @@
 import type { ListQuery, ResourceApi, WriteOptions } from './resourceApi.js'
 import { WatchStream } from './watchStream.js'
 
-/** Parts that the routes work with. */
+/** What the routes need. */
 export interface OperatorRouteParts {
   readonly resources: ResourceApi
   readonly store: ResourceStore
@@ -65,7 +65,7 @@
 const LARGEST_PAGE = 1_000
 const WRITE_ID_PATTERN = /^[\x21-\x7e]{1,100}$/
 
-/** The table of the operator API's routes. */
+/** The route table of the operator API. */
 export class OperatorRoutes {
   readonly routes: readonly OperatorRoute[]
 
@@ -104,7 +104,7 @@
     ]
   }
 
-  /** The handler of a request, with the names in its path filled in. */
+  /** Returns the handler of a request, with the path's parameters bound. */
   find(method: string, path: string): ((request: OperatorRequest) => Promise<void>) | undefined {
     for (const route of this.routes) {
       const names = route.method === method ? matchPath(route.path, path) : undefined
@@ -155,7 +155,7 @@
     answerJson(response, 200, { ...report, from, to, lines })
   }
 
-  /** Every accepted change says who made it, and so is its own audit record. */
+  /** Every accepted change states the operator who made it, and is therefore its own audit record. */
   private async getAudit({ response, url }: OperatorRequest): Promise<void> {
     const from = parseCount(url, 'from', 0)
     const rows = await this.parts.table.query(tableKeys.CHANGES_PARTITION, {
@@ -358,7 +358,7 @@
   throw new RackwalkError(ResultCode.InvalidResource, `query ${name}`)
 }
 
-/** A time in milliseconds or as an ISO 8601 date. */
+/** Parses a time in milliseconds or as an ISO 8601 date. */
 function parseTime(url: URL, name: string, fallback: number): number {
   const text = url.searchParams.get(name)
   if (text === null) return fallback
--- a/packages/daemon/src/operators/operatorServer.ts
+++ b/packages/daemon/src/operators/operatorServer.ts
@@ -1,6 +1,5 @@
 /**
- * The listener for operators: finds the route, authenticates, and turns errors into answers. Owns its
- * connections.
+ * The listener for operators: finds the route, authenticates, and turns errors into answers. Owns its connections.
  */
 
 import { createServer } from 'node:http'
@@ -17,7 +16,7 @@
 import { InvalidResourceError } from './resourceInput.js'
 import { VersionConflictError } from './resourceApi.js'
 
-/** Parts that the operators' listener works with. */
+/** What the listener for operators needs. */
 export interface OperatorServerParts {
   readonly routes: OperatorRoutes
   readonly registry: Registry
--- a/packages/daemon/src/operators/resourceApi.ts
+++ b/packages/daemon/src/operators/resourceApi.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and writes resources with conditions, dry runs and conflicts that show the other's state; knows no
- * transport.
+ * Reads and writes resources, with conditional writes, dry runs, and conflict errors that carry the current state;
+ * independent of the transport.
  */
 
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
@@ -13,7 +13,7 @@
 import { mergePatch, parseResource } from './resourceInput.js'
 import type { ResourceInput } from './resourceInput.js'
 
-/** What an operator's request says besides the resource. */
+/** The options of a write beside the resource. */
 export interface WriteOptions {
   readonly operator: string
   readonly writeId: TransactionId
@@ -28,14 +28,14 @@
   readonly next?: string
 }
 
-/** Which resources a list holds. */
+/** Selects the resources of a list. */
 export interface ListQuery {
   readonly limit: number
   readonly after?: string
   readonly labels: Readonly<Record<string, string>>
 }
 
-/** A conflict, with the state that the operator did not know of. */
+/** A version conflict, with the current state that the operator did not know. */
 export class VersionConflictError extends RackwalkError {
   constructor(
     readonly current: Resource | undefined,
@@ -46,7 +46,7 @@
   }
 }
 
-/** The operations that operators have on resources, whatever carries them. */
+/** The operations on resources, independent of the transport. */
 export class ResourceApi {
   constructor(
     private readonly store: ResourceStore,
@@ -87,7 +87,7 @@
     return required(await this.write(kind, input, options))
   }
 
-  /** Merges a patch into the current state; racing changes make it start over. */
+  /** Merges a patch into the current state; starts over when a concurrent change conflicts. */
   async patch(
     kind: ResourceKind,
     name: string,
@@ -133,7 +133,7 @@
     return checkConflict(result, options)
   }
 
-  /** Checks everything that a write checks, and writes nothing. */
+  /** Checks everything that a write checks, but writes nothing. */
   private async dryRunWrite(kind: ResourceKind, input: ResourceInput, options: WriteOptions) {
     const current = await this.store.read(kind, input.name)
     const { expected } = options
@@ -152,7 +152,7 @@
     return () => budgetRowWrites(this.table, name, spec as unknown as BudgetSpec | undefined)
   }
 
-  /** An id for a write whose operator gave none. */
+  /** Creates an id for a write whose operator gave none. */
   createWriteId(): TransactionId {
     return asId<TransactionId>(this.random.uniqueId())
   }
--- a/packages/daemon/src/operators/resourceInput.ts
+++ b/packages/daemon/src/operators/resourceInput.ts
@@ -1,5 +1,6 @@
 /**
- * Checks what an operator sent: every fault is named at once, so that one round mends all of them.
+ * Validates resources that operators send. All faults are reported at once, so that the operator can fix them in one
+ * round.
  */
 
 import * as z from 'zod'
@@ -22,7 +23,7 @@
   }
 }
 
-/** A checked resource: its spec has every default filled in. */
+/** A validated resource: its spec has every default filled in. */
 export interface ResourceInput {
   readonly name: string
   readonly labels: Record<string, string>
@@ -41,7 +42,7 @@
   spec: z.unknown(),
 })
 
-/** Checks a resource of a kind; the path and the document must name the same thing. */
+/** Validates a resource of a kind; the path and the document must name the same resource. */
 export function parseResource(kind: ResourceKind, name: string, document: unknown): ResourceInput {
   const envelope = envelopeSchema.safeParse(document)
   const nameCheck = nameSchema.safeParse(name)
--- a/packages/daemon/src/operators/rolloutTracker.ts
+++ b/packages/daemon/src/operators/rolloutTracker.ts
@@ -1,12 +1,12 @@
 /**
- * Where is which revision of the configuration in force, and since when? Owns the times at which
- * heartbeats told it.
+ * Tracks which configuration revision is in force on each instance, and since when. Owns the times at which
+ * heartbeats reported it.
  */
 
 import type { Clock, IncarnationId, InstanceId, Milliseconds, Version } from '@rackwalk/shared'
 import type { Membership } from '@rackwalk/coordination'
 
-/** When one instance was first seen with a configuration. */
+/** Whether a revision is in force on an instance, and when that was first seen. */
 export interface RolloutStatus {
   readonly instanceId: InstanceId
   readonly inForce: boolean
@@ -21,7 +21,7 @@
 
 const KEPT_SIGHTINGS = 256
 
-/** Notes when each instance was seen to reach each configuration revision. */
+/** Records when each instance was first seen at each configuration revision. */
 export class RolloutTracker {
   private readonly sightings = new Map<IncarnationId, Sighting[]>()
 
@@ -30,7 +30,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Looks at what members say of themselves; called with each heartbeat. */
+  /** Records the revisions that the members report; called with each heartbeat. */
   refresh(): void {
     const live = this.membership.liveMembers()
     for (const member of live) this.note(member.incarnation, member.configurationRevision)
@@ -40,7 +40,7 @@
     }
   }
 
-  /** For each live instance, whether and since when a revision is in force. */
+  /** Returns for each live instance whether a revision is in force there, and since when. */
   report(revision: Version): readonly RolloutStatus[] {
     this.refresh()
     return this.membership.liveMembers().map(member => {
--- a/packages/daemon/src/operators/watchStream.ts
+++ b/packages/daemon/src/operators/watchStream.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of resources as a stream to one watcher. Owns its position; a watcher that reads too slowly is
- * cut off and comes back with it.
+ * Streams changes of resources to one watcher. Owns the watcher's position; a watcher that reads too slowly is
+ * disconnected and may reconnect with that position.
  */
 
 import type { ServerResponse } from 'node:http'
@@ -10,12 +10,12 @@
 
 /** Time between bookmarks while nothing changes. */
 const BOOKMARK_MILLISECONDS = 5_000
-/** Bytes that a slow watcher may leave unread before it is cut off. */
+/** Bytes that a slow watcher may leave unread before it is disconnected. */
 const MAXIMUM_UNREAD_BYTES = 4 * 1024 * 1024
 
 /**
- * Sends every change after a revision, in order and once each, as JSON lines. Bookmarks
- * carry the revision seen so far, so that a watcher that reconnects goes on from there.
+ * Sends every change after a revision, in order and once each, as JSON lines. Bookmarks carry the last revision seen,
+ * so that a watcher that reconnects continues from there.
  */
 export class WatchStream {
   private sent: Version
@@ -42,7 +42,7 @@
 
   private catchUp(): void {
     const changes = this.configuration.changesSince(this.sent)
-    // A snapshot was loaded over changes that this watcher has not seen.
+    // A snapshot replaced changes that this watcher has not seen.
     if (changes === undefined) return this.fail()
     for (const change of changes) this.send(change)
     if (this.response.writableLength > MAXIMUM_UNREAD_BYTES) this.response.destroy()
--- a/packages/daemon/src/tasks/adviceTask.ts
+++ b/packages/daemon/src/tasks/adviceTask.ts
@@ -1,6 +1,7 @@
 /**
- * Joins what endpoints of the OpenAI-style kind say of themselves with those who must know: the choice of an endpoint
- * here, the peers, the log. Owns the memory; a peer that does not hear it is told by the endpoint itself.
+ * Connects the advice that endpoints of the OpenAI-style kind give about themselves with its consumers: the choice of
+ * an endpoint here, the peers, and the log. Owns the advice store; a peer that misses a broadcast gets the advice
+ * from the endpoint itself.
  */
 
 import type { AdviceGossip, RecordedInstance } from '@rackwalk/decisions'
@@ -13,7 +14,7 @@
 import { broadcastToPeers } from './broadcastToPeers.js'
 import type { BroadcastParts } from './broadcastToPeers.js'
 
-/** What the task works with. */
+/** What the task needs. */
 export interface AdviceTaskParts extends BroadcastParts {
   readonly clock: Clock
   readonly logger: Logger
@@ -21,7 +22,7 @@
   readonly endpoints: () => EndpointTable
 }
 
-/** What an instance of the OpenAI-style kind does about what endpoints say of themselves. */
+/** Applies and shares the advice of endpoints in an instance of the OpenAI-style kind. */
 export class AdviceTask {
   readonly advices: EndpointAdviceStore
   readonly permits: SendAdmission
@@ -40,26 +41,26 @@
       clock: parts.clock,
       instance: () => parts.membership().self.instanceId,
       recordedInstances: () => this.recordedInstances,
-      // This kind knows no warm-up.
+      // This kind has no warm-up.
       boundsOf: () => undefined,
       advices,
     })
   }
 
-  /** A peer told what endpoints say. */
+  /** A peer reported the advice of endpoints. */
   observe(news: readonly AdviceGossip[]): void {
     for (const one of news) {
       this.advices.observe(one)
-      // A start has the name of its endpoint in this kind.
+      // In this kind, a start is named after its endpoint.
       if (one.isLeaving !== true) continue
-      // An answer said so to a peer: no report that is older may set it back here either.
+      // The peer has it from an answer of the endpoint, so no older load report may set the state back here either.
       this.parts.endpoints().noteLeaving(asId<EndpointId>(one.start), 'answer')
     }
   }
 
   private get recordedInstances(): readonly RecordedInstance[] {
     const instances = this.parts.membership().recentInstances
-    // Callers are spread over all of them.
+    // Callers are spread over all instances.
     return instances.map(instance => ({ instance, isWorking: true }))
   }
 
--- a/packages/daemon/src/tasks/broadcastToPeers.ts
+++ b/packages/daemon/src/tasks/broadcastToPeers.ts
@@ -1,14 +1,19 @@
-/** Tells all live peers of the OpenAI-style kind something at once. Owns nothing; nobody waits for their replies. */
+/**
+ * Broadcasts a message to all live peers of the OpenAI-style kind at once. Owns nothing; does not wait for replies.
+ */
 
 import type { Membership, PeerChannel, PeerMessageKind, PeerRequest } from '@rackwalk/coordination'
 
-/** Who is told, and over what. */
+/** The receivers and the channel of a broadcast. */
 export interface BroadcastParts {
   readonly membership: () => Membership
   readonly peers: PeerChannel
 }
 
-/** `onFailed` is called for each peer that could not be told; every message is safe to repeat. */
+/**
+ * Sends a message to each live peer. `onFailed` is called for each peer that could not be reached; every message is
+ * safe to repeat.
+ */
 export function broadcastToPeers<Kind extends PeerMessageKind>(
   parts: BroadcastParts,
   kind: Kind,
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -1,6 +1,7 @@
 /**
- * Joins what an instance of the OpenAI-style kind finds out of requests that end endpoints with those who must know: the
- * peers at once, the table, the log. Owns the guard and the time between two looks at the table.
+ * Connects what an instance of the OpenAI-style kind finds out about requests that crash endpoints with its
+ * consumers: the peers at once, the table, and the log. Owns the guard and the interval between two reads of the
+ * table.
  */
 
 import { CrashTableSync } from '@rackwalk/coordination'
@@ -30,7 +31,7 @@
 import type { BroadcastParts } from './broadcastToPeers.js'
 import type { EndpointReachabilityTask } from './endpointReachabilityTask.js'
 
-/** What the task works with. */
+/** What the task needs. */
 export interface CrashTaskParts extends BroadcastParts {
   readonly table: TableService
   readonly reach: EndpointReachabilityTask
@@ -38,17 +39,17 @@
   readonly random: RandomSource
   readonly logger: Logger
   readonly metrics: Metrics
-  /** An endpoint has ended, as this instance saw or was told. */
+  /** An endpoint crashed, as detected here or reported by a peer. */
   readonly onUnreachable: (endpoint: EndpointId) => void
-  /** The same, with how it is known. */
+  /** The same, with the evidence of the termination. */
   readonly onKnownEnd: (endpoint: EndpointId, end: KnownTermination) => void
   readonly onFault: (error: unknown) => void
 }
 
-/** Time between two looks at the table, for an instance that no peer could tell: a look is one query. */
+/** Time between two reads of the table, for an instance that peers could not reach; a read is one query. */
 const LOOK_MILLISECONDS: Milliseconds = 30_000
 
-/** What an instance of the OpenAI-style kind does about requests that end endpoints. */
+/** Detects, records and shares requests that crash endpoints, in an instance of the OpenAI-style kind. */
 export class CrashTask implements Task {
   readonly guard: CrashGuard
   private readonly records: CrashTableSync
@@ -99,7 +100,7 @@
     this.guard.stop()
   }
 
-  /** An operator clears a request, or it was answered. */
+  /** Removes the records of requests that an operator cleared or that were answered. */
   clear(news: CrashGossip['cleared']): void {
     for (const { fingerprint } of news) this.records.remove(fingerprint)
     void this.runRound()
@@ -119,13 +120,13 @@
     this.tell(news)
   }
 
-  /** A peer that does not hear it reads the table. */
+  /** A peer that misses the broadcast reads the table. */
   private tell(news: CrashGossip): void {
     const onFailed = () => this.parts.metrics.increment('crash_news_failed')
     broadcastToPeers(this.parts, 'crashNews', news, onFailed)
   }
 
-  /** One round at a time; what comes up meanwhile makes another one. */
+  /** Runs one round at a time; a call during a round requests another one. */
   private async runRound(): Promise<void> {
     this.isRoundRequested = this.isRoundRunning
     if (this.isRoundRunning || this.stopped) return
@@ -134,7 +135,7 @@
     try {
       await this.records.synchronize()
     } catch (error) {
-      // A table that does not answer is tried again; anything else is a fault.
+      // A table that does not answer is retried in the next round; any other error is a fault.
       if (!(error instanceof RackwalkError)) this.parts.onFault(error)
     }
     this.isRoundRunning = false
--- a/packages/daemon/src/tasks/endpointMonitor.ts
+++ b/packages/daemon/src/tasks/endpointMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * Asks engines of the OpenAI-style kind for load and cache events and hears from the list who leaves. Owns
- * the rounds; what is learned goes to the endpoint table.
+ * Polls engines of the OpenAI-style kind for load and cache events, and learns from the platform's list and from
+ * peers which endpoints are leaving. Owns the polling rounds; the results go to the endpoint table.
  */
 
 import type { Clock, EndpointId, Milliseconds, ModelId, Task, Timer } from '@rackwalk/shared'
@@ -17,7 +17,7 @@
   EndpointTable,
 } from '@rackwalk/router'
 
-/** Parts that the monitor works with. */
+/** What the monitor needs. */
 export interface EndpointMonitorParts {
   readonly catalogue: Catalogue
   readonly endpoints: EndpointTable
@@ -30,10 +30,10 @@
 }
 
 const REPORT_TIMEOUT_MILLISECONDS = 1_000
-/** Rounds of load reports to one of cache events. */
+/** Load report rounds per round of cache events. */
 const CACHE_EVENT_ROUNDS = 2
 
-/** Asks endpoints for their load and cache events, and hears who is leaving. */
+/** Polls endpoints for their load and cache events, and learns which ones are leaving. */
 export class EndpointMonitor implements Task {
   private timer: Timer | undefined
   private stopped = false
@@ -57,12 +57,12 @@
     this.timer?.cancel()
   }
 
-  /** Models in an endpoint's memory by its last report. */
+  /** Returns the models in an endpoint's memory by its last report. */
   loadedModels(endpointId: EndpointId): ReadonlyMap<ModelId, string> | undefined {
     return this.loaded.get(endpointId)
   }
 
-  /** The platform's list names endpoints too; one that it calls leaving gets nothing new. */
+  /** The platform's list names endpoints too; an endpoint that it marks as leaving gets no new requests. */
   noteListed(listed: readonly ListedInstance[]): void {
     for (const { instanceId, state } of listed) {
       const endpointId = asId<EndpointId>(instanceId)
@@ -71,14 +71,14 @@
     }
   }
 
-  /** Peers pass on what they saw, so that one refusal suffices for all instances. */
+  /** Peers report the endpoints that they know to be leaving, so that one refusal suffices for all instances. */
   notePeers(members: readonly MemberInfo[]): void {
     for (const endpoint of members.flatMap(member => member.leavingEndpoints)) {
       this.parts.endpoints.noteLeaving(asId<EndpointId>(endpoint), 'peer')
     }
   }
 
-  /** Asks every endpoint once. */
+  /** Polls every endpoint once. */
   async round(): Promise<void> {
     this.rounds += 1
     this.parts.endpoints.prune()
@@ -94,14 +94,14 @@
     })
   }
 
-  /** One question at a time to each, so that a slow endpoint does not hold up the others. */
+  /** Sends one query at a time to each endpoint, so that a slow one does not hold up the others. */
   private async ask(endpoint: ConfiguredEndpoint): Promise<void> {
     const { endpointId } = endpoint
     if (this.asking.has(endpointId)) return
     this.asking.add(endpointId)
     try {
       await this.askLoad(endpoint)
-      // Cache events may come later than loads: they only sharpen what routing assumes.
+      // Cache events may arrive later than loads: they only refine the assumptions of routing.
       if (this.rounds % CACHE_EVENT_ROUNDS === 0) await this.askCacheEvents(endpoint)
     } catch {
       // An endpoint that does not report is judged by its requests alone.
--- a/packages/daemon/src/tasks/endpointReachabilityTask.ts
+++ b/packages/daemon/src/tasks/endpointReachabilityTask.ts
@@ -1,11 +1,11 @@
-/** Knows which endpoints of the OpenAI-style kind this instance reaches. Owns the watch over its links. */
+/** Tracks which endpoints of the OpenAI-style kind this instance reaches. Owns the monitor of its links. */
 
 import { EndpointLinks, LinkMonitor } from '@rackwalk/router'
 import type { Catalogue, MonitoredEndpoint } from '@rackwalk/router'
 import type { Clock, EndpointId, RandomSource, Task } from '@rackwalk/shared'
 import type { Logger } from '../observe/logger.js'
 
-/** What the task works with. */
+/** What the task needs. */
 export interface EndpointReachabilityTaskParts {
   readonly catalogue: Catalogue
   readonly clock: Clock
@@ -31,24 +31,24 @@
   }
 
   async start(): Promise<void> {
-    // Links are looked at once something does not come up.
+    // Links are probed only after a connection attempt has failed.
   }
 
   async drain(): Promise<void> {
-    // Requests in progress still need to know.
+    // Requests in progress still need the reachability of endpoints.
   }
 
   async stop(): Promise<void> {
     this.links.stop()
   }
 
-  /** No connection to an endpoint came up for a request. */
+  /** A request could not connect to an endpoint. */
   noteUnconnected(target: string, endpointId: EndpointId): void {
     const endpoint = this.endpoints.find(target, endpointId)
     if (endpoint !== undefined) this.links.noteConnectFailed(endpoint)
   }
 
-  /** The reports of an endpoint can't be fetched: it, or the way to it, may be gone. */
+  /** The reports of an endpoint cannot be fetched: the endpoint or the link to it may be down. */
   noteSilent(endpointId: EndpointId): void {
     const spec = this.parts.catalogue.findEndpoint(endpointId)?.spec
     if (spec?.kind === 'model') for (const model of spec.models) this.links.startChecking(model)
--- a/packages/daemon/src/tasks/placementTask.ts
+++ b/packages/daemon/src/tasks/placementTask.ts
@@ -1,6 +1,6 @@
 /**
- * Turns placements into orders to engines while this instance is the planner. Owns the orders that are not
- * yet fulfilled; relies on the lease for who plans.
+ * Turns placements into orders to engines while this instance is the planner. Owns the orders that are not yet
+ * fulfilled; relies on the lease for which instance plans.
  */
 
 import type { Clock, EndpointId, Milliseconds, ModelId, Task, Timer } from '@rackwalk/shared'
@@ -16,7 +16,7 @@
 } from '@rackwalk/router'
 import type { Logger } from '../observe/logger.js'
 
-/** Parts that the planner works with. */
+/** What the planner needs. */
 export interface PlacementTaskParts {
   readonly catalogue: Catalogue
   readonly configuration: ConfigurationFollower
@@ -32,18 +32,18 @@
 
 const ROUND_MILLISECONDS = 2_000
 const ORDER_TIMEOUT_MILLISECONDS = 2_000
-/** An order not seen fulfilled by then is given again. */
+/** An order that was not fulfilled within this time is sent again. */
 const ORDER_RETRY_MILLISECONDS = 60_000
 
 /**
- * Turns placements into orders while this instance holds the planner's lease. Each order
- * carries the lease's epoch: an engine refuses one that is older than the last it obeyed,
- * so a planner that was paused and replaced does no harm.
+ * Turns placements into orders while this instance holds the planner's lease. Each order carries the lease's epoch:
+ * an engine refuses an order whose epoch is older than that of the last order it obeyed, so a planner that was paused
+ * and replaced does no harm.
  */
 export class PlacementTask implements Task {
   private timer: Timer | undefined
   private stopped = false
-  /** Loads under way, by endpoint and model, with the time of the order. */
+  /** Loads in progress, by endpoint and model, with the time of the order. */
   private readonly pendingLoads = new Map<string, Milliseconds>()
 
   constructor(private readonly parts: PlacementTaskParts) {}
@@ -61,7 +61,7 @@
     this.timer?.cancel()
   }
 
-  /** Renews the lease and, as its holder, gives the orders that are due. */
+  /** Renews the lease and, if this instance holds it, sends the orders that are due. */
   async round(): Promise<void> {
     const epoch = await this.parts.lease.acquireOrRenew()
     if (epoch === undefined) return
@@ -98,7 +98,7 @@
 
   private async sendOrder(order: PlacementOrder): Promise<void> {
     const endpoint = this.parts.catalogue.findEndpoint(order.endpointId)
-    // Asked anew for each order: the lease may have lapsed while others were given.
+    // Read again for each order: the lease may have expired while other orders were sent.
     const epoch = this.parts.lease.epoch
     if (endpoint === undefined || epoch === undefined) return
     this.pendingLoads.set(nameOf(order), this.parts.clock.monotonic())
