--- a/packages/daemon/src/cachedProgram.ts
+++ b/packages/daemon/src/cachedProgram.ts
@@ -1,6 +1,7 @@
 /**
- * Compiles a program with what an earlier compilation of the same text left. A cache that is missing, broken, of
- * another text or of another Node.js costs time and nothing else: the text is compiled anew.
+ * Compiles a program with the code cache of an earlier compilation of the same text. A cache that is missing,
+ * damaged, or made from another text or by another version of Node.js only costs time: the text is then compiled
+ * without it.
  */
 
 import { createHash } from 'node:crypto'
@@ -22,15 +23,15 @@
 export interface CompiledProgram {
   /** Whether the cache was used. */
   readonly isCached: boolean
-  /** Gives what the program exports. */
+  /** Runs the program and returns its exports. */
   run(): unknown
 }
 
-/** Compiles a file that holds one function of `require`, `module` and the address of the file. */
+/** Compiles a file that contains one function of `require`, `module` and the file's URL. */
 export function compileProgram(file: string, cacheFile: string): CompiledProgram {
   const text = readFileSync(file)
   const cachedData = readCache(cacheFile, text)
-  // The bundler writes no letters beyond these.
+  // The bundler writes no characters outside Latin-1.
   const script = new Script(text.toString('latin1'), {
     filename: file,
     cachedData,
@@ -48,8 +49,8 @@
 }
 
 /**
- * The digest stands first. Of the text the engine compares the length alone, and of the code nothing: a cache
- * that was damaged would end the process.
+ * The cache file begins with a digest. V8 checks only the length of the text and nothing of the cached code, so that
+ * a damaged cache would terminate the process.
  */
 function readCache(file: string, text: Buffer): Buffer | undefined {
   const bytes = readIfThere(file)
--- a/packages/daemon/src/cachedStart.ts
+++ b/packages/daemon/src/cachedStart.ts
@@ -1,4 +1,4 @@
-/** Entry point that starts the program beside it with the code cache that the build left. */
+/** Entry point that starts the program in the same directory with the code cache from the build. */
 
 import { dirname, join } from 'node:path'
 import { compileProgram } from './cachedProgram.js'
--- a/packages/daemon/src/createChatRelay.ts
+++ b/packages/daemon/src/createChatRelay.ts
@@ -1,4 +1,7 @@
-/** Where an instance of the OpenAI-style kind hands chats to that it can't send itself. Owns nothing. */
+/**
+ * Creates the relay of chats that an instance of the OpenAI-style kind cannot send to any engine itself. Owns
+ * nothing.
+ */
 
 import type { CoordinationNode } from '@rackwalk/coordination'
 import { ChatRelay } from '@rackwalk/router'
@@ -6,14 +9,14 @@
 import type { Metrics } from './observe/metrics.js'
 import type { MutableNodeIdentity } from './ownIdentity.js'
 
-/** What the handing over works with beside the members. */
+/** What the relay needs besides the members. */
 export interface ChatHandOverSources {
   readonly clock: Clock
   readonly random: RandomSource
   readonly metrics: Metrics
 }
 
-/** Hands chats to the other members that serve. */
+/** Creates the relay of chats to the other members that serve. */
 export function createChatRelay(
   { incarnation, failureDomain }: MutableNodeIdentity,
   node: CoordinationNode,
--- a/packages/daemon/src/decisionRecordFinder.ts
+++ b/packages/daemon/src/decisionRecordFinder.ts
@@ -1,5 +1,5 @@
 /**
- * Why was a request decided as it was, wherever and whenever that was? Reads records and writes none.
+ * Finds the record of how a request was decided, on any instance and at any time. Reads records and writes none.
  */
 
 import type { RequestId } from '@rackwalk/shared'
@@ -10,9 +10,9 @@
 import type { DecisionRecord } from '@rackwalk/router'
 
 /**
- * Finds the decision record of a request wherever it is: in this instance's memory, in that
- * of the instance that decided, or in the object store, where it stays after that instance
- * died. What an instance had not written when it died is missing.
+ * Finds the decision record of a request in this instance's memory, in that of the instance that decided it, or in
+ * the object store, where it remains after that instance has terminated. Records that an instance had not written
+ * when it crashed are lost.
  */
 export class DecisionRecordFinder {
   constructor(
--- a/packages/daemon/src/observe/boundedLogger.ts
+++ b/packages/daemon/src/observe/boundedLogger.ts
@@ -1,11 +1,11 @@
-/** Bounds the lines that are written, whatever happens. Owns the count of the lines dropped. */
+/** Limits the rate of log lines. Owns the count of dropped lines. */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { Logger } from './logger.js'
 
 /**
- * Lets a bounded number of lines a second through. What is dropped is counted and told with
- * the next line, so that a flood of refusals neither blocks nor hides itself.
+ * Lets a bounded number of lines per second through. Dropped lines are counted, and the count is logged with the next
+ * line, so that a flood of refusals neither blocks the process nor goes unnoticed.
  */
 export class BoundedLogger implements Logger {
   private secondStartedAt: Milliseconds = Number.NEGATIVE_INFINITY
--- a/packages/daemon/src/observe/changeBatch.ts
+++ b/packages/daemon/src/observe/changeBatch.ts
@@ -1,19 +1,20 @@
 /**
- * Lines about changes that come together. A few are told one by one; many, as at a start or after an outage, in one
- * line that counts them: a line for each of hundreds of instances on each of hundreds would be most of all lines.
+ * Batches log lines about changes that occur together. A few changes are logged one by one; many, as at a start or
+ * after an outage, are logged as one line with their counts: otherwise hundreds of instances that each log hundreds
+ * of others would make up most of all log lines.
  */
 
-/** One change, as a line tells of it. */
+/** One change, as logged. */
 interface Change {
-  /** What changes of an event are counted by. */
+  /** The kind by which changes of an event are counted. */
   readonly kind: string
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-/** Changes of one event that are told one by one where no more come together. */
+/** Most changes of one event that are logged one by one. */
 const LARGEST_LISTED = 3
 
-/** Gathers the changes of one turn of the event loop and tells them. */
+/** Collects the changes of one turn of the event loop and logs them. */
 export class ChangeBatch {
   private readonly changes = new Map<string, Change[]>()
 
@@ -22,7 +23,7 @@
     private readonly schedule: (run: () => void) => void = queueMicrotask,
   ) {}
 
-  /** Notes one change; its line is written when the others of this turn are known. */
+  /** Records one change; it is logged at the end of this turn, together with the turn's other changes. */
   note(event: string, change: Change): void {
     if (this.changes.size === 0) this.schedule(() => this.flush())
     const known = this.changes.get(event) ?? []
--- a/packages/daemon/src/observe/failedRequestFields.ts
+++ b/packages/daemon/src/observe/failedRequestFields.ts
@@ -1,8 +1,10 @@
-/** The line of a request of the OpenAI-style kind that did not end well. */
+/** The log line of a failed request of the OpenAI-style kind. */
 
 import type { DecisionRecord } from '@rackwalk/router'
 
-/** Fields of the line: what the caller was told, and how the answers ended that endpoints had begun. */
+/**
+ * Returns the fields of the line: the error sent to the caller, and how the answers ended that endpoints had begun.
+ */
 export function failedRequestFields(record: DecisionRecord): Readonly<Record<string, unknown>> {
   return {
     request: record.requestId,
--- a/packages/daemon/src/observe/httpAnswer.ts
+++ b/packages/daemon/src/observe/httpAnswer.ts
@@ -1,4 +1,4 @@
-/** Short HTTP answers: JSON, numbered errors, and what is said to bytes that are no request. */
+/** Short HTTP answers: JSON documents, numbered errors, and answers to malformed requests. */
 
 import type { Server, ServerResponse } from 'node:http'
 import { Socket } from 'node:net'
@@ -20,7 +20,7 @@
   response.end(answer.body)
 }
 
-/** A numbered error with, where there is more to say, its details; see `errorBody` for `leastSeconds`. */
+/** Builds the answer of a numbered error, with its details if any; see `errorBody` for `leastSeconds`. */
 export function errorAnswer(
   error: RackwalkError,
   leastSeconds: number,
@@ -43,8 +43,8 @@
 }
 
 /**
- * Refuses bytes that are not HTTP, or not in time. A connection with an answer in progress is reset: whatever is sent on
- * it would be taken for a part of that answer, and its end for the answer's.
+ * Refuses bytes that are not HTTP or that arrive too late. A connection with an answer in progress is reset: bytes
+ * sent on it would be taken for a part of that answer, and an orderly close for the end of the answer.
  */
 export function refuseMalformed(server: Server): void {
   const inProgress = new WeakMap<Duplex, number>()
@@ -65,7 +65,7 @@
   else socket.destroy()
 }
 
-/** There is no request to answer. */
+/** Answers a connection on which no request was parsed. */
 function answerMalformed(error: NodeJS.ErrnoException, socket: Duplex): void {
   if (!socket.writable || error.code === 'ECONNRESET') return void socket.destroy()
   const isSlow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT'
--- a/packages/daemon/src/observe/listenOn.ts
+++ b/packages/daemon/src/observe/listenOn.ts
@@ -1,23 +1,23 @@
 /**
- * Addresses as settings write them, and listening at them with a numbered error where that fails.
+ * Parses the addresses in settings, and listens at them; a failure is a numbered error.
  */
 
 import type { Server } from 'node:http'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 
-/** Splits `IP:PORT`; an IPv6 address stands in brackets. */
+/** Splits `IP:PORT`; an IPv6 address is in brackets. */
 export function parseAddress(address: string): { readonly host: string; readonly port: number } {
   const colon = address.lastIndexOf(':')
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '')
   return { host, port: Number(address.slice(colon + 1)) }
 }
 
-/** The address with another port, as learned when the system chose it. */
+/** Replaces the port of an address, once the system has chosen it. */
 export function withPort(address: string, port: number): string {
   return `${address.slice(0, address.lastIndexOf(':'))}:${port}`
 }
 
-/** Listens and gives the port; fails with `CannotListen`. */
+/** Listens and resolves with the port; rejects with `CannotListen`. */
 export function listenOn(server: Server, address: string): Promise<number> {
   const { host, port } = parseAddress(address)
   return new Promise((resolve, reject) => {
--- a/packages/daemon/src/observe/logger.ts
+++ b/packages/daemon/src/observe/logger.ts
@@ -1,20 +1,20 @@
-/** Lines of the log: an event and its fields, as JSON on standard output. */
+/** Log lines: an event and its fields, as JSON on standard output. */
 
 import type { Settings } from '../settings/schema.js'
 
 type Level = Settings['log']['level']
 
-/** Writes lines; a line is an event name and its fields. */
+/** Writes log lines; a line consists of an event name and fields. */
 export interface Logger {
   info(event: string, fields: Readonly<Record<string, unknown>>): void
   warn(event: string, fields: Readonly<Record<string, unknown>>): void
 }
 
-/** Levels at which a line is written. */
+/** Settings levels at which info lines and warnings are written. */
 const INFO_LEVELS: readonly Level[] = ['info', 'debug']
 const WARN_LEVELS: readonly Level[] = ['warn', ...INFO_LEVELS]
 
-/** One JSON object a line on standard output, so that any collector can read it. */
+/** Writes one JSON object per line to standard output, so that any log collector can read it. */
 export class JsonLogger implements Logger {
   private readonly logsInfo: boolean
   private readonly logsWarnings: boolean
--- a/packages/daemon/src/observe/malformedInputLog.ts
+++ b/packages/daemon/src/observe/malformedInputLog.ts
@@ -1,23 +1,23 @@
 /**
- * What came from outside the process and was not of its form: rows, answers, messages. Each is
- * counted; the first from each source is a line of the log, since one broken writer may repeat
- * itself many times a second. Whoever reads such a thing leaves it out.
+ * Input from outside the process that could not be decoded: rows, answers, messages. Each occurrence is counted, but
+ * only the first from each source is logged, since one faulty writer may repeat itself many times a second. The
+ * reader ignores the input.
  */
 
 import type { Logger } from './logger.js'
 
-/** What was read, and whose word it was. */
+/** What was expected, and where the input came from. */
 export interface MalformedInput {
-  /** What was expected, such as `row` or `loan`. */
+  /** The expected form, such as `row` or `loan`. */
   readonly form: string
-  /** The row, address or caller that it came from. */
+  /** The row, address or caller that the input came from. */
   readonly source: string
 }
 
-/** Sources that are remembered; beyond them there are only counts. */
+/** Sources that are remembered; input from further sources is only counted. */
 const MAXIMUM_SOURCES = 1_000
 
-/** Counts malformed input and tells of each source once. */
+/** Counts malformed input and logs each source once. */
 export class MalformedInputLog {
   private readonly loggedSources = new Set<string>()
 
--- a/packages/daemon/src/observe/metrics.ts
+++ b/packages/daemon/src/observe/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of an instance of the OpenAI-style kind. Owns their registry; names and labels are an
- * interface to operators and change only on purpose.
+ * The metrics of an instance of the OpenAI-style kind. Owns their registry. Names and labels are an interface to
+ * operators and must not change by accident.
  */
 
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
@@ -12,7 +12,7 @@
 const FIRST_BYTE_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.69, 1, 2, 5, 10, 30]
 const TOTAL_BUCKETS = [0.05, 0.2, 1, 5, 15, 60, 300, 600]
 
-/** Values that are read when somebody asks for the metrics. */
+/** Values that are read when the metrics are scraped. */
 export interface GaugeSources {
   readonly inFlight: () => number
   readonly queued: () => number
@@ -23,7 +23,7 @@
   readonly crashingRequests: () => number
 }
 
-/** The metrics of one instance, in a registry of its own. */
+/** The metrics of one instance, in their own registry. */
 export class Metrics implements Counters, RefusedBodyCounters {
   readonly registry = new Registry()
   private readonly coordination: Counter
@@ -184,7 +184,7 @@
     this.total.observe((record.totalMilliseconds ?? 0) / 1000)
   }
 
-  /** Adds the gauges, whose values other tasks own. */
+  /** Adds the gauges, whose values other parts own. */
   observe(sources: GaugeSources): void {
     this.gauge('rackwalk_requests_in_flight', 'Requests in progress.', sources.inFlight)
     this.gauge('rackwalk_requests_queued', 'Requests waiting for an endpoint.', sources.queued)
--- a/packages/daemon/src/openAiKind.ts
+++ b/packages/daemon/src/openAiKind.ts
@@ -1,7 +1,7 @@
 /**
- * Starts an instance of the OpenAI-style kind and ties it to the signals of its process. A bundle keeps
- * this module and all that it needs in a file of its own, so it reports its own errors: their classes
- * are not the ones of the program that loaded it.
+ * Starts an instance of the OpenAI-style kind and handles the signals of its process. A bundle keeps this module and
+ * its dependencies in a separate file. It therefore reports its own errors: their classes differ from those of the
+ * program that loaded it.
  */
 
 import { SEALED_EXIT_CODE } from '@rackwalk/coordination'
--- a/packages/daemon/src/ownIdentity.ts
+++ b/packages/daemon/src/ownIdentity.ts
@@ -1,4 +1,4 @@
-/** Who an instance of the OpenAI-style kind is, as it tells the others. Owns nothing. */
+/** The identity that an instance of the OpenAI-style kind publishes to the others. Owns nothing. */
 
 import { asId } from '@rackwalk/shared'
 import type {
@@ -11,10 +11,10 @@
 import type { NodeIdentity } from '@rackwalk/coordination'
 import type { Settings } from './settings/schema.js'
 
-/** Addresses are filled in when the listeners have their ports. */
+/** Mutable, since the addresses are filled in when the listeners have their ports. */
 export type MutableNodeIdentity = { -readonly [Field in keyof NodeIdentity]: NodeIdentity[Field] }
 
-/** A new incarnation of the instance that the settings name. */
+/** Creates the identity of a new incarnation of the instance in the settings. */
 export function createIdentity(settings: Settings, random: RandomSource): MutableNodeIdentity {
   const { id, region, failureDomain } = settings.instance
   return {
--- a/packages/daemon/src/peers/grpcPeerChannel.ts
+++ b/packages/daemon/src/peers/grpcPeerChannel.ts
@@ -1,6 +1,6 @@
 /**
- * The calling side of messages between instances. Owns a connection for each address; a call that gives no
- * answer in time fails, and its sender decides what that means.
+ * The client side of messages between instances. Owns a connection for each address. A call that is not answered in
+ * time fails, and its sender decides what that means.
  */
 
 import { Client, Metadata, credentials } from '@grpc/grpc-js'
@@ -23,7 +23,7 @@
   toText,
 } from './peerProtocol.js'
 
-/** Finds the address of an incarnation, if it is known. */
+/** Returns the address of an incarnation, if it is known. */
 export type AddressLookup = (incarnation: IncarnationId) => string | undefined
 
 /** Calls other instances over gRPC; connections are kept by address. */
@@ -47,7 +47,7 @@
     return this.callAddress(address, kind, request)
   }
 
-  /** Calls whoever listens at an address. */
+  /** Calls the instance that listens at an address. */
   callAddress<Kind extends PeerMessageKind>(
     address: string,
     kind: Kind,
@@ -84,7 +84,7 @@
     const client = new Client(address, credentials.createInsecure(), {
       'grpc.max_receive_message_length': MAXIMUM_MESSAGE_BYTES,
       'grpc.max_send_message_length': MAXIMUM_MESSAGE_BYTES,
-      // A replaced instance comes back under the same address, so retries must be quick.
+      // A replaced instance returns under the same address, so reconnection attempts must not back off for long.
       'grpc.max_reconnect_backoff_ms': 1_000,
     })
     this.clients.set(address, client)
--- a/packages/daemon/src/peers/peerProtocol.ts
+++ b/packages/daemon/src/peers/peerProtocol.ts
@@ -1,4 +1,4 @@
-/** What the two sides of the gRPC connection between OpenAI-style instances share. */
+/** Definitions that both sides of the gRPC connection between OpenAI-style instances share. */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import { PEER_MESSAGE_CODECS } from '@rackwalk/coordination'
@@ -8,28 +8,28 @@
 const PEER_SERVICE = 'rackwalk.Peers'
 /** Metadata that carries the secret between peers. */
 export const SECRET_METADATA = 'rackwalk-peer-secret'
-/** Room for a configuration snapshot or a page of held entries. */
+/** Large enough for a configuration snapshot or a page of held entries. */
 export const MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
 
 /** Kinds of messages, each a unary method of the service. */
 export const PEER_KINDS = Object.keys(PEER_MESSAGE_CODECS) as readonly PeerMessageKind[]
 
-/** The path of a kind's method. */
+/** Returns the path of a kind's method. */
 export function methodPath(kind: string): string {
   return `/${PEER_SERVICE}/${kind}`
 }
 
-/** Messages travel as JSON, which Node.js encodes natively; this is its text as bytes. */
+/** Encodes a message's text; messages are JSON, which Node.js encodes natively. */
 export function toBytes(text: string): Buffer {
   return Buffer.from(text)
 }
 
-/** The text of a message. */
+/** Decodes a message's text. */
 export function toText(bytes: Buffer): string {
   return bytes.toString('utf8')
 }
 
-/** The numbered error that a peer's failure stands for. */
+/** The numbered error of a failed call to a peer. */
 export function peerError(message: string): RackwalkError {
   return new RackwalkError(ResultCode.PlatformUnavailable, `peer: ${message}`)
 }
--- a/packages/daemon/src/peers/peerServer.ts
+++ b/packages/daemon/src/peers/peerServer.ts
@@ -1,5 +1,6 @@
 /**
- * The receiving side of messages between instances: decodes, hands over, answers. Owns the listener.
+ * The server side of messages between instances: decodes requests, passes them to their handlers and sends the
+ * replies. Owns the listener.
  */
 
 import { timingSafeEqual } from 'node:crypto'
@@ -44,7 +45,7 @@
     this.server.addService(serviceDefinition(), implementation)
   }
 
-  /** Listens and gives the port. */
+  /** Listens and resolves with the port. */
   listen(address: string): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.bindAsync(address, ServerCredentials.createInsecure(), (error, port) => {
@@ -59,7 +60,7 @@
   }
 
   private methodOf<Kind extends PeerMessageKind>(kind: Kind, handlers: PeerHandlers): UnaryHandler {
-    // Each handler takes the request of its own kind, which the key has chosen.
+    // Each handler takes the request of its own kind, which the key has selected.
     const handler = handlers[kind] as PeerHandler<Kind> | undefined
     return (call, reply) => void this.handle(kind, handler, call, reply)
   }
--- a/packages/daemon/src/platformClients.ts
+++ b/packages/daemon/src/platformClients.ts
@@ -1,4 +1,7 @@
-/** What the settings of an OpenAI-style instance name: the clients of its platform, and how budgets are divided. */
+/**
+ * Creates what the settings of an OpenAI-style instance name: the clients of its platform, and the policy that
+ * divides budgets.
+ */
 
 import { DynamodbTableService, S3ObjectStore } from '@rackwalk/stores'
 import {
@@ -12,7 +15,7 @@
 import { readSecret } from './settings/sources.js'
 import type { Settings } from './settings/schema.js'
 
-/** The policy that divides budgets among instances. */
+/** Creates the policy that divides budgets among instances. */
 export function createPolicy(policy: Settings['budgetPolicy']): AllocationPolicy {
   switch (policy.name) {
     case 'equal-split':
@@ -27,7 +30,7 @@
   }
 }
 
-/** The client of the table. */
+/** Creates the client of the table. */
 export function createTable({ platform: { table } }: Settings): DynamodbTableService {
   return new DynamodbTableService({
     endpoint: table.endpoint,
@@ -39,7 +42,7 @@
   })
 }
 
-/** The client of the object store. */
+/** Creates the client of the object store. */
 export function createObjects({ platform: { objects } }: Settings): S3ObjectStore {
   return new S3ObjectStore({
     endpoint: objects.endpoint,
@@ -51,7 +54,7 @@
   })
 }
 
-/** The table as all parts read it: with rows held against their forms. */
+/** Wraps the table so that all parts read validated rows; a malformed row is reported. */
 export function createCheckedTable(
   table: DynamodbTableService,
   malformed: MalformedInputLog,
--- a/packages/daemon/src/program.ts
+++ b/packages/daemon/src/program.ts
@@ -1,4 +1,4 @@
-/** The program `rackwalkd`: the settings say which kind of instance the process becomes. */
+/** The program `rackwalkd`; its settings choose the kind of instance that the process runs. */
 
 import { cac } from 'cac'
 import { gatewaySettingsSchema } from './gateway/gatewaySettings.js'
@@ -9,7 +9,7 @@
 
 const GATEWAY_KIND = 'gateway'
 
-/** Adapters that are a part of the program, by the name that settings give them. */
+/** Adapters that are built into the program, by the name that settings use. */
 export type BuiltInAdapters = Readonly<Record<string, PlatformModule>>
 
 interface Flags {
@@ -19,7 +19,7 @@
   readonly check?: boolean
 }
 
-/** Reads the words it was started with and does what they say. */
+/** Parses the command line and runs it. */
 export function startProgram(adapters: BuiltInAdapters = {}): void {
   const program = cac('rackwalkd')
   program
@@ -37,7 +37,7 @@
   const file = settingsFile(flags)
   if (file === undefined) return exitWithError('--settings FILE is required', EXIT_SETTINGS)
   const text = readText(file)
-  // Each kind loads only what it needs: start-up time and memory are paid on small machines.
+  // Each kind loads only the modules that it needs: small machines pay for each in start-up time and memory.
   if ((await readKind(text)) === GATEWAY_KIND) return runGatewayKind(file, text, flags, adapters)
   const { runOpenAiKind } = await import('./openAiKind.js')
   await runOpenAiKind(file, text, flags.check === true)
@@ -51,7 +51,7 @@
 ): Promise<void> {
   const settings = await readSettings(gatewaySettingsSchema, text)
   if (flags.check) return reportValid(file)
-  // A signal that comes while the program is still loading must not end it.
+  // A signal that arrives while the program is still loading must not terminate it.
   process.on('SIGHUP', () => {})
   const { runGateway } = await import('./gateway/runGateway.js')
   await runGateway(file, settings, adapters)
--- a/packages/daemon/src/rackwalkDaemon.ts
+++ b/packages/daemon/src/rackwalkDaemon.ts
@@ -1,6 +1,6 @@
 /**
- * One instance of the OpenAI-style kind: every part, wired together. Owns the phase of the instance's
- * life; relies on each part for what it does.
+ * One instance of the OpenAI-style kind: wires all parts together. Owns the lifecycle phase of the instance;
+ * delegates everything else to its parts.
  */
 
 import { ResultCode, SystemClock, SystemRandom, sleep } from '@rackwalk/shared'
@@ -47,18 +47,18 @@
 import { EndpointMonitor } from './tasks/endpointMonitor.js'
 import { PlacementTask } from './tasks/placementTask.js'
 
-/** What may be replaced in tests and in programs that embed a daemon. */
+/** What tests and embedding programs may replace. */
 export interface DaemonOptions {
   readonly clock?: Clock
   readonly random?: RandomSource
   readonly logger?: Logger
-  /** Process metrics exist once in a process. */
+  /** Process metrics exist only once per process. */
   readonly withProcessMetrics?: boolean
-  /** Called once when this incarnation was sealed; the program should start anew. */
+  /** Called once when this incarnation was sealed; the program should restart. */
   readonly onSealed?: () => void
 }
 
-/** Addresses at which an instance listens, with the ports it got. */
+/** Addresses at which an instance listens, with the ports that the system chose. */
 export interface BoundAddresses {
   readonly callers: string
   readonly operators: string
@@ -68,7 +68,7 @@
 const PLANNER_LEASE = 'planner'
 const DRAIN_POLL_MILLISECONDS = 20
 
-/** One instance of the fleet: every task, wired together. */
+/** One instance of the fleet, with all its tasks. */
 export class RackwalkDaemon {
   readonly node: CoordinationNode
   private readonly clock: Clock
@@ -78,7 +78,7 @@
   private readonly identity: MutableNodeIdentity
   private readonly malformed: MalformedInputLog
   private readonly tableClient: DynamodbTableService
-  /** The table as all parts read it: with rows held against their forms. */
+  /** The table as all parts read it, with validated rows. */
   private readonly table: TableService
   private readonly objects: S3ObjectStore
   private readonly client: EndpointClient
@@ -135,7 +135,7 @@
     this.observe()
   }
 
-  /** Listens, then begins the background work; gives the addresses. */
+  /** Opens the listeners, then starts the background work; resolves with the addresses. */
   async start(): Promise<BoundAddresses> {
     const bound = await this.listen().catch(async (error: unknown) => {
       await this.stop()
@@ -164,13 +164,13 @@
     return this.node.isServing
   }
 
-  /** Takes no new requests, brings those in progress to their end, and leaves. */
+  /** Takes no new requests, finishes those in progress, and leaves the fleet. */
   drain(): Promise<void> {
     this.drained ??= this.drainOnce()
     return this.drained
   }
 
-  /** Stops at once, as a death would, cutting off what is in progress. */
+  /** Stops at once, as a crash would, and cuts off requests in progress. */
   async stop(): Promise<void> {
     this.node.stop()
     for (const task of this.tasks) await task.stop()
@@ -432,7 +432,7 @@
     await this.findPeers(strangers.filter(address => !known.has(address)))
   }
 
-  /** Greets instances of which only the address is known. */
+  /** Sends a heartbeat to instances of which only the address is known. */
   private async findPeers(addresses: readonly string[]): Promise<void> {
     const others = addresses.filter(address => address !== this.identity.peerAddress)
     const request = { sender: this.node.describe(), digests: this.node.membership.digests() }
@@ -442,7 +442,7 @@
           const reply = await this.peers.callAddress(address, 'heartbeat', request)
           this.node.membership.mergeMember(reply.receiver)
         } catch {
-          // Not there (yet); the list or a heartbeat will bring it up again.
+          // Not reachable (yet); the platform's list or a heartbeat will name the instance again.
         }
       }),
     )
--- a/packages/daemon/src/requestPath.ts
+++ b/packages/daemon/src/requestPath.ts
@@ -1,4 +1,4 @@
-/** Puts the filters of the OpenAI-style kind together. Owns nothing. */
+/** Assembles the filters of the OpenAI-style kind. Owns nothing. */
 
 import type { Clock, RandomSource } from '@rackwalk/shared'
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -39,7 +39,7 @@
 import type { Metrics } from './observe/metrics.js'
 import type { Settings } from './settings/schema.js'
 
-/** Parts from which the request path is put together. */
+/** What the request path is assembled from. */
 export interface RequestPathParts {
   readonly node: CoordinationNode
   readonly catalogue: Catalogue
@@ -58,13 +58,13 @@
   readonly onFault: (error: unknown) => void
 }
 
-/** The request path and the one filter that others have to wake. */
+/** The request path, and the admission filter, which other parts have to wake. */
 export interface RequestPath {
   readonly pipeline: RequestPipeline
   readonly admit: AdmitFilter
 }
 
-/** Puts the filters together in their order. */
+/** Assembles the filters in their order. */
 export function createRequestPath(parts: RequestPathParts): RequestPath {
   const { node, catalogue, endpoints, client, clock, random, limits, metrics } = parts
   const { ledger, claims, keys } = node
--- a/packages/daemon/src/settings/dropNulls.ts
+++ b/packages/daemon/src/settings/dropNulls.ts
@@ -1,6 +1,6 @@
-/** Gaps of settings. */
+/** Removes null values from settings. */
 
-/** A key without a value counts as left out, so that a filled-in template may leave gaps. */
+/** Treats a key without a value as absent, so that a filled-in template may leave keys empty. */
 export function dropNulls(value: unknown): unknown {
   if (Array.isArray(value)) return value.filter(item => item !== null).map(dropNulls)
   if (typeof value !== 'object' || value === null) return value
--- a/packages/daemon/src/settings/faults.ts
+++ b/packages/daemon/src/settings/faults.ts
@@ -1,4 +1,4 @@
-/** What can be wrong with settings, and how it is told. */
+/** Faults of settings, and how they are printed. */
 
 import { RackwalkError } from '@rackwalk/shared'
 import type { ResultCode } from '@rackwalk/shared'
@@ -6,7 +6,7 @@
 /** One fault of a settings file. */
 export interface SettingsFault {
   readonly path: string
-  /** Counted from 1; 0 where the fault has no place. */
+  /** Counted from 1; 0 if the fault has no position. */
   readonly line: number
   readonly code: ResultCode
   readonly message: string
@@ -22,7 +22,7 @@
   }
 }
 
-/** A fault as one line of a message. */
+/** Formats a fault as one line. */
 export function formatFault({ path, line, code, message }: SettingsFault): string {
   return `line ${line}: ${path || '(root)'}: ${message} [${code}]`
 }
--- a/packages/daemon/src/settings/load.ts
+++ b/packages/daemon/src/settings/load.ts
@@ -1,4 +1,4 @@
-/** Reads settings, and names every fault of a file with its line at once. */
+/** Parses settings from YAML; reports every fault of a file with its line, all at once. */
 
 import type { z } from 'zod'
 import { LineCounter, isNode, parseDocument } from 'yaml'
@@ -7,7 +7,7 @@
 import { SettingsError } from './faults.js'
 import { dropNulls } from './dropNulls.js'
 
-/** What a settings file says it is; a file without a kind is the OpenAI-style instance's. */
+/** The kind in a settings file; a file without a kind is that of an OpenAI-style instance. */
 export function settingsKind(text: string): unknown {
   const document = parseDocument(text)
   return document.errors.length > 0
@@ -15,7 +15,7 @@
     : (document.toJS() as { kind?: unknown } | null)?.kind
 }
 
-/** Checks settings given as YAML against a schema; all faults are told at once. */
+/** Validates YAML settings against a schema; all faults are reported at once. */
 export function parseWith<Schema extends z.ZodType>(schema: Schema, text: string): z.infer<Schema> {
   const lines = new LineCounter()
   const document = parseDocument(text, { lineCounter: lines })
@@ -39,7 +39,7 @@
   throw new SettingsError(ResultCode.InvalidSettings, faults)
 }
 
-/** The line of a path, or of its nearest ancestor that is there. */
+/** The line of a path, or of its nearest ancestor that exists. */
 function lineOf(document: Document, path: readonly PropertyKey[], lines: LineCounter): number {
   for (let depth = path.length; depth >= 0; depth -= 1) {
     const node = depth === 0 ? document.contents : document.getIn(path.slice(0, depth), true)
--- a/packages/daemon/src/settings/openAiSettings.ts
+++ b/packages/daemon/src/settings/openAiSettings.ts
@@ -4,7 +4,7 @@
 import { settingsSchema } from './schema.js'
 import type { Settings } from './schema.js'
 
-/** Checks settings given as YAML. */
+/** Validates YAML settings. */
 export function parseSettings(text: string): Settings {
   return parseWith(settingsSchema, text)
 }
--- a/packages/daemon/src/settings/readSettings.ts
+++ b/packages/daemon/src/settings/readSettings.ts
@@ -1,12 +1,12 @@
 /**
- * Reads settings that are written as JSON, a part of YAML, without the parser of YAML: small machines pay
- * for each module at every start. Any other text, and any fault, is that parser's, which knows the lines.
+ * Reads settings that are written as JSON, a subset of YAML, without loading the YAML parser: small machines pay for
+ * each module at every start. Any other text, and any fault, is left to the YAML parser, which knows the lines.
  */
 
 import type { z } from 'zod'
 import { dropNulls } from './dropNulls.js'
 
-/** What a settings file says it is; a file without a kind is the OpenAI-style instance's. */
+/** The kind in a settings file; a file without a kind is that of an OpenAI-style instance. */
 export async function readKind(text: string): Promise<unknown> {
   const document = parsedJson(text)
   if (document !== undefined) return (document as { kind?: unknown } | null)?.kind
@@ -14,7 +14,7 @@
   return settingsKind(text)
 }
 
-/** Checks settings against a schema; all faults are told at once. */
+/** Validates settings against a schema; all faults are reported at once. */
 export async function readSettings<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
--- a/packages/daemon/src/settings/schema.ts
+++ b/packages/daemon/src/settings/schema.ts
@@ -1,5 +1,6 @@
 /**
- * The settings of one instance of the OpenAI-style kind. What operators change at run time is not here.
+ * The settings of one instance of the OpenAI-style kind. Configuration that operators change at run time is not part
+ * of them.
  */
 
 import * as z from 'zod'
@@ -11,7 +12,7 @@
 const address = z.string().regex(ADDRESS_PATTERN, 'IP:PORT').describe('IP address and port')
 const milliseconds = z.number().int().positive()
 
-/** A secret is named, never written: its value comes from the environment or a file. */
+/** Settings name the source of a secret and never contain it: its value comes from the environment or from a file. */
 const secretSource = z
   .union([z.strictObject({ environment: z.string() }), z.strictObject({ file: z.string() })])
   .describe('Where a secret is read from')
@@ -140,7 +141,7 @@
     .describe('What is logged'),
 })
 
-/** Settings that were checked, with defaults filled in. */
+/** Validated settings, with defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>
-/** Where a secret is to be read from. */
+/** Where a secret is read from. */
 export type SecretSource = z.infer<typeof secretSource>
--- a/packages/daemon/src/settings/sources.ts
+++ b/packages/daemon/src/settings/sources.ts
@@ -1,11 +1,11 @@
-/** Files and variables that settings and secrets are read from. */
+/** Reads the files and environment variables of settings and secrets. */
 
 import { readFileSync } from 'node:fs'
 import { ResultCode } from '@rackwalk/shared'
 import { SettingsError } from './faults.js'
 import type { SecretSource } from './schema.js'
 
-/** Reads a secret from where the settings say. */
+/** Reads a secret from the source that the settings name. */
 export function readSecret(source: SecretSource): string {
   if ('file' in source) return readText(source.file).trim()
   const value = process.env[source.environment]
--- a/packages/daemon/src/startReport.ts
+++ b/packages/daemon/src/startReport.ts
@@ -1,4 +1,4 @@
-/** What `rackwalkd` prints of settings and of a start that failed: numbered messages and an exit code. */
+/** What `rackwalkd` prints about settings and about a failed start: numbered messages and an exit code. */
 
 import { RackwalkError } from '@rackwalk/shared'
 import { SettingsError, formatFault } from './settings/faults.js'
@@ -7,8 +7,8 @@
 export const EXIT_SETTINGS = 2
 
 /**
- * Prints one message and ends the process: listeners that did come up would keep it there,
- * unable to serve, and nobody would start it anew.
+ * Prints a message and exits. Listeners that did open would otherwise keep the process alive, unable to serve, and no
+ * supervisor would restart it.
  */
 export async function exitWithError(message: string, code: number): Promise<never> {
   const { consola } = await import('consola')
@@ -16,14 +16,14 @@
   process.exit(code)
 }
 
-/** Prints what was thrown while starting; every fault of a settings file has a line. */
+/** Prints an error of the start; each fault of a settings file has its own line. */
 export async function reportStartError(thrown: unknown): Promise<never> {
   if (thrown instanceof SettingsError) return reportFaults(thrown)
   const text = thrown instanceof RackwalkError ? `${thrown.code} ${thrown.message}` : String(thrown)
   return exitWithError(text, EXIT_FAULT)
 }
 
-/** Tells that the settings were checked. */
+/** Prints that the settings are valid. */
 export async function reportValid(file: string): Promise<void> {
   const { consola } = await import('consola')
   consola.success(`${file}: the settings are valid`)
