--- a/packages/daemon/__tests__/acceptQueue.spec.ts
+++ b/packages/daemon/__tests__/acceptQueue.spec.ts
@@ -168,7 +168,7 @@
 
   it.each([
     ['accept', 1],
-    ['boundQueue', 0],
+    ['limitBacklog', 0],
   ] as const)('closes and hands over what was taken though %s throws', async (call, count) => {
     const { server, port } = await listen()
     const socket = connect(port, '127.0.0.1')
--- a/packages/daemon/__tests__/overloadGossip.spec.ts
+++ b/packages/daemon/__tests__/overloadGossip.spec.ts
@@ -18,8 +18,8 @@
 const NOTHING_NEW: PeerLoadReport = { ...SENDER, sequence: 1, isWhole: true, loads: [] }
 const IDLE_LOAD = {
   nextReport: () => undefined,
-  wholeReport: () => NOTHING_NEW,
-  sign: () => NOTHING_NEW,
+  fullReport: () => NOTHING_NEW,
+  heartbeatReport: () => NOTHING_NEW,
   expire: () => {},
 }
 
