--- a/packages/daemon/__tests__/references.spec.ts
+++ b/packages/daemon/__tests__/references.spec.ts
@@ -11,7 +11,7 @@
   settingsSchema,
 } from '@rackwalk/daemon'
 
-/** Pages that are generated from the code; `npx vitest run -u` writes them anew. */
+/** Pages that are generated from the code; `npx vitest run -u` regenerates them. */
 
 const GENERATED = 'Generated from the code; the tests hold it against the code.'
 
@@ -43,7 +43,7 @@
   ].join('\n')
 }
 
-/** The labels of a metric, which its description as JSON leaves out. */
+/** The labels of a metric, which its JSON description omits. */
 function labelsOf(registry: Registry, name: string): string {
   const metric = registry.getSingleMetric(name) as { readonly labelNames?: readonly string[] }
   return (metric.labelNames ?? []).map(label => `\`${label}\``).join(', ')
@@ -73,16 +73,16 @@
     instances: zero,
     activeInstances: zero,
     sharers: zero,
-    recordSeconds: zero,
+    recordIntervalSeconds: zero,
     active: zero,
     abandonedShare: zero,
     refusedShare: zero,
     listening: zero,
     endpoints: zero,
     coldEndpoints: zero,
-    limitedEndpoints: zero,
-    restingEndpoints: zero,
-    brittleServices: zero,
+    rateLimitedEndpoints: zero,
+    backingOffEndpoints: zero,
+    rejectionSensitiveServices: zero,
     crashingRequests: zero,
     evacuatedDomains: zero,
     evacuatedInFlight: zero,
@@ -112,7 +112,7 @@
   readonly def?: { readonly type?: string; readonly defaultValue?: unknown }
 }
 
-/** Lists every setting with its default, following the schema itself. */
+/** Lists every setting with its default, by walking the schema. */
 function settingRows(schema: ShapedSchema, path: string): readonly string[] {
   const inner = unwrapped(schema)
   if (inner.shape === undefined) return [settingRow(schema, path)]
@@ -165,7 +165,7 @@
   })
 
   it('describe every route of the operator API', async () => {
-    // The table of routes does not touch its parts until a request comes.
+    // The route table does not access its parts until a request arrives.
     const { routes } = new OperatorRoutes({} as never)
     const description = openApiDescription(routes)
     const operations = Object.values(description.paths).flatMap(path => Object.values(path))
--- a/packages/daemon/__tests__/resetsAtClose.spec.ts
+++ b/packages/daemon/__tests__/resetsAtClose.spec.ts
@@ -9,8 +9,8 @@
 import type { CallerServerParts } from '../src/callers/callerServer.js'
 
 /**
- * Connections that are up before a listener that owes them an answer, not yet taken, when it closes: the order is forced, no
- * timing decides.
+ * Guards against resets of established connections that are still in the accept queue when a listener that owes them
+ * an answer closes. The order of events is forced, so that no timing decides the outcome.
  */
 
 const CONNECTIONS = 8
@@ -18,7 +18,10 @@
 const UP_MILLISECONDS = 5_000
 const GRACE_MILLISECONDS = 8_000
 
-/** Callers in a thread of their own, since the loop of this one is held; the memory counts those that are up (and have sent). */
+/**
+ * Callers run in their own thread, since the event loop of this one is held; the shared memory counts the connections
+ * that are established (and have sent their requests).
+ */
 const CALLERS = `
   const { connect } = require('node:net')
   const { parentPort, workerData } = require('node:worker_threads')
@@ -60,18 +63,18 @@
 const ALL_REFUSED = { 503: CONNECTIONS }
 
 interface Callers {
-  /** Holds the loop until all connections are up. */
+  /** Blocks the event loop until all connections are established. */
   readonly holdUntilUp: () => void
   /** Lets silent callers send their requests. */
   readonly send: () => void
-  /** How many connections ended in which way. */
+  /** Number of connections by outcome. */
   readonly outcomes: Promise<Readonly<Record<string, number>>>
 }
 
-const ends: (() => unknown)[] = []
+const cleanups: (() => unknown)[] = []
 
 afterEach(async () => {
-  for (const end of ends.splice(0)) await end()
+  for (const cleanup of cleanups.splice(0)) await cleanup()
 })
 
 async function startCallers(port: number, request: string, isSilent = false): Promise<Callers> {
@@ -79,7 +82,7 @@
   const up = new Int32Array(memory)
   const workerData = { port, count: CONNECTIONS, request, isSilent, memory }
   const worker = new Worker(CALLERS, { eval: true, workerData })
-  ends.push(() => worker.terminate())
+  cleanups.push(() => worker.terminate())
   await new Promise(resolve => worker.once('message', resolve))
   return {
     holdUntilUp: () => {
@@ -97,18 +100,18 @@
   }
 }
 
-async function openPausable(server: Server, waiting = new AcceptQueue()) {
+async function openPausable(server: Server, acceptQueue = new AcceptQueue()) {
   const clock = new SystemClock()
-  const listener = new PausableListener(server, '127.0.0.1:0', clock, () => {}, waiting)
+  const listener = new PausableListener(server, '127.0.0.1:0', clock, () => {}, acceptQueue)
   await listener.open()
-  ends.push(() => {
+  cleanups.push(() => {
     listener.stop()
   })
   return { listener, port: (server.address() as AddressInfo).port }
 }
 
-/** Holds the loop until all are up, closes in the same turn, and tells how they end. */
-async function endsOfWaiting(
+/** Blocks the event loop until all connections are established, closes in the same turn, and returns the outcomes. */
+async function outcomesOfQueued(
   port: number,
   request: string,
   isSilent: boolean,
@@ -123,10 +126,10 @@
 
 type Opening = () => Promise<{ readonly port: number; readonly close: () => void }>
 
-/** The listeners that close for good, each with what opens it and a request to it. */
+/** The listeners that close for good, each with a function that opens it and a request to it. */
 const LISTENERS: readonly (readonly [string, Opening, string])[] = [
-  ['that of a gateway', openGateway, GET('/')],
-  ['that of the OpenAI-style kind', openOpenAiStyle, GET('/v1/addresses')],
+  ['the listener of a gateway', openGateway, GET('/')],
+  ['the listener of the OpenAI-style kind', openOpenAiStyle, GET('/v1/addresses')],
 ]
 
 async function openGateway() {
@@ -138,21 +141,25 @@
 async function openOpenAiStyle() {
   const limits = { headerBytes: 16_384, headerMilliseconds: 10_000, connections: 100 }
   const addresses = () => ({ addresses: [], timeToLiveSeconds: 1 })
-  const waiting = new AcceptQueue()
-  const server = new CallerServer({ limits, addresses, waiting } as unknown as CallerServerParts)
+  const acceptQueue = new AcceptQueue()
+  const server = new CallerServer({
+    limits,
+    addresses,
+    acceptQueue,
+  } as unknown as CallerServerParts)
   const port = await server.listen('127.0.0.1:0')
-  ends.push(() => server.stop())
+  cleanups.push(() => server.stop())
   return { port, close: () => server.refuseNew() }
 }
 
 describe.each([
   ['that sent their requests', false],
   ['that sent nothing yet', true],
-])('connections %s and wait before a listener', (_, isSilent) => {
+])('queued connections %s', (_, isSilent) => {
   it('are all answered when it pauses', async () => {
     const server = createServer((_, response) => response.end('served'))
     const { listener, port } = await openPausable(server)
-    const outcomes = await endsOfWaiting(port, GET('/'), isSilent, async () => {
+    const outcomes = await outcomesOfQueued(port, GET('/'), isSilent, async () => {
       listener.pause()
       await new Promise(resolve => setTimeout(resolve, PAUSE_MILLISECONDS))
       await listener.resume()
@@ -160,7 +167,7 @@
     expect(outcomes).toEqual(ALL_SERVED)
   })
 
-  it('are all told that they did not run when a planned stop closes the listener of a gateway', async () => {
+  it('are all refused as not run when a planned stop closes the listener of a gateway', async () => {
     let isRefusing = false
     const server = createServer((_, response) => {
       response.statusCode = isRefusing ? 503 : 200
@@ -188,11 +195,11 @@
 
   it.each(LISTENERS)('are all answered when %s stays open', async (_, open, request) => {
     const { port } = await open()
-    expect(await endsOfWaiting(port, request, isSilent, () => {})).toEqual(ALL_SERVED)
+    expect(await outcomesOfQueued(port, request, isSilent, () => {})).toEqual(ALL_SERVED)
   })
 
   it.each(LISTENERS)('are all answered when %s closes', async (_, open, request) => {
     const { port, close } = await open()
-    expect(await endsOfWaiting(port, request, isSilent, close)).toEqual(ALL_SERVED)
+    expect(await outcomesOfQueued(port, request, isSilent, close)).toEqual(ALL_SERVED)
   })
 })
--- a/packages/daemon/src/callers/acceptQueue.ts
+++ b/packages/daemon/src/callers/acceptQueue.ts
@@ -23,7 +23,7 @@
    */
   readonly noteUnaccepted: (cause: string) => void
   /** From now on queued connections are accepted, or are reset for this cause. */
-  readonly noteDrainingChange: (isTaken: boolean, detail: string) => void
+  readonly noteDrainingChange: (isAccepted: boolean, detail: string) => void
 }
 
 /**
@@ -46,7 +46,7 @@
 export class AcceptQueue {
   private native: NativeSockets | undefined
   /** Why the library is unavailable; a load that failed is not retried. */
-  private missing: string | undefined
+  private loadError: string | undefined
   private isDrainable = true
   private acceptedCount = 0
 
@@ -65,59 +65,59 @@
    * connection.
    */
   drainAndClose(server: Server, close: () => void): void {
-    const taken: number[] = []
+    const accepted: number[] = []
     // Accepting and closing happen in the same turn of the event loop, and sockets are created only afterwards: a
     // connection that arrives between the two is reset.
     try {
-      this.take(server, taken)
+      this.acceptAll(server, accepted)
     } finally {
       try {
         close()
       } finally {
-        this.handOverAll(server, taken)
+        this.handOverAll(server, accepted)
       }
     }
   }
 
-  private take(server: Server, taken: number[]): void {
+  private acceptAll(server: Server, accepted: number[]): void {
     const listener = descriptorOf(server)
     if (listener === undefined) return
-    const native = this.findNative()
+    const native = this.loadOnce()
     if (native === undefined) {
-      this.noteOutcome('library', this.missing)
+      this.noteOutcome('library', this.loadError)
       return
     }
     try {
       const bound = native.limitBacklog(listener, 0)
       if (bound < 0) this.observer.noteUnaccepted(errorWord(bound))
-      this.noteOutcome(takeAll(native, listener, taken))
+      this.noteOutcome(acceptUntilEmpty(native, listener, accepted))
     } catch (error) {
       this.noteOutcome('library', String(error))
     }
   }
 
-  private findNative(): NativeSockets | undefined {
-    if (this.native !== undefined || this.missing !== undefined) return this.native
+  private loadOnce(): NativeSockets | undefined {
+    if (this.native !== undefined || this.loadError !== undefined) return this.native
     try {
       this.native = this.load()
     } catch (error) {
-      this.missing = String(error)
+      this.loadError = String(error)
     }
     return this.native
   }
 
   private noteOutcome(cause: string | undefined, detail = cause): void {
     if (cause !== undefined) this.observer.noteUnaccepted(cause)
-    const isTaken = cause === undefined
-    if (isTaken === this.isDrainable) return
-    this.isDrainable = isTaken
-    this.observer.noteDrainingChange(isTaken, detail ?? '')
+    const isAccepted = cause === undefined
+    if (isAccepted === this.isDrainable) return
+    this.isDrainable = isAccepted
+    this.observer.noteDrainingChange(isAccepted, detail ?? '')
   }
 
-  private handOverAll(server: Server, taken: readonly number[]): void {
+  private handOverAll(server: Server, accepted: readonly number[]): void {
     const before = this.acceptedCount
     try {
-      this.handOverEach(server, taken.values())
+      this.handOverEach(server, accepted.values())
     } finally {
       const count = this.acceptedCount - before
       if (count > 0) this.observer.noteAccepted(count)
@@ -175,11 +175,15 @@
 }
 
 /** Accepts until the queue is empty; returns a cause if connections may be left in it. */
-function takeAll(native: NativeSockets, listener: number, taken: number[]): string | undefined {
+function acceptUntilEmpty(
+  native: NativeSockets,
+  listener: number,
+  accepted: number[],
+): string | undefined {
   for (let tries = 0; tries < MAXIMUM_ACCEPTED; tries += 1) {
     const outcome = native.accept(listener)
     if (outcome === -EAGAIN) return undefined
-    if (outcome >= 0) taken.push(outcome)
+    if (outcome >= 0) accepted.push(outcome)
     else if (!TRANSIENT_ERRORS.has(-outcome)) return errorWord(outcome)
   }
   return 'many'
--- a/packages/daemon/src/callers/callerServer.ts
+++ b/packages/daemon/src/callers/callerServer.ts
@@ -31,7 +31,7 @@
   readonly explain: (requestId: RequestId) => Promise<DecisionRecord | undefined>
   readonly limits: Settings['limits']
   readonly refusedBodies: RefusedBodyHandler
-  readonly waiting: AcceptQueue
+  readonly acceptQueue: AcceptQueue
 }
 
 const BEARER = /^Bearer +(\S+)$/i
@@ -76,7 +76,7 @@
    * answered.
    */
   refuseNew(): void {
-    this.parts.waiting.drainAndClose(this.server, () => this.server.close())
+    this.parts.acceptQueue.drainAndClose(this.server, () => this.server.close())
     this.server.closeIdleConnections()
   }
 
@@ -100,7 +100,7 @@
     const [path = '/'] = (request.url ?? '/').split('?')
     if (request.method !== 'GET' || !path.startsWith('/v1/')) return this.serve(request, response)
     try {
-      await this.answerQuestion(path, request, response)
+      await this.answerQuery(path, request, response)
     } catch (thrown) {
       this.refuse(response, toRackwalkError(thrown))
     }
@@ -114,7 +114,7 @@
     return this.parts.pipeline.serve(incomingRequest(request, response, this.parts.refusedBodies))
   }
 
-  private async answerQuestion(
+  private async answerQuery(
     path: string,
     request: IncomingMessage,
     response: ServerResponse,
--- a/packages/daemon/src/callers/httpCallerConnection.ts
+++ b/packages/daemon/src/callers/httpCallerConnection.ts
@@ -41,7 +41,7 @@
     if (this.response.destroyed) return Promise.resolve()
     this.refusedBodies.refuse(this.response, refusal)
     // The connection of a request whose body is still arriving stays open for a while; refusing does not wait for it.
-    return this.response.writableEnded ? this.settled(['finish', 'close']) : Promise.resolve()
+    return this.response.writableEnded ? this.firstOf(['finish', 'close']) : Promise.resolve()
   }
 
   write(chunk: Buffer): boolean {
@@ -53,7 +53,7 @@
   end(chunk?: Buffer): Promise<void> {
     if (this.response.destroyed) return Promise.resolve()
     this.response.end(chunk)
-    return this.settled(['finish', 'close'])
+    return this.firstOf(['finish', 'close'])
   }
 
   destroy(): void {
@@ -64,11 +64,11 @@
 
   waitForDrain(): Promise<void> {
     if (this.response.destroyed || !this.response.writableNeedDrain) return Promise.resolve()
-    return this.settled(['drain', 'close'])
+    return this.firstOf(['drain', 'close'])
   }
 
   /** Resolves with the first of the events. */
-  private settled(events: readonly string[]): Promise<void> {
+  private firstOf(events: readonly string[]): Promise<void> {
     return new Promise(resolve => {
       const finish = () => {
         for (const event of events) this.response.off(event, finish)
--- a/packages/daemon/src/callers/nativeSockets.ts
+++ b/packages/daemon/src/callers/nativeSockets.ts
@@ -32,7 +32,7 @@
  * descriptor.
  */
 const NONBLOCKING = 0o4000
-const CLOSED_AT_EXECUTION = 0o2000000
+const CLOSE_ON_EXEC = 0o2000000
 
 /** Loads the library and looks up the calls; throws `NativeSocketsMissing`. */
 export function loadNativeSockets(): NativeSockets {
@@ -44,7 +44,7 @@
     const accept = system.func('int accept4(int, void *, void *, int)')
     const listen = system.func('int listen(int, int)')
     const outcome = (result: number) => (result < 0 ? -library.errno() : result)
-    const flags = NONBLOCKING | CLOSED_AT_EXECUTION
+    const flags = NONBLOCKING | CLOSE_ON_EXEC
     return {
       accept: listener => outcome(accept(listener, null, null, flags)),
       limitBacklog: (listener, length) => outcome(listen(listener, length)),
--- a/packages/daemon/src/createChatRelay.ts
+++ b/packages/daemon/src/createChatRelay.ts
@@ -10,7 +10,7 @@
 import type { MutableNodeIdentity } from './ownIdentity.js'
 
 /** What the relay needs besides the members. */
-export interface ChatHandOverSources {
+export interface ChatRelaySources {
   readonly clock: Clock
   readonly random: RandomSource
   readonly metrics: Metrics
@@ -20,13 +20,13 @@
 export function createChatRelay(
   { incarnation, failureDomain }: MutableNodeIdentity,
   node: CoordinationNode,
-  { clock, random, metrics }: ChatHandOverSources,
+  { clock, random, metrics }: ChatRelaySources,
 ): ChatRelay {
   const others = () =>
     node.membership.liveMembers().filter(member => {
       return member.state === 'serving' && member.incarnation !== incarnation
     })
-  const onHandedOver = ({ kind }: { readonly kind: string }) => metrics.noteHandOver(kind)
+  const onHandedOver = ({ kind }: { readonly kind: string }) => metrics.noteRelay(kind)
   const parts = { incarnation, failureDomain, clock, random, peers: others, onHandedOver }
   return new ChatRelay(parts)
 }
--- a/packages/daemon/src/gateway/acceptProbe.ts
+++ b/packages/daemon/src/gateway/acceptProbe.ts
@@ -15,10 +15,10 @@
 export class AcceptProbe {
   private probe: Socket | undefined
   /** Connections that were accepted before the probe was connected on its client side. */
-  private acceptedEarly: { readonly socket: Socket; readonly takenAt: Milliseconds }[] = []
-  private madeAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private acceptedEarly: { readonly socket: Socket; readonly acceptedAt: Milliseconds }[] = []
+  private startedAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** Accept delay of the last probe. */
-  private waited: Milliseconds = 0
+  private acceptDelay: Milliseconds = 0
 
   constructor(
     /** The listener for callers. */
@@ -27,7 +27,7 @@
     private readonly address: string,
     private readonly clock: Clock,
   ) {
-    listener.prependListener('connection', (socket: Socket) => this.noteTaken(socket))
+    listener.prependListener('connection', (socket: Socket) => this.noteAccepted(socket))
   }
 
   /**
@@ -35,10 +35,10 @@
    * is due.
    */
   measure(): Milliseconds {
-    const age = this.clock.monotonic() - this.madeAt
+    const age = this.clock.monotonic() - this.startedAt
     if (this.probe !== undefined) return age
     if (age >= PROBE_MILLISECONDS) this.startProbe()
-    return this.waited
+    return this.acceptDelay
   }
 
   private startProbe(): void {
@@ -46,7 +46,7 @@
     const probe = connect({ host, port: Number(port) })
     this.probe = probe
     this.acceptedEarly = []
-    this.madeAt = this.clock.monotonic()
+    this.startedAt = this.clock.monotonic()
     probe.on('connect', () => this.noteConnected(probe))
     // A closed listener or a full queue does not show how long other connections wait, nor does a probe that was
     // closed before it was accepted. Counting such a probe as waiting forever would make an instance with spare
@@ -60,35 +60,35 @@
    * A probe is told apart from a caller by its local port, which is known once the probe is connected. The accepted
    * side of a probe is destroyed.
    */
-  private noteTaken(socket: Socket): void {
+  private noteAccepted(socket: Socket): void {
     const { probe } = this
     if (probe === undefined) return
-    const takenAt = this.clock.monotonic()
-    if (probe.connecting) this.acceptedEarly.push({ socket, takenAt })
-    else this.match(probe, socket, takenAt)
+    const acceptedAt = this.clock.monotonic()
+    if (probe.connecting) this.acceptedEarly.push({ socket, acceptedAt })
+    else this.match(probe, socket, acceptedAt)
   }
 
   /** The listener may have accepted the probe before its client side was connected. */
   private noteConnected(probe: Socket): void {
-    const taken = this.acceptedEarly
+    const accepted = this.acceptedEarly
     this.acceptedEarly = []
-    for (const { socket, takenAt } of taken) this.match(probe, socket, takenAt)
+    for (const { socket, acceptedAt } of accepted) this.match(probe, socket, acceptedAt)
   }
 
-  private match(probe: Socket, socket: Socket, takenAt: Milliseconds): void {
+  private match(probe: Socket, socket: Socket, acceptedAt: Milliseconds): void {
     if (probe !== this.probe || socket.remotePort !== probe.localPort) return
     socket.destroy()
-    this.end(takenAt - this.madeAt)
+    this.end(acceptedAt - this.startedAt)
   }
 
   private noteClosed(probe: Socket): void {
     if (probe === this.probe) this.end(0)
   }
 
-  private end(waited: Milliseconds): void {
+  private end(acceptDelay: Milliseconds): void {
     this.probe?.destroy()
     this.probe = undefined
     this.acceptedEarly = []
-    this.waited = waited
+    this.acceptDelay = acceptDelay
   }
 }
--- a/packages/daemon/src/gateway/activeConfiguration.ts
+++ b/packages/daemon/src/gateway/activeConfiguration.ts
@@ -46,7 +46,7 @@
     this.observeEvacuations(rows, isWhole)
     // A feed that was behind returns every version that it missed, oldest first.
     const row = rows.findLast(({ key }) => key === this.parts.source.key)
-    if (row?.value !== undefined) this.take(row.value)
+    if (row?.value !== undefined) this.apply(row.value)
   }
 
   private observeEvacuations(rows: readonly ChangedRow[], isWhole: boolean): void {
@@ -74,7 +74,7 @@
     if (this.evacuated.delete(failureDomain)) this.parts.onEvacuation(failureDomain, false)
   }
 
-  private take(value: string): void {
+  private apply(value: string): void {
     const configuration = this.parse(value)
     if (configuration === undefined) return
     const before = this.known?.version ?? NO_VERSION
--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -118,12 +118,12 @@
 
   /** Number of instances that share a fleet-wide bound, this one included. */
   get sharers(): number {
-    return fleetShareCount(this.use)
+    return fleetShareCount(this.usage)
   }
 
   /** Number of sharers for a bound that must hold even while the fleet is partitioned. */
   get worstCaseSharers(): number {
-    return partitionSafeShareCount(this.use)
+    return partitionSafeShareCount(this.usage)
   }
 
   /** Addresses for a caller of a region; addresses of all regions when that region has no instance. */
@@ -155,7 +155,7 @@
       .map(({ peerAddress }) => peerAddress)
   }
 
-  private get use(): FleetUsage {
+  private get usage(): FleetUsage {
     const { isSelfActive, usingOthers, idleOthers } = this.currentView()
     return {
       isSelfUsing: isSelfActive || this.parts.hasOwnEndpointLoad(),
@@ -213,12 +213,12 @@
   private reachable(others: readonly MemberRow[]): readonly MemberRow[] {
     const { hasRecentHeartbeat, clock, silenceMilliseconds } = this.parts
     const now = clock.monotonic()
-    const audible = this.silent.selectNonSilent(
+    const nonSilent = this.silent.selectNonSilent(
       others,
       hasRecentHeartbeat,
       now,
       silenceMilliseconds(),
     )
-    return others.some(member => hasRecentHeartbeat(member)) ? audible : others
+    return others.some(member => hasRecentHeartbeat(member)) ? nonSilent : others
   }
 }
--- a/packages/daemon/src/gateway/adviceCoordinator.ts
+++ b/packages/daemon/src/gateway/adviceCoordinator.ts
@@ -17,7 +17,7 @@
   /** Undefined when the endpoints of a service need no warm-up. */
   readonly boundsOf: (service: string) => WarmUpBounds | undefined
   /** Broadcasts to all other instances, whether or not they use endpoints. */
-  readonly tell: (news: readonly AdviceGossip[]) => void
+  readonly broadcast: (gossip: readonly AdviceGossip[]) => void
   readonly telemetry: GatewayTelemetry
 }
 
@@ -37,7 +37,7 @@
     this.advices = new EndpointAdviceStore({
       clock: parts.clock,
       onChange: (start, said) => this.noteChange(start, said),
-      broadcast: news => this.share(news),
+      broadcast: gossip => this.broadcastTwice(gossip),
     })
     this.turnAways = new RejectionGuard(parts)
     this.permits = new SendAdmission({
@@ -48,21 +48,21 @@
   }
 
   /** Another instance reported the advice of endpoints. */
-  observe(news: readonly AdviceGossip[]): void {
-    for (const one of news) this.advices.observe(one)
+  observe(gossip: readonly AdviceGossip[]): void {
+    for (const message of gossip) this.advices.observe(message)
   }
 
   /** Another instance has requests in progress at an endpoint; undefined when no endpoint is listed under its id. */
-  noteAsked(start: EndpointStart | undefined): void {
+  notePeerRequests(start: EndpointStart | undefined): void {
     if (start !== undefined) this.advices.notePeerRequests(start)
   }
 
-  private share(news: AdviceGossip): void {
-    const { clock, tell } = this.parts
-    tell([news])
+  private broadcastTwice(gossip: AdviceGossip): void {
+    const { clock, broadcast } = this.parts
+    broadcast([gossip])
     clock.after(REPEAT_MILLISECONDS, () => {
-      const ageMilliseconds = news.ageMilliseconds + REPEAT_MILLISECONDS
-      tell([{ ...news, ageMilliseconds }])
+      const ageMilliseconds = gossip.ageMilliseconds + REPEAT_MILLISECONDS
+      broadcast([{ ...gossip, ageMilliseconds }])
     })
   }
 
--- a/packages/daemon/src/gateway/adviceGossip.ts
+++ b/packages/daemon/src/gateway/adviceGossip.ts
@@ -18,10 +18,10 @@
 
 /** Encodes advice as gossip reports. */
 export function encodeAdviceGossip(
-  news: readonly AdviceGossip[],
+  gossip: readonly AdviceGossip[],
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
-  return gossipReports(news.map(entryOf), identity)
+  return gossipReports(gossip.map(entryOf), identity)
 }
 
 /** Decodes the advice in a gossip report; entries of other kinds are ignored. */
--- a/packages/daemon/src/gateway/crashCoordinator.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -25,7 +25,7 @@
   readonly directory: () => EndpointDirectory
   readonly links: LinkMonitor<EndpointState>
   /** Broadcasts to all other instances, whether or not they use endpoints. */
-  readonly broadcast: (news: CrashGossip) => void
+  readonly broadcast: (gossip: CrashGossip) => void
   /** Number of instances that a broadcast is sent to. */
   readonly gossipPeerCount: () => number
   readonly telemetry: GatewayTelemetry
@@ -47,11 +47,11 @@
     this.guard = new CrashGuard({
       clock,
       probe: endpoint => probeWithLinkCheck(endpoint, parts.links),
-      onCrash: end => telemetry.noteEndpointEnd(end, parts.gossipPeerCount()),
+      onCrash: end => telemetry.noteEndpointCrash(end, parts.gossipPeerCount()),
       onUnreachable: start => parts.directory().noteUnreachable(start),
-      broadcast: news => this.share(news),
+      broadcast: gossip => this.broadcastAndRecord(gossip),
       onVerdict: (fingerprint, isRefused) => this.noteVerdict(fingerprint, isRefused),
-      onPromptPartVerdict: (part, isRefused) => this.notePart(part, isRefused),
+      onPromptPartVerdict: (part, isRefused) => this.notePartVerdict(part, isRefused),
     })
     this.records = new CrashRecordStore({
       store,
@@ -68,36 +68,36 @@
   }
 
   /** Applies crash gossip of another instance. */
-  observe(news: CrashGossip): void {
-    this.guard.applyNews(news)
-    this.noteAway(news)
+  observe(gossip: CrashGossip): void {
+    this.guard.applyNews(gossip)
+    this.noteUnresponsive(gossip)
   }
 
-  private noteAway({ away = [] }: CrashGossip): void {
+  private noteUnresponsive({ away = [] }: CrashGossip): void {
     for (const start of away) this.parts.directory().noteUnresponsive(start)
   }
 
-  private share(news: CrashGossip): void {
-    this.parts.broadcast(news)
-    this.noteAway(news)
-    if (news.marks.length + news.cleared.length === 0) return this.repeatParts(news)
-    this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(news))
-    this.records.record(news.marks)
-    for (const { fingerprint } of news.cleared) this.records.remove(fingerprint)
+  private broadcastAndRecord(gossip: CrashGossip): void {
+    this.parts.broadcast(gossip)
+    this.noteUnresponsive(gossip)
+    if (gossip.marks.length + gossip.cleared.length === 0) return this.repeatPartGossip(gossip)
+    this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(gossip))
+    this.records.record(gossip.marks)
+    for (const { fingerprint } of gossip.cleared) this.records.remove(fingerprint)
   }
 
-  private repeatParts(news: CrashGossip): void {
-    const { partEnds, deadlyParts, soundParts } = news
-    const isWorthIt = [partEnds, deadlyParts, soundParts].some(told => told !== undefined)
+  private repeatPartGossip(gossip: CrashGossip): void {
+    const { partEnds, deadlyParts, soundParts } = gossip
+    const hasParts = [partEnds, deadlyParts, soundParts].some(keys => keys !== undefined)
     const ends = partEnds?.map(end => {
       return { ...end, ageMilliseconds: end.ageMilliseconds + REPEAT_MILLISECONDS }
     })
-    const again = ends === undefined ? news : { ...news, partEnds: ends }
-    if (isWorthIt) this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(again))
+    const repeated = ends === undefined ? gossip : { ...gossip, partEnds: ends }
+    if (hasParts) this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(repeated))
   }
 
   /** A refused prompt part is recorded like a refused request, under a key that no request has. */
-  private notePart(part: PromptPartKey, isRefused: boolean): void {
+  private notePartVerdict(part: PromptPartKey, isRefused: boolean): void {
     const event = isRefused ? 'deadly_prompt_part' : 'sound_prompt_part'
     this.parts.telemetry.note(event, { part })
     if (isRefused) this.records.record(marksOfPart(this.guard, part))
--- a/packages/daemon/src/gateway/crashGossip.ts
+++ b/packages/daemon/src/gateway/crashGossip.ts
@@ -38,15 +38,15 @@
 
 /** Encodes crash gossip as reports. */
 export function encodeCrashGossip(
-  news: CrashGossip,
+  gossip: CrashGossip,
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
-  const away = (news.away ?? []).map(start => startEntry(AWAY_PREFIX, start))
-  const lives = (news.lives ?? []).map(start => startEntry(LIVES_PREFIX, start))
-  const suspected = (news.suspected ?? []).map(mark => markEntry(SUSPECTED_PREFIX, mark))
-  const marks = news.marks.map(mark => markEntry(ENDED_PREFIX, mark))
-  const parts = partEntries(news)
-  const cleared = news.cleared.map(clearedEntry)
+  const away = (gossip.away ?? []).map(start => startEntry(AWAY_PREFIX, start))
+  const lives = (gossip.lives ?? []).map(start => startEntry(LIVES_PREFIX, start))
+  const suspected = (gossip.suspected ?? []).map(mark => markEntry(SUSPECTED_PREFIX, mark))
+  const marks = gossip.marks.map(mark => markEntry(ENDED_PREFIX, mark))
+  const parts = partEntries(gossip)
+  const cleared = gossip.cleared.map(clearedEntry)
   const entries = [...marks, ...suspected, ...cleared, ...away, ...lives, ...parts]
   return gossipReports(entries, identity)
 }
@@ -85,7 +85,7 @@
     ...(away.length === 0 ? {} : { away }),
     ...(lives.length === 0 ? {} : { lives }),
     ...(suspected.length === 0 ? {} : { suspected }),
-    ...partNewsOf(loads),
+    ...partGossipOf(loads),
     marks: loads.flatMap(entry => marksOf(ENDED_PREFIX, entry)),
     cleared: loads.flatMap(({ endpoint, parts }) => {
       if (!endpoint.startsWith(CLEARED_PREFIX)) return []
@@ -95,8 +95,8 @@
   }
 }
 
-function partEntries(news: CrashGossip): readonly GossipEntry[] {
-  const { partEnds = [], deadlyParts = [], soundParts = [], triedParts = [] } = news
+function partEntries(gossip: CrashGossip): readonly GossipEntry[] {
+  const { partEnds = [], deadlyParts = [], soundParts = [], triedParts = [] } = gossip
   return [
     ...partEnds.flatMap(({ start, parts, wasIsolated = false, ageMilliseconds }) =>
       keyEntries(`${PART_END_PREFIX}${start}`, parts, {
@@ -127,18 +127,18 @@
   return entries
 }
 
-function partNewsOf(loads: PeerLoadReport['loads']): Partial<CrashGossip> {
+function partGossipOf(loads: PeerLoadReport['loads']): Partial<CrashGossip> {
   const partEnds = loads.flatMap(({ endpoint, running, pendingTokens, parts }) =>
     startsOf(PART_END_PREFIX, endpoint).map(start => {
       const wasIsolated = running > 0
       return { start, parts: keysOf(parts), wasIsolated, ageMilliseconds: pendingTokens }
     }),
   )
-  const told = (name: string) =>
+  const keysNamed = (name: string) =>
     loads.flatMap(({ endpoint, parts }) => (endpoint === name ? keysOf(parts) : []))
-  const deadlyParts = told(DEADLY_PARTS_ENTRY)
-  const soundParts = told(SOUND_PARTS_ENTRY)
-  const triedParts = told(TRIED_PARTS_ENTRY)
+  const deadlyParts = keysNamed(DEADLY_PARTS_ENTRY)
+  const soundParts = keysNamed(SOUND_PARTS_ENTRY)
+  const triedParts = keysNamed(TRIED_PARTS_ENTRY)
   return {
     ...(partEnds.length === 0 ? {} : { partEnds }),
     ...(deadlyParts.length === 0 ? {} : { deadlyParts }),
--- a/packages/daemon/src/gateway/createActiveFleet.ts
+++ b/packages/daemon/src/gateway/createActiveFleet.ts
@@ -12,7 +12,7 @@
 export interface ActiveFleetSources extends Pick<ActiveFleetParts, 'onChange'> {
   readonly settings: GatewaySettings
   readonly members: MemberDirectory
-  readonly known: () => EndpointSubsystem
+  readonly endpoints: () => EndpointSubsystem
   readonly isReady: () => boolean
   readonly clock: Clock
 }
@@ -22,18 +22,18 @@
 
 /** Creates the fleet view of this instance. */
 export function createActiveFleet(sources: ActiveFleetSources): ActiveFleet {
-  const { settings, members, known, isReady, clock, onChange } = sources
+  const { settings, members, endpoints, isReady, clock, onChange } = sources
   const { activeInDomain, headroom } = settings.membership
   return new ActiveFleet({
     isServing: () => isReady() && members.isInitialized,
     self: () => members.self,
     others: () => members.others,
     hasRecentHeartbeat: ({ instance, loadAddress }) =>
-      loadAddress === '' || known().fleetLoad.hasRecentHeartbeat(instance),
-    silenceMilliseconds: () => known().exchange?.silenceMilliseconds ?? 0,
-    hasEndpointLoad: ({ instance }) => known().fleetLoad.isUsing(instance),
-    hasOwnEndpointLoad: () => known().fleetLoad.isSelfUsing,
-    isCutOff: ({ instance }) => known().cutOff.hasAny(instance),
+      loadAddress === '' || endpoints().fleetLoad.hasRecentHeartbeat(instance),
+    silenceMilliseconds: () => endpoints().exchange?.silenceMilliseconds ?? 0,
+    hasEndpointLoad: ({ instance }) => endpoints().fleetLoad.isUsing(instance),
+    hasOwnEndpointLoad: () => endpoints().fleetLoad.isSelfUsing,
+    isCutOff: ({ instance }) => endpoints().cutOff.hasAny(instance),
     clock,
     bounds: { minimumInDomain: activeInDomain, headroom },
     onChange,
--- a/packages/daemon/src/gateway/cutOffGossip.ts
+++ b/packages/daemon/src/gateway/cutOffGossip.ts
@@ -58,15 +58,15 @@
   /** An instance reported that it is cut off from these services. */
   note(instance: string, services: readonly string[]): void {
     if (services.length === 0) return
-    const told = this.reportedAt.get(instance) ?? new Map<string, Milliseconds>()
-    for (const service of services) told.set(service, this.parts.clock.monotonic())
-    this.reportedAt.set(instance, told)
+    const reports = this.reportedAt.get(instance) ?? new Map<string, Milliseconds>()
+    for (const service of services) reports.set(service, this.parts.clock.monotonic())
+    this.reportedAt.set(instance, reports)
   }
 
   /** Whether an instance lately reported that it is cut off from a service. */
   has(instance: string, service: string): boolean {
-    const toldAt = this.reportedAt.get(instance)?.get(service)
-    return toldAt !== undefined && this.isCurrent(toldAt)
+    const lastReportAt = this.reportedAt.get(instance)?.get(service)
+    return lastReportAt !== undefined && this.isCurrent(lastReportAt)
   }
 
   /**
@@ -74,9 +74,9 @@
    * instance.
    */
   hasAny(instance: string): boolean {
-    const told = this.reportedAt.get(instance)
-    if (told === undefined) return false
-    if ([...told.values()].some(toldAt => this.isCurrent(toldAt))) return true
+    const reports = this.reportedAt.get(instance)
+    if (reports === undefined) return false
+    if ([...reports.values()].some(lastReportAt => this.isCurrent(lastReportAt))) return true
     this.reportedAt.delete(instance)
     return false
   }
@@ -92,8 +92,8 @@
     this.timer = clock.after(gossipMilliseconds(), () => this.refreshOwn())
   }
 
-  private isCurrent(toldAt: Milliseconds): boolean {
+  private isCurrent(lastReportAt: Milliseconds): boolean {
     const { clock, gossipMilliseconds } = this.parts
-    return clock.monotonic() - toldAt < EXPIRY_INTERVALS * gossipMilliseconds()
+    return clock.monotonic() - lastReportAt < EXPIRY_INTERVALS * gossipMilliseconds()
   }
 }
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -38,7 +38,7 @@
       const record = value === undefined ? undefined : parse(key, value)
       if (record !== undefined) directory.set(record)
       else if (value === undefined) directory.removeAfter(key, this.lapseMilliseconds)
-      else this.leaveOut(row)
+      else this.handleMalformed(row)
     }
     if (!isWhole) return
     const present = new Set(rows.map(row => row.key))
@@ -50,7 +50,7 @@
    * A malformed row did not expire: it was written. The endpoint listed under its key before is no longer known to
    * exist, so no more requests are sent to it.
    */
-  private leaveOut(row: ChangedRow): void {
+  private handleMalformed(row: ChangedRow): void {
     this.parts.onMalformedRow(row)
     this.parts.directory.remove(row.key)
   }
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -102,10 +102,10 @@
    * An instance's row was written: either other instances can know this one from now on, or another instance is sent
    * the current state.
    */
-  noteRecorded(isSelf: boolean): void {
+  noteRegistered(isSelf: boolean): void {
     this.parts.fleet().invalidate()
     if (isSelf) this.exchange?.announce()
-    else this.exchange?.noteNewcomer()
+    else this.exchange?.noteNewInstance()
   }
 
   private createDirectory(): EndpointDirectory {
@@ -179,7 +179,7 @@
       store,
       directory: () => this.directory,
       links: this.links,
-      broadcast: news => this.exchange?.gossipCrashes(news),
+      broadcast: gossip => this.exchange?.gossipCrashes(gossip),
       gossipPeerCount: () => this.exchange?.gossipPeerCount ?? 0,
       telemetry,
     })
@@ -192,7 +192,7 @@
       instance,
       recordedInstances: () => members.recordedInstances,
       boundsOf: name => service(name)?.warmUp,
-      tell: news => this.exchange?.gossipAdvice(news),
+      broadcast: gossip => this.exchange?.gossipAdvice(gossip),
       telemetry,
     })
   }
@@ -210,26 +210,26 @@
       isTold: name => fleet().isSelfActive || service(name)?.engine !== undefined,
       users: () => fleet().usingOthers.length + 1,
       onSent: () => this.exchange?.noteSent(),
-      onAsked: id => this.advice.noteAsked(this.directory.startOf(id)),
+      onAsked: id => this.advice.notePeerRequests(this.directory.startOf(id)),
     })
   }
 
   private createExchange(): LoadExchange | undefined {
     const { loadAddress, instance, incarnation, clock, fleet, telemetry } = this.parts
     if (loadAddress === undefined) return undefined
-    const newcomers = this.createNewcomers()
+    const unknownSenders = this.createUnknownSenders()
     return new LoadExchange({
       address: loadAddress,
       reportPeers: () => loadPeersOf(fleet().usingOthers),
       heartbeatPeers: () => loadPeersOf(fleet().idleOthers),
       fleetLoad: this.fleetLoad,
       identity: { instance, incarnation },
-      onCrashGossip: news => this.crashes.observe(news),
-      onAdviceGossip: news => this.advice.observe(news),
+      onCrashGossip: gossip => this.crashes.observe(gossip),
+      onAdviceGossip: gossip => this.advice.observe(gossip),
       onOverloaded: instance => this.overloaded.note(instance),
-      onCutOff: (...told) => this.cutOff.note(...told),
-      onStreamGossip: news => this.streams.origins.observe(news),
-      onSender: sender => newcomers.note(sender),
+      onCutOff: (...report) => this.cutOff.note(...report),
+      onStreamGossip: gossip => this.streams.origins.observe(gossip),
+      onSender: sender => unknownSenders.note(sender),
       standingAdvice: () => this.advice.advices.newsSnapshot,
       standingCrashes: () => this.crashes.guard.newsSnapshot,
       standingVersions: () => this.streams.origins.versionsSnapshot,
@@ -238,11 +238,11 @@
     })
   }
 
-  private createNewcomers(): UnknownSenderMonitor {
+  private createUnknownSenders(): UnknownSenderMonitor {
     const { instance, members, readMembers, telemetry, clock } = this.parts
     return new UnknownSenderMonitor({
       instance,
-      knows: (...life) => members.hasIncarnation(...life),
+      hasIncarnation: (...sender) => members.hasIncarnation(...sender),
       readMembers,
       onUnknown: () => telemetry.noteUnknownSender(),
       clock,
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -74,7 +74,7 @@
   readonly isActive: () => boolean
   readonly freshness: FreshnessBounds
   readonly onConfiguration: (rows: readonly ChangedRow[], isWhole: boolean) => void
-  readonly onContact: (isReachable: boolean) => void
+  readonly onStoreReachability: (isReachable: boolean) => void
   readonly onFault: (error: unknown) => void
   readonly onMalformedRow: (row: RowAddress) => void
 }
@@ -170,7 +170,7 @@
       pauseMilliseconds: () => CONFIGURATION_PAUSE_MILLISECONDS,
       waitMilliseconds: feedWait(configurationMilliseconds),
       isServedByPeers: true,
-      listener: { onRows: parts.onConfiguration, onReachabilityChange: parts.onContact },
+      listener: { onRows: parts.onConfiguration, onReachabilityChange: parts.onStoreReachability },
     },
     {
       table: endpoints.table,
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -83,7 +83,7 @@
   private readonly peerRows: PeerRowClient
   private readonly peerLoans: PeerLoanClient
   private readonly relayPeers: FleetRelayPeers
-  private readonly waiting: AcceptQueue
+  private readonly acceptQueue: AcceptQueue
   private readonly callerListener: PausableListener
   private readonly pauses: ListenerPauses
   private readonly callerConnections: OpenConnections
@@ -122,7 +122,7 @@
     this.peerRows = createPeerRows(this.peerCallSources, this.fleet, this.random)
     this.mirrors = this.createMirrors()
     this.health = this.createHealth()
-    this.waiting = new AcceptQueue(this.telemetry)
+    this.acceptQueue = new AcceptQueue(this.telemetry)
     this.callerListener = this.createCallerListener()
     const { server } = this.callerListener
     this.callerConnections = new OpenConnections(server)
@@ -173,7 +173,7 @@
       closeListener: () => this.callerListener.close(),
       settle: () => this.settle(),
     })
-    this.note('instance_left', { ...result, ...this.waiting.logFields })
+    this.note('instance_left', { ...result, ...this.acceptQueue.logFields })
   }
 
   /** Handles a change of the settings file; settings that can change in a running process take effect. */
@@ -237,7 +237,7 @@
       silenceMilliseconds: membership.silenceMilliseconds,
       partitionWritesPerSecond: store.partitionWritesPerSecond,
       onStateChange: (member, state) => this.telemetry.noteMemberState(member, state),
-      onRegistered: isSelf => this.endpoints.noteRecorded(isSelf),
+      onRegistered: isSelf => this.endpoints.noteRegistered(isSelf),
       onMalformedRow: row => this.telemetry.noteMalformedRow(row),
     })
   }
@@ -246,7 +246,7 @@
     return createActiveFleet({
       settings: this.settings,
       members: this.members,
-      known: () => this.endpoints,
+      endpoints: () => this.endpoints,
       isReady: () => this.isReady,
       clock: this.clock,
       onChange: (isActive, activeInstances) =>
@@ -336,9 +336,9 @@
       void this.gateway.handle(request, response)
     })
     const { callers } = this.settings.listen
-    const noteTaken = (error: unknown) =>
+    const onAddressTaken = (error: unknown) =>
       this.note('listener_address_taken', { detail: String(error) })
-    return new PausableListener(server, callers, this.clock, noteTaken, this.waiting)
+    return new PausableListener(server, callers, this.clock, onAddressTaken, this.acceptQueue)
   }
 
   private createPauses(): ListenerPauses {
@@ -356,7 +356,7 @@
           isPausing,
           refusedShare,
           ...others,
-          ...this.waiting.logFields,
+          ...this.acceptQueue.logFields,
         }),
       onFault: error => this.noteFault(error),
     })
@@ -375,7 +375,7 @@
       freshness: this.settings.freshness,
       onConfiguration: (rows, isWhole) => this.configuration.observe(rows, isWhole),
       isActive: () => this.fleet.isSelfActive,
-      onContact: isReachable => this.note('store_contact', { isReachable }),
+      onStoreReachability: isReachable => this.note('store_contact', { isReachable }),
       onFault: error => this.noteFault(error),
       onMalformedRow: row => this.telemetry.noteMalformedRow(row),
     })
@@ -453,11 +453,11 @@
     )
     this.ledger.configure(budgets, version)
     this.note('configuration_in_force', { version, before })
-    this.becomeMember()
+    this.joinFleet()
   }
 
   /** Other instances learn of this one only once it can serve. */
-  private becomeMember(): void {
+  private joinFleet(): void {
     if (this.isMember) return
     this.isMember = true
     this.members.start()
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -20,16 +20,16 @@
   readonly instances: () => number
   readonly activeInstances: () => number
   readonly sharers: () => number
-  readonly recordSeconds: () => number
+  readonly recordIntervalSeconds: () => number
   readonly active: () => number
   readonly abandonedShare: () => number
   readonly refusedShare: () => number
   readonly listening: () => number
   readonly endpoints: () => number
   readonly coldEndpoints: () => number
-  readonly limitedEndpoints: () => number
-  readonly restingEndpoints: () => number
-  readonly brittleServices: () => number
+  readonly rateLimitedEndpoints: () => number
+  readonly backingOffEndpoints: () => number
+  readonly rejectionSensitiveServices: () => number
   readonly crashingRequests: () => number
   readonly evacuatedDomains: () => number
   readonly evacuatedInFlight: () => number
@@ -53,18 +53,18 @@
   private readonly relays: Counter
   private readonly resumedStreams: Counter
   private readonly withheldBytes: Counter
-  private readonly endpointEnds: Counter
+  private readonly endpointCrashes: Counter
   private readonly reservations: Counter
   private readonly tokens: Counter
   private readonly assumedTokens: Counter
   private readonly events: Counter
   private readonly storeCalls: Counter
   private readonly listenerPauses: Counter
-  private readonly takenConnections: Counter
-  private readonly untakenConnections: Counter
+  private readonly acceptedConnections: Counter
+  private readonly unacceptedConnections: Counter
   private readonly unknownSenders: Counter
   private readonly refusedBodies: Counter
-  private readonly bytesInVain: Counter
+  private readonly discardedBytes: Counter
   private readonly firstByte: Histogram
   private readonly total: Histogram
   private readonly longestPause: Histogram
@@ -125,7 +125,7 @@
       labelNames: ['end'],
       registers,
     })
-    this.endpointEnds = new Counter({
+    this.endpointCrashes = new Counter({
       name: 'rackwalk_gateway_server_ends_total',
       help: 'Servers that were seen to end unannounced with unanswered requests from here, by service.',
       labelNames: ['service'],
@@ -166,12 +166,12 @@
       help: 'Times that the listener for callers was closed for a moment, so that callers turn to other instances.',
       registers,
     })
-    this.takenConnections = new Counter({
+    this.acceptedConnections = new Counter({
       name: 'rackwalk_gateway_taken_connections_total',
       help: 'Connections that waited before the listener for callers as it closed, and were taken and served.',
       registers,
     })
-    this.untakenConnections = new Counter({
+    this.unacceptedConnections = new Counter({
       name: 'rackwalk_gateway_untaken_connections_total',
       help: "Times that connections which waited as the listener for callers closed may have been reset, by cause: the system's word of an error, library, many or descriptor.",
       labelNames: ['cause'],
@@ -188,7 +188,7 @@
       labelNames: ['outcome'],
       registers,
     })
-    this.bytesInVain = new Counter({
+    this.discardedBytes = new Counter({
       name: 'rackwalk_gateway_refused_body_bytes_total',
       help: 'Bytes of refused bodies that came over the link.',
       registers,
@@ -276,12 +276,12 @@
     this.refusedBodies.inc({ outcome })
   }
 
-  noteBytesInVain(bytes: Bytes): void {
-    this.bytesInVain.inc(bytes)
+  noteDiscardedBytes(bytes: Bytes): void {
+    this.discardedBytes.inc(bytes)
   }
 
-  noteEndpointEnd(service: string): void {
-    this.endpointEnds.inc({ service })
+  noteEndpointCrash(service: string): void {
+    this.endpointCrashes.inc({ service })
   }
 
   noteEvent(event: string): void {
@@ -293,11 +293,11 @@
   }
 
   noteAcceptedConnections(count: number): void {
-    this.takenConnections.inc(count)
+    this.acceptedConnections.inc(count)
   }
 
   noteUnacceptedConnections(cause: string): void {
-    this.untakenConnections.inc({ cause })
+    this.unacceptedConnections.inc({ cause })
   }
 
   noteUnknownSender(): void {
@@ -316,7 +316,7 @@
     this.gauge(
       'record_seconds',
       'Time between two records of what was spent of a holding.',
-      gauges.recordSeconds,
+      gauges.recordIntervalSeconds,
     )
     this.gauge('active', '1 while callers are sent here.', gauges.active)
     this.observeEndpoints(gauges)
@@ -340,12 +340,12 @@
     this.gauge(
       'resting_servers',
       'Servers that want nothing from here for now.',
-      gauges.restingEndpoints,
+      gauges.backingOffEndpoints,
     )
     this.gauge(
       'limited_servers',
       'Servers that named how many requests they take.',
-      gauges.limitedEndpoints,
+      gauges.rateLimitedEndpoints,
     )
     this.gauge(
       'crashing_requests',
@@ -370,7 +370,7 @@
     this.gauge(
       'brittle_services',
       'Services whose servers bear only few requests that they turn away.',
-      gauges.brittleServices,
+      gauges.rejectionSensitiveServices,
     )
     this.gauge(
       'starved_teams',
--- a/packages/daemon/src/gateway/gatewayTelemetry.ts
+++ b/packages/daemon/src/gateway/gatewayTelemetry.ts
@@ -99,9 +99,9 @@
    * An endpoint crashed. Names the requests that it had not begun to answer; `told` is the number of instances that
    * are informed.
    */
-  noteEndpointEnd({ endpoint, signs, unanswered }: EndpointCrash, told: number): void {
+  noteEndpointCrash({ endpoint, signs, unanswered }: EndpointCrash, told: number): void {
     const { id, service } = endpoint
-    this.metrics?.noteEndpointEnd(service)
+    this.metrics?.noteEndpointCrash(service)
     const requests = unanswered.map(({ fingerprint }) => fingerprint)
     const parts = [...new Set(unanswered.flatMap(request => request.parts ?? []))]
     const fields = { server: id, service, signs, unanswered: requests, parts, told }
@@ -135,7 +135,7 @@
   }
 
   noteDiscardedBytes(bytes: Bytes): void {
-    this.metrics?.noteBytesInVain(bytes)
+    this.metrics?.noteDiscardedBytes(bytes)
   }
 
   /** A datagram came from an instance whose row was not read yet. */
--- a/packages/daemon/src/gateway/instanceHealth.ts
+++ b/packages/daemon/src/gateway/instanceHealth.ts
@@ -23,12 +23,12 @@
 
 /** The health monitors of one instance. */
 export class InstanceHealth {
-  private readonly knowledge: StalenessMonitor
+  private readonly staleness: StalenessMonitor
   private readonly starvation: StarvationMonitor
 
   constructor(private readonly parts: InstanceHealthParts) {
     const { clock, telemetry, tables, reachability } = parts
-    this.knowledge = new StalenessMonitor({
+    this.staleness = new StalenessMonitor({
       clock,
       tables,
       reachability,
@@ -44,24 +44,24 @@
   }
 
   start(): void {
-    this.knowledge.start()
+    this.staleness.start()
     this.starvation.start()
   }
 
   stop(): void {
-    this.knowledge.stop()
+    this.staleness.stop()
     this.starvation.stop()
   }
 
   /** Throws if no request may be served because the known rows are too old. */
   checkStaleness(): void {
-    this.knowledge.check()
+    this.staleness.check()
   }
 
   /** Whether the known rows of a table are as recent as they have to be. */
   isFresh(table: string): boolean {
-    const watched = this.parts.tables.get(table)
-    return watched !== undefined && watched.mirror.age <= watched.boundMilliseconds
+    const monitored = this.parts.tables.get(table)
+    return monitored !== undefined && monitored.mirror.age <= monitored.boundMilliseconds
   }
 
   /** A request has ended. */
--- a/packages/daemon/src/gateway/listenerPauses.ts
+++ b/packages/daemon/src/gateway/listenerPauses.ts
@@ -55,7 +55,7 @@
     const now = clock.monotonic()
     const share = refusedShare()
     this.rule.noteRefusedShare(share, now)
-    this.tell(now)
+    this.gossipOverloadIfDue(now)
     const others = this.parts.others()
     const pause = isServing() ? this.rule.pauseMilliseconds(others, now, random.next()) : 0
     const isPausing = pause > 0 || (this.isPausing && this.rule.mayPause(others, now))
@@ -65,7 +65,7 @@
     else this.start()
   }
 
-  private tell(now: Milliseconds): void {
+  private gossipOverloadIfDue(now: Milliseconds): void {
     if (!this.rule.isOverloaded(now) || now - this.overloadSentAt < OVERLOAD_GOSSIP_MILLISECONDS)
       return
     this.overloadSentAt = now
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -73,11 +73,11 @@
   /** Identifies this instance in gossip. */
   readonly identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>
   /** Another instance reported requests that crash endpoints. */
-  readonly onCrashGossip: (news: CrashGossip) => void
+  readonly onCrashGossip: (gossip: CrashGossip) => void
   /** Another instance reported the advice of endpoints. */
-  readonly onAdviceGossip: (news: readonly AdviceGossip[]) => void
+  readonly onAdviceGossip: (gossip: readonly AdviceGossip[]) => void
   /** Another instance reported the origins of streams, or software versions. */
-  readonly onStreamGossip: (news: StreamGossip) => void
+  readonly onStreamGossip: (gossip: StreamGossip) => void
   /** Another instance reported that it is overloaded. */
   readonly onOverloaded: (instance: string) => void
   /** Another instance reported the services from which it is cut off. */
@@ -101,7 +101,7 @@
   /** Set while an urgent report is pending. */
   private urgentTimer: Timer | undefined
   /** Set while new instances wait for the current state. */
-  private newcomerTimer: Timer | undefined
+  private newInstanceTimer: Timer | undefined
   private sentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private heartbeatSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private overloadSentAt: Milliseconds = Number.NEGATIVE_INFINITY
@@ -127,7 +127,7 @@
   stop(): void {
     this.timer?.cancel()
     this.urgentTimer?.cancel()
-    this.newcomerTimer?.cancel()
+    this.newInstanceTimer?.cancel()
     this.socket?.close()
     this.socket = undefined
   }
@@ -144,14 +144,14 @@
   /** Other instances can know this one from now on; those that heard it before could not use its reports. */
   announce(): void {
     this.reportedPeers = new Set()
-    this.noteNewcomer()
+    this.noteNewInstance()
   }
 
   /** Another instance has begun to serve: it is sent the current state before the next report. */
-  noteNewcomer(): void {
+  noteNewInstance(): void {
     if (this.socket === undefined) return
-    this.newcomerTimer ??= this.parts.clock.after(SHORTEST_INTERVAL_MILLISECONDS, () => {
-      this.newcomerTimer = undefined
+    this.newInstanceTimer ??= this.parts.clock.after(SHORTEST_INTERVAL_MILLISECONDS, () => {
+      this.newInstanceTimer = undefined
       this.reportToNewPeers()
     })
   }
@@ -162,13 +162,13 @@
   }
 
   /** Broadcasts crash gossip at once. */
-  gossipCrashes(news: CrashGossip): void {
-    this.broadcast(encodeCrashGossip(news, this.parts.identity))
+  gossipCrashes(gossip: CrashGossip): void {
+    this.broadcast(encodeCrashGossip(gossip, this.parts.identity))
   }
 
   /** Broadcasts the advice of endpoints at once. */
-  gossipAdvice(news: readonly AdviceGossip[]): void {
-    this.broadcast(encodeAdviceGossip(news, this.parts.identity))
+  gossipAdvice(gossip: readonly AdviceGossip[]): void {
+    this.broadcast(encodeAdviceGossip(gossip, this.parts.identity))
   }
 
   /** Broadcasts that this instance is overloaded, unless it did so recently. */
@@ -246,27 +246,27 @@
   /** An instance that begins to use endpoints would otherwise learn only of changes until the next whole report. */
   private reportToNewPeers(): void {
     const peers = this.parts.reportPeers()
-    const newcomers = peers.filter(peer => !this.reportedPeers.has(incarnationKeyOf(peer)))
+    const newPeers = peers.filter(peer => !this.reportedPeers.has(incarnationKeyOf(peer)))
     this.reportedPeers = new Set(peers.map(incarnationKeyOf))
-    if (newcomers.length > 0) this.sendTo(newcomers, this.parts.fleetLoad.fullReport())
-    this.informNewcomers()
+    if (newPeers.length > 0) this.sendTo(newPeers, this.parts.fleetLoad.fullReport())
+    this.informNewPeers()
   }
 
   /**
    * An instance that missed an endpoint's advice, connection resets or crash would otherwise send requests there
    * until it found out itself.
    */
-  private informNewcomers(): void {
+  private informNewPeers(): void {
     const { reportPeers, heartbeatPeers, identity, standingAdvice, standingCrashes } = this.parts
     const { standingVersions } = this.parts
     const peers = [...reportPeers(), ...heartbeatPeers()]
-    const newcomers = peers.filter(peer => !this.informedPeers.has(incarnationKeyOf(peer)))
+    const newPeers = peers.filter(peer => !this.informedPeers.has(incarnationKeyOf(peer)))
     this.informedPeers = new Set(peers.map(incarnationKeyOf))
-    if (newcomers.length === 0) return
+    if (newPeers.length === 0) return
     const advice = encodeAdviceGossip(standingAdvice(), identity)
     const crashes = encodeCrashGossip(standingCrashes(), identity)
     const versions = encodeVersionGossip(standingVersions(), identity)
-    this.sendReports(newcomers, [...advice, ...crashes, ...versions])
+    this.sendReports(newPeers, [...advice, ...crashes, ...versions])
   }
 
   private sendHeartbeats(): void {
--- a/packages/daemon/src/gateway/overloadGossip.ts
+++ b/packages/daemon/src/gateway/overloadGossip.ts
@@ -45,10 +45,10 @@
 
   /** Whether an instance lately reported that it is overloaded. */
   has(instance: string): boolean {
-    const toldAt = this.reportedAt.get(instance)
-    if (toldAt === undefined) return false
-    const believed = EXPIRY_INTERVALS * this.gossipMilliseconds()
-    if (this.clock.monotonic() - toldAt < believed) return true
+    const lastReportAt = this.reportedAt.get(instance)
+    if (lastReportAt === undefined) return false
+    const expiryMilliseconds = EXPIRY_INTERVALS * this.gossipMilliseconds()
+    if (this.clock.monotonic() - lastReportAt < expiryMilliseconds) return true
     this.reportedAt.delete(instance)
     return false
   }
--- a/packages/daemon/src/gateway/pausableListener.ts
+++ b/packages/daemon/src/gateway/pausableListener.ts
@@ -16,7 +16,7 @@
 /** A listener that can be paused. */
 export class PausableListener {
   private isClosed = false
-  private isPortHeld = false
+  private isAddressHeld = false
 
   constructor(
     readonly server: Server,
@@ -24,8 +24,8 @@
     private address: string,
     private readonly clock: Clock,
     /** The address was taken by another process while the listener was paused; listening is retried. */
-    private readonly onTaken: (error: unknown) => void,
-    private readonly waiting = new AcceptQueue(),
+    private readonly onAddressTaken: (error: unknown) => void,
+    private readonly acceptQueue = new AcceptQueue(),
   ) {}
 
   /** Whether new connections are accepted. */
@@ -35,7 +35,7 @@
 
   /** Whether another process holds the address, so that no caller is accepted until the address is free again. */
   get isAddressTaken(): boolean {
-    return this.isPortHeld
+    return this.isAddressHeld
   }
 
   /** Begins to listen; rejects with `CannotListen`. */
@@ -47,7 +47,7 @@
   /** Accepts no new connections until resumed; connections that wait in the accept queue are served. */
   pause(): void {
     // The close method of an HTTP server would also close the idle connections.
-    this.waiting.drainAndClose(this.server, () => NetServer.prototype.close.call(this.server))
+    this.acceptQueue.drainAndClose(this.server, () => NetServer.prototype.close.call(this.server))
   }
 
   /** Listens again as soon as the address is free; does nothing after a close. */
@@ -56,12 +56,12 @@
       try {
         await listenOn(this.server, this.address)
       } catch (error) {
-        if (!this.isPortHeld) this.onTaken(error)
-        this.isPortHeld = true
+        if (!this.isAddressHeld) this.onAddressTaken(error)
+        this.isAddressHeld = true
         await sleep(this.clock, REOPEN_MILLISECONDS)
       }
     }
-    this.isPortHeld = false
+    this.isAddressHeld = false
     if (this.isClosed) this.close()
   }
 
@@ -71,7 +71,7 @@
    */
   close(): void {
     this.isClosed = true
-    this.waiting.drainAndClose(this.server, () => this.server.close())
+    this.acceptQueue.drainAndClose(this.server, () => this.server.close())
   }
 
   /** Closes the listener and all connections at once, as a crash would. */
--- a/packages/daemon/src/gateway/peerRowClient.ts
+++ b/packages/daemon/src/gateway/peerRowClient.ts
@@ -94,7 +94,7 @@
 
 /** Queries other instances for newer rows. */
 export class PeerRowClient {
-  private askedBefore: string | undefined
+  private lastAskedAddress: string | undefined
 
   constructor(private readonly parts: PeerRowClientParts) {}
 
@@ -108,10 +108,10 @@
     timeoutMilliseconds: Milliseconds = this.parts.timeoutMilliseconds,
   ): Promise<MirrorPage | undefined> {
     const { addresses } = this
-    const others = addresses.filter(address => address !== this.askedBefore)
+    const others = addresses.filter(address => address !== this.lastAskedAddress)
     const candidates = others.length > 0 ? others : addresses
     const address = this.choose(candidates)
-    this.askedBefore = address
+    this.lastAskedAddress = address
     return this.askAt(address, { table, after, timeoutMilliseconds })
   }
 
--- a/packages/daemon/src/gateway/relayPeers.ts
+++ b/packages/daemon/src/gateway/relayPeers.ts
@@ -22,7 +22,7 @@
 }
 
 /** Connections to one instance; its own admission bounds the requests that it takes. */
-const MOST_CONNECTIONS = 256
+const MAXIMUM_CONNECTIONS = 256
 
 /** The instances of the fleet that take relayed requests. */
 export class FleetRelayPeers implements RelayPeers {
@@ -31,10 +31,10 @@
 
   constructor(private readonly parts: FleetRelayPeersParts) {}
 
-  choose(service: string, asked: ReadonlySet<string>): RelayPeer | undefined {
+  choose(service: string, tried: ReadonlySet<string>): RelayPeer | undefined {
     const { failureDomain, random, isCutOff, isOverloaded } = this.parts
     const candidates = this.candidates
-      .filter(({ instance }) => !asked.has(instance))
+      .filter(({ instance }) => !tried.has(instance))
       .map(member => ({
         ...member,
         isCutOff: isCutOff(member.instance, service),
@@ -60,9 +60,9 @@
   }
 
   private agentOf(address: string): EndpointAgent {
-    const known = this.agents.get(address) ?? new EndpointAgent(MOST_CONNECTIONS)
-    this.agents.set(address, known)
-    return known
+    const agent = this.agents.get(address) ?? new EndpointAgent(MAXIMUM_CONNECTIONS)
+    this.agents.set(address, agent)
+    return agent
   }
 }
 
@@ -77,7 +77,7 @@
     failureDomain: instance.failureDomain,
     fleet,
     random,
-    isCutOff: (...asked) => cutOff.has(...asked),
+    isCutOff: (...query) => cutOff.has(...query),
     isOverloaded: other => overloaded.has(other),
   })
 }
--- a/packages/daemon/src/gateway/stalenessMonitor.ts
+++ b/packages/daemon/src/gateway/stalenessMonitor.ts
@@ -122,9 +122,9 @@
   }
 
   private checkTables(): void {
-    for (const [name, watched] of this.parts.tables) {
-      if (watched.mirror.isLoaded && shouldAskPeers(this.known(name, watched))) {
-        this.ask(name, watched)
+    for (const [name, monitored] of this.parts.tables) {
+      if (monitored.mirror.isLoaded && shouldAskPeers(this.stalenessOf(name, monitored))) {
+        this.queryPeers(name, monitored)
       }
     }
     this.reportChange(this.findStaleTable())
@@ -134,27 +134,27 @@
     if (table === this.staleTable) return
     const name = table ?? this.staleTable ?? ''
     this.staleTable = table
-    const watched = this.parts.tables.get(name)
-    if (watched === undefined) return
+    const monitored = this.parts.tables.get(name)
+    if (monitored === undefined) return
     this.parts.onChange({
       isRefusing: table !== undefined,
       table: name,
-      rows: this.known(name, watched),
+      rows: this.stalenessOf(name, monitored),
       reachability: this.parts.reachability(),
     })
   }
 
   /** Queries overlap, so that one query that waits behind a full link does not hold up the next. */
-  private ask(name: string, { mirror, boundMilliseconds }: MonitoredTable): void {
+  private queryPeers(name: string, { mirror, boundMilliseconds }: MonitoredTable): void {
     for (let asked = 0; asked < PEERS_PER_CHECK; asked += 1) {
-      const waiting = this.pendingQueries.get(name) ?? 0
-      if (waiting >= MAXIMUM_PENDING_QUERIES) return
-      this.pendingQueries.set(name, waiting + 1)
-      this.askOne(name, mirror.askPeers(confirmationLifetime(boundMilliseconds)))
+      const pending = this.pendingQueries.get(name) ?? 0
+      if (pending >= MAXIMUM_PENDING_QUERIES) return
+      this.pendingQueries.set(name, pending + 1)
+      this.trackAnswer(name, mirror.askPeers(confirmationLifetime(boundMilliseconds)))
     }
   }
 
-  private askOne(name: string, answer: Promise<boolean>): void {
+  private trackAnswer(name: string, answer: Promise<boolean>): void {
     const sentAt = this.parts.clock.sinceStart()
     answer
       .then(isAnswered => {
@@ -171,15 +171,15 @@
 
   private findStaleTable(): string | undefined {
     const reachability = this.parts.reachability()
-    for (const [name, watched] of this.parts.tables) {
+    for (const [name, monitored] of this.parts.tables) {
       // A table that was never read is skipped: the instance is not ready until it is loaded.
-      if (!watched.mirror.isLoaded) continue
-      if (isTooStale(this.known(name, watched), reachability)) return name
+      if (!monitored.mirror.isLoaded) continue
+      if (isTooStale(this.stalenessOf(name, monitored), reachability)) return name
     }
     return undefined
   }
 
-  private known(name: string, { mirror, boundMilliseconds }: MonitoredTable): RowStaleness {
+  private stalenessOf(name: string, { mirror, boundMilliseconds }: MonitoredTable): RowStaleness {
     const confirmedAt = this.confirmedAt.get(name) ?? Number.NEGATIVE_INFINITY
     const confirmedAgoMilliseconds = this.parts.clock.sinceStart() - confirmedAt
     return { ageMilliseconds: mirror.age, boundMilliseconds, confirmedAgoMilliseconds }
--- a/packages/daemon/src/gateway/starvationMonitor.ts
+++ b/packages/daemon/src/gateway/starvationMonitor.ts
@@ -22,7 +22,7 @@
 
 type StarvationEvent = 'team_starved' | 'team_served'
 
-const LOOK_MILLISECONDS: Milliseconds = 1_000
+const CHECK_INTERVAL_MILLISECONDS: Milliseconds = 1_000
 /**
  * Teams reported per check, so that an outage that affects all teams does not flood the log; the gauge counts all of
  * them.
@@ -53,8 +53,8 @@
   }
 
   start(): void {
-    this.timer = this.parts.clock.after(LOOK_MILLISECONDS, () => {
-      this.look()
+    this.timer = this.parts.clock.after(CHECK_INTERVAL_MILLISECONDS, () => {
+      this.check()
       this.start()
     })
   }
@@ -73,13 +73,13 @@
     if (!isServed && this.teams.isStarved(team)) this.parts.onUnserved(team, code)
   }
 
-  private look(): void {
+  private check(): void {
     const changes = this.teams.takeChanges(this.parts.clock.monotonic())
     const busiest = [...changes].sort((left, right) => right.requests - left.requests)
-    for (const change of busiest.slice(0, MAXIMUM_LOGGED_TEAMS)) this.tell(change, changes.length)
+    for (const change of busiest.slice(0, MAXIMUM_LOGGED_TEAMS)) this.report(change, changes.length)
   }
 
-  private tell(change: StarvationChange, changedTeams: number): void {
+  private report(change: StarvationChange, changedTeams: number): void {
     const { team, isStarved, requests, served, commonestCode } = change
     this.parts.onChange(isStarved ? 'team_starved' : 'team_served', {
       tenant: team,
--- a/packages/daemon/src/gateway/streamCoordinator.ts
+++ b/packages/daemon/src/gateway/streamCoordinator.ts
@@ -50,7 +50,7 @@
       clock: parts.clock,
       listedVersions: service => parts.directory().softwareVersions(service),
       isListFresh: parts.isListFresh,
-      replicateStreams: begun => this.tellKeepers(begun),
+      replicateStreams: started => this.replicate(started),
       broadcastVersions: versions =>
         parts.exchange()?.broadcast(encodeVersionGossip(versions, parts.identity)),
       ask: stream => this.originClient.ask(stream),
@@ -75,20 +75,20 @@
   }
 
   /** Streams for the same replica share its datagrams. */
-  private tellKeepers(begun: readonly StartedStream[]): void {
+  private replicate(started: readonly StartedStream[]): void {
     const { others } = this
-    this.announcedStreams.add(begun.length)
+    this.announcedStreams.add(started.length)
     const count = originReplicaCount(this.announcedStreams.perSecond)
-    const kept = new Map<MemberRow, StartedStream[]>()
-    for (const stream of begun) {
-      for (const keeper of rankOriginReplicas(stream.key, others).slice(0, count)) {
-        kept.set(keeper, [...(kept.get(keeper) ?? []), stream])
+    const byReplica = new Map<MemberRow, StartedStream[]>()
+    for (const stream of started) {
+      for (const replica of rankOriginReplicas(stream.key, others).slice(0, count)) {
+        byReplica.set(replica, [...(byReplica.get(replica) ?? []), stream])
       }
     }
-    for (const [keeper, streams] of kept) {
+    for (const [replica, streams] of byReplica) {
       this.parts
         .exchange()
-        ?.sendReports(loadPeersOf([keeper]), encodeStreamStarts(streams, this.parts.identity))
+        ?.sendReports(loadPeersOf([replica]), encodeStreamStarts(streams, this.parts.identity))
     }
   }
 }
--- a/packages/daemon/src/gateway/streamOriginClient.ts
+++ b/packages/daemon/src/gateway/streamOriginClient.ts
@@ -83,12 +83,15 @@
 
   /** Returns what the others know of a stream; instances that do not answer in time are left out. */
   async ask(stream: ResumedStream): Promise<readonly OriginAnswer[]> {
-    const reached = this.parts.others().filter(({ peerAddress }) => peerAddress !== '')
-    const others = rankOriginReplicas(stream.key ?? '', reached)
-    const kept = await this.askAll(others.slice(0, MINIMUM_ORIGIN_REPLICAS), stream)
-    if (!isInDoubt(kept)) return kept
-    const more = others.slice(MINIMUM_ORIGIN_REPLICAS, MINIMUM_ORIGIN_REPLICAS + FALLBACK_PEERS)
-    return [...kept, ...(await this.askAll(more, stream))]
+    const reachable = this.parts.others().filter(({ peerAddress }) => peerAddress !== '')
+    const others = rankOriginReplicas(stream.key ?? '', reachable)
+    const replicaAnswers = await this.askAll(others.slice(0, MINIMUM_ORIGIN_REPLICAS), stream)
+    if (!mayOthersKnow(replicaAnswers)) return replicaAnswers
+    const fallbackPeers = others.slice(
+      MINIMUM_ORIGIN_REPLICAS,
+      MINIMUM_ORIGIN_REPLICAS + FALLBACK_PEERS,
+    )
+    return [...replicaAnswers, ...(await this.askAll(fallbackPeers, stream))]
   }
 
   close(): void {
@@ -124,7 +127,7 @@
 }
 
 /** Whether other instances may know what these do not. */
-function isInDoubt(answers: readonly OriginAnswer[]): boolean {
+function mayOthersKnow(answers: readonly OriginAnswer[]): boolean {
   const isKnown = answers.some(({ origins }) => origins.length > 0)
   const versions = new Set(answers.flatMap(answer => answer.versions))
   return !isKnown && (answers.length === 0 || hasMixedVersions([...versions]))
--- a/packages/daemon/src/gateway/unknownSenderMonitor.ts
+++ b/packages/daemon/src/gateway/unknownSenderMonitor.ts
@@ -12,7 +12,7 @@
   /** Name of this instance. */
   readonly instance: string
   /** Whether there is a row of this incarnation of an instance. */
-  readonly knows: (instance: string, incarnation: string) => boolean
+  readonly hasIncarnation: (instance: string, incarnation: string) => boolean
   /** Reads the member rows at once instead of at their next interval. */
   readonly readMembers: () => void
   /** A datagram came from an unknown instance. */
@@ -28,8 +28,8 @@
 
   /** A datagram arrived in the name of an instance. Its address proves nothing; only the row in the store does. */
   note({ instance, incarnation }: Pick<PeerLoadReport, 'instance' | 'incarnation'>): void {
-    const { knows, onUnknown, readMembers, clock } = this.parts
-    if (instance === this.parts.instance || knows(instance, incarnation)) return
+    const { hasIncarnation, onUnknown, readMembers, clock } = this.parts
+    if (instance === this.parts.instance || hasIncarnation(instance, incarnation)) return
     onUnknown()
     const delay = this.reads.take(clock.monotonic())
     if (delay === undefined) return
--- a/packages/daemon/src/observe/changeBatch.ts
+++ b/packages/daemon/src/observe/changeBatch.ts
@@ -34,10 +34,10 @@
   private flush(): void {
     const gathered = [...this.changes]
     this.changes.clear()
-    for (const [event, changes] of gathered) this.tell(event, changes)
+    for (const [event, changes] of gathered) this.log(event, changes)
   }
 
-  private tell(event: string, changes: readonly Change[]): void {
+  private log(event: string, changes: readonly Change[]): void {
     if (changes.length <= LARGEST_LISTED) {
       for (const { fields } of changes) this.write(event, fields)
       return
--- a/packages/daemon/src/observe/metrics.ts
+++ b/packages/daemon/src/observe/metrics.ts
@@ -31,14 +31,14 @@
   private readonly answers: Counter
   private readonly retries: Counter
   private readonly continuations: Counter
-  private readonly endpointEnds: Counter
-  private readonly handOvers: Counter
+  private readonly endpointCrashes: Counter
+  private readonly relays: Counter
   private readonly tokens: Counter
   private readonly billed: Counter
   private readonly refusedBodies: Counter
-  private readonly bytesInVain: Counter
-  private readonly takenConnections: Counter
-  private readonly untakenConnections: Counter
+  private readonly discardedBytes: Counter
+  private readonly acceptedConnections: Counter
+  private readonly unacceptedConnections: Counter
   private readonly firstByte: Histogram
   private readonly total: Histogram
 
@@ -73,13 +73,13 @@
       help: 'Streamed answers that were cut and with which another engine went on.',
       registers,
     })
-    this.handOvers = new Counter({
+    this.relays = new Counter({
       name: 'rackwalk_handed_over_total',
       help: 'Chats handed to other instances since no engine was reached from here, by outcome.',
       labelNames: ['outcome'],
       registers,
     })
-    this.endpointEnds = new Counter({
+    this.endpointCrashes = new Counter({
       name: 'rackwalk_endpoint_ends_total',
       help: 'Endpoints that were seen to end unannounced with unanswered requests from here.',
       registers,
@@ -100,17 +100,17 @@
       labelNames: ['outcome'],
       registers,
     })
-    this.bytesInVain = new Counter({
+    this.discardedBytes = new Counter({
       name: 'rackwalk_refused_body_bytes_total',
       help: 'Bytes of refused bodies that came over the link.',
       registers,
     })
-    this.takenConnections = new Counter({
+    this.acceptedConnections = new Counter({
       name: 'rackwalk_taken_connections_total',
       help: 'Connections that waited before the listener for callers as it closed, and were taken and served.',
       registers,
     })
-    this.untakenConnections = new Counter({
+    this.unacceptedConnections = new Counter({
       name: 'rackwalk_untaken_connections_total',
       help: "Times that connections which waited as the listener for callers closed may have been reset, by cause: the system's word of an error, library, many or descriptor.",
       labelNames: ['cause'],
@@ -134,12 +134,12 @@
     this.coordination.inc({ event: name }, amount)
   }
 
-  noteHandOver(outcome: string): void {
-    this.handOvers.inc({ outcome })
+  noteRelay(outcome: string): void {
+    this.relays.inc({ outcome })
   }
 
-  noteEndpointEnd(): void {
-    this.endpointEnds.inc()
+  noteEndpointCrash(): void {
+    this.endpointCrashes.inc()
   }
 
   noteRefusedBody(outcome: RefusedBodyOutcome): void {
@@ -147,15 +147,15 @@
   }
 
   noteDiscardedBytes(bytes: Bytes): void {
-    this.bytesInVain.inc(bytes)
+    this.discardedBytes.inc(bytes)
   }
 
   noteAcceptedConnections(count: number): void {
-    this.takenConnections.inc(count)
+    this.acceptedConnections.inc(count)
   }
 
   noteUnacceptedConnections(cause: string): void {
-    this.untakenConnections.inc({ cause })
+    this.unacceptedConnections.inc({ cause })
   }
 
   noteRetry(): void {
--- a/packages/daemon/src/openAiKind.ts
+++ b/packages/daemon/src/openAiKind.ts
@@ -16,9 +16,9 @@
     if (isCheck) return await reportValid(file)
     const daemon = new RackwalkDaemon(settings, { onSealed: () => process.exit(SEALED_EXIT_CODE) })
     await daemon.start()
-    const leave = () => void daemon.drain().then(() => process.exit(0))
-    process.once('SIGINT', leave)
-    process.once('SIGTERM', leave)
+    const drainAndExit = () => void daemon.drain().then(() => process.exit(0))
+    process.once('SIGINT', drainAndExit)
+    process.once('SIGTERM', drainAndExit)
   } catch (thrown) {
     await reportStartError(thrown)
   }
--- a/packages/daemon/src/operators/operatorRoutes.ts
+++ b/packages/daemon/src/operators/operatorRoutes.ts
@@ -49,7 +49,7 @@
   readonly table: TableService
   readonly configuration: ConfigurationFollower
   readonly membership: Membership
-  readonly inForce: RolloutTracker
+  readonly rollouts: RolloutTracker
   readonly peers: PeerChannel
   readonly clock: Clock
   readonly addresses: () => CallerAddresses
@@ -279,7 +279,7 @@
     headers: Record<string, string> = {},
   ): void {
     const { version } = resource.metadata
-    const instances = this.parts.inForce.report(version)
+    const instances = this.parts.rollouts.report(version)
     const reporter = this.parts.membership.self.instanceId
     const document = { ...resource, status: { reporter, instances } }
     answerJson(response, status, document, { ...headers, etag: `"${version}"` })
--- a/packages/daemon/src/rackwalkDaemon.ts
+++ b/packages/daemon/src/rackwalkDaemon.ts
@@ -86,11 +86,11 @@
   private readonly catalogue: Catalogue
   private readonly endpoints: EndpointTable
   private readonly path: RequestPath
-  private readonly explainer: DecisionRecordFinder
-  private readonly inForce: RolloutTracker
+  private readonly recordFinder: DecisionRecordFinder
+  private readonly rollouts: RolloutTracker
   private readonly crashes: CrashTask
-  private readonly reach: EndpointReachabilityTask
-  private readonly handOver: ChatRelay
+  private readonly reachability: EndpointReachabilityTask
+  private readonly chatRelay: ChatRelay
   private readonly advice: AdviceTask
   private readonly monitor: EndpointMonitor
   private readonly tasks: readonly Task[]
@@ -108,7 +108,7 @@
     this.logger = options.logger ?? new JsonLogger(settings.log.level, settings.instance.id)
     this.metrics = new Metrics(options.withProcessMetrics ?? true)
     this.identity = createIdentity(settings, this.random)
-    this.malformed = this.createMalformedForms()
+    this.malformed = this.createMalformedInputLog()
     this.tableClient = createTable(settings)
     this.table = createCheckedTable(this.tableClient, this.malformed)
     this.objects = createObjects(settings)
@@ -118,14 +118,14 @@
     this.catalogue = new Catalogue(this.node.configuration)
     this.advice = this.createAdviceTask()
     this.endpoints = this.createEndpoints()
-    this.reach = this.createReach()
+    this.reachability = this.createReachability()
     this.crashes = this.createCrashTask()
-    this.handOver = this.createHandOver()
+    this.chatRelay = this.createRelay()
     this.path = this.createPath()
-    this.explainer = new DecisionRecordFinder(this.node, this.peers)
-    this.inForce = new RolloutTracker(this.node.membership, this.clock)
+    this.recordFinder = new DecisionRecordFinder(this.node, this.peers)
+    this.rollouts = new RolloutTracker(this.node.membership, this.clock)
     this.monitor = this.createMonitor()
-    this.tasks = [this.monitor, this.reach, this.crashes, this.createPlacementTask()]
+    this.tasks = [this.monitor, this.reachability, this.crashes, this.createPlacementTask()]
     this.peerServer = new PeerServer(this.node.handlers, this.peerSecret(), form =>
       this.malformed.note(form),
     )
@@ -178,7 +178,7 @@
     this.operatorServer.stop()
     this.peerServer.stop()
     this.peers.close()
-    this.handOver.close()
+    this.chatRelay.close()
     await this.client.close()
     this.tableClient.close()
     this.objects.close()
@@ -264,9 +264,9 @@
       logger: this.logger,
       metrics: this.metrics,
       limits: this.settings.limits,
-      reach: this.reach,
-      handOver: this.handOver,
-      onRecord: record => this.keepRecord(record),
+      reachability: this.reachability,
+      chatRelay: this.chatRelay,
+      onRecord: record => this.archiveRecord(record),
       onFault: error => this.noteFault(error),
     })
   }
@@ -291,28 +291,28 @@
       membership: () => this.node.membership,
       peers,
       table,
-      reach: this.reach,
+      reachability: this.reachability,
       clock,
       random,
       logger,
       metrics,
       onUnreachable: endpoint => this.endpoints.noteUnreachable(endpoint),
-      onKnownEnd: (id, end) =>
+      onKnownTermination: (id, end) =>
         this.client.noteTermination(id, end, this.endpoints.lastHeard(id).askedAt),
       onFault: error => this.noteFault(error),
     })
   }
 
-  private createMalformedForms(): MalformedInputLog {
+  private createMalformedInputLog(): MalformedInputLog {
     return new MalformedInputLog(this.logger, () => this.metrics.increment('malformed_forms'))
   }
 
-  private createHandOver(): ChatRelay {
+  private createRelay(): ChatRelay {
     const { identity, node, clock, random, metrics } = this
     return createChatRelay(identity, node, { clock, random, metrics })
   }
 
-  private createReach(): EndpointReachabilityTask {
+  private createReachability(): EndpointReachabilityTask {
     const { catalogue, clock, random, logger } = this
     return new EndpointReachabilityTask({ catalogue, clock, random, logger })
   }
@@ -323,7 +323,7 @@
       endpoints: this.endpoints,
       client: this.client,
       admit: this.path.admit,
-      reach: this.reach,
+      reachability: this.reachability,
       clock: this.clock,
       periodMilliseconds: this.settings.timings.reportMilliseconds,
       onFault: error => this.noteFault(error),
@@ -356,11 +356,11 @@
 
   private createCallerServer(refusedBodies: RefusedBodyHandler): CallerServer {
     return new CallerServer({
-      waiting: createAcceptQueue(this.metrics, this.logger),
+      acceptQueue: createAcceptQueue(this.metrics, this.logger),
       pipeline: this.path.pipeline,
       catalogue: this.catalogue,
       addresses: () => this.addresses(),
-      explain: requestId => this.explainer.find(requestId),
+      explain: requestId => this.recordFinder.find(requestId),
       limits: this.settings.limits,
       refusedBodies,
     })
@@ -374,11 +374,11 @@
       table: this.table,
       configuration: this.node.configuration,
       membership: this.node.membership,
-      inForce: this.inForce,
+      rollouts: this.rollouts,
       peers: this.peers,
       clock: this.clock,
       addresses: () => this.addresses(),
-      explain: requestId => this.explainer.find(requestId),
+      explain: requestId => this.recordFinder.find(requestId),
       drainHere: () => this.node.drain(),
       status: () => this.status(),
       crashes: this.crashes.guard,
@@ -420,7 +420,7 @@
   }
 
   private afterHeartbeat(): void {
-    this.inForce.refresh()
+    this.rollouts.refresh()
     this.monitor.notePeers(this.node.membership.liveMembers())
     void this.node.warm(this.catalogue.teamBudgets)
   }
@@ -428,8 +428,8 @@
   private async noteListed(listed: readonly ListedInstance[]): Promise<void> {
     this.monitor.noteListed(listed)
     const known = new Set(this.node.membership.liveMembers().map(member => member.peerAddress))
-    const strangers = listed.map(({ peerAddress }) => peerAddress)
-    await this.findPeers(strangers.filter(address => !known.has(address)))
+    const listedAddresses = listed.map(({ peerAddress }) => peerAddress)
+    await this.findPeers(listedAddresses.filter(address => !known.has(address)))
   }
 
   /** Sends a heartbeat to instances of which only the address is known. */
@@ -448,7 +448,7 @@
     )
   }
 
-  private keepRecord(record: DecisionRecord): void {
+  private archiveRecord(record: DecisionRecord): void {
     this.metrics.noteRecord(record)
     const { requestId } = record
     this.node.archive.add({ requestId, record: record as unknown as JsonValue })
--- a/packages/daemon/src/requestPath.ts
+++ b/packages/daemon/src/requestPath.ts
@@ -52,8 +52,8 @@
   readonly logger: Logger
   readonly metrics: Metrics
   readonly limits: Settings['limits']
-  readonly reach: EndpointReachabilityTask
-  readonly handOver: ChatRelay
+  readonly reachability: EndpointReachabilityTask
+  readonly chatRelay: ChatRelay
   readonly onRecord: (record: DecisionRecord) => void
   readonly onFault: (error: unknown) => void
 }
@@ -78,7 +78,7 @@
     crashes: parts.crashes,
     onDecision: (request, decision) => logDecision(parts.logger, request, decision),
   })
-  const isCutOff = (target: string) => parts.reach.links.isCutOff(target)
+  const isCutOff = (target: string) => parts.reachability.links.isCutOff(target)
   const checkServing = () => requireServing(node)
   const admit = new AdmitFilter({ catalogue, endpoints, clock, random, instances, checkServing })
   const dispatch = new DispatchFilter({
@@ -93,7 +93,7 @@
     random,
     firstByteMilliseconds: limits.firstByteMilliseconds,
     onRetry: () => metrics.noteRetry(),
-    onConnectFailed: (...failed) => parts.reach.noteUnconnected(...failed),
+    onConnectFailed: (...failed) => parts.reachability.noteConnectFailed(...failed),
     isCutOff,
   })
   const continuation = new AnswerContinuation({
@@ -138,7 +138,7 @@
     incarnation,
     clock,
     createRequestId: () => createRequestId(incarnation, clock.wallTime(), (count += 1)),
-    handOver: parts.handOver,
+    handOver: parts.chatRelay,
     isCutOff,
     onRecord: parts.onRecord,
     onFault: parts.onFault,
--- a/packages/daemon/src/tasks/adviceTask.ts
+++ b/packages/daemon/src/tasks/adviceTask.ts
@@ -34,7 +34,7 @@
         parts.metrics.increment('endpoint_advice')
         parts.logger.info('endpoint_advice', { endpoint, said: said ?? 'nothing' })
       },
-      broadcast: news => this.tell(news),
+      broadcast: gossip => this.broadcast(gossip),
     })
     const { advices } = this
     this.permits = new SendAdmission({
@@ -48,13 +48,13 @@
   }
 
   /** A peer reported the advice of endpoints. */
-  observe(news: readonly AdviceGossip[]): void {
-    for (const one of news) {
-      this.advices.observe(one)
+  observe(gossip: readonly AdviceGossip[]): void {
+    for (const message of gossip) {
+      this.advices.observe(message)
       // In this kind, a start is named after its endpoint.
-      if (one.isLeaving !== true) continue
+      if (message.isLeaving !== true) continue
       // The peer has it from an answer of the endpoint, so no older load report may set the state back here either.
-      this.parts.endpoints().noteLeaving(asId<EndpointId>(one.start), 'answer')
+      this.parts.endpoints().noteLeaving(asId<EndpointId>(message.start), 'answer')
     }
   }
 
@@ -64,8 +64,8 @@
     return instances.map(instance => ({ instance, isWorking: true }))
   }
 
-  private tell(news: AdviceGossip): void {
+  private broadcast(gossip: AdviceGossip): void {
     const onFailed = () => this.parts.metrics.increment('advice_news_failed')
-    broadcastToPeers(this.parts, 'adviceNews', { news: [news] }, onFailed)
+    broadcastToPeers(this.parts, 'adviceNews', { news: [gossip] }, onFailed)
   }
 }
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -34,7 +34,7 @@
 /** What the task needs. */
 export interface CrashTaskParts extends BroadcastParts {
   readonly table: TableService
-  readonly reach: EndpointReachabilityTask
+  readonly reachability: EndpointReachabilityTask
   readonly clock: Clock
   readonly random: RandomSource
   readonly logger: Logger
@@ -42,12 +42,12 @@
   /** An endpoint crashed, as detected here or reported by a peer. */
   readonly onUnreachable: (endpoint: EndpointId) => void
   /** The same, with the evidence of the termination. */
-  readonly onKnownEnd: (endpoint: EndpointId, end: KnownTermination) => void
+  readonly onKnownTermination: (endpoint: EndpointId, end: KnownTermination) => void
   readonly onFault: (error: unknown) => void
 }
 
 /** Time between two reads of the table, for an instance that peers could not reach; a read is one query. */
-const LOOK_MILLISECONDS: Milliseconds = 30_000
+const SYNC_INTERVAL_MILLISECONDS: Milliseconds = 30_000
 
 /** Detects, records and shares requests that crash endpoints, in an instance of the OpenAI-style kind. */
 export class CrashTask implements Task {
@@ -62,20 +62,20 @@
     const { clock, table, random, logger, metrics } = parts
     this.guard = new CrashGuard({
       clock,
-      probe: endpoint => probeWithLinkCheck(endpoint, parts.reach.links),
+      probe: endpoint => probeWithLinkCheck(endpoint, parts.reachability.links),
       onCrash: ({ endpoint, signs, unanswered }) => {
-        metrics.noteEndpointEnd()
+        metrics.noteEndpointCrash()
         const requests = unanswered.map(({ fingerprint }) => fingerprint)
         logger.warn('endpoint_ended', { endpoint: endpoint.id, signs, unanswered: requests })
       },
       onUnreachable: start => parts.onUnreachable(endpointOf(start)),
-      onKnownEnd: (start, end) => parts.onKnownEnd(endpointOf(start), end),
-      broadcast: news => this.share(news),
+      onKnownEnd: (start, end) => parts.onKnownTermination(endpointOf(start), end),
+      broadcast: gossip => this.recordAndBroadcast(gossip),
       onVerdict: (fingerprint, isRefused) => {
         const event = isRefused ? 'crashing_request_refused' : 'crashing_request_cleared'
         logger.warn(event, { fingerprint })
       },
-      onPromptPartVerdict: (part, isRefused) => this.notePart(part, isRefused),
+      onPromptPartVerdict: (part, isRefused) => this.notePartVerdict(part, isRefused),
     })
     this.records = new CrashTableSync({
       table,
@@ -101,12 +101,12 @@
   }
 
   /** Removes the records of requests that an operator cleared or that were answered. */
-  clear(news: CrashGossip['cleared']): void {
-    for (const { fingerprint } of news) this.records.remove(fingerprint)
+  clear(requests: CrashGossip['cleared']): void {
+    for (const { fingerprint } of requests) this.records.remove(fingerprint)
     void this.runRound()
   }
 
-  private notePart(part: PromptPartKey, isRefused: boolean): void {
+  private notePartVerdict(part: PromptPartKey, isRefused: boolean): void {
     const event = isRefused ? 'deadly_prompt_part' : 'sound_prompt_part'
     this.parts.logger.warn(event, { part })
     if (isRefused) this.records.record(marksOfPart(this.guard, part))
@@ -114,16 +114,16 @@
     void this.runRound()
   }
 
-  private share(news: CrashGossip): void {
-    this.records.record(news.marks)
-    this.clear(news.cleared)
-    this.tell(news)
+  private recordAndBroadcast(gossip: CrashGossip): void {
+    this.records.record(gossip.marks)
+    this.clear(gossip.cleared)
+    this.broadcast(gossip)
   }
 
   /** A peer that misses the broadcast reads the table. */
-  private tell(news: CrashGossip): void {
+  private broadcast(gossip: CrashGossip): void {
     const onFailed = () => this.parts.metrics.increment('crash_news_failed')
-    broadcastToPeers(this.parts, 'crashNews', news, onFailed)
+    broadcastToPeers(this.parts, 'crashNews', gossip, onFailed)
   }
 
   /** Runs one round at a time; a call during a round requests another one. */
@@ -141,6 +141,6 @@
     this.isRoundRunning = false
     if (this.stopped) return
     if (this.isRoundRequested) return void this.runRound()
-    this.timer = this.parts.clock.after(LOOK_MILLISECONDS, () => void this.runRound())
+    this.timer = this.parts.clock.after(SYNC_INTERVAL_MILLISECONDS, () => void this.runRound())
   }
 }
--- a/packages/daemon/src/tasks/endpointMonitor.ts
+++ b/packages/daemon/src/tasks/endpointMonitor.ts
@@ -23,7 +23,7 @@
   readonly endpoints: EndpointTable
   readonly client: EndpointClient
   readonly admit: AdmitFilter
-  readonly reach: EndpointReachabilityTask
+  readonly reachability: EndpointReachabilityTask
   readonly clock: Clock
   readonly periodMilliseconds: Milliseconds
   readonly onFault: (error: unknown) => void
@@ -37,10 +37,10 @@
 export class EndpointMonitor implements Task {
   private timer: Timer | undefined
   private stopped = false
-  private rounds = 0
+  private roundCount = 0
   private readonly loaded = new Map<EndpointId, ReadonlyMap<ModelId, string>>()
   private readonly eventPositions = new Map<EndpointId, number>()
-  private readonly asking = new Set<EndpointId>()
+  private readonly pendingPolls = new Set<EndpointId>()
 
   constructor(private readonly parts: EndpointMonitorParts) {}
 
@@ -80,10 +80,10 @@
 
   /** Polls every endpoint once. */
   async round(): Promise<void> {
-    this.rounds += 1
+    this.roundCount += 1
     this.parts.endpoints.prune()
     const models = this.parts.catalogue.endpoints.filter(({ spec }) => spec.kind === 'model')
-    await Promise.all(models.map(endpoint => this.ask(endpoint)))
+    await Promise.all(models.map(endpoint => this.poll(endpoint)))
     this.parts.admit.admitAllWaiting()
   }
 
@@ -95,24 +95,24 @@
   }
 
   /** Sends one query at a time to each endpoint, so that a slow one does not hold up the others. */
-  private async ask(endpoint: ConfiguredEndpoint): Promise<void> {
+  private async poll(endpoint: ConfiguredEndpoint): Promise<void> {
     const { endpointId } = endpoint
-    if (this.asking.has(endpointId)) return
-    this.asking.add(endpointId)
+    if (this.pendingPolls.has(endpointId)) return
+    this.pendingPolls.add(endpointId)
     try {
-      await this.askLoad(endpoint)
+      await this.pollLoad(endpoint)
       // Cache events may arrive later than loads: they only refine the assumptions of routing.
-      if (this.rounds % CACHE_EVENT_ROUNDS === 0) await this.askCacheEvents(endpoint)
+      if (this.roundCount % CACHE_EVENT_ROUNDS === 0) await this.pollCacheEvents(endpoint)
     } catch {
       // An endpoint that does not report is judged by its requests alone.
       this.parts.endpoints.noteReportFailed(endpointId)
-      this.parts.reach.noteSilent(endpointId)
+      this.parts.reachability.noteReportFailed(endpointId)
     } finally {
-      this.asking.delete(endpointId)
+      this.pendingPolls.delete(endpointId)
     }
   }
 
-  private async askLoad({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
+  private async pollLoad({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
     const { client, clock, endpoints } = this.parts
     const askedAt = clock.monotonic()
     const document = await client.fetchJson(spec.address, '/load', REPORT_TIMEOUT_MILLISECONDS)
@@ -125,7 +125,7 @@
     this.loaded.set(endpointId, new Map(loaded))
   }
 
-  private async askCacheEvents({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
+  private async pollCacheEvents({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
     const after = this.eventPositions.get(endpointId) ?? 0
     const path = `/cache-events?after=${after}`
     const document = await this.parts.client.fetchJson(
--- a/packages/daemon/src/tasks/endpointReachabilityTask.ts
+++ b/packages/daemon/src/tasks/endpointReachabilityTask.ts
@@ -43,13 +43,13 @@
   }
 
   /** A request could not connect to an endpoint. */
-  noteUnconnected(target: string, endpointId: EndpointId): void {
+  noteConnectFailed(target: string, endpointId: EndpointId): void {
     const endpoint = this.endpoints.find(target, endpointId)
     if (endpoint !== undefined) this.links.noteConnectFailed(endpoint)
   }
 
   /** The reports of an endpoint cannot be fetched: the endpoint or the link to it may be down. */
-  noteSilent(endpointId: EndpointId): void {
+  noteReportFailed(endpointId: EndpointId): void {
     const spec = this.parts.catalogue.findEndpoint(endpointId)?.spec
     if (spec?.kind === 'model') for (const model of spec.models) this.links.startChecking(model)
   }
--- a/packages/daemon/src/tasks/placementTask.ts
+++ b/packages/daemon/src/tasks/placementTask.ts
@@ -65,10 +65,10 @@
   async round(): Promise<void> {
     const epoch = await this.parts.lease.acquireOrRenew()
     if (epoch === undefined) return
-    this.forgetUnderway()
+    this.forgetSettledLoads()
     const maximumLoads = Math.max(0, this.parts.maximumLoads - this.pendingLoads.size)
-    const orders = planPlacements(this.placements(), this.placeable(), { maximumLoads })
-    const due = orders.filter(order => !this.pendingLoads.has(nameOf(order)))
+    const orders = planPlacements(this.placements(), this.plannerEndpoints(), { maximumLoads })
+    const due = orders.filter(order => !this.pendingLoads.has(orderKey(order)))
     await Promise.all(due.map(order => this.sendOrder(order)))
   }
 
@@ -87,7 +87,7 @@
     return resources.map(resource => resource.spec as unknown as PlacementSpec)
   }
 
-  private placeable(): readonly PlannerEndpoint[] {
+  private plannerEndpoints(): readonly PlannerEndpoint[] {
     const leaving = new Set(this.parts.endpoints.leaving)
     return this.parts.catalogue.endpoints.flatMap(({ endpointId, spec }) => {
       if (spec.kind !== 'model') return []
@@ -101,9 +101,9 @@
     // Read again for each order: the lease may have expired while other orders were sent.
     const epoch = this.parts.lease.epoch
     if (endpoint === undefined || epoch === undefined) return
-    this.pendingLoads.set(nameOf(order), this.parts.clock.monotonic())
+    this.pendingLoads.set(orderKey(order), this.parts.clock.monotonic())
     const outcome = await this.send(endpoint.spec.address, order, epoch)
-    if (outcome !== 'accepted') this.pendingLoads.delete(nameOf(order))
+    if (outcome !== 'accepted') this.pendingLoads.delete(orderKey(order))
     this.parts.logger.info('placement_decision', { ...order, epoch, outcome })
   }
 
@@ -119,7 +119,7 @@
     }
   }
 
-  private forgetUnderway(): void {
+  private forgetSettledLoads(): void {
     const oldest = this.parts.clock.monotonic() - ORDER_RETRY_MILLISECONDS
     for (const [name, at] of this.pendingLoads) {
       if (at < oldest || this.isFulfilled(name)) this.pendingLoads.delete(name)
@@ -133,6 +133,6 @@
   }
 }
 
-function nameOf(order: PlacementOrder): string {
+function orderKey(order: PlacementOrder): string {
   return `${order.endpointId} ${order.model} ${order.version}`
 }
