--- a/packages/daemon/__tests__/acceptProbe.spec.ts
+++ b/packages/daemon/__tests__/acceptProbe.spec.ts
@@ -5,8 +5,8 @@
 import { SystemClock, sleep } from '@rackwalk/shared'
 import { AcceptProbe } from '@rackwalk/daemon'
 
-describe('a connection that a process makes to itself', () => {
-  it('shows how long its loop keeps new connections waiting, and callers see nothing of it', async () => {
+describe('the accept probe', () => {
+  it('measures how long new connections wait to be accepted, without any effect on callers', async () => {
     let requests = 0
     const listener = createServer((_, response) => {
       requests += 1
@@ -17,12 +17,12 @@
     const clock = new SystemClock()
     const probe = new AcceptProbe(listener, address, clock)
     probe.measure()
-    // A loop that is busy takes nothing.
+    // A busy event loop accepts no connections.
     const busyUntil = clock.monotonic() + 150
     while (clock.monotonic() < busyUntil);
     await sleep(clock, 60)
     expect(probe.measure()).toBeGreaterThanOrEqual(100)
-    // Later ones are taken at once again, however busy the machine is meanwhile.
+    // Later connections are accepted at once again, however busy the machine is in the meantime.
     let waited = probe.measure()
     while (waited >= 100) {
       await sleep(clock, 50)
@@ -36,35 +36,35 @@
     listener.close()
   })
 
-  it('says nothing of a wait where its connection ended unseen, and is made again', async () => {
-    let taken = 0
-    const stranger = createNetServer(socket => {
-      taken += 1
+  it('reports no delay if its connection is closed before it is accepted, and is repeated', async () => {
+    let accepted = 0
+    const otherServer = createNetServer(socket => {
+      accepted += 1
       socket.destroy()
     })
-    await new Promise<void>(resolve => stranger.listen(0, '127.0.0.1', resolve))
-    const address = `127.0.0.1:${(stranger.address() as AddressInfo).port}`
+    await new Promise<void>(resolve => otherServer.listen(0, '127.0.0.1', resolve))
+    const address = `127.0.0.1:${(otherServer.address() as AddressInfo).port}`
     const clock = new SystemClock()
-    // The listener never sees it: something else listens at the address.
+    // The listener never sees the probe, since another server listens at its address.
     const probe = new AcceptProbe(createServer(), address, clock)
-    for (let look = 0; look < 10; look += 1) {
+    for (let check = 0; check < 10; check += 1) {
       probe.measure()
       await sleep(clock, 50)
     }
     expect(probe.measure()).toBe(0)
-    expect(taken).toBeGreaterThan(1)
-    stranger.close()
+    expect(accepted).toBeGreaterThan(1)
+    otherServer.close()
   })
 
-  it('is known whether the caller or the listener has its side first', async () => {
+  it('is recognized whether its client side or the listener is connected first', async () => {
     const listener = createServer((_, response) => response.end())
     await new Promise<void>(resolve => listener.listen(0, '127.0.0.1', resolve))
     const { port } = listener.address() as AddressInfo
     const clock = new SystemClock()
     const probe = new AcceptProbe(listener, `127.0.0.1:${port}`, clock)
-    // Callers come between the probe's two sides all the time.
+    // Callers connect all the time, also between the two sides of the probe.
     const callers = Array.from({ length: 20 }, () => connect({ host: '127.0.0.1', port }))
-    for (let look = 0; look < 20; look += 1) {
+    for (let check = 0; check < 20; check += 1) {
       probe.measure()
       callers.push(connect({ host: '127.0.0.1', port }))
       await sleep(clock, 30)
@@ -75,7 +75,7 @@
     listener.close()
   })
 
-  it('says nothing where nobody listens', async () => {
+  it('reports no delay if nothing listens at the address', async () => {
     const clock = new SystemClock()
     const probe = new AcceptProbe(createServer(), '127.0.0.1:9', clock)
     probe.measure()
--- a/packages/daemon/__tests__/acceptQueue.spec.ts
+++ b/packages/daemon/__tests__/acceptQueue.spec.ts
@@ -4,7 +4,7 @@
 import { connect } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { constants } from 'node:os'
-import { setTimeout as passed } from 'node:timers/promises'
+import { setTimeout as delay } from 'node:timers/promises'
 import { afterEach, describe, expect, it } from 'vitest'
 import { PausableListener, AcceptQueue } from '@rackwalk/daemon'
 import { SystemClock } from '@rackwalk/shared'
@@ -12,85 +12,88 @@
 import type { NativeSockets } from '../src/callers/nativeSockets.js'
 import { OpenConnections } from '../src/gateway/openConnections.js'
 
-/** What a listener that closes takes, what it tells of it, and what becomes of a connection that was taken. */
+/**
+ * Which connections a closing listener accepts, what it reports about them, and what becomes of an accepted
+ * connection.
+ */
 
 const { EAGAIN, EINTR, ECONNABORTED, EMFILE, ENFILE, EINVAL } = constants.errno
-/** Far more than a connection over the loopback takes to be up. */
+/** Far longer than a connection over the loopback interface takes to be established. */
 const HOLD_MILLISECONDS = 50
 const REQUEST = 'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
 
-const ends: (() => unknown)[] = []
+const cleanups: (() => unknown)[] = []
 
 afterEach(async () => {
-  for (const end of ends.splice(0)) await end()
+  for (const cleanup of cleanups.splice(0)) await cleanup()
 })
 
-/** Notes all that is told. */
-class Told {
-  readonly taken: number[] = []
-  readonly untaken: string[] = []
+/** Records all reports. */
+class RecordingObserver {
+  readonly accepted: number[] = []
+  readonly unaccepted: string[] = []
   readonly changes: (readonly [boolean, string])[] = []
   noteAccepted(count: number): void {
-    this.taken.push(count)
+    this.accepted.push(count)
   }
   noteUnaccepted(cause: string): void {
-    this.untaken.push(cause)
+    this.unaccepted.push(cause)
   }
-  noteDrainingChange(isTaken: boolean, detail: string): void {
-    this.changes.push([isTaken, detail])
+  noteDrainingChange(isAccepted: boolean, detail: string): void {
+    this.changes.push([isAccepted, detail])
   }
 }
 
 async function listen(): Promise<{ readonly server: Server; readonly port: number }> {
   const server = createServer((_, response) => response.end('served'))
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
-  ends.push(() => {
+  cleanups.push(() => {
     server.closeAllConnections()
     server.close()
   })
   return { server, port: (server.address() as AddressInfo).port }
 }
 
-/** Calls that give these outcomes, then that nothing waits. */
+/** Native calls that return these outcomes, and then that no connection is queued. */
 function scripted(outcomes: readonly number[], bound = 0): NativeSockets {
   const left = [...outcomes]
   return { accept: () => left.shift() ?? -EAGAIN, limitBacklog: () => bound }
 }
 
-async function closesWith(
+async function closeWithOutcomes(
   scripts: readonly (readonly number[])[],
   bound = 0,
-): Promise<{ readonly told: Told; readonly handedOver: number }> {
-  const told = new Told()
+): Promise<{ readonly observer: RecordingObserver; readonly connections: number }> {
+  const observer = new RecordingObserver()
   let calls = scripted([], bound)
-  const waiting = new AcceptQueue(told, () => ({
+  const acceptQueue = new AcceptQueue(observer, () => ({
     accept: listener => calls.accept(listener),
     limitBacklog: (listener, length) => calls.limitBacklog(listener, length),
   }))
-  let handedOver = 0
+  let connections = 0
   for (const script of scripts) {
     const { server } = await listen()
-    server.on('connection', () => (handedOver += 1))
+    server.on('connection', () => (connections += 1))
     calls = scripted(script, bound)
-    waiting.drainAndClose(server, () => server.close())
+    acceptQueue.drainAndClose(server, () => server.close())
     expect(server.listening).toBe(false)
   }
-  return { told, handedOver }
+  return { observer, connections }
 }
 
-describe('taking what waits before a listener', () => {
-  it('goes on past the error of one connection, and says nothing of it', async () => {
-    const { told } = await closesWith([[-EINTR, -ECONNABORTED]])
-    expect(told).toEqual(new Told())
+describe('accepting the queued connections of a listener', () => {
+  it('continues after the error of one connection, and does not report it', async () => {
+    const { observer } = await closeWithOutcomes([[-EINTR, -ECONNABORTED]])
+    expect(observer).toEqual(new RecordingObserver())
   })
 
   it.each([
     ['EMFILE', -EMFILE],
     ['ENFILE', -ENFILE],
     ['EINVAL', -EINVAL],
-  ])('stops at %s, counts each and tells only of changes', async (word, outcome) => {
-    const { told } = await closesWith([[outcome], [outcome], [], []])
-    expect([told.untaken, told.changes]).toEqual([
+  ])('stops at %s, counts every occurrence and reports only changes', async (word, outcome) => {
+    const { observer } = await closeWithOutcomes([[outcome], [outcome], [], []])
+    expect([observer.unaccepted, observer.changes]).toEqual([
       [word, word],
       [
         [false, word],
@@ -99,98 +102,104 @@
     ])
   })
 
-  it('goes on where the queue can not be bounded, and counts it', async () => {
-    const { told } = await closesWith([[-EMFILE]], -EINVAL)
-    expect(told.untaken).toEqual(['EINVAL', 'EMFILE'])
+  it('continues if the backlog cannot be limited, and counts the failure', async () => {
+    const { observer } = await closeWithOutcomes([[-EMFILE]], -EINVAL)
+    expect(observer.unaccepted).toEqual(['EINVAL', 'EMFILE'])
   })
 
-  it('ends where connections come without end', async () => {
+  it('stops at a limit if connections keep arriving', async () => {
     const endless = new Array<number>(5_000).fill(-EINTR)
-    const { told } = await closesWith([endless])
-    expect([told.untaken, told.changes]).toEqual([['many'], [[false, 'many']]])
+    const { observer } = await closeWithOutcomes([endless])
+    expect([observer.unaccepted, observer.changes]).toEqual([['many'], [[false, 'many']]])
   })
 
-  it('closes a descriptor of which no socket can be made', async () => {
+  it('closes a descriptor from which no socket can be created', async () => {
     const descriptor = openSync('/dev/null', 'r')
-    const { told, handedOver } = await closesWith([[descriptor]])
-    expect([told.untaken, told.taken, handedOver]).toEqual([['descriptor'], [], 0])
+    const { observer, connections } = await closeWithOutcomes([[descriptor]])
+    expect([observer.unaccepted, observer.accepted, connections]).toEqual([['descriptor'], [], 0])
     const next = openSync('/dev/null', 'r')
     expect(next).toBe(descriptor)
   })
 
   it('loads the library at the first close of an open listener, and once', async () => {
     let loads = 0
-    const waiting = new AcceptQueue(undefined, () => {
+    const acceptQueue = new AcceptQueue(undefined, () => {
       loads += 1
       return scripted([])
     })
     const closed = createServer()
-    waiting.drainAndClose(closed, () => {})
+    acceptQueue.drainAndClose(closed, () => {})
     expect(loads).toBe(0)
     for (let close = 0; close < 2; close += 1) {
       const { server } = await listen()
-      waiting.drainAndClose(server, () => server.close())
+      acceptQueue.drainAndClose(server, () => server.close())
     }
     expect(loads).toBe(1)
   })
 
-  it('closes as ever without the library, says so once and counts each time', async () => {
-    const told = new Told()
+  it('closes the listener without the library, reports its absence once and counts each time', async () => {
+    const observer = new RecordingObserver()
     let loads = 0
-    const waiting = new AcceptQueue(told, () => {
+    const acceptQueue = new AcceptQueue(observer, () => {
       loads += 1
       throw new NativeSocketsMissing('no such library')
     })
     for (let close = 0; close < 3; close += 1) {
       const { server } = await listen()
-      waiting.drainAndClose(server, () => server.close())
+      acceptQueue.drainAndClose(server, () => server.close())
       expect(server.listening).toBe(false)
     }
-    expect([loads, told.untaken]).toEqual([1, ['library', 'library', 'library']])
-    expect(told.changes).toEqual([[false, 'NativeSocketsMissing: no such library']])
+    expect([loads, observer.unaccepted]).toEqual([1, ['library', 'library', 'library']])
+    expect(observer.changes).toEqual([[false, 'NativeSocketsMissing: no such library']])
   })
 
-  it('hands over what was taken though the close throws', async () => {
+  it('serves the accepted connections even if the close throws', async () => {
     const { server, port } = await listen()
     const socket = connect(port, '127.0.0.1')
-    ends.push(() => socket.destroy())
-    const told = new Told()
-    const waiting = new AcceptQueue(told)
-    await waitingOne()
+    cleanups.push(() => socket.destroy())
+    const observer = new RecordingObserver()
+    const acceptQueue = new AcceptQueue(observer)
+    await waitUntilQueued()
     const failure = new Error('no close')
     expect(() =>
-      waiting.drainAndClose(server, () => {
+      acceptQueue.drainAndClose(server, () => {
         throw failure
       }),
     ).toThrow(failure)
-    expect(told.taken).toEqual([1])
+    expect(observer.accepted).toEqual([1])
   })
 
   it.each([
     ['accept', 1],
     ['limitBacklog', 0],
-  ] as const)('closes and hands over what was taken though %s throws', async (call, count) => {
-    const { server, port } = await listen()
-    const socket = connect(port, '127.0.0.1')
-    ends.push(() => socket.destroy())
-    const told = new Told()
-    const native = loadNativeSockets()
-    let calls = 0
-    const waiting = new AcceptQueue(told, () => ({
-      ...native,
-      [call]: (listener: number) => {
-        if (calls++ < count) return native.accept(listener)
-        throw new Error('no call')
-      },
-    }))
-    await waitingOne()
-    waiting.drainAndClose(server, () => server.close())
-    expect(server.listening).toBe(false)
-    expect([told.taken, told.untaken]).toEqual([count === 1 ? [1] : [], ['library']])
-    expect(told.changes).toEqual([[false, 'Error: no call']])
-  })
+  ] as const)(
+    'closes, and serves the accepted connections, even if %s throws',
+    async (call, count) => {
+      const { server, port } = await listen()
+      const socket = connect(port, '127.0.0.1')
+      cleanups.push(() => socket.destroy())
+      const observer = new RecordingObserver()
+      const native = loadNativeSockets()
+      let calls = 0
+      const acceptQueue = new AcceptQueue(observer, () => ({
+        ...native,
+        [call]: (listener: number) => {
+          if (calls++ < count) return native.accept(listener)
+          throw new Error('no call')
+        },
+      }))
+      await waitUntilQueued()
+      acceptQueue.drainAndClose(server, () => server.close())
+      expect(server.listening).toBe(false)
+      expect([observer.accepted, observer.unaccepted]).toEqual([
+        count === 1 ? [1] : [],
+        ['library'],
+      ])
+      expect(observer.changes).toEqual([[false, 'Error: no call']])
+    },
+  )
 
-  it('serves the others though the server fails with one, and keeps no descriptor of that one', async () => {
+  it('serves the other connections if the server fails with one, and leaks no descriptor of that one', async () => {
     const { server, port } = await listen()
     const failure = new Error('no connection')
     const sockets: Socket[] = []
@@ -199,20 +208,24 @@
       if (sockets.length === 1) throw failure
     })
     const callers = [1, 2, 3].map(() => connect(port, '127.0.0.1'))
-    ends.push(() => callers.forEach(caller => caller.destroy()))
+    cleanups.push(() => callers.forEach(caller => caller.destroy()))
     const answers = callers.map(caller => converse(caller).ask())
-    const told = new Told()
-    const waiting = new AcceptQueue(told)
-    await waitingOne()
-    expect(() => waiting.drainAndClose(server, () => server.close())).toThrow(failure)
-    expect([sockets.length, told.taken, waiting.logFields]).toEqual([3, [2], { taken: 2 }])
+    const observer = new RecordingObserver()
+    const acceptQueue = new AcceptQueue(observer)
+    await waitUntilQueued()
+    expect(() => acceptQueue.drainAndClose(server, () => server.close())).toThrow(failure)
+    expect([sockets.length, observer.accepted, acceptQueue.logFields]).toEqual([
+      3,
+      [2],
+      { taken: 2 },
+    ])
     expect(sockets.map(({ destroyed }) => destroyed)).toEqual([true, false, false])
     expect((await Promise.all(answers)).sort()).toEqual(['200', '200', 'closed'])
   })
 })
 
-describe('the calls of the system', () => {
-  it('give the error of a call as its negative number', () => {
+describe('the native calls', () => {
+  it('return an error as its negative number', () => {
     const native = loadNativeSockets()
     expect([native.accept(-1), native.limitBacklog(-1, 0)]).toEqual([
       -constants.errno.EBADF,
@@ -221,8 +234,11 @@
   })
 })
 
-/** Returns in the turn in which a connection is made, once it is up in the kernel; the loop has taken nothing by then. */
-async function waitingOne(): Promise<void> {
+/**
+ * Returns in the same turn in which a connection is made, once the kernel has established it; the event loop has
+ * accepted nothing by then.
+ */
+async function waitUntilQueued(): Promise<void> {
   // The socket begins to connect in the next tick.
   await new Promise<void>(resolve => process.nextTick(resolve))
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, HOLD_MILLISECONDS)
@@ -246,61 +262,61 @@
   return { socket, ask, ended }
 }
 
-describe('a connection that was taken', () => {
-  async function openTaken(close: 'pause' | 'close') {
+describe('an accepted connection', () => {
+  async function openAccepted(close: 'pause' | 'close') {
     const server = createServer((_, response) => response.end('served'))
-    const told = new Told()
-    const waiting = new AcceptQueue(told)
+    const observer = new RecordingObserver()
+    const acceptQueue = new AcceptQueue(observer)
     const clock = new SystemClock()
-    const listener = new PausableListener(server, '127.0.0.1:0', clock, () => {}, waiting)
+    const listener = new PausableListener(server, '127.0.0.1:0', clock, () => {}, acceptQueue)
     await listener.open()
-    ends.push(() => listener.stop())
+    cleanups.push(() => listener.stop())
     const connections = new OpenConnections(server)
     const { port } = server.address() as AddressInfo
     const socket = connect(port, '127.0.0.1')
-    ends.push(() => socket.destroy())
+    cleanups.push(() => socket.destroy())
     const conversation = converse(socket)
-    await waitingOne()
+    await waitUntilQueued()
     listener[close]()
-    expect([told.taken, waiting.logFields]).toEqual([[1], { taken: 1 }])
+    expect([observer.accepted, acceptQueue.logFields]).toEqual([[1], { taken: 1 }])
     return { server, listener, connections, conversation }
   }
 
-  it('is kept, counted and served on, in a pause and after it', async () => {
-    const { listener, connections, conversation } = await openTaken('pause')
+  it('stays open, is counted and is connections, during a pause and after it', async () => {
+    const { listener, connections, conversation } = await openAccepted('pause')
     expect(connections.size).toBe(1)
     expect([await conversation.ask(), await conversation.ask()]).toEqual(['200', '200'])
     await listener.resume()
     expect([await conversation.ask(), connections.size]).toEqual(['200', 1])
   })
 
-  it('is ended with all others', async () => {
-    const { server, connections, conversation } = await openTaken('pause')
+  it('is closed with all others', async () => {
+    const { server, connections, conversation } = await openAccepted('pause')
     expect(await conversation.ask()).toBe('200')
     server.closeAllConnections()
     await conversation.ended
-    await passed(0)
+    await delay(0)
     expect(connections.size).toBe(0)
   })
 
-  it('is ended when idle for long enough', async () => {
-    const { server, conversation } = await openTaken('pause')
+  it('is closed after its idle time', async () => {
+    const { server, conversation } = await openAccepted('pause')
     server.keepAliveTimeout = 1
     expect(await conversation.ask()).toBe('200')
     await conversation.ended
   })
 
-  it('is answered and let go by a listener that has closed for good', async () => {
-    const { server, connections, conversation } = await openTaken('close')
+  it('is answered, and then closed, by a listener that has closed for good', async () => {
+    const { server, connections, conversation } = await openAccepted('close')
     expect(await conversation.ask()).toBe('200')
     server.closeIdleConnections()
     await conversation.ended
-    await passed(0)
+    await delay(0)
     expect(connections.size).toBe(0)
   })
 
-  it('is answered though its caller has ended its own side', async () => {
-    const { conversation } = await openTaken('pause')
+  it('is answered after its caller has half-closed it', async () => {
+    const { conversation } = await openAccepted('pause')
     const answer = conversation.ask()
     conversation.socket.end()
     expect(await answer).toBe('200')
--- a/packages/daemon/__tests__/activeFleet.spec.ts
+++ b/packages/daemon/__tests__/activeFleet.spec.ts
@@ -63,7 +63,7 @@
     expect(fleet.addresses('unknown').length).toBe(3)
   })
 
-  it('leaves out an instance that has fallen silent, and another takes its place', async () => {
+  it('leaves out a silent instance, and another takes its place', async () => {
     const { clock, fleet, state } = setUp({})
     const [first] = fleet.activeOthers
     state.silent.add(first?.instance ?? '')
@@ -72,7 +72,7 @@
     expect(fleet.activeOthers).not.toContain(first)
   })
 
-  it('believes the rows while it hears nobody and may be cut off itself', () => {
+  it('relies on the rows while it hears no instance and may be cut off itself', () => {
     const silent = OTHERS.map(({ instance }) => instance)
     const { fleet } = setUp({ self: member('a1'), silent })
     expect(fleet.addresses('near').length).toBe(2)
@@ -89,7 +89,7 @@
     ])
   })
 
-  it('knows who has work at endpoints though callers are not sent there', () => {
+  it('lists a standby instance that has work at endpoints as a user', () => {
     const weak = member('b3', { capacity: 1 })
     const others = [member('b1'), weak, member('b2')]
     const { fleet } = setUp({ self: member('a1'), others, using: ['b3'] })
@@ -98,14 +98,14 @@
     expect(fleet.idleOthers.map(({ instance }) => instance)).not.toContain('b3')
   })
 
-  it('shares bounds with nobody to whom only health checks and plain requests come', () => {
+  it('shares no bounds with instances that get only health checks and plain requests', () => {
     const others = Array.from({ length: 200 }, (_, index) =>
       member(`b${index}`, { requestsPerSecond: 0.7, capacity: 40 }),
     )
     const self = member('a1', { capacity: 200, requestsPerSecond: 40 })
     const { fleet } = setUp({ self, others, using: ['b7'] })
     expect(fleet.activeCount).toBeLessThan(10)
-    // The active ones, and the one whose callers stay with it.
+    // The active instances, and the one whose callers stay with it.
     expect(fleet.sharers).toBeLessThanOrEqual(fleet.activeCount + 1)
     expect(fleet.usingOthers.length).toBeLessThanOrEqual(fleet.activeCount)
   })
@@ -117,7 +117,7 @@
     expect(fleet.isSelfSettled).toBe(true)
   })
 
-  it('shares bounds among active instances, and among all where it stands by', () => {
+  it('shares bounds among active instances, and among all while on standby', () => {
     const weak = member('a1', { capacity: 1 })
     const strong = member('a1', { capacity: 100 })
     expect(setUp({ self: weak }).fleet.sharers).toBe(6)
@@ -125,23 +125,26 @@
     expect(setUp({ self: strong }).fleet.worstCaseSharers).toBe(3)
   })
 
-  it('shares bounds as a user where it has work though it stands by', () => {
+  it('shares bounds as a user if it has work while on standby', () => {
     const weak = member('a1', { capacity: 1 })
     expect(setUp({ self: weak, using: ['a1'] }).fleet.sharers).toBe(3)
   })
 })
 
-describe('a fleet that starts as one', () => {
+describe('a fleet whose instances start at the same time', () => {
   const FLEET = Array.from({ length: 60 }, (_, index) => member(`${'abc'[index % 3]}${index}`))
   const NAMES = FLEET.map(({ instance }) => instance)
 
-  /** The fleet as one of it sees it, with the rows of the last life read and those heard so far. */
+  /**
+   * The fleet as one instance sees it, with the rows of the previous incarnations read and the instances heard so
+   * far.
+   */
   function startOne(self: MemberRow, heard: readonly string[]) {
     const others = FLEET.filter(other => other !== self)
     return setUp({ self, others, silent: NAMES.filter(name => !heard.includes(name)) })
   }
 
-  it('names the instances that took callers before, whomever each has heard', () => {
+  it('lists the instances that took callers before, whichever instances each one has heard', () => {
     const named = FLEET.map((self, index) => {
       const heard = [
         NAMES[(index + 7) % NAMES.length] ?? '',
@@ -153,12 +156,12 @@
     expect(named[0]?.split(' ').length).toBe(3)
   })
 
-  it('takes no more instances for active than before', () => {
+  it('has no more active instances than before', () => {
     const active = FLEET.filter(self => startOne(self, [NAMES[5] ?? '']).fleet.isSelfActive)
     expect(active.length).toBe(3)
   })
 
-  it('leaves out who stays silent for as long as silence takes to notice', async () => {
+  it('leaves out instances that have been silent for the silence time', async () => {
     const [self = member('a1')] = FLEET
     const lost = startOne(self, []).fleet.activeOthers.map(({ instance }) => instance)
     const heard = NAMES.filter(name => !lost.includes(name))
--- a/packages/daemon/__tests__/adviceGossip.spec.ts
+++ b/packages/daemon/__tests__/adviceGossip.spec.ts
@@ -10,11 +10,11 @@
 import { asId } from '@rackwalk/shared'
 import type { EndpointStart } from '@rackwalk/shared'
 
-/** News of what endpoints say of themselves, as they travel beside reports of load. */
+/** Advice gossip, which travels in the datagrams of load reports. */
 
 const SENDER = { instance: 'instance-1', incarnation: 'life-1' }
 
-const news = fc.record(
+const gossip = fc.record(
   {
     start: fc.string({ minLength: 1, maxLength: 40 }).map(text => asId<EndpointStart>(text)),
     requestsPerSecond: fc.double({ min: 0.001, max: 1e6, noNaN: true }),
@@ -23,10 +23,10 @@
   { requiredKeys: ['start', 'ageMilliseconds'] },
 )
 
-describe('news of what endpoints say', () => {
-  it('come as they were told, each datagram under what a link passes on whole', () => {
+describe('advice gossip', () => {
+  it('is decoded as it was encoded, in datagrams of bounded size', () => {
     fc.assert(
-      fc.property(fc.array(news, { maxLength: 40 }), all => {
+      fc.property(fc.array(gossip, { maxLength: 40 }), all => {
         const received = encodeAdviceGossip(all, SENDER).flatMap(report => {
           const bytes = encodeReport(report)
           expect(bytes.length).toBeLessThan(6_000)
@@ -39,7 +39,7 @@
     )
   })
 
-  it('have the form of a report that an earlier version drops as too late', () => {
+  it('is encoded as an outdated report, which an earlier version drops', () => {
     const start = asId<EndpointStart>('endpoint-1@17')
     const reports = encodeAdviceGossip(
       [
@@ -56,7 +56,7 @@
     expect(reports.map(report => decodeCrashGossip(report))).toEqual([{ marks: [], cleared: [] }])
   })
 
-  it('name no rate where a datagram says that nothing is taken at all', () => {
+  it('ignores a rate of 0', () => {
     const report = decodeReport(Buffer.from('["a","b",0,false,[["says e",0,5,[["rate",0]]]]]'))
     expect(report && decodeAdviceGossip(report)).toEqual([{ start: 'e', ageMilliseconds: 5 }])
   })
--- a/packages/daemon/__tests__/bundle.spec.ts
+++ b/packages/daemon/__tests__/bundle.spec.ts
@@ -6,7 +6,7 @@
 /** Packages that only the OpenAI-style kind needs; small machines pay for each at every start. */
 const HEAVY = ['@aws-sdk', '@grpc', '@smithy', 'protobufjs', 'undici']
 
-/** Inputs of an entry's output and of all that it imports, at once or later. */
+/** Inputs of an entry's output and of all outputs that it imports, statically or dynamically. */
 function inputsReachedFrom(outputs: Metafile['outputs'], entry: string): readonly string[] {
   const reached = new Set<string>([entry])
   for (const name of reached) {
--- a/packages/daemon/__tests__/bundledLibrary.spec.ts
+++ b/packages/daemon/__tests__/bundledLibrary.spec.ts
@@ -9,7 +9,10 @@
 import { bundles } from '../../../scripts/bundles.mjs'
 import type * as nativeSockets from '../src/callers/nativeSockets.js'
 
-/** A library that no bundle holds is found in the packages beside the folder of the bundles, in each form of a bundle. */
+/**
+ * A library that no bundle contains is found in the packages next to the folder of the bundles, for each bundle
+ * format.
+ */
 
 type Library = typeof nativeSockets
 
@@ -24,7 +27,7 @@
 
 afterEach(() => rmSync(folder, { recursive: true }))
 
-/** Builds a source in place of an entry of a bundle, all else as the build does. */
+/** Builds a source in place of a bundle's entry, with the options of the build otherwise unchanged. */
 async function buildAs(format: 'cjs' | 'esm', entry: string, source: string): Promise<void> {
   const options = bundles.find(
     bundle => bundle.format === format && entry in Object(bundle.entryPoints),
--- a/packages/daemon/__tests__/cachedProgram.spec.ts
+++ b/packages/daemon/__tests__/cachedProgram.spec.ts
@@ -10,7 +10,7 @@
   const { basename } = require('node:path')
   module.exports = { ran: basename('/folder/ran') }
 })`
-/** As long as the text. */
+/** Has the same length as the text. */
 const OTHER = TEXT.replace('/folder/ran', '/folder/not')
 const RAN = { ran: 'ran' }
 
@@ -35,7 +35,7 @@
     expect(compiled.run()).toEqual(RAN)
   })
 
-  it('is compiled anew where there is no cache', () => {
+  it('is compiled without a cache if there is none', () => {
     const compiled = compileProgram(program, join(folder, 'other.cache'))
     expect(compiled.isCached).toBe(false)
     expect(compiled.run()).toEqual(RAN)
@@ -49,7 +49,7 @@
     ['that was cut off before its code', () => readFileSync(cache).subarray(0, 16)],
     ['that was damaged', () => flipped(readFileSync(cache), 300)],
     ['that is something else', () => Buffer.from(TEXT)],
-    // The engine's own mark of its version stands behind the first word.
+    // V8's own version tag follows the first word.
     ['of another engine', () => sealed(flipped(new Script(TEXT).createCachedData(), 4))],
   ])('is compiled anew with a cache %s', (_, made) => {
     writeFileSync(cache, made())
@@ -59,7 +59,7 @@
   })
 })
 
-/** Code as the build leaves it. */
+/** A cache file as the build writes it. */
 function sealed(code: Buffer, text = TEXT): Buffer {
   return Buffer.concat([createHash('sha256').update(text).update(code).digest(), code])
 }
--- a/packages/daemon/__tests__/changeBatch.spec.ts
+++ b/packages/daemon/__tests__/changeBatch.spec.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest'
 import { ChangeBatch } from '@rackwalk/daemon'
 
-/** Lines about changes that come together. */
+/** Log lines about changes that occur together. */
 
 function linesOf(changes: number): unknown[] {
   const lines: unknown[] = []
@@ -18,8 +18,8 @@
   return lines
 }
 
-describe('changes that come together', () => {
-  it('are told one by one where they are few', () => {
+describe('changes that occur together', () => {
+  it('are logged one by one if they are few', () => {
     expect(linesOf(3)).toMatchInlineSnapshot(`
       [
         [
@@ -47,7 +47,7 @@
     `)
   })
 
-  it('are counted in one line where they are many', () => {
+  it('are counted in one line if they are many', () => {
     expect(linesOf(194)).toMatchInlineSnapshot(`
       [
         [
--- a/packages/daemon/__tests__/endpointFollower.spec.ts
+++ b/packages/daemon/__tests__/endpointFollower.spec.ts
@@ -44,7 +44,7 @@
 }
 
 describe('EndpointFollower', () => {
-  it('takes a server whose entry is removed for gone at once', () => {
+  it('treats a server whose entry is removed as gone at once', () => {
     const { list, drop, available } = setUp()
     list('s1', 's2')
     drop('s1')
@@ -55,7 +55,7 @@
     const { clock, changes, follower, list, drop, available } = setUp()
     list('s1', 's2')
     follower.onReachabilityChange(false)
-    // The first answer after the outage tells of both, before the word that it is over.
+    // The first answer after the outage removes both entries, before the store counts as reachable again.
     drop('s1')
     drop('s2')
     follower.onReachabilityChange(true)
@@ -75,7 +75,7 @@
     `)
   })
 
-  it('waits only for what is left of the time since the store is back', async () => {
+  it('waits only for the rest of the lapse time after the store is back', async () => {
     const { clock, follower, list, drop, available } = setUp()
     list('s1', 's2')
     follower.onReachabilityChange(false)
--- a/packages/daemon/__tests__/gracefulShutdown.spec.ts
+++ b/packages/daemon/__tests__/gracefulShutdown.spec.ts
@@ -36,8 +36,9 @@
     expect(await ended).toEqual({ cutOff: 0, isSettled: true })
   })
 
-  it('ends inside the grace time when the store takes nothing', async () => {
-    // Found on a played day: settling while the store was down outlived the grace time.
+  it('ends within the grace time when the store does not answer', async () => {
+    // Guards against a shutdown that outlives the grace time because it waits for holdings to be settled while the
+    // store is down.
     const { clock, state, ended, endedAt } = setUp(() => new Promise(() => {}))
     state.inFlight = 0
     await clock.advance(GRACE_MILLISECONDS)
@@ -45,7 +46,7 @@
     expect(endedAt()).toBeLessThan(GRACE_MILLISECONDS)
   })
 
-  it('tells how many requests the grace time did not suffice for', async () => {
+  it('reports how many requests were cut off at the end of the grace time', async () => {
     const { clock, ended, endedAt } = setUp(() => Promise.resolve(true))
     await clock.advance(GRACE_MILLISECONDS)
     expect(await ended).toEqual({ cutOff: 3, isSettled: true })
--- a/packages/daemon/__tests__/listenerPauses.spec.ts
+++ b/packages/daemon/__tests__/listenerPauses.spec.ts
@@ -6,7 +6,7 @@
 
 const ROOM: PeerOverload = { count: 7, overloaded: 0 }
 
-/** Notes when it is paused and resumed instead of listening. */
+/** Records pauses and resumptions instead of listening. */
 class NotedListener extends PausableListener {
   override pause(): void {
     this.note('pause')
@@ -47,7 +47,7 @@
 }
 
 describe('the pauses of an instance', () => {
-  it('are told once as they begin and cease, and to the others each second', async () => {
+  it('are reported once when they begin and stop, and are broadcast every second', async () => {
     const { clock, state, notes } = setUp()
     await clock.advance(1_000)
     expect(notes).toEqual([])
@@ -79,8 +79,8 @@
 
   it.each([
     ['it stops', { isServing: false, others: ROOM }],
-    ['it hears nobody', { isServing: true, others: { count: 0, overloaded: 0 } }],
-  ])('do not come while %s', async (_case, change) => {
+    ['it hears no other instance', { isServing: true, others: { count: 0, overloaded: 0 } }],
+  ])('do not occur while %s', async (_case, change) => {
     const { clock, state, notes } = setUp()
     Object.assign(state, change, { share: 0.9 })
     await clock.advance(3_000)
--- a/packages/daemon/__tests__/loadExchange.spec.ts
+++ b/packages/daemon/__tests__/loadExchange.spec.ts
@@ -18,7 +18,7 @@
   ),
 })
 
-/** Values that are nearly reports: every place holds now and then what does not belong there. */
+/** Values that are almost reports: any position may hold a value of the wrong type. */
 const odd = fc.oneof(
   fc.constantFrom<unknown>(null, -1, 0.5, 'text', true, [], {}, ['a', 1], ['a', 1, 0, []]),
   fc.constantFrom<unknown>(['a', -1], ['a'], ['a', 1, 2], [1, 'a'], ['a', 1, -1, []]),
@@ -58,7 +58,7 @@
 ])
 
 describe('datagrams about load', () => {
-  it('are reports where they have the form of one, and else none', () => {
+  it('are decoded if and only if they have the form of a report', () => {
     let refused = 0
     fc.assert(
       fc.property(wireReports, value => {
--- a/packages/daemon/__tests__/overloadGossip.spec.ts
+++ b/packages/daemon/__tests__/overloadGossip.spec.ts
@@ -23,8 +23,8 @@
   expire: () => {},
 }
 
-describe('the news that an instance is overloaded', () => {
-  it('has the form of a report that an earlier version drops as too late', () => {
+describe('overload gossip', () => {
+  it('is encoded as an outdated report, which an earlier version drops', () => {
     const [report] = encodeOverloadGossip(SENDER)
     const bytes = report === undefined ? Buffer.of() : encodeReport(report)
     expect(bytes.toString()).toMatchInlineSnapshot(
@@ -38,7 +38,7 @@
     ])
   })
 
-  it('holds through lost datagrams, and passes with time', async () => {
+  it('holds despite lost datagrams, and expires', async () => {
     const clock = new VirtualClock()
     const overloaded = new OverloadedInstances(clock, () => 1_000)
     overloaded.note('instance-1')
@@ -49,15 +49,15 @@
   })
 })
 
-describe('the news of overload in a large fleet', () => {
+describe('overload gossip in a large fleet', () => {
   const PEERS = 299
   const SPAN_SECONDS = 60
-  /** What an instance may spend on all that it tells the others beside its reports. */
+  /** Bandwidth of an instance for everything that it sends to other instances besides its reports. */
   const BYTES_PER_SECOND = 5_000
-  /** Bytes of a datagram's heads. */
+  /** Bytes of a datagram's headers. */
   const HEAD_BYTES = 28
 
-  it('costs each instance no more than its signs of life may, and is believed until the next', async () => {
+  it('costs each instance no more than the heartbeat bandwidth, and holds until the next message', async () => {
     const sink = createSocket('udp4')
     let bytes = 0
     sink.on('message', message => (bytes += message.length + HEAD_BYTES))
@@ -88,19 +88,19 @@
     exchange.start()
     const overloaded = new OverloadedInstances(clock, () => exchange.overloadGossipMilliseconds)
     sink.on('message', () => overloaded.note(SENDER.instance))
-    let unbelieved = 0
+    let missing = 0
     for (let second = 0; second < SPAN_SECONDS; second += 1) {
       exchange.gossipOverload()
       // The sockets are real: on a busy machine the first datagram takes longer than any fixed time.
       if (second === 0) await once(sink, 'message')
       await new Promise(resolve => setTimeout(resolve, 20))
-      if (!overloaded.has(SENDER.instance)) unbelieved += 1
+      if (!overloaded.has(SENDER.instance)) missing += 1
       await clock.advance(1_000)
     }
     exchange.stop()
     sink.close()
     expect(bytes).toBeGreaterThan(0)
     expect(bytes / SPAN_SECONDS).toBeLessThan(BYTES_PER_SECOND)
-    expect(unbelieved).toBe(0)
+    expect(missing).toBe(0)
   })
 })
--- a/packages/daemon/__tests__/pausableListener.spec.ts
+++ b/packages/daemon/__tests__/pausableListener.spec.ts
@@ -7,35 +7,37 @@
 import { PausableListener } from '@rackwalk/daemon'
 
 const clock = new SystemClock()
-const ends: (() => void)[] = []
+const cleanups: (() => void)[] = []
 
 afterEach(() => {
-  for (const end of ends.splice(0)) end()
+  for (const cleanup of cleanups.splice(0)) cleanup()
 })
 
 async function openListener(options: ServerOptions = {}) {
-  const taken: unknown[] = []
+  const addressErrors: unknown[] = []
   const server = createServer(options, (_, response) => response.end('served'))
-  const listener = new PausableListener(server, '127.0.0.1:0', clock, error => taken.push(error))
-  ends.push(() => {
+  const listener = new PausableListener(server, '127.0.0.1:0', clock, error =>
+    addressErrors.push(error),
+  )
+  cleanups.push(() => {
     server.closeAllConnections()
     listener.close()
   })
   await listener.open()
-  return { listener, server, taken, port: (server.address() as AddressInfo).port }
+  return { listener, server, addressErrors, port: (server.address() as AddressInfo).port }
 }
 
-/** A connection that is up, or the code of its failure. */
+/** Resolves with an established connection, or with the error code of a failed one. */
 function connectTo(port: number): Promise<Socket | string> {
   return new Promise(resolve => {
     const socket = connect({ host: '127.0.0.1', port })
-    ends.push(() => socket.destroy())
+    cleanups.push(() => socket.destroy())
     socket.on('connect', () => resolve(socket))
     socket.on('error', (error: NodeJS.ErrnoException) => resolve(error.code ?? error.message))
   })
 }
 
-/** The body of an answer on a connection, or how it ended. */
+/** Resolves with the body of an answer on a connection, or with how the connection ended. */
 function ask(socket: Socket | string): Promise<string> {
   if (typeof socket === 'string') return Promise.resolve(socket)
   return new Promise(resolve => {
@@ -67,13 +69,13 @@
       )
     const send = (socket: Socket | string) =>
       typeof socket !== 'string' && socket.resume().write('GET / HTTP/1.1\r\n')
-    const ends = [endOf(first), endOf(second)]
+    const closed = [endOf(first), endOf(second)]
     send(first)
     listener.pause()
-    expect(await ends[0]).toBe('ended')
+    expect(await closed[0]).toBe('ended')
     await listener.resume()
     send(second)
-    expect(await ends[1]).toBe('ended')
+    expect(await closed[1]).toBe('ended')
   })
 
   it('stays closed when it is closed during a pause', async () => {
@@ -93,8 +95,8 @@
     expect(await connectTo(port)).toBe('ECONNREFUSED')
   })
 
-  it('waits for its address where something else took it meanwhile, and tells once', async () => {
-    const { listener, port, taken } = await openListener()
+  it('waits for its address if another process took it meanwhile, and reports that once', async () => {
+    const { listener, port, addressErrors } = await openListener()
     listener.pause()
     const occupier = createNetServer()
     await new Promise<void>(resolve => occupier.listen(port, '127.0.0.1', resolve))
@@ -102,7 +104,7 @@
     await sleep(clock, 350)
     occupier.close()
     await resumed
-    expect([await ask(await connectTo(port)), taken.length]).toEqual(['served', 1])
+    expect([await ask(await connectTo(port)), addressErrors.length]).toEqual(['served', 1])
     expect(listener.isAddressTaken).toBe(false)
   })
 })
--- a/packages/daemon/__tests__/pausedConnections.spec.ts
+++ b/packages/daemon/__tests__/pausedConnections.spec.ts
@@ -7,8 +7,8 @@
 import { SystemClock } from '@rackwalk/shared'
 
 /**
- * Connections that are up and wait for a busy process are reset when its listener closes for a moment, and their callers can't
- * tell whether their requests ran.
+ * Guards against resets of established connections in the accept queue of a busy process whose listener closes
+ * briefly. The callers of such connections cannot tell whether their requests ran.
  */
 
 const BUSY_MILLISECONDS = 100
@@ -16,7 +16,10 @@
 const WINDOW_MILLISECONDS = 250
 const SPAN_MILLISECONDS = 6_000
 
-/** Callers in a thread of their own, since the loop of this one is busy; each tells how its try ended. */
+/**
+ * Callers run in their own thread, since the event loop of this one is busy; each counts the outcomes of its
+ * attempts.
+ */
 const CALLERS = `
   const { connect } = require('node:net')
   const { parentPort, workerData } = require('node:worker_threads')
@@ -63,7 +66,7 @@
   server.close()
 })
 
-/** Whatever is ready waits for as long as a round of other work takes. */
+/** Every ready event waits for the duration of one round of other work. */
 function work(): void {
   const end = performance.now() + BUSY_MILLISECONDS
   while (performance.now() < end);
@@ -74,8 +77,8 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds))
 }
 
-describe('a listener that closes for moments', () => {
-  it('resets no connection that waits before it', async () => {
+describe('a listener that closes briefly', () => {
+  it('resets no connection in its accept queue', async () => {
     server = createServer((_, response) => response.end('served'))
     const listener = new PausableListener(server, '127.0.0.1:0', new SystemClock(), () => {})
     await listener.open()
@@ -93,9 +96,9 @@
       await listener.resume()
     }
     isBusy = false
-    const told = new Promise<Tries>(resolve => worker.once('message', resolve))
+    const tally = new Promise<Tries>(resolve => worker.once('message', resolve))
     worker.postMessage('tell')
-    const { served, refused, reset } = await told
+    const { served, refused, reset } = await tally
     expect(served).toBeGreaterThan(0)
     expect(refused).toBeGreaterThan(0)
     expect(reset).toBe(0)
--- a/packages/daemon/__tests__/peerProtocol.spec.ts
+++ b/packages/daemon/__tests__/peerProtocol.spec.ts
@@ -6,8 +6,8 @@
 import type { MalformedInput } from '@rackwalk/daemon'
 
 /**
- * How messages between OpenAI-style instances travel: method names, the metadata that carries
- * the secret, and JSON as bytes, spoken here without the product's own client.
+ * The wire format of messages between OpenAI-style instances: method names, the metadata with the secret, and JSON as
+ * bytes. The test uses its own client rather than the product's.
  */
 
 const SECRET = 'between-peers'
@@ -28,7 +28,7 @@
 const WRITER = { writer: 'instance-9-first' }
 const KEY = { teamId: 'team', key: 'key', requestId: 'r-1' }
 
-/** A request of each kind and a reply to it. */
+/** A request of each kind and its reply. */
 const MESSAGES: readonly (readonly [PeerMessageKind, object, object])[] = [
   ['heartbeat', { sender: MEMBER, digests: [] }, { receiver: MEMBER }],
   ['members', { group: 'region-a' }, { members: [MEMBER] }],
@@ -72,11 +72,11 @@
 
 const malformed: MalformedInput[] = []
 
-/** Handlers that note what they are asked and reply as listed. */
-async function start(asked: unknown[] = []): Promise<number> {
+/** Starts a server whose handlers record their requests and reply as listed. */
+async function start(requests: unknown[] = []): Promise<number> {
   const handlers = MESSAGES.map(([kind, , reply]) => {
     const handler = (request: unknown) => {
-      asked.push(request)
+      requests.push(request)
       return reply as never
     }
     return [kind, handler] as const
@@ -88,7 +88,7 @@
   return port
 }
 
-/** The bytes of the reply as text, or the status of the failure. */
+/** Resolves with the reply's bytes as text, or with the status of the failure. */
 function call(method: string, body: string, secret?: string): Promise<string> {
   const metadata = new Metadata()
   if (secret !== undefined) metadata.set('rackwalk-peer-secret', secret)
@@ -102,11 +102,11 @@
 
 describe('messages between instances on the wire', () => {
   it.each(MESSAGES)('have a method for %s', async (kind, request, reply) => {
-    const asked: unknown[] = []
-    await start(asked)
-    const told = await call(`/rackwalk.Peers/${kind}`, JSON.stringify(request), SECRET)
-    expect(JSON.parse(told)).toEqual(reply)
-    expect(asked).toEqual([request])
+    const requests: unknown[] = []
+    await start(requests)
+    const answer = await call(`/rackwalk.Peers/${kind}`, JSON.stringify(request), SECRET)
+    expect(JSON.parse(answer)).toEqual(reply)
+    expect(requests).toEqual([request])
   })
 
   it.each(MESSAGES)('carry %s from client to server', async (kind, request, reply) => {
@@ -117,19 +117,19 @@
       SECRET,
       form => malformed.push(form),
     )
-    const told = await channel.call('peer' as never, kind, request as never)
+    const answer = await channel.call('peer' as never, kind, request as never)
     channel.close()
-    expect(told).toEqual(reply)
+    expect(answer).toEqual(reply)
     expect(malformed).toEqual([])
   })
 
-  it('are refused and counted where they are not of their form', async () => {
-    const asked: unknown[] = []
-    await start(asked)
+  it('are refused and counted if they are malformed', async () => {
+    const requests: unknown[] = []
+    await start(requests)
     for (const text of ['no JSON', '[]', '{"transferId":"t-1","tokens":"5"}']) {
       expect(await call('/rackwalk.Peers/lend', text, SECRET)).toBe('INVALID_ARGUMENT')
     }
-    expect(asked).toEqual([])
+    expect(requests).toEqual([])
     expect(malformed.map(({ form }) => form)).toEqual(['lend', 'lend', 'lend'])
   })
 
--- a/packages/daemon/__tests__/readSettings.spec.ts
+++ b/packages/daemon/__tests__/readSettings.spec.ts
@@ -48,7 +48,7 @@
     expect(await readKind('instance: [')).toBeUndefined()
   })
 
-  it('take a gap that is no JSON for one of YAML', async () => {
+  it('treat a gap that is not valid JSON as YAML', async () => {
     const text = JSON_TEXT.replace('"writesPerSecond": null', '"writesPerSecond": ')
     const settings = await readSettings(gatewaySettingsSchema, text)
     expect(settings.store.writesPerSecond).toBe(300)
--- a/packages/daemon/__tests__/startFailure.spec.ts
+++ b/packages/daemon/__tests__/startFailure.spec.ts
@@ -35,7 +35,7 @@
   readonly printed: string
 }
 
-/** Runs the program until it ends by itself. */
+/** Runs the program until it exits by itself. */
 function runToEnd(settings: object): Promise<End> {
   const file = join(folder, 'settings.yaml')
   writeFileSync(file, stringify(settings))
@@ -74,7 +74,7 @@
   it.each([
     ['of the OpenAI-style kind', openAiSettings],
     ['of the gateway kind', gatewaySettings],
-  ])('%s ends with a numbered error instead of staying half there', async (_kind, settings) => {
+  ])('%s exits with a numbered error instead of staying partly up', async (_kind, settings) => {
     const { code, printed } = await runToEnd(settings())
     expect(code).toBe(1)
     expect(printed).toContain(`6003 cannot listen: ${taken}: EADDRINUSE`)
--- a/packages/daemon/__tests__/streamGossip.spec.ts
+++ b/packages/daemon/__tests__/streamGossip.spec.ts
@@ -21,8 +21,8 @@
   }))
 }
 
-describe('news of streams', () => {
-  it('has a form that an earlier version drops as a report that comes too late', () => {
+describe('stream gossip', () => {
+  it('is encoded as an outdated report, which an earlier version drops', () => {
     const reports = [
       ...encodeStreamStarts(streams(1), IDENTITY),
       ...encodeVersionGossip([{ service: 'models', softwareVersion: asId('v 2') }], IDENTITY),
@@ -39,18 +39,18 @@
     ])
   })
 
-  it('comes whole, each datagram small', () => {
+  it('is decoded as it was encoded, in small datagrams', () => {
     const begun = [...streams(40), ...streams(2, 'v1')]
     const datagrams = encodeStreamStarts(begun, IDENTITY).map(report => encodeReport(report))
-    const told = datagrams.flatMap(bytes => {
+    const decoded = datagrams.flatMap(bytes => {
       const report = decodeReport(bytes)
       return report === undefined ? [] : decodeStreamGossip(report).begun
     })
-    expect(told).toEqual(begun)
+    expect(decoded).toEqual(begun)
     expect(Math.max(...datagrams.map(({ length }) => length))).toBeLessThan(LARGEST_DATAGRAM_BYTES)
   })
 
-  it('passes over what is not of its form', () => {
+  it('ignores malformed entries', () => {
     const load = { running: 0, pendingTokens: 0, parts: [{ id: 'key', tokens: 1 }] }
     const endpoints = [
       'streams begun at v1',
@@ -59,7 +59,7 @@
       'i-1',
     ]
     const loads = endpoints.map(endpoint => ({ endpoint, ...load }))
-    const news = decodeStreamGossip({ ...IDENTITY, sequence: 0, isWhole: false, loads })
-    expect(news).toEqual({ begun: [], versions: [] })
+    const gossip = decodeStreamGossip({ ...IDENTITY, sequence: 0, isWhole: false, loads })
+    expect(gossip).toEqual({ begun: [], versions: [] })
   })
 })
--- a/packages/daemon/__tests__/userTimeout.spec.ts
+++ b/packages/daemon/__tests__/userTimeout.spec.ts
@@ -8,8 +8,8 @@
 import { SystemClock } from '@rackwalk/shared'
 
 /**
- * Guards what decides when a connection is given up: a `TCP_USER_TIMEOUT` would take that from keep-alive probes and from
- * our own timers, and some libraries set one by themselves.
+ * Guards the rules by which a connection is given up: a `TCP_USER_TIMEOUT` would override keep-alive probes and our
+ * own timers, and some libraries set one by themselves.
  */
 
 const TCP_LEVEL = 6
@@ -32,7 +32,7 @@
   return value[0] ?? Number.NaN
 }
 
-/** Sockets that were connected since, up and not. */
+/** Collects the sockets that connect from now on, whether or not the connection is established. */
 function watchSockets(): readonly Socket[] {
   const sockets: Socket[] = []
   const original = Socket.prototype.connect
@@ -80,17 +80,17 @@
 }
 
 describe('a connection', () => {
-  it.each(Object.entries(CONNECTIONS))('to %s has no time-out of the user', async (_, connect) => {
+  it.each(Object.entries(CONNECTIONS))('to %s has no TCP_USER_TIMEOUT', async (_, connect) => {
     const address = await listen()
     const sockets = watchSockets()
     const timeouts: number[] = []
-    const look = setInterval(() => {
+    const sampler = setInterval(() => {
       for (const socket of sockets) {
         if (!socket.destroyed && !socket.connecting) timeouts.push(userTimeoutOf(socket))
       }
     }, 1)
     await connect(address)
-    clearInterval(look)
+    clearInterval(sampler)
     for (const socket of sockets) if (!socket.destroyed) timeouts.push(userTimeoutOf(socket))
     expect(timeouts.length).toBeGreaterThan(0)
     expect(new Set(timeouts)).toEqual(new Set([NOT_SET]))
