--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -33,8 +33,8 @@
 const FEED_WAIT_MILLISECONDS = 2_000
 const CONFIGURATION_PAUSE_MILLISECONDS = 20
 /**
- * Time in which one call is made at the most: the store answers at once when a row changes, and each call has a
- * price.
+ * How long a change query waits at the store on the table of crash records. While nothing changes, there is one call
+ * in this time, and each call has a price; the store answers at once when a row changes.
  */
 const CRASH_WAIT_MILLISECONDS = 20_000
 /** Each endpoint renews its row about once a second; a list of this age is recent enough. */
--- a/packages/daemon/src/gateway/gatewayTelemetry.ts
+++ b/packages/daemon/src/gateway/gatewayTelemetry.ts
@@ -96,15 +96,15 @@
   }
 
   /**
-   * An endpoint crashed. Names the requests that it had not begun to answer; `told` is the number of instances that
-   * are informed.
+   * An endpoint crashed. Names the requests that it had not begun to answer; `informedPeers` is the number of
+   * instances that the crash is broadcast to.
    */
-  noteEndpointCrash({ endpoint, signs, unanswered }: EndpointCrash, told: number): void {
+  noteEndpointCrash({ endpoint, signs, unanswered }: EndpointCrash, informedPeers: number): void {
     const { id, service } = endpoint
     this.metrics?.noteEndpointCrash(service)
     const requests = unanswered.map(({ fingerprint }) => fingerprint)
     const parts = [...new Set(unanswered.flatMap(request => request.parts ?? []))]
-    const fields = { server: id, service, signs, unanswered: requests, parts, told }
+    const fields = { server: id, service, signs, unanswered: requests, parts, told: informedPeers }
     this.logger.warn('server_ended', fields)
   }
 
--- a/packages/daemon/src/gateway/gracefulShutdown.ts
+++ b/packages/daemon/src/gateway/gracefulShutdown.ts
@@ -40,7 +40,8 @@
   await waitForRequests(parts, startedAt)
   parts.closeListener()
   const cutOff = parts.inFlight()
-  // Holdings that the store does not record in time are settled by the next incarnation, by their upper bound.
+  // Holdings that the store does not record in time are settled when the next incarnation takes over, at their
+  // spending bound.
   const isSettled = await Promise.race([parts.settle(), graceEnd(parts, startedAt)])
   return { cutOff, isSettled }
 }
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -132,7 +132,10 @@
     this.socket = undefined
   }
 
-  /** A request was sent to an endpoint: instances that prefer that endpoint are told before the next report. */
+  /**
+   * A request was sent to an endpoint: the instances whose subset contains that endpoint get a report before the next
+   * regular one.
+   */
   noteSent(): void {
     if (this.urgentTimer !== undefined || this.interval <= SHORTEST_INTERVAL_MILLISECONDS) return
     this.urgentTimer = this.parts.clock.after(SHORTEST_INTERVAL_MILLISECONDS, () => {
@@ -141,7 +144,10 @@
     })
   }
 
-  /** Other instances can know this one from now on; those that heard it before could not use its reports. */
+  /**
+   * Other instances can know this one from now on. All peers get a full report again, since those that heard it
+   * earlier could not know it.
+   */
   announce(): void {
     this.reportedPeers = new Set()
     this.noteNewInstance()
--- a/packages/daemon/src/gateway/stalenessMonitor.ts
+++ b/packages/daemon/src/gateway/stalenessMonitor.ts
@@ -146,7 +146,7 @@
 
   /** Queries overlap, so that one query that waits behind a full link does not hold up the next. */
   private queryPeers(name: string, { mirror, boundMilliseconds }: MonitoredTable): void {
-    for (let asked = 0; asked < PEERS_PER_CHECK; asked += 1) {
+    for (let query = 0; query < PEERS_PER_CHECK; query += 1) {
       const pending = this.pendingQueries.get(name) ?? 0
       if (pending >= MAXIMUM_PENDING_QUERIES) return
       this.pendingQueries.set(name, pending + 1)
