--- a/packages/daemon/src/gateway/createActiveFleet.ts
+++ b/packages/daemon/src/gateway/createActiveFleet.ts
@@ -1,4 +1,4 @@
-/** Where the view of the fleet is read from. Owns nothing. */
+/** Wires the fleet view to its sources. Owns nothing. */
 
 import type { MemberDirectory, MemberRow } from '@rackwalk/coordination'
 import type { PeerOverload } from '@rackwalk/decisions'
@@ -8,39 +8,42 @@
 import type { EndpointSubsystem } from './endpointSubsystem.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** The parts that know of the fleet. */
+/** The sources of the fleet view. */
 export interface ActiveFleetSources extends Pick<ActiveFleetParts, 'onChange'> {
   readonly settings: GatewaySettings
   readonly members: MemberDirectory
-  readonly known: () => EndpointSubsystem
+  readonly endpoints: () => EndpointSubsystem
   readonly isReady: () => boolean
   readonly clock: Clock
 }
 
-/** An instance that has heard nobody for this long is cut off from all others. */
+/** An instance that has heard no other instance for this long is cut off from all of them. */
 const CUT_OFF_MILLISECONDS: Milliseconds = 1_500
 
-/** The fleet as this instance sees it. */
+/** Creates the fleet view of this instance. */
 export function createActiveFleet(sources: ActiveFleetSources): ActiveFleet {
-  const { settings, members, known, isReady, clock, onChange } = sources
+  const { settings, members, endpoints, isReady, clock, onChange } = sources
   const { activeInDomain, headroom } = settings.membership
   return new ActiveFleet({
     isServing: () => isReady() && members.isInitialized,
     self: () => members.self,
     others: () => members.others,
     hasRecentHeartbeat: ({ instance, loadAddress }) =>
-      loadAddress === '' || known().fleetLoad.hasRecentHeartbeat(instance),
-    silenceMilliseconds: () => known().exchange?.silenceMilliseconds ?? 0,
-    hasEndpointLoad: ({ instance }) => known().fleetLoad.isUsing(instance),
-    hasOwnEndpointLoad: () => known().fleetLoad.isSelfUsing,
-    isCutOff: ({ instance }) => known().cutOff.hasAny(instance),
+      loadAddress === '' || endpoints().fleetLoad.hasRecentHeartbeat(instance),
+    silenceMilliseconds: () => endpoints().exchange?.silenceMilliseconds ?? 0,
+    hasEndpointLoad: ({ instance }) => endpoints().fleetLoad.isUsing(instance),
+    hasOwnEndpointLoad: () => endpoints().fleetLoad.isSelfUsing,
+    isCutOff: ({ instance }) => endpoints().cutOff.hasAny(instance),
     clock,
     bounds: { minimumInDomain: activeInDomain, headroom },
     onChange,
   })
 }
 
-/** Of the other active instances those that are heard, to which callers may go. */
+/**
+ * Of the other active instances that this one hears, and that callers can therefore use: how many there are, and how
+ * many are overloaded.
+ */
 export function heardInstances(
   { fleetLoad, overloaded }: EndpointSubsystem,
   activeOthers: readonly MemberRow[],
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance knows of endpoints, wired together: which are listed, what they said of themselves, which requests
- * end them, what the fleet has in progress there. Owns these parts and the datagrams that keep them alike on all
+ * What an instance knows of endpoints, wired together: the listed endpoints, their advice, the requests that crash
+ * them, and the load of the whole fleet at them. Owns these parts and the datagrams that keep them in step on all
  * instances; decides nothing.
  */
 
@@ -19,11 +19,11 @@
 import { OverloadedInstances } from './overloadGossip.js'
 import { StreamCoordinator } from './streamCoordinator.js'
 
-/** What the knowledge rests on. */
+/** What the subsystem needs. */
 export interface EndpointSubsystemParts {
   readonly instance: string
   readonly incarnation: string
-  /** IP:PORT for datagrams; undefined where this instance takes none. */
+  /** IP:PORT for datagrams; undefined when this instance takes none. */
   readonly loadAddress: string | undefined
   readonly clock: Clock
   readonly random: RandomSource
@@ -31,11 +31,11 @@
   readonly telemetry: GatewayTelemetry
   readonly members: MemberDirectory
   readonly fleet: () => ActiveFleet
-  /** Reads the members without waiting for their time. */
+  /** Reads the member rows at once instead of at their next interval. */
   readonly readMembers: () => void
-  /** Whether the list of endpoints is as new as it has to be. */
+  /** Whether the list of endpoints is as recent as it has to be. */
   readonly isListFresh: () => boolean
-  /** By the configuration in force; undefined where it has no such service. */
+  /** The service in the configuration in force; undefined when it has no such service. */
   readonly service: (name: string) => GatewayService | undefined
 }
 
@@ -46,13 +46,13 @@
   readonly advice: AdviceCoordinator
   readonly fleetLoad: FleetLoad
   readonly exchange: LoadExchange | undefined
-  /** Other instances that get more than they bear. */
+  /** Other instances that are overloaded. */
   readonly overloaded: OverloadedInstances
   /** Which endpoints this instance reaches. */
   readonly links: LinkMonitor<EndpointState>
   /** Instances that reach no endpoint of some service. */
   readonly cutOff: CutOffInstances
-  /** Where streams began. */
+  /** The origins (endpoint software versions) of streams. */
   readonly streams: StreamCoordinator
 
   constructor(private readonly parts: EndpointSubsystemParts) {
@@ -70,7 +70,7 @@
     this.exchange = this.createExchange()
   }
 
-  /** What the way of a request asks and tells of endpoints. */
+  /** The endpoint-related parts of the gateway's request path. */
   get gatewayParts() {
     const { directory, fleetLoad, links, crashes, streams, advice } = this
     const { advices, permits, turnAways } = advice
@@ -98,11 +98,14 @@
     this.exchange?.stop()
   }
 
-  /** An instance is on record: this one can be known to others now, or another is told what holds. */
-  noteRecorded(isSelf: boolean): void {
+  /**
+   * An instance's row was written: either other instances can know this one from now on, or another instance is sent
+   * the current state.
+   */
+  noteRegistered(isSelf: boolean): void {
     this.parts.fleet().invalidate()
     if (isSelf) this.exchange?.announce()
-    else this.exchange?.noteNewcomer()
+    else this.exchange?.noteNewInstance()
   }
 
   private createDirectory(): EndpointDirectory {
@@ -176,7 +179,7 @@
       store,
       directory: () => this.directory,
       links: this.links,
-      broadcast: news => this.exchange?.gossipCrashes(news),
+      broadcast: gossip => this.exchange?.gossipCrashes(gossip),
       gossipPeerCount: () => this.exchange?.gossipPeerCount ?? 0,
       telemetry,
     })
@@ -189,7 +192,7 @@
       instance,
       recordedInstances: () => members.recordedInstances,
       boundsOf: name => service(name)?.warmUp,
-      tell: news => this.exchange?.gossipAdvice(news),
+      broadcast: gossip => this.exchange?.gossipAdvice(gossip),
       telemetry,
     })
   }
@@ -202,31 +205,31 @@
       directory: this.directory,
       clock,
       capacityOf: name => service(name)?.engine?.capacity,
-      // An instance that stands by tells of prompts alone: they make others wait for as long as they are
-      // read, while endpoints' own answers tell of its plain requests soon enough.
+      // A standby instance reports prompts alone: other requests wait while an endpoint reads a prompt, whereas the
+      // endpoints' own answers soon show the standby instance's plain requests.
       isTold: name => fleet().isSelfActive || service(name)?.engine !== undefined,
       users: () => fleet().usingOthers.length + 1,
       onSent: () => this.exchange?.noteSent(),
-      onAsked: id => this.advice.noteAsked(this.directory.startOf(id)),
+      onAsked: id => this.advice.notePeerRequests(this.directory.startOf(id)),
     })
   }
 
   private createExchange(): LoadExchange | undefined {
     const { loadAddress, instance, incarnation, clock, fleet, telemetry } = this.parts
     if (loadAddress === undefined) return undefined
-    const newcomers = this.createNewcomers()
+    const unknownSenders = this.createUnknownSenders()
     return new LoadExchange({
       address: loadAddress,
       reportPeers: () => loadPeersOf(fleet().usingOthers),
       heartbeatPeers: () => loadPeersOf(fleet().idleOthers),
       fleetLoad: this.fleetLoad,
       identity: { instance, incarnation },
-      onCrashGossip: news => this.crashes.observe(news),
-      onAdviceGossip: news => this.advice.observe(news),
+      onCrashGossip: gossip => this.crashes.observe(gossip),
+      onAdviceGossip: gossip => this.advice.observe(gossip),
       onOverloaded: instance => this.overloaded.note(instance),
-      onCutOff: (...told) => this.cutOff.note(...told),
-      onStreamGossip: news => this.streams.origins.observe(news),
-      onSender: sender => newcomers.note(sender),
+      onCutOff: (...report) => this.cutOff.note(...report),
+      onStreamGossip: gossip => this.streams.origins.observe(gossip),
+      onSender: sender => unknownSenders.note(sender),
       standingAdvice: () => this.advice.advices.newsSnapshot,
       standingCrashes: () => this.crashes.guard.newsSnapshot,
       standingVersions: () => this.streams.origins.versionsSnapshot,
@@ -235,11 +238,11 @@
     })
   }
 
-  private createNewcomers(): UnknownSenderMonitor {
+  private createUnknownSenders(): UnknownSenderMonitor {
     const { instance, members, readMembers, telemetry, clock } = this.parts
     return new UnknownSenderMonitor({
       instance,
-      knows: (...life) => members.hasIncarnation(...life),
+      hasIncarnation: (...sender) => members.hasIncarnation(...sender),
       readMembers,
       onUnknown: () => telemetry.noteUnknownSender(),
       clock,
--- a/packages/daemon/src/gateway/relayPeers.ts
+++ b/packages/daemon/src/gateway/relayPeers.ts
@@ -1,6 +1,6 @@
 /**
- * The other instances that take requests which this one can't send to any endpoint. Owns the connections to them; the rule
- * is in decisions/choosing/relayPeer.
+ * The other instances to which this one relays requests that it cannot send to any endpoint. Owns the connections to
+ * them; the rule is in decisions/choosing/relayPeer.
  */
 
 import { chooseRelayPeer } from '@rackwalk/decisions'
@@ -12,7 +12,7 @@
 import type { EndpointSubsystem } from './endpointSubsystem.js'
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** What the choice rests on. */
+/** What the choice needs. */
 export interface FleetRelayPeersParts {
   readonly failureDomain: string
   readonly fleet: ActiveFleet
@@ -21,20 +21,20 @@
   readonly isOverloaded: (instance: string) => boolean
 }
 
-/** Connections to one instance: its callers' requests are bounded by what it admits. */
-const MOST_CONNECTIONS = 256
+/** Connections to one instance; its own admission bounds the requests that it takes. */
+const MAXIMUM_CONNECTIONS = 256
 
-/** The instances of the fleet, as far as they take requests of this one's callers. */
+/** The instances of the fleet that take relayed requests. */
 export class FleetRelayPeers implements RelayPeers {
   /** By address. */
   private readonly agents = new Map<string, EndpointAgent>()
 
   constructor(private readonly parts: FleetRelayPeersParts) {}
 
-  choose(service: string, asked: ReadonlySet<string>): RelayPeer | undefined {
+  choose(service: string, tried: ReadonlySet<string>): RelayPeer | undefined {
     const { failureDomain, random, isCutOff, isOverloaded } = this.parts
     const candidates = this.candidates
-      .filter(({ instance }) => !asked.has(instance))
+      .filter(({ instance }) => !tried.has(instance))
       .map(member => ({
         ...member,
         isCutOff: isCutOff(member.instance, service),
@@ -50,7 +50,7 @@
     for (const agent of this.agents.values()) agent.destroy()
   }
 
-  /** Those that take callers, or else those that stand by. */
+  /** The active instances that take relays, otherwise the standby ones. */
   private get candidates(): readonly MemberRow[] {
     const { fleet } = this.parts
     const takesRelays = ({ instance, takesRelays, state }: MemberRow) =>
@@ -60,13 +60,13 @@
   }
 
   private agentOf(address: string): EndpointAgent {
-    const known = this.agents.get(address) ?? new EndpointAgent(MOST_CONNECTIONS)
-    this.agents.set(address, known)
-    return known
+    const agent = this.agents.get(address) ?? new EndpointAgent(MAXIMUM_CONNECTIONS)
+    this.agents.set(address, agent)
+    return agent
   }
 }
 
-/** The others of an instance with these settings. */
+/** Creates the relay peers of an instance with these settings. */
 export function createRelayPeers(
   { instance }: GatewaySettings,
   { cutOff, overloaded }: EndpointSubsystem,
@@ -77,7 +77,7 @@
     failureDomain: instance.failureDomain,
     fleet,
     random,
-    isCutOff: (...asked) => cutOff.has(...asked),
+    isCutOff: (...query) => cutOff.has(...query),
     isOverloaded: other => overloaded.has(other),
   })
 }
--- a/packages/daemon/src/gateway/runGateway.ts
+++ b/packages/daemon/src/gateway/runGateway.ts
@@ -1,4 +1,4 @@
-/** Starts a gateway instance and ties it to the signals of its process. */
+/** Starts a gateway instance and handles the signals of its process. */
 
 import { resolve } from 'node:path'
 import { pathToFileURL } from 'node:url'
@@ -7,7 +7,7 @@
 import type { PlatformModule } from './platformAdapter.js'
 import { SettingsWatcher } from './settingsWatcher.js'
 
-/** Starts a gateway instance and ties it to the signals of its process. */
+/** Starts a gateway instance and handles the signals of its process. */
 export async function runGateway(
   file: string,
   settings: GatewaySettings,
@@ -16,9 +16,9 @@
   const module = adapters[settings.adapter] ?? (await loadAdapter(settings.adapter))
   const daemon = new GatewayDaemon(settings, module.createPlatformAdapter())
   const watcher = new SettingsWatcher(file, settings, outcome => daemon.noteSettings(outcome))
-  const leave = () => void daemon.drain().then(() => process.exit(0))
-  process.once('SIGINT', leave)
-  process.once('SIGTERM', leave)
+  const drainAndExit = () => void daemon.drain().then(() => process.exit(0))
+  process.once('SIGINT', drainAndExit)
+  process.once('SIGTERM', drainAndExit)
   process.on('SIGHUP', () => void watcher.reload('signal'))
   process.on('unhandledRejection', error => daemon.noteFault(error))
   await daemon.start()
--- a/packages/daemon/src/gateway/streamCoordinator.ts
+++ b/packages/daemon/src/gateway/streamCoordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Joins what an instance remembers of streams with the others: tells those that keep a stream, asks them where one began that
- * its caller takes up here. Owns the memory and the questions.
+ * Connects this instance's records of stream origins with the other instances: replicates them to the instances that
+ * keep a stream's origin, and queries those for a stream that is resumed here. Owns the records and the queries.
  */
 
 import { DemandMeter } from '@rackwalk/coordination'
@@ -21,23 +21,23 @@
 import { StreamOriginClient } from './streamOriginClient.js'
 import { encodeStreamStarts, encodeVersionGossip } from './streamGossip.js'
 
-/** What the watch works with. */
+/** What the coordinator needs. */
 export interface StreamCoordinatorParts {
   readonly clock: Clock
   readonly identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>
   readonly directory: () => EndpointDirectory
   readonly fleet: () => ActiveFleet
   readonly exchange: () => LoadExchange | undefined
-  /** Whether the store told of endpoints a moment ago. */
+  /** Whether the store's list of endpoints was read a moment ago. */
   readonly isListFresh: () => boolean
   readonly telemetry: GatewayTelemetry
 }
 
-/** What one instance does so that streams go on at the software version that began them. */
+/** Keeps resumed streams at the software version that began them. */
 export class StreamCoordinator {
   readonly origins: StreamOrigins
   private readonly originClient: StreamOriginClient
-  /** Streams of which others are told. */
+  /** Rate of the streams that are replicated to other instances. */
   private readonly announcedStreams: DemandMeter
 
   constructor(private readonly parts: StreamCoordinatorParts) {
@@ -50,7 +50,7 @@
       clock: parts.clock,
       listedVersions: service => parts.directory().softwareVersions(service),
       isListFresh: parts.isListFresh,
-      replicateStreams: begun => this.tellKeepers(begun),
+      replicateStreams: started => this.replicate(started),
       broadcastVersions: versions =>
         parts.exchange()?.broadcast(encodeVersionGossip(versions, parts.identity)),
       ask: stream => this.originClient.ask(stream),
@@ -67,28 +67,28 @@
     else this.origins.noteListed(record)
   }
 
-  /** Others that are heard of. */
+  /** Other instances that are not silent. */
   private get others(): readonly MemberRow[] {
     const fleet = this.parts.fleet()
     const all = [...fleet.usingOthers, ...fleet.idleOthers]
     return all.filter(({ instance }) => !fleet.isSilent(instance))
   }
 
-  /** Streams for the same keeper share its datagrams. */
-  private tellKeepers(begun: readonly StartedStream[]): void {
+  /** Streams for the same replica share its datagrams. */
+  private replicate(started: readonly StartedStream[]): void {
     const { others } = this
-    this.announcedStreams.add(begun.length)
+    this.announcedStreams.add(started.length)
     const count = originReplicaCount(this.announcedStreams.perSecond)
-    const kept = new Map<MemberRow, StartedStream[]>()
-    for (const stream of begun) {
-      for (const keeper of rankOriginReplicas(stream.key, others).slice(0, count)) {
-        kept.set(keeper, [...(kept.get(keeper) ?? []), stream])
+    const byReplica = new Map<MemberRow, StartedStream[]>()
+    for (const stream of started) {
+      for (const replica of rankOriginReplicas(stream.key, others).slice(0, count)) {
+        byReplica.set(replica, [...(byReplica.get(replica) ?? []), stream])
       }
     }
-    for (const [keeper, streams] of kept) {
+    for (const [replica, streams] of byReplica) {
       this.parts
         .exchange()
-        ?.sendReports(loadPeersOf([keeper]), encodeStreamStarts(streams, this.parts.identity))
+        ?.sendReports(loadPeersOf([replica]), encodeStreamStarts(streams, this.parts.identity))
     }
   }
 }
--- a/packages/daemon/src/observe/metrics.ts
+++ b/packages/daemon/src/observe/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of an instance of the OpenAI-style kind. Owns their registry; names and labels are an
- * interface to operators and change only on purpose.
+ * The metrics of an instance of the OpenAI-style kind. Owns their registry. Names and labels are an interface to
+ * operators and must not change by accident.
  */
 
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client'
@@ -12,7 +12,7 @@
 const FIRST_BYTE_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.69, 1, 2, 5, 10, 30]
 const TOTAL_BUCKETS = [0.05, 0.2, 1, 5, 15, 60, 300, 600]
 
-/** Values that are read when somebody asks for the metrics. */
+/** Values that are read when the metrics are scraped. */
 export interface GaugeSources {
   readonly inFlight: () => number
   readonly queued: () => number
@@ -23,7 +23,7 @@
   readonly crashingRequests: () => number
 }
 
-/** The metrics of one instance, in a registry of its own. */
+/** The metrics of one instance, in their own registry. */
 export class Metrics implements Counters, RefusedBodyCounters {
   readonly registry = new Registry()
   private readonly coordination: Counter
@@ -31,14 +31,14 @@
   private readonly answers: Counter
   private readonly retries: Counter
   private readonly continuations: Counter
-  private readonly endpointEnds: Counter
-  private readonly handOvers: Counter
+  private readonly endpointCrashes: Counter
+  private readonly relays: Counter
   private readonly tokens: Counter
   private readonly billed: Counter
   private readonly refusedBodies: Counter
-  private readonly bytesInVain: Counter
-  private readonly takenConnections: Counter
-  private readonly untakenConnections: Counter
+  private readonly discardedBytes: Counter
+  private readonly acceptedConnections: Counter
+  private readonly unacceptedConnections: Counter
   private readonly firstByte: Histogram
   private readonly total: Histogram
 
@@ -73,13 +73,13 @@
       help: 'Streamed answers that were cut and with which another engine went on.',
       registers,
     })
-    this.handOvers = new Counter({
+    this.relays = new Counter({
       name: 'rackwalk_handed_over_total',
       help: 'Chats handed to other instances since no engine was reached from here, by outcome.',
       labelNames: ['outcome'],
       registers,
     })
-    this.endpointEnds = new Counter({
+    this.endpointCrashes = new Counter({
       name: 'rackwalk_endpoint_ends_total',
       help: 'Endpoints that were seen to end unannounced with unanswered requests from here.',
       registers,
@@ -100,17 +100,17 @@
       labelNames: ['outcome'],
       registers,
     })
-    this.bytesInVain = new Counter({
+    this.discardedBytes = new Counter({
       name: 'rackwalk_refused_body_bytes_total',
       help: 'Bytes of refused bodies that came over the link.',
       registers,
     })
-    this.takenConnections = new Counter({
+    this.acceptedConnections = new Counter({
       name: 'rackwalk_taken_connections_total',
       help: 'Connections that waited before the listener for callers as it closed, and were taken and served.',
       registers,
     })
-    this.untakenConnections = new Counter({
+    this.unacceptedConnections = new Counter({
       name: 'rackwalk_untaken_connections_total',
       help: "Times that connections which waited as the listener for callers closed may have been reset, by cause: the system's word of an error, library, many or descriptor.",
       labelNames: ['cause'],
@@ -134,12 +134,12 @@
     this.coordination.inc({ event: name }, amount)
   }
 
-  noteHandOver(outcome: string): void {
-    this.handOvers.inc({ outcome })
+  noteRelay(outcome: string): void {
+    this.relays.inc({ outcome })
   }
 
-  noteEndpointEnd(): void {
-    this.endpointEnds.inc()
+  noteEndpointCrash(): void {
+    this.endpointCrashes.inc()
   }
 
   noteRefusedBody(outcome: RefusedBodyOutcome): void {
@@ -147,15 +147,15 @@
   }
 
   noteDiscardedBytes(bytes: Bytes): void {
-    this.bytesInVain.inc(bytes)
+    this.discardedBytes.inc(bytes)
   }
 
   noteAcceptedConnections(count: number): void {
-    this.takenConnections.inc(count)
+    this.acceptedConnections.inc(count)
   }
 
   noteUnacceptedConnections(cause: string): void {
-    this.untakenConnections.inc({ cause })
+    this.unacceptedConnections.inc({ cause })
   }
 
   noteRetry(): void {
@@ -184,7 +184,7 @@
     this.total.observe((record.totalMilliseconds ?? 0) / 1000)
   }
 
-  /** Adds the gauges, whose values other tasks own. */
+  /** Adds the gauges, whose values other parts own. */
   observe(sources: GaugeSources): void {
     this.gauge('rackwalk_requests_in_flight', 'Requests in progress.', sources.inFlight)
     this.gauge('rackwalk_requests_queued', 'Requests waiting for an endpoint.', sources.queued)
--- a/packages/daemon/src/requestPath.ts
+++ b/packages/daemon/src/requestPath.ts
@@ -1,4 +1,4 @@
-/** Puts the filters of the OpenAI-style kind together. Owns nothing. */
+/** Assembles the filters of the OpenAI-style kind. Owns nothing. */
 
 import type { Clock, RandomSource } from '@rackwalk/shared'
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -39,7 +39,7 @@
 import type { Metrics } from './observe/metrics.js'
 import type { Settings } from './settings/schema.js'
 
-/** Parts from which the request path is put together. */
+/** What the request path is assembled from. */
 export interface RequestPathParts {
   readonly node: CoordinationNode
   readonly catalogue: Catalogue
@@ -52,19 +52,19 @@
   readonly logger: Logger
   readonly metrics: Metrics
   readonly limits: Settings['limits']
-  readonly reach: EndpointReachabilityTask
-  readonly handOver: ChatRelay
+  readonly reachability: EndpointReachabilityTask
+  readonly chatRelay: ChatRelay
   readonly onRecord: (record: DecisionRecord) => void
   readonly onFault: (error: unknown) => void
 }
 
-/** The request path and the one filter that others have to wake. */
+/** The request path, and the admission filter, which other parts have to wake. */
 export interface RequestPath {
   readonly pipeline: RequestPipeline
   readonly admit: AdmitFilter
 }
 
-/** Puts the filters together in their order. */
+/** Assembles the filters in their order. */
 export function createRequestPath(parts: RequestPathParts): RequestPath {
   const { node, catalogue, endpoints, client, clock, random, limits, metrics } = parts
   const { ledger, claims, keys } = node
@@ -78,7 +78,7 @@
     crashes: parts.crashes,
     onDecision: (request, decision) => logDecision(parts.logger, request, decision),
   })
-  const isCutOff = (target: string) => parts.reach.links.isCutOff(target)
+  const isCutOff = (target: string) => parts.reachability.links.isCutOff(target)
   const checkServing = () => requireServing(node)
   const admit = new AdmitFilter({ catalogue, endpoints, clock, random, instances, checkServing })
   const dispatch = new DispatchFilter({
@@ -93,7 +93,7 @@
     random,
     firstByteMilliseconds: limits.firstByteMilliseconds,
     onRetry: () => metrics.noteRetry(),
-    onConnectFailed: (...failed) => parts.reach.noteUnconnected(...failed),
+    onConnectFailed: (...failed) => parts.reachability.noteConnectFailed(...failed),
     isCutOff,
   })
   const continuation = new AnswerContinuation({
@@ -138,7 +138,7 @@
     incarnation,
     clock,
     createRequestId: () => createRequestId(incarnation, clock.wallTime(), (count += 1)),
-    handOver: parts.handOver,
+    handOver: parts.chatRelay,
     isCutOff,
     onRecord: parts.onRecord,
     onFault: parts.onFault,
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -1,6 +1,7 @@
 /**
- * Joins what an instance of the OpenAI-style kind finds out of requests that end endpoints with those who must know: the
- * peers at once, the table, the log. Owns the guard and the time between two looks at the table.
+ * Connects what an instance of the OpenAI-style kind finds out about requests that crash endpoints with its
+ * consumers: the peers at once, the table, and the log. Owns the guard and the interval between two reads of the
+ * table.
  */
 
 import { CrashTableSync } from '@rackwalk/coordination'
@@ -30,25 +31,25 @@
 import type { BroadcastParts } from './broadcastToPeers.js'
 import type { EndpointReachabilityTask } from './endpointReachabilityTask.js'
 
-/** What the task works with. */
+/** What the task needs. */
 export interface CrashTaskParts extends BroadcastParts {
   readonly table: TableService
-  readonly reach: EndpointReachabilityTask
+  readonly reachability: EndpointReachabilityTask
   readonly clock: Clock
   readonly random: RandomSource
   readonly logger: Logger
   readonly metrics: Metrics
-  /** An endpoint has ended, as this instance saw or was told. */
+  /** An endpoint crashed, as detected here or reported by a peer. */
   readonly onUnreachable: (endpoint: EndpointId) => void
-  /** The same, with how it is known. */
-  readonly onKnownEnd: (endpoint: EndpointId, end: KnownTermination) => void
+  /** The same, with the evidence of the termination. */
+  readonly onKnownTermination: (endpoint: EndpointId, end: KnownTermination) => void
   readonly onFault: (error: unknown) => void
 }
 
-/** Time between two looks at the table, for an instance that no peer could tell: a look is one query. */
-const LOOK_MILLISECONDS: Milliseconds = 30_000
+/** Time between two reads of the table, for an instance that peers could not reach; a read is one query. */
+const SYNC_INTERVAL_MILLISECONDS: Milliseconds = 30_000
 
-/** What an instance of the OpenAI-style kind does about requests that end endpoints. */
+/** Detects, records and shares requests that crash endpoints, in an instance of the OpenAI-style kind. */
 export class CrashTask implements Task {
   readonly guard: CrashGuard
   private readonly records: CrashTableSync
@@ -61,20 +62,20 @@
     const { clock, table, random, logger, metrics } = parts
     this.guard = new CrashGuard({
       clock,
-      probe: endpoint => probeWithLinkCheck(endpoint, parts.reach.links),
+      probe: endpoint => probeWithLinkCheck(endpoint, parts.reachability.links),
       onCrash: ({ endpoint, signs, unanswered }) => {
-        metrics.noteEndpointEnd()
+        metrics.noteEndpointCrash()
         const requests = unanswered.map(({ fingerprint }) => fingerprint)
         logger.warn('endpoint_ended', { endpoint: endpoint.id, signs, unanswered: requests })
       },
       onUnreachable: start => parts.onUnreachable(endpointOf(start)),
-      onKnownEnd: (start, end) => parts.onKnownEnd(endpointOf(start), end),
-      broadcast: news => this.share(news),
+      onKnownEnd: (start, end) => parts.onKnownTermination(endpointOf(start), end),
+      broadcast: gossip => this.recordAndBroadcast(gossip),
       onVerdict: (fingerprint, isRefused) => {
         const event = isRefused ? 'crashing_request_refused' : 'crashing_request_cleared'
         logger.warn(event, { fingerprint })
       },
-      onPromptPartVerdict: (part, isRefused) => this.notePart(part, isRefused),
+      onPromptPartVerdict: (part, isRefused) => this.notePartVerdict(part, isRefused),
     })
     this.records = new CrashTableSync({
       table,
@@ -99,13 +100,13 @@
     this.guard.stop()
   }
 
-  /** An operator clears a request, or it was answered. */
-  clear(news: CrashGossip['cleared']): void {
-    for (const { fingerprint } of news) this.records.remove(fingerprint)
+  /** Removes the records of requests that an operator cleared or that were answered. */
+  clear(requests: CrashGossip['cleared']): void {
+    for (const { fingerprint } of requests) this.records.remove(fingerprint)
     void this.runRound()
   }
 
-  private notePart(part: PromptPartKey, isRefused: boolean): void {
+  private notePartVerdict(part: PromptPartKey, isRefused: boolean): void {
     const event = isRefused ? 'deadly_prompt_part' : 'sound_prompt_part'
     this.parts.logger.warn(event, { part })
     if (isRefused) this.records.record(marksOfPart(this.guard, part))
@@ -113,19 +114,19 @@
     void this.runRound()
   }
 
-  private share(news: CrashGossip): void {
-    this.records.record(news.marks)
-    this.clear(news.cleared)
-    this.tell(news)
+  private recordAndBroadcast(gossip: CrashGossip): void {
+    this.records.record(gossip.marks)
+    this.clear(gossip.cleared)
+    this.broadcast(gossip)
   }
 
-  /** A peer that does not hear it reads the table. */
-  private tell(news: CrashGossip): void {
+  /** A peer that misses the broadcast reads the table. */
+  private broadcast(gossip: CrashGossip): void {
     const onFailed = () => this.parts.metrics.increment('crash_news_failed')
-    broadcastToPeers(this.parts, 'crashNews', news, onFailed)
+    broadcastToPeers(this.parts, 'crashNews', gossip, onFailed)
   }
 
-  /** One round at a time; what comes up meanwhile makes another one. */
+  /** Runs one round at a time; a call during a round requests another one. */
   private async runRound(): Promise<void> {
     this.isRoundRequested = this.isRoundRunning
     if (this.isRoundRunning || this.stopped) return
@@ -134,12 +135,12 @@
     try {
       await this.records.synchronize()
     } catch (error) {
-      // A table that does not answer is tried again; anything else is a fault.
+      // A table that does not answer is retried in the next round; any other error is a fault.
       if (!(error instanceof RackwalkError)) this.parts.onFault(error)
     }
     this.isRoundRunning = false
     if (this.stopped) return
     if (this.isRoundRequested) return void this.runRound()
-    this.timer = this.parts.clock.after(LOOK_MILLISECONDS, () => void this.runRound())
+    this.timer = this.parts.clock.after(SYNC_INTERVAL_MILLISECONDS, () => void this.runRound())
   }
 }
--- a/packages/daemon/src/tasks/endpointMonitor.ts
+++ b/packages/daemon/src/tasks/endpointMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * Asks engines of the OpenAI-style kind for load and cache events and hears from the list who leaves. Owns
- * the rounds; what is learned goes to the endpoint table.
+ * Polls engines of the OpenAI-style kind for load and cache events, and learns from the platform's list and from
+ * peers which endpoints are leaving. Owns the polling rounds; the results go to the endpoint table.
  */
 
 import type { Clock, EndpointId, Milliseconds, ModelId, Task, Timer } from '@rackwalk/shared'
@@ -17,30 +17,30 @@
   EndpointTable,
 } from '@rackwalk/router'
 
-/** Parts that the monitor works with. */
+/** What the monitor needs. */
 export interface EndpointMonitorParts {
   readonly catalogue: Catalogue
   readonly endpoints: EndpointTable
   readonly client: EndpointClient
   readonly admit: AdmitFilter
-  readonly reach: EndpointReachabilityTask
+  readonly reachability: EndpointReachabilityTask
   readonly clock: Clock
   readonly periodMilliseconds: Milliseconds
   readonly onFault: (error: unknown) => void
 }
 
 const REPORT_TIMEOUT_MILLISECONDS = 1_000
-/** Rounds of load reports to one of cache events. */
+/** Load report rounds per round of cache events. */
 const CACHE_EVENT_ROUNDS = 2
 
-/** Asks endpoints for their load and cache events, and hears who is leaving. */
+/** Polls endpoints for their load and cache events, and learns which ones are leaving. */
 export class EndpointMonitor implements Task {
   private timer: Timer | undefined
   private stopped = false
-  private rounds = 0
+  private roundCount = 0
   private readonly loaded = new Map<EndpointId, ReadonlyMap<ModelId, string>>()
   private readonly eventPositions = new Map<EndpointId, number>()
-  private readonly asking = new Set<EndpointId>()
+  private readonly pendingPolls = new Set<EndpointId>()
 
   constructor(private readonly parts: EndpointMonitorParts) {}
 
@@ -57,12 +57,12 @@
     this.timer?.cancel()
   }
 
-  /** Models in an endpoint's memory by its last report. */
+  /** Returns the models in an endpoint's memory by its last report. */
   loadedModels(endpointId: EndpointId): ReadonlyMap<ModelId, string> | undefined {
     return this.loaded.get(endpointId)
   }
 
-  /** The platform's list names endpoints too; one that it calls leaving gets nothing new. */
+  /** The platform's list names endpoints too; an endpoint that it marks as leaving gets no new requests. */
   noteListed(listed: readonly ListedInstance[]): void {
     for (const { instanceId, state } of listed) {
       const endpointId = asId<EndpointId>(instanceId)
@@ -71,19 +71,19 @@
     }
   }
 
-  /** Peers pass on what they saw, so that one refusal suffices for all instances. */
+  /** Peers report the endpoints that they know to be leaving, so that one refusal suffices for all instances. */
   notePeers(members: readonly MemberInfo[]): void {
     for (const endpoint of members.flatMap(member => member.leavingEndpoints)) {
       this.parts.endpoints.noteLeaving(asId<EndpointId>(endpoint), 'peer')
     }
   }
 
-  /** Asks every endpoint once. */
+  /** Polls every endpoint once. */
   async round(): Promise<void> {
-    this.rounds += 1
+    this.roundCount += 1
     this.parts.endpoints.prune()
     const models = this.parts.catalogue.endpoints.filter(({ spec }) => spec.kind === 'model')
-    await Promise.all(models.map(endpoint => this.ask(endpoint)))
+    await Promise.all(models.map(endpoint => this.poll(endpoint)))
     this.parts.admit.admitAllWaiting()
   }
 
@@ -94,25 +94,25 @@
     })
   }
 
-  /** One question at a time to each, so that a slow endpoint does not hold up the others. */
-  private async ask(endpoint: ConfiguredEndpoint): Promise<void> {
+  /** Sends one query at a time to each endpoint, so that a slow one does not hold up the others. */
+  private async poll(endpoint: ConfiguredEndpoint): Promise<void> {
     const { endpointId } = endpoint
-    if (this.asking.has(endpointId)) return
-    this.asking.add(endpointId)
+    if (this.pendingPolls.has(endpointId)) return
+    this.pendingPolls.add(endpointId)
     try {
-      await this.askLoad(endpoint)
-      // Cache events may come later than loads: they only sharpen what routing assumes.
-      if (this.rounds % CACHE_EVENT_ROUNDS === 0) await this.askCacheEvents(endpoint)
+      await this.pollLoad(endpoint)
+      // Cache events may arrive later than loads: they only refine the assumptions of routing.
+      if (this.roundCount % CACHE_EVENT_ROUNDS === 0) await this.pollCacheEvents(endpoint)
     } catch {
       // An endpoint that does not report is judged by its requests alone.
       this.parts.endpoints.noteReportFailed(endpointId)
-      this.parts.reach.noteSilent(endpointId)
+      this.parts.reachability.noteReportFailed(endpointId)
     } finally {
-      this.asking.delete(endpointId)
+      this.pendingPolls.delete(endpointId)
     }
   }
 
-  private async askLoad({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
+  private async pollLoad({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
     const { client, clock, endpoints } = this.parts
     const askedAt = clock.monotonic()
     const document = await client.fetchJson(spec.address, '/load', REPORT_TIMEOUT_MILLISECONDS)
@@ -125,7 +125,7 @@
     this.loaded.set(endpointId, new Map(loaded))
   }
 
-  private async askCacheEvents({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
+  private async pollCacheEvents({ endpointId, spec }: ConfiguredEndpoint): Promise<void> {
     const after = this.eventPositions.get(endpointId) ?? 0
     const path = `/cache-events?after=${after}`
     const document = await this.parts.client.fetchJson(
