--- a/packages/router/__tests__/endpointCrashDetector.spec.ts
+++ b/packages/router/__tests__/endpointCrashDetector.spec.ts
@@ -50,7 +50,7 @@
   const starts = new SuspectEndpoints()
   const ends = new EndpointCrashDetector({
     clock,
-    broken: starts,
+    suspects: starts,
     probe: async () => {
       probes += 1
       if (onLooked !== undefined) {
--- a/packages/router/src/crashes/crashGuard.ts
+++ b/packages/router/src/crashes/crashGuard.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps requests from endpoint after endpoint that they end. Owns what this instance believes of them; the rule is in
- * decisions/retrying/crashSuspicion, the search for ends in endpointEnds. Others are told by whoever made the guard.
+ * Quarantines requests that crash one endpoint after another. Owns what this instance knows of them. The rule
+ * is in decisions/retrying/requestQuarantine, crash detection in endpointCrashDetector. The owner of the
+ * guard sends its gossip to the other instances.
  */
 
 import {
@@ -34,37 +35,43 @@
   CrashTimes,
 } from './endpointCrashDetector.js'
 
-/** Ends told by others that are remembered. */
-const REMEMBERED_NEWS = 1_024
+/** Starts for which the time of the first peer report is remembered, at most. */
+const MAXIMUM_REPORTED_STARTS = 1_024
 
-/** What the guard works with. */
+/** Dependencies and callbacks of a guard. */
 export interface CrashGuardParts {
   readonly clock: Clock
   readonly probe: (endpoint: SuspectEndpoint) => Promise<ProbeResult>
-  /** An endpoint ended under requests from here. */
-  readonly onCrash: (end: EndpointCrash) => void
-  /** A start of an endpoint has ended, as this instance saw or was told. */
+  /** An endpoint crashed while requests of this instance were in flight to it. */
+  readonly onCrash: (crash: EndpointCrash) => void
+  /** A start of an endpoint has terminated, as detected here or reported by a peer. */
   readonly onUnreachable: (start: EndpointStart) => void
-  /** The same, with how it is known: what waits there may go on elsewhere. Not told of ends that are only on record. */
-  readonly onKnownEnd?: (start: EndpointStart, end: KnownTermination) => void
-  /** For all other instances. */
-  readonly broadcast: (news: CrashGossip) => void
-  /** A request is refused from now on, or is no longer. */
+  /**
+   * Like `onUnreachable`, with the evidence, so that requests waiting there can move to other endpoints. Not
+   * called for terminations that are known from stored records only.
+   */
+  readonly onKnownEnd?: (start: EndpointStart, termination: KnownTermination) => void
+  /** Sends gossip to all other instances. */
+  readonly broadcast: (gossip: CrashGossip) => void
+  /** A request is refused from now on, or no longer refused. */
   readonly onVerdict: (fingerprint: RequestFingerprint, isRefused: boolean) => void
-  /** The same of a part of prompts, whichever request holds it. */
+  /** A part of prompts is refused from now on, or no longer refused, whichever request contains it. */
   readonly onPromptPartVerdict?: (part: PromptPartKey, isRefused: boolean) => void
 }
 
-/** What one instance knows of requests that end endpoints. */
+/** Crash evidence of one instance, and the verdicts on requests that follow from it. */
 export class CrashGuard {
-  private readonly suspicions = new RequestQuarantine()
-  /** What is not known yet: breaks at which it is looked, here or at another instance. */
-  private readonly unjudged = new UnconfirmedCrashes()
+  private readonly quarantine = new RequestQuarantine()
+  /** Resets that are not confirmed as crashes yet: the endpoint is still being probed, here or by a peer. */
+  private readonly unconfirmed = new UnconfirmedCrashes()
   private readonly suspectStarts = new SuspectEndpoints()
   private readonly detector: EndpointCrashDetector
-  /** Parts of prompts that end endpoints, whatever else the request holds. */
+  /** Quarantine of prompt parts that crash endpoints in any request that contains them. */
   readonly promptParts: PromptPartGuard
-  /** When others told first of an end behind something that listens. */
+  /**
+   * Monotonic time of the first peer report that an engine terminated while its address still accepts
+   * connections.
+   */
   private readonly firstReportedAt = new Map<EndpointStart, Milliseconds>()
 
   constructor(private readonly parts: CrashGuardParts) {
@@ -72,13 +79,13 @@
     this.promptParts = new PromptPartGuard({ clock, broadcast, onPromptPartVerdict })
     this.detector = new EndpointCrashDetector({
       ...parts,
-      broken: this.suspectStarts,
-      onCrash: end => this.noteEnd(end),
-      onUnresponsive: (start, seen) => this.noteAway(start, seen),
+      suspects: this.suspectStarts,
+      onCrash: crash => this.noteCrash(crash),
+      onUnresponsive: (start, seen) => this.noteUnresponsive(start, seen),
       onProbing: (start, requests) =>
-        this.noteLook(requests.map(request => markOf(start, request))),
-      onProbed: (start, hasEnded) => this.noteLooked(start, hasEnded),
-      onAlive: start => this.noteLives(start),
+        this.noteProbing(requests.map(request => crashMarkOf(start, request))),
+      onProbed: (start, hasEnded) => this.noteProbed(start, hasEnded),
+      onAlive: start => this.noteAlive(start),
     })
   }
 
@@ -86,107 +93,126 @@
     this.detector.stop()
   }
 
-  /** Whether a request may be suspected, by what is known of it without its body. */
+  /**
+   * Whether any request of this scope is suspected. Needs no body, so that only bodies of suspected scopes
+   * are hashed.
+   */
   hasSuspectsInScope(scope: string): boolean {
     const now = this.parts.clock.monotonic()
-    return this.suspicions.hasSuspectsInScope(scope) || this.unjudged.hasSuspectsInScope(scope, now)
+    return (
+      this.quarantine.hasSuspectsInScope(scope) || this.unconfirmed.hasSuspectsInScope(scope, now)
+    )
   }
 
-  /** Requests that are refused by a mark; what is refused for a moment until its mark comes is on no record. */
+  /**
+   * Number of requests refused because of crash marks. Requests that are refused only until a probe ends have
+   * no record and are not counted.
+   */
   get refusedCount(): number {
-    return this.suspicions.refusedCount
+    return this.quarantine.refusedCount
   }
 
-  /** What is held against a request. */
+  /** Crash marks against a request that no answer has cleared. */
   marksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
-    return this.suspicions.openMarksOf(fingerprint)
+    return this.quarantine.openMarksOf(fingerprint)
   }
 
-  /** Requests that are not sent as any other. */
+  /** Fingerprints of requests that are isolated or refused. */
   get suspects(): readonly RequestFingerprint[] {
-    return this.suspicions.fingerprints.filter(suspect => this.verdict(suspect) !== 'send')
+    return this.quarantine.fingerprints.filter(suspect => this.verdict(suspect) !== 'send')
   }
 
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
-    const known = this.suspicions.verdict(fingerprint)
-    const unjudged = this.unjudged.verdict(fingerprint, this.parts.clock.monotonic())
-    const verdicts = [known, unjudged]
+    const known = this.quarantine.verdict(fingerprint)
+    const unconfirmed = this.unconfirmed.verdict(fingerprint, this.parts.clock.monotonic())
+    const verdicts = [known, unconfirmed]
     if (verdicts.includes('refuse')) return 'refuse'
     return verdicts.includes('isolate') ? 'isolate' : 'send'
   }
 
-  /** Whether a start broke something off, and may have ended: what is not suspected goes elsewhere while it can. */
+  /**
+   * Whether a start reset a connection and may have terminated. Unsuspected requests go to other endpoints
+   * while there are any.
+   */
   isSuspect(start: EndpointStart): boolean {
     return this.suspectStarts.isSuspect(start, this.parts.clock.monotonic())
   }
 
-  /** The same of an endpoint whose platform does not tell its starts. */
+  /** Like `isSuspect`, for an endpoint whose platform does not report its starts. */
   isEndpointSuspect(endpoint: EndpointId): boolean {
     return this.suspectStarts.isEndpointSuspect(endpoint, this.parts.clock.monotonic())
   }
 
-  /** The start that a break belongs to of an endpoint whose platform does not tell its starts; undefined where it is new. */
+  /**
+   * The start to which a reset is attributed, for an endpoint whose platform does not report its starts.
+   * Undefined where the reset begins a new suspicion.
+   */
   startOf(endpoint: EndpointId, heard: LastContactTimes): EndpointStart | undefined {
     const now = this.parts.clock.monotonic()
     return this.suspectStarts.suspectStartOf(endpoint, { now, lived: lastAliveAt(heard) })
   }
 
-  /** What holds of breaks and ends by looks from here, for an instance that was not there when it was told. */
+  /**
+   * Open suspicions and terminations detected here, for an instance that joined after they were announced.
+   */
   get newsSnapshot(): CrashGossip {
     const { openSuspicions } = this.detector
     const suspected = openSuspicions
       .filter(({ isUnresponsive }) => !isUnresponsive)
-      .flatMap(({ start, requests }) => requests.map(request => markOf(start, request)))
+      .flatMap(({ start, requests }) => requests.map(request => crashMarkOf(start, request)))
     const away = openSuspicions
       .filter(({ isUnresponsive }) => isUnresponsive)
       .map(({ start }) => start)
     return { marks: [], cleared: [], suspected, away, ...this.promptParts.newsSnapshot }
   }
 
-  /** An endpoint broke a request off before any part of an answer; resolves with whether it is known to have ended. */
+  /**
+   * An endpoint reset a request before any part of an answer. Resolves with whether the endpoint is known to
+   * have terminated.
+   */
   noteReset(endpoint: SuspectEndpoint, request: ResetRequest): Promise<boolean> {
     return this.detector.noteReset(endpoint, request)
   }
 
-  /** A suspected request is sent to this start of its endpoint. */
+  /** A suspected request is sent to this start. */
   noteSuspectSent(start: EndpointStart): void {
     this.detector.noteSuspectSent(start)
   }
 
-  /** An endpoint cut what it had begun to answer; resolves with whether it is known to have ended. */
+  /** An endpoint interrupted an answer. Resolves with whether the endpoint is known to have terminated. */
   noteInterrupted(endpoint: SuspectEndpoint): Promise<boolean> {
     return this.detector.noteInterrupted(endpoint)
   }
 
-  /** A start of an endpoint is over, by its row. */
+  /** The endpoint's row shows that this start was replaced. */
   noteReplaced(start: EndpointStart): void {
     this.detector.noteReplaced(start)
   }
 
-  /** An endpoint answered a part of a request, so that is not what ended others. */
+  /** An endpoint began to answer the request, so the request did not cause the earlier crashes. */
   noteAnswered(fingerprint: RequestFingerprint): void {
     this.clear(fingerprint)
   }
 
-  /** Nothing is held against a request any more, here and at all other instances. */
+  /** Clears all crash marks of a request, here and at all other instances. */
   clear(fingerprint: RequestFingerprint): void {
     const starts = this.openStarts(fingerprint)
     if (starts.length === 0) return
-    const news: CrashGossip = { marks: [], cleared: [{ fingerprint, starts }] }
-    this.applyAndBroadcast(news)
+    const gossip: CrashGossip = { marks: [], cleared: [{ fingerprint, starts }] }
+    this.applyAndBroadcast(gossip)
   }
 
-  /** Takes in what others found out. */
-  applyNews(news: CrashGossip): void {
-    this.applyLocally(news)
-    this.promptParts.applyNews(news)
-    for (const start of news.away ?? []) {
+  /** Applies gossip from other instances. */
+  applyNews(gossip: CrashGossip): void {
+    this.applyLocally(gossip)
+    this.promptParts.applyNews(gossip)
+    for (const start of gossip.away ?? []) {
       this.detector.notePeerReport(start)
-      this.noteTold(start)
+      this.notePeerReport(start)
     }
   }
 
-  /** Nothing is held against a request any more: an operator, or another instance, removed its record. */
+  /** Clears the crash marks of a request here, after an operator or another instance removed its record. */
   forget(fingerprint: RequestFingerprint): void {
     this.applyLocally({
       marks: [],
@@ -198,89 +224,90 @@
     return this.marksOf(fingerprint).map(({ start }) => start)
   }
 
-  private noteLook(suspected: readonly CrashMark[]): void {
+  private noteProbing(suspected: readonly CrashMark[]): void {
     this.applyAndBroadcast({ marks: [], cleared: [], suspected })
   }
 
-  /** What others told of this start is judged by the look at it as well. */
-  private noteLooked(start: EndpointStart, hasEnded: boolean): void {
-    if (hasEnded) this.unjudged.noteTerminated(start, this.parts.clock.monotonic())
-    else this.unjudged.forget(start)
+  /** The result of the probe also settles what peers reported of this start. */
+  private noteProbed(start: EndpointStart, hasEnded: boolean): void {
+    if (hasEnded) this.unconfirmed.noteTerminated(start, this.parts.clock.monotonic())
+    else this.unconfirmed.forget(start)
   }
 
-  private noteLives(start: EndpointStart): void {
+  private noteAlive(start: EndpointStart): void {
     this.applyAndBroadcast({ marks: [], cleared: [], lives: [start] })
   }
 
-  private noteAway(start: EndpointStart, seen: CrashTimes): void {
+  private noteUnresponsive(start: EndpointStart, seen: CrashTimes): void {
     this.applyAndBroadcast({ marks: [], cleared: [], away: [start] })
     this.parts.onKnownEnd?.(start, { source: 'look', ...seen })
   }
 
-  private noteEnd(end: EndpointCrash): void {
-    this.parts.onCrash(end)
-    const { start } = end.endpoint
-    const marks = end.unanswered.map(request => markOf(start, request))
+  private noteCrash(crash: EndpointCrash): void {
+    this.parts.onCrash(crash)
+    const { start } = crash.endpoint
+    const marks = crash.unanswered.map(request => crashMarkOf(start, request))
     this.applyAndBroadcast({ marks, cleared: [] })
-    this.promptParts.noteEnd(start, end.unanswered)
-    this.parts.onKnownEnd?.(start, { source: 'look', ...end.seen })
+    this.promptParts.noteCrash(start, crash.unanswered)
+    this.parts.onKnownEnd?.(start, { source: 'look', ...crash.seen })
   }
 
-  private noteTold(start: EndpointStart): void {
+  private notePeerReport(start: EndpointStart): void {
     const toldAt = this.parts.clock.monotonic()
     const firstToldAt = this.firstReportedAt.get(start) ?? toldAt
-    if (this.firstReportedAt.size >= REMEMBERED_NEWS) this.firstReportedAt.clear()
+    if (this.firstReportedAt.size >= MAXIMUM_REPORTED_STARTS) this.firstReportedAt.clear()
     this.firstReportedAt.set(start, firstToldAt)
     this.parts.onKnownEnd?.(start, { source: 'news', firstToldAt, toldAt })
   }
 
-  /** What this instance found out holds here and is told to all others. */
-  private applyAndBroadcast(news: CrashGossip): void {
-    this.applyLocally(news)
-    this.parts.broadcast(news)
+  /** Applies gossip that originates here and broadcasts it. */
+  private applyAndBroadcast(gossip: CrashGossip): void {
+    this.applyLocally(gossip)
+    this.parts.broadcast(gossip)
   }
 
-  private applyLocally(news: CrashGossip): void {
-    this.takeBreaks(news)
-    const { marks, cleared, away = [] } = news
+  private applyLocally(gossip: CrashGossip): void {
+    this.applySuspicions(gossip)
+    const { marks, cleared, away = [] } = gossip
     for (const start of away) this.parts.onUnreachable(start)
     for (const mark of marks) {
       this.notifyVerdictChange(mark.fingerprint, () => this.noteMark(mark))
     }
     for (const { fingerprint, starts } of cleared) {
-      this.unjudged.clear(fingerprint, starts)
-      this.notifyVerdictChange(fingerprint, () => this.suspicions.clear(fingerprint, starts))
+      this.unconfirmed.clear(fingerprint, starts)
+      this.notifyVerdictChange(fingerprint, () => this.quarantine.clear(fingerprint, starts))
     }
   }
 
-  /** What is believed of breaks by this news. */
-  private takeBreaks({ marks, away = [], suspected = [], lives = [] }: CrashGossip): void {
+  /** Updates suspected starts and unconfirmed crashes. */
+  private applySuspicions({ marks, away = [], suspected = [], lives = [] }: CrashGossip): void {
     const now = this.parts.clock.monotonic()
     for (const start of lives) {
       this.suspectStarts.clearSuspicion(start)
-      this.unjudged.forget(start)
+      this.unconfirmed.forget(start)
     }
-    // Marks may be old: they come from records as well.
+    // Marks say nothing of when the crash was, as they also come from stored records. So they suspect no
+    // start.
     for (const { start } of suspected) this.suspectStarts.noteReset(start, now)
     for (const start of away) this.suspectStarts.noteTerminated(start, now)
-    for (const mark of suspected) this.unjudged.noteReset(mark, now)
-    for (const start of away) this.unjudged.noteTerminated(start, now)
-    for (const { start } of marks) this.unjudged.noteTerminated(start, now)
+    for (const mark of suspected) this.unconfirmed.noteReset(mark, now)
+    for (const start of away) this.unconfirmed.noteTerminated(start, now)
+    for (const { start } of marks) this.unconfirmed.noteTerminated(start, now)
   }
 
   private noteMark(mark: CrashMark): void {
-    if (this.suspicions.noteMark(mark)) this.parts.onUnreachable(mark.start)
+    if (this.quarantine.noteMark(mark)) this.parts.onUnreachable(mark.start)
   }
 
   private notifyVerdictChange(fingerprint: RequestFingerprint, change: () => void): void {
-    const wasRefused = this.suspicions.verdict(fingerprint) === 'refuse'
+    const wasRefused = this.quarantine.verdict(fingerprint) === 'refuse'
     change()
-    const isRefused = this.suspicions.verdict(fingerprint) === 'refuse'
+    const isRefused = this.quarantine.verdict(fingerprint) === 'refuse'
     if (isRefused !== wasRefused) this.parts.onVerdict(fingerprint, isRefused)
   }
 }
 
-/** What is held against a request that was there when a start ended. */
-function markOf(start: EndpointStart, { fingerprint, wasIsolated }: ResetRequest): CrashMark {
+/** The crash mark of a request that was in flight when a start terminated. */
+function crashMarkOf(start: EndpointStart, { fingerprint, wasIsolated }: ResetRequest): CrashMark {
   return { fingerprint, start, wasIsolated }
 }
--- a/packages/router/src/crashes/endpointCrashDetector.ts
+++ b/packages/router/src/crashes/endpointCrashDetector.ts
@@ -1,9 +1,9 @@
 /**
- * Finds out whether an endpoint has ended when it breaks a request off, which requests from here it had answered nothing
- * of, and when it is back. Owns the breaks of the last seconds; relies on looks at the endpoint, the rule is in
- * decisions/retrying/endSigns.
+ * Detects whether an endpoint that resets a request has crashed, which requests of this instance it left
+ * unanswered, and when it is back. Owns the resets of the last seconds. Relies on probes of the endpoint; the
+ * rule is in decisions/retrying/livenessProbe.
  *
- * An end that was announced (the endpoint was leaving, or was no longer listed) is none of its business.
+ * Planned terminations (the endpoint was draining, or was no longer listed) are ignored.
  */
 
 import { wasAliveAfterReset, judgeLiveness, lastAliveAt } from '@rackwalk/decisions'
@@ -23,132 +23,154 @@
 } from '@rackwalk/shared'
 import type { ProbedEndpoint } from './endpointProbe.js'
 
-/** An endpoint that broke a request off, as it is known at that moment. */
+/** An endpoint that reset a request, as known at the time of the reset. */
 export interface SuspectEndpoint extends ProbedEndpoint {
   readonly id: string
   readonly start: EndpointStart
-  /** Whether its platform tells each start from the next; otherwise only the time of its break does. */
+  /**
+   * Whether its platform reports each new start. Otherwise a start is told apart by the time of its reset
+   * only.
+   */
   readonly isStartReported?: boolean
-  /** Service or model. */
+  /** Name of the service or model. */
   readonly service: string
-  /** Whether its end was announced. */
+  /** Whether its termination was announced. */
   readonly isPlannedShutdown: boolean
-  /** Whether this start of it is known to be over. */
+  /** Whether this start is known to have terminated. */
   readonly hasEnded: boolean
-  /** When something last came from it. */
+  /** When state reports or bytes were last received from the endpoint. */
   readonly heard: () => LastContactTimes
 }
 
-/** An endpoint ended unannounced. */
+/** An unannounced termination of an endpoint. */
 export interface EndpointCrash {
   readonly endpoint: SuspectEndpoint
-  /** What the looks at it showed; empty where its row told of a new start. */
+  /** Results of the probes; empty where the endpoint's row shows a new start. */
   readonly signs: readonly ProbeResult[]
-  /** Requests from here that were there and had no part of an answer; each is told once. */
+  /**
+   * Requests of this instance that were in flight to the endpoint without any part of an answer. Each one is
+   * reported once.
+   */
   readonly unanswered: readonly ResetRequest[]
   readonly seen: CrashTimes
 }
 
-/** When an end was seen; times are monotonic. */
+/** When a crash was detected; times are monotonic. */
 export interface CrashTimes {
-  /** When the break was seen for which it was looked. */
+  /** When the reset occurred that started the probes. */
   readonly brokenAt: Milliseconds
-  /** When the newest look began. */
+  /** When the newest probe began. */
   readonly lookedAt: Milliseconds
 }
 
-/** A request that an endpoint broke off. */
+/** A request that an endpoint reset. */
 export interface ResetRequest {
   readonly fingerprint: RequestFingerprint
-  /** Whether it was sent there as one that may have ended endpoints. */
+  /** Whether it was sent as a suspected request. */
   readonly wasIsolated: boolean
-  /** Monotonic time at which it was sent there. */
+  /** Monotonic time at which it was sent to the endpoint. */
   readonly sentAt: Milliseconds
-  /** The parts of its prompt that other requests may share; absent where nothing is known of them. */
+  /** Prompt parts that other requests may contain as well; absent where they are not known. */
   readonly parts?: readonly PromptPartKey[]
 }
 
-/** What an instance that has just begun to serve should know of breaks: what is looked at, and what has ended. */
+/**
+ * A suspicion that a newly started instance has to know: an endpoint that is being probed, or that has
+ * terminated.
+ */
 export interface OpenSuspicion {
   readonly start: EndpointStart
   readonly isUnresponsive: boolean
-  /** Requests that may have ended it. */
+  /** Requests that may have crashed it. */
   readonly requests: readonly ResetRequest[]
 }
 
-/** What the search for ends works with. */
+/** Dependencies and callbacks of a detector. */
 export interface EndpointCrashDetectorParts {
   readonly clock: Clock
   readonly probe: (endpoint: SuspectEndpoint) => Promise<ProbeResult>
-  /** What is known here of breaks, by this search and by news. */
-  readonly broken: SuspectEndpoints
-  readonly onCrash: (end: EndpointCrash) => void
-  /** Requests were broken off, and it is looked whether their endpoint has ended; told again for as long as that lasts. */
+  /** Suspected starts, from this detector and from gossip. */
+  readonly suspects: SuspectEndpoints
+  readonly onCrash: (crash: EndpointCrash) => void
+  /** Requests were reset and their endpoint is being probed. Called again for as long as the probes last. */
   readonly onProbing: (start: EndpointStart, requests: readonly ResetRequest[]) => void
-  /** A look showed an end or life; `onEnd` was called before where it showed an end. */
+  /**
+   * The probes showed that the endpoint has terminated or lives. Where it has terminated, `onCrash` is called
+   * before.
+   */
   readonly onProbed: (start: EndpointStart, hasEnded: boolean) => void
-  /** The look showed that this start lives. */
+  /** The probes showed that this start lives. */
   readonly onAlive: (start: EndpointStart) => void
-  /** Something listens where a start has ended, and does not answer; told again for as long as that lasts. */
+  /**
+   * The address of a terminated start accepts connections and does not answer. Called again for as long as
+   * that lasts.
+   */
   readonly onUnresponsive: (start: EndpointStart, seen: CrashTimes) => void
 }
 
-/** A request that was broken off, and of which nothing was told yet. */
+/** A reset request that was not reported with a crash yet. */
 interface UnreportedReset {
   readonly request: ResetRequest
-  /** Monotonic time of its break. */
+  /** Monotonic time of the reset. */
   readonly at: Milliseconds
 }
 
-/** Requests that one start of an endpoint broke off. */
+/** Suspicion of one start, with the requests that it reset. */
 interface SuspicionState {
   readonly endpoint: SuspectEndpoint
   unreported: UnreportedReset[]
-  /** What was told of the end, and what is in `untold`: one that is suspected again adds nothing. */
-  readonly known: Set<string>
-  /** What was told of the look in progress, */
+  /**
+   * Keys of the requests reported with the crash and of those in `unreported`, so that no request is reported
+   * twice.
+   */
+  readonly reportedKeys: Set<string>
+  /** Requests announced since the probes began. */
   readonly announced: Set<RequestFingerprint>
-  /** and what is told of it next, all at once. */
+  /** Requests that the next announcement contains. */
   readonly pendingAnnouncements: ResetRequest[]
-  /** Monotonic time of the break for which it is looked. */
+  /** Monotonic time of the reset that started the probes. */
   brokenAt: Milliseconds
-  /** Monotonic time at which the first look for it was over. */
+  /** Monotonic time at which the first probe was complete. */
   lookedAt: Milliseconds
-  /** Monotonic time at which the newest look began. */
+  /** Monotonic time at which the newest probe began. */
   probeStartedAt: Milliseconds
   newestAt: Milliseconds
   signs: ProbeResult[]
-  /** Whether another instance told since the break that it has ended. */
+  /** Whether another instance has reported the termination since the reset. */
   wasReportedByPeer: boolean
   hasEnded: boolean
-  /** Whether a later start is listed in its place. */
+  /** Whether the endpoint is listed with a later start. */
   isReplaced: boolean
   probing: Promise<void> | undefined
 }
 
 /**
- * Each break is kept this long, for an endpoint that is back under its address before anybody looked: its row tells of a
- * new start within a heartbeat and a read. What broke off earlier had no part in that end, however much breaks off since.
+ * Each reset is kept this long. An endpoint may be back at its address before the first probe; its row then
+ * shows a new start within a heartbeat and a read. Requests that were reset earlier are not attributed to
+ * that crash, however many resets follow.
  */
-const REMEMBERED_MILLISECONDS = 5_000
-/** Time between two looks at an endpoint that did not answer the first one. */
+const RETENTION_MILLISECONDS = 5_000
+/** Time between two probes of an endpoint that did not answer the first one. */
 const REPROBE_MILLISECONDS: Milliseconds = 25
-/** News of a break at which it is still looked is told again after this time: it is forgotten after twice as long. */
+/** Interval at which an open suspicion is announced again. Peers forget it after twice this time. */
 const RENEWAL_MILLISECONDS: Milliseconds = 500
-/** News of an end speaks of breaks that are no older than this: what broke off earlier met another trouble. */
+/** A peer's report of a termination applies to resets no older than this. Older resets had another cause. */
 const PEER_REPORT_MILLISECONDS: Milliseconds = 1_000
-/** A look that began before the break of a request could show the life that the request ends a moment later. */
-const SILENCE_MILLISECONDS: Milliseconds = 100
-/** Time between two looks at one that has ended behind something that listens, */
+/**
+ * Delay of the probe after a suspected request is sent. A probe that began before the request crashes the
+ * endpoint could still find it alive.
+ */
+const SUSPECT_PROBE_DELAY_MILLISECONDS: Milliseconds = 100
+/** Time between two probes of an engine that terminated while its address still accepts connections. */
 const RECOVERY_PROBE_MILLISECONDS: Milliseconds = 500
-/** and how many of them are made: it is tried like any other after that. */
+/** Maximum number of these probes. After them the endpoint is used like any other. */
 const MAXIMUM_RECOVERY_PROBES = 120
 
-/** The endpoints that break requests off, as one instance sees it. */
+/** Crash detection for all endpoints, as seen by one instance. */
 export class EndpointCrashDetector {
-  private readonly breaks = new Map<EndpointStart, SuspicionState>()
-  /** Starts that have ended behind something that listens, until they are back. */
-  private readonly watched = new Set<EndpointStart>()
+  private readonly suspicions = new Map<EndpointStart, SuspicionState>()
+  /** Starts that terminated while their address still accepts connections, until they recover. */
+  private readonly recovering = new Set<EndpointStart>()
   private isStopped = false
 
   constructor(private readonly parts: EndpointCrashDetectorParts) {}
@@ -157,223 +179,246 @@
     this.isStopped = true
   }
 
-  /** An endpoint broke a request off before any part of an answer; resolves with whether it is known to have ended. */
+  /**
+   * An endpoint reset a request before any part of an answer. Resolves with whether the endpoint is known to
+   * have terminated.
+   */
   async noteReset(endpoint: SuspectEndpoint, request: ResetRequest): Promise<boolean> {
     if (endpoint.isPlannedShutdown) return false
-    const breaks = this.breaksOf(endpoint)
-    const wasThere = this.wasThere(breaks, request)
-    if (wasThere) addOnce(breaks, request, this.parts.clock.monotonic())
-    if (breaks.hasEnded) {
-      this.reportCrash(breaks)
+    const suspicion = this.suspicionOf(endpoint)
+    const wasInFlight = this.wasInFlight(suspicion, request)
+    if (wasInFlight) addUnreported(suspicion, request, this.parts.clock.monotonic())
+    if (suspicion.hasEnded) {
+      this.reportCrash(suspicion)
       return true
     }
-    if (wasThere) this.announceSuspicion(breaks, request)
-    breaks.probing ??= this.startProbing(breaks)
-    await breaks.probing
-    return breaks.hasEnded
+    if (wasInFlight) this.announceSuspicion(suspicion, request)
+    suspicion.probing ??= this.startProbing(suspicion)
+    await suspicion.probing
+    return suspicion.hasEnded
   }
 
-  /** Breaks at which it is looked from here, and starts that are not back; who else heard of them is not asked. */
+  /**
+   * Suspicions that are being probed from here, and starts that have not recovered, whether or not peers know
+   * of them.
+   */
   get openSuspicions(): readonly OpenSuspicion[] {
-    const looked = [...this.breaks.values()].filter(({ probing }) => probing !== undefined)
+    const probed = [...this.suspicions.values()].filter(({ probing }) => probing !== undefined)
     return [
-      ...looked.map(({ endpoint: { start }, unreported, announced }) => {
-        // What broke off earlier and is kept for a new row is not looked at any more.
-        const requests = onceEach(unreported.map(({ request }) => request)).filter(
+      ...probed.map(({ endpoint: { start }, unreported, announced }) => {
+        // Resets that are kept only in case a new row follows are not being probed.
+        const requests = uniqueByFingerprint(unreported.map(({ request }) => request)).filter(
           ({ fingerprint }) => announced.has(fingerprint),
         )
         return { start, isUnresponsive: false, requests }
       }),
-      ...[...this.watched].map(start => ({ start, isUnresponsive: true, requests: [] })),
+      ...[...this.recovering].map(start => ({ start, isUnresponsive: true, requests: [] })),
     ]
   }
 
-  /** The first of a look is told at once; the others of the same moment go together. */
-  private announceSuspicion(breaks: SuspicionState, request: ResetRequest): void {
-    const { announced, pendingAnnouncements, endpoint } = breaks
+  /**
+   * Announces the first request of a suspicion at once, and the others of the same turn of the event loop
+   * together.
+   */
+  private announceSuspicion(suspicion: SuspicionState, request: ResetRequest): void {
+    const { announced, pendingAnnouncements, endpoint } = suspicion
     if (announced.has(request.fingerprint)) return
     announced.add(request.fingerprint)
     if (announced.size === 1) return this.parts.onProbing(endpoint.start, [request])
     pendingAnnouncements.push(request)
-    if (pendingAnnouncements.length === 1) queueMicrotask(() => this.announcePending(breaks))
+    if (pendingAnnouncements.length === 1) queueMicrotask(() => this.announcePending(suspicion))
   }
 
-  private announcePending(breaks: SuspicionState): void {
-    const rest = breaks.pendingAnnouncements.splice(0)
-    if (breaks.probing !== undefined) this.parts.onProbing(breaks.endpoint.start, rest)
+  private announcePending(suspicion: SuspicionState): void {
+    const pending = suspicion.pendingAnnouncements.splice(0)
+    if (suspicion.probing !== undefined) this.parts.onProbing(suspicion.endpoint.start, pending)
   }
 
-  /** An endpoint cut what it had begun to answer; resolves with whether it is known to have ended. Nothing is marked for it. */
+  /**
+   * An endpoint interrupted an answer. Resolves with whether the endpoint is known to have terminated. The
+   * interrupted request gets no crash mark.
+   */
   async noteInterrupted(endpoint: SuspectEndpoint): Promise<boolean> {
     if (endpoint.isPlannedShutdown) return false
-    const breaks = this.breaksOf(endpoint)
-    if (breaks.hasEnded) return true
-    breaks.probing ??= this.startProbing(breaks)
-    await breaks.probing
-    return breaks.hasEnded
+    const suspicion = this.suspicionOf(endpoint)
+    if (suspicion.hasEnded) return true
+    suspicion.probing ??= this.startProbing(suspicion)
+    await suspicion.probing
+    return suspicion.hasEnded
   }
 
-  /** A start of an endpoint is over, by its row. */
+  /** The endpoint's row shows that this start was replaced. */
   noteReplaced(start: EndpointStart): void {
-    const breaks = this.breaks.get(start)
-    if (breaks === undefined) return
-    breaks.isReplaced = true
-    this.end(breaks)
+    const suspicion = this.suspicions.get(start)
+    if (suspicion === undefined) return
+    suspicion.isReplaced = true
+    this.noteTermination(suspicion)
   }
 
-  /** Another instance saw the end: what was broken off here is held for it, though no look of this one could tell. */
+  /**
+   * Another instance detected the termination. It also counts for the requests that were reset here, although
+   * no probe of this instance could prove it.
+   */
   notePeerReport(start: EndpointStart): void {
-    const breaks = this.breaks.get(start)
-    if (breaks === undefined || breaks.hasEnded) return
+    const suspicion = this.suspicions.get(start)
+    if (suspicion === undefined || suspicion.hasEnded) return
     const { clock } = this.parts
-    if (clock.monotonic() > breaks.newestAt + PEER_REPORT_MILLISECONDS) return
-    breaks.wasReportedByPeer = true
-    if (breaks.probing === undefined && this.judge(breaks) === 'ended') this.end(breaks)
+    if (clock.monotonic() > suspicion.newestAt + PEER_REPORT_MILLISECONDS) return
+    suspicion.wasReportedByPeer = true
+    if (suspicion.probing === undefined && this.judge(suspicion) === 'ended')
+      this.noteTermination(suspicion)
   }
 
   /**
-   * A suspected request is sent where something was broken off and no look could tell. A silent front breaks nothing more
-   * off, so it is looked at once more; that alone leaves the endpoint in doubt no longer.
+   * A suspected request is sent to an endpoint that reset requests and whose probes proved nothing. An
+   * address that accepts connections without answering resets no further request, so the endpoint is probed
+   * once more; otherwise the suspicion would stay open.
    */
   noteSuspectSent(start: EndpointStart): void {
-    const breaks = this.breaks.get(start)
-    if (breaks === undefined || !this.isUnproven(breaks)) return
-    this.parts.clock.after(SILENCE_MILLISECONDS, () => {
-      if (!this.isUnproven(breaks) || this.isStopped) return
-      breaks.signs = []
-      breaks.probing = this.probeUntilKnown(breaks)
+    const suspicion = this.suspicions.get(start)
+    if (suspicion === undefined || !this.isUnproven(suspicion)) return
+    this.parts.clock.after(SUSPECT_PROBE_DELAY_MILLISECONDS, () => {
+      if (!this.isUnproven(suspicion) || this.isStopped) return
+      suspicion.signs = []
+      suspicion.probing = this.probeUntilKnown(suspicion)
     })
   }
 
-  /** Whether the looks are over and proved nothing, and nothing came from there since. */
-  private isUnproven(breaks: SuspicionState): boolean {
-    const { hasEnded, probing } = breaks
-    return !hasEnded && probing === undefined && this.judge(breaks) === 'unknown'
+  /** Whether the probes are over and proved nothing, and nothing was received from the endpoint since. */
+  private isUnproven(suspicion: SuspicionState): boolean {
+    const { hasEnded, probing } = suspicion
+    return !hasEnded && probing === undefined && this.judge(suspicion) === 'unknown'
   }
 
-  private wasThere({ endpoint, probing }: SuspicionState, { sentAt }: ResetRequest): boolean {
-    const { broken } = this.parts
+  private wasInFlight({ endpoint, probing }: SuspicionState, { sentAt }: ResetRequest): boolean {
+    const { suspects } = this.parts
     const { start, isStartReported = false } = endpoint
-    if (probing === undefined) this.noteLife(endpoint)
+    if (probing === undefined) this.noteAlive(endpoint)
     return isStartReported
-      ? broken.wasInFlightAtStart(start, sentAt)
-      : broken.wasInFlightAtEndpoint(start, sentAt)
+      ? suspects.wasInFlightAtStart(start, sentAt)
+      : suspects.wasInFlightAtEndpoint(start, sentAt)
   }
 
-  private noteLife({ start, isStartReported = false, heard }: SuspectEndpoint): void {
-    const { broken } = this.parts
+  private noteAlive({ start, isStartReported = false, heard }: SuspectEndpoint): void {
+    const { suspects } = this.parts
     const lived = lastAliveAt(heard())
-    if (isStartReported) broken.noteAliveAt(start, lived)
-    else broken.noteEndpointAliveAt(start, lived)
+    if (isStartReported) suspects.noteAliveAt(start, lived)
+    else suspects.noteEndpointAliveAt(start, lived)
   }
 
-  private startProbing(breaks: SuspicionState): Promise<void> {
-    breaks.brokenAt = this.parts.clock.monotonic()
-    this.parts.broken.noteReset(breaks.endpoint.start, breaks.brokenAt)
-    breaks.lookedAt = Number.POSITIVE_INFINITY
-    breaks.signs = []
-    breaks.wasReportedByPeer = false
-    const looking = this.probeUntilKnown(breaks)
-    this.renewLater(breaks)
-    return looking
+  private startProbing(suspicion: SuspicionState): Promise<void> {
+    suspicion.brokenAt = this.parts.clock.monotonic()
+    this.parts.suspects.noteReset(suspicion.endpoint.start, suspicion.brokenAt)
+    suspicion.lookedAt = Number.POSITIVE_INFINITY
+    suspicion.signs = []
+    suspicion.wasReportedByPeer = false
+    const probing = this.probeUntilKnown(suspicion)
+    this.scheduleRenewal(suspicion)
+    return probing
   }
 
-  /** A look may take longer than others believe in its break. */
-  private renewLater(breaks: SuspicionState): void {
-    const { brokenAt, endpoint } = breaks
+  /** Probing may last longer than peers keep an announced suspicion. */
+  private scheduleRenewal(suspicion: SuspicionState): void {
+    const { brokenAt, endpoint } = suspicion
     this.parts.clock.after(RENEWAL_MILLISECONDS, () => {
-      const isOver = breaks.probing === undefined || breaks.brokenAt !== brokenAt
-      if (isOver || breaks.hasEnded || this.isStopped) return
-      const requests = breaks.unreported.map(({ request }) => request)
-      if (requests.length > 0) this.parts.onProbing(endpoint.start, onceEach(requests))
-      this.renewLater(breaks)
+      const isOver = suspicion.probing === undefined || suspicion.brokenAt !== brokenAt
+      if (isOver || suspicion.hasEnded || this.isStopped) return
+      const requests = suspicion.unreported.map(({ request }) => request)
+      if (requests.length > 0) this.parts.onProbing(endpoint.start, uniqueByFingerprint(requests))
+      this.scheduleRenewal(suspicion)
     })
   }
 
-  private async probeUntilKnown(breaks: SuspicionState): Promise<void> {
-    let verdict = await this.probeOnce(breaks)
+  private async probeUntilKnown(suspicion: SuspicionState): Promise<void> {
+    let verdict = await this.probeOnce(suspicion)
     while (verdict === 'look-again') {
       await sleep(this.parts.clock, REPROBE_MILLISECONDS)
-      verdict = await this.probeOnce(breaks)
+      verdict = await this.probeOnce(suspicion)
     }
-    breaks.probing = undefined
-    breaks.announced.clear()
-    const isEnd = verdict === 'ended' && !breaks.hasEnded
-    if (isEnd) this.end(breaks)
-    this.noteJudged(breaks, verdict)
-    if (!isEnd) return
-    if (breaks.signs.at(-1) === 'does-not-answer') void this.watchRecovery(breaks)
+    suspicion.probing = undefined
+    suspicion.announced.clear()
+    const isTermination = verdict === 'ended' && !suspicion.hasEnded
+    if (isTermination) this.noteTermination(suspicion)
+    this.applyVerdict(suspicion, verdict)
+    if (!isTermination) return
+    if (suspicion.signs.at(-1) === 'does-not-answer') void this.watchRecovery(suspicion)
   }
 
-  /** What proves nothing takes no suspicion and no doubt away: each try that passed for innocent would cost an endpoint. */
-  private noteJudged({ endpoint, hasEnded }: SuspicionState, verdict: LivenessVerdict): void {
+  /**
+   * An inconclusive probe clears neither the suspicion nor the doubt about the endpoint: each suspected
+   * request that then passed for harmless would crash another endpoint.
+   */
+  private applyVerdict({ endpoint, hasEnded }: SuspicionState, verdict: LivenessVerdict): void {
     const { start } = endpoint
     if (verdict === 'unknown' && !hasEnded) return
-    if (!hasEnded) this.parts.broken.clearSuspicion(start)
+    if (!hasEnded) this.parts.suspects.clearSuspicion(start)
     this.parts.onProbed(start, hasEnded)
     if (verdict === 'lives') this.parts.onAlive(start)
   }
 
-  private async probeOnce(breaks: SuspicionState): Promise<LivenessVerdict> {
-    const { endpoint, signs } = breaks
-    breaks.probeStartedAt = this.parts.clock.monotonic()
+  private async probeOnce(suspicion: SuspicionState): Promise<LivenessVerdict> {
+    const { endpoint, signs } = suspicion
+    suspicion.probeStartedAt = this.parts.clock.monotonic()
     signs.push(await this.parts.probe(endpoint))
-    breaks.lookedAt = Math.min(breaks.lookedAt, this.parts.clock.monotonic())
-    return this.judge(breaks)
+    suspicion.lookedAt = Math.min(suspicion.lookedAt, this.parts.clock.monotonic())
+    return this.judge(suspicion)
   }
 
-  private judge(breaks: SuspicionState): LivenessVerdict {
-    const { endpoint, signs, wasReportedByPeer } = breaks
-    return judgeLiveness(signs, wasAliveAfterReset(breaks, endpoint.heard()), wasReportedByPeer)
+  private judge(suspicion: SuspicionState): LivenessVerdict {
+    const { endpoint, signs, wasReportedByPeer } = suspicion
+    return judgeLiveness(signs, wasAliveAfterReset(suspicion, endpoint.heard()), wasReportedByPeer)
   }
 
-  /** An engine that is back behind its front is used again as soon as it tells its state. */
-  private async watchRecovery(breaks: SuspicionState): Promise<void> {
-    const { start } = breaks.endpoint
-    this.watched.add(start)
-    for (let look = 0; look < MAXIMUM_RECOVERY_PROBES && !this.isStopped; look += 1) {
-      this.parts.broken.noteTerminated(start, this.parts.clock.monotonic())
-      this.parts.onUnresponsive(start, seenOf(breaks))
+  /** Uses an engine behind a front again as soon as it reports its state. */
+  private async watchRecovery(suspicion: SuspicionState): Promise<void> {
+    const { start } = suspicion.endpoint
+    this.recovering.add(start)
+    for (let probe = 0; probe < MAXIMUM_RECOVERY_PROBES && !this.isStopped; probe += 1) {
+      this.parts.suspects.noteTerminated(start, this.parts.clock.monotonic())
+      this.parts.onUnresponsive(start, crashTimesOf(suspicion))
       await sleep(this.parts.clock, RECOVERY_PROBE_MILLISECONDS)
-      if (!(await this.isStillUnresponsive(breaks))) break
+      if (!(await this.isStillUnresponsive(suspicion))) break
     }
-    this.watched.delete(start)
-    this.parts.broken.noteRecovered(start, this.parts.clock.monotonic())
-    this.breaks.delete(start)
+    this.recovering.delete(start)
+    this.parts.suspects.noteRecovered(start, this.parts.clock.monotonic())
+    this.suspicions.delete(start)
   }
 
-  /** A later start, or a state that was asked for after the end, says more than a look: that may meet the next end. */
-  private async isStillUnresponsive(breaks: SuspicionState): Promise<boolean> {
-    const { endpoint, brokenAt } = breaks
-    if (breaks.isReplaced) return false
-    const lookBeganAt = this.parts.clock.monotonic()
+  /**
+   * A later start, or a state report requested after the termination, is stronger evidence than a probe,
+   * which may meet the next crash.
+   */
+  private async isStillUnresponsive(suspicion: SuspicionState): Promise<boolean> {
+    const { endpoint, brokenAt } = suspicion
+    if (suspicion.isReplaced) return false
+    const probeStartedAt = this.parts.clock.monotonic()
     const sign = await this.parts.probe(endpoint)
-    // A look that proves nothing is not told as one that shows the end again.
-    if (sign === 'does-not-answer') breaks.probeStartedAt = lookBeganAt
+    // An inconclusive probe does not count as another proof of the termination.
+    if (sign === 'does-not-answer') suspicion.probeStartedAt = probeStartedAt
     const isBack = isRecovery(sign) || endpoint.heard().askedAt > brokenAt
-    return !isBack && !breaks.isReplaced
+    return !isBack && !suspicion.isReplaced
   }
 
-  private end(breaks: SuspicionState): void {
-    breaks.hasEnded = true
-    this.reportCrash(breaks)
+  private noteTermination(suspicion: SuspicionState): void {
+    suspicion.hasEnded = true
+    this.reportCrash(suspicion)
   }
 
-  private reportCrash(breaks: SuspicionState): void {
-    const { endpoint, signs } = breaks
-    forgetUntold(breaks, this.parts.clock.monotonic() - REMEMBERED_MILLISECONDS)
-    const unanswered = breaks.unreported.map(({ request }) => request)
+  private reportCrash(suspicion: SuspicionState): void {
+    const { endpoint, signs } = suspicion
+    dropOldResets(suspicion, this.parts.clock.monotonic() - RETENTION_MILLISECONDS)
+    const unanswered = suspicion.unreported.map(({ request }) => request)
     if (unanswered.length === 0) return
-    breaks.unreported = []
-    this.parts.onCrash({ endpoint, signs: [...signs], unanswered, seen: seenOf(breaks) })
+    suspicion.unreported = []
+    this.parts.onCrash({ endpoint, signs: [...signs], unanswered, seen: crashTimesOf(suspicion) })
   }
 
-  private breaksOf(endpoint: SuspectEndpoint): SuspicionState {
+  private suspicionOf(endpoint: SuspectEndpoint): SuspicionState {
     const now = this.parts.clock.monotonic()
-    this.forgetOlderThan(now - REMEMBERED_MILLISECONDS)
-    const known = this.breaks.get(endpoint.start)
+    this.forgetOlderThan(now - RETENTION_MILLISECONDS)
+    const known = this.suspicions.get(endpoint.start)
     if (known !== undefined) {
-      forgetUntold(known, now - REMEMBERED_MILLISECONDS)
+      dropOldResets(known, now - RETENTION_MILLISECONDS)
       known.newestAt = now
       return known
     }
@@ -381,7 +426,7 @@
     const created: SuspicionState = {
       endpoint,
       unreported: [],
-      known: new Set(),
+      reportedKeys: new Set(),
       announced: new Set(),
       pendingAnnouncements: [],
       brokenAt: now,
@@ -394,47 +439,53 @@
       isReplaced: false,
       probing: undefined,
     }
-    this.breaks.set(start, created)
+    this.suspicions.set(start, created)
     return created
   }
 
   private forgetOlderThan(oldest: Milliseconds): void {
-    for (const [start, { newestAt }] of this.breaks) {
-      if (newestAt < oldest) this.breaks.delete(start)
+    for (const [start, { newestAt }] of this.suspicions) {
+      if (newestAt < oldest) this.suspicions.delete(start)
     }
   }
 }
 
-/** A mark is told once; as one that was isolated a request says more. */
-function addOnce(breaks: SuspicionState, request: ResetRequest, at: Milliseconds): void {
-  const key = keyOf(request)
-  if (breaks.known.has(key)) return
-  breaks.known.add(key)
-  breaks.unreported.push({ request, at })
+/**
+ * Adds a reset unless it was added before. An isolated request counts separately, since its crash is stronger
+ * evidence.
+ */
+function addUnreported(suspicion: SuspicionState, request: ResetRequest, at: Milliseconds): void {
+  const key = resetKey(request)
+  if (suspicion.reportedKeys.has(key)) return
+  suspicion.reportedKeys.add(key)
+  suspicion.unreported.push({ request, at })
 }
 
-function keyOf({ fingerprint, wasIsolated }: ResetRequest): string {
+function resetKey({ fingerprint, wasIsolated }: ResetRequest): string {
   return `${fingerprint} ${wasIsolated}`
 }
 
-/** What broke off before a time is held for no end that comes later; it may be broken off anew. */
-function forgetUntold(breaks: SuspicionState, oldest: Milliseconds): void {
-  if (breaks.unreported.every(({ at }) => at >= oldest)) return
-  for (const { request, at } of breaks.unreported)
-    if (at < oldest) breaks.known.delete(keyOf(request))
-  breaks.unreported = breaks.unreported.filter(({ at }) => at >= oldest)
+/**
+ * Drops unreported resets before a time: they are not attributed to a later crash. The same request may be
+ * reset and added again.
+ */
+function dropOldResets(suspicion: SuspicionState, oldest: Milliseconds): void {
+  if (suspicion.unreported.every(({ at }) => at >= oldest)) return
+  for (const { request, at } of suspicion.unreported)
+    if (at < oldest) suspicion.reportedKeys.delete(resetKey(request))
+  suspicion.unreported = suspicion.unreported.filter(({ at }) => at >= oldest)
 }
 
-/** The requests, each fingerprint once. */
-function onceEach(requests: readonly ResetRequest[]): readonly ResetRequest[] {
+/** Returns the requests, each fingerprint once. */
+function uniqueByFingerprint(requests: readonly ResetRequest[]): readonly ResetRequest[] {
   return [...new Map(requests.map(request => [request.fingerprint, request])).values()]
 }
 
-function seenOf({ brokenAt, probeStartedAt }: SuspicionState): CrashTimes {
+function crashTimesOf({ brokenAt, probeStartedAt }: SuspicionState): CrashTimes {
   return { brokenAt, lookedAt: probeStartedAt }
 }
 
-/** Whether what listened for an endpoint that has ended no longer does, or tells its state. */
+/** Whether the address of a terminated endpoint refuses connections again or reports its state. */
 function isRecovery(sign: ProbeResult): boolean {
   return sign === 'lives' || sign === 'nobody-listens'
 }
--- a/packages/router/src/crashes/endpointProbe.ts
+++ b/packages/router/src/crashes/endpointProbe.ts
@@ -1,4 +1,4 @@
-/** Looks whether an endpoint is still there. Sends no request that would run. */
+/** Probes whether an endpoint is alive. Sends no request that an engine would run. */
 
 import { connect } from 'node:net'
 import type { ProbeResult } from '@rackwalk/decisions'
@@ -7,39 +7,42 @@
 import { startStateProbe, settlesWithin } from '../gateway/stateProbe.js'
 import type { StateProbe } from '../gateway/stateProbe.js'
 
-/** Where to look. */
+/** What a probe needs to know of an endpoint. */
 export interface ProbedEndpoint {
   /** IP:PORT. */
   readonly address: string
-  /** Where it tells its state without using a slot; undefined where it has no such place. */
+  /** Path that reports its state without using a slot; undefined where there is none. */
   readonly statePath: string | undefined
 }
 
-/** A connection comes up within this time, or nothing is known: a retry may wait for it. */
+/**
+ * The probe is inconclusive if no connection is established within this time: a retry may be waiting for it.
+ */
 const CONNECT_MILLISECONDS: Milliseconds = 100
-/** An endpoint that lives tells its state within this time. */
+/** A live endpoint reports its state within this time. */
 const STATE_MILLISECONDS: Milliseconds = 100
 const CLOCK = new SystemClock()
 
-/** One look at an endpoint. */
+/** Probes an endpoint once. */
 export function probeEndpoint({ address, statePath }: ProbedEndpoint): Promise<ProbeResult> {
   const [host = '', port = ''] = address.split(':')
   return new Promise(resolve => {
     const socket = connect({ host, port: Number(port) })
     let isConnected = false
-    // On a busy processor the timer is late, and the connection may be up and wait to be seen: that comes first.
+    // On a busy processor the timer fires late, and an established connection may not have been noticed yet:
+    // that event is processed first.
     const giveUp = () => setImmediate(() => (isConnected ? undefined : finish('no-connection')))
     const timer = setTimeout(giveUp, CONNECT_MILLISECONDS)
-    const finish = (sign: ProbeResult) => {
+    const finish = (result: ProbeResult) => {
       clearTimeout(timer)
       socket.destroy()
-      // What came from the endpoint before this is read first.
-      setImmediate(() => resolve(sign))
+      // Data received from the endpoint before the result is read first.
+      setImmediate(() => resolve(result))
     }
     socket.on('connect', () => {
       isConnected = true
       clearTimeout(timer)
-      // Where there is nothing to ask for, whoever takes connections counts as alive.
+      // Without a state path, an endpoint that accepts connections counts as alive.
       if (statePath === undefined) finish('lives')
       else void probeState(address, statePath).then(finish)
     })
@@ -50,19 +53,22 @@
 }
 
 async function probeState(address: string, path: string): Promise<ProbeResult> {
-  const question = startStateProbe(address, path)
-  const isAnswered = await isAnsweredInTime(question)
-  question.cancel()
-  // Whoever was too busy to look knows nothing, nor does whoever could not ask.
-  if (isAnswered === undefined || question.sign === 'no-connection') return 'no-connection'
-  // What fails at this has no engine behind it.
-  return question.sign === 'lives' ? 'lives' : 'does-not-answer'
+  const stateProbe = startStateProbe(address, path)
+  const isAnswered = await isAnsweredInTime(stateProbe)
+  stateProbe.cancel()
+  // The probe is inconclusive if this process was too busy or could not connect.
+  if (isAnswered === undefined || stateProbe.sign === 'no-connection') return 'no-connection'
+  // An endpoint that fails to report its state has no engine behind it.
+  return stateProbe.sign === 'lives' ? 'lives' : 'does-not-answer'
 }
 
-/** The time for the answer begins once the question is written; undefined where this process was too busy to know. */
-async function isAnsweredInTime(question: StateProbe): Promise<boolean | undefined> {
+/**
+ * Whether the endpoint answers in time, counted from when the probe request is written; undefined where this
+ * process was too busy to know.
+ */
+async function isAnsweredInTime(stateProbe: StateProbe): Promise<boolean | undefined> {
   const forConnection = { clock: CLOCK, delay: CONNECT_MILLISECONDS }
   const forState = { clock: CLOCK, delay: STATE_MILLISECONDS }
-  const isWritten = await settlesWithin(question, question.written, forConnection)
-  return isWritten && settlesWithin(question, question.answered, forState)
+  const isWritten = await settlesWithin(stateProbe, stateProbe.written, forConnection)
+  return isWritten && settlesWithin(stateProbe, stateProbe.answered, forState)
 }
--- a/packages/router/src/crashes/probeWithLinkCheck.ts
+++ b/packages/router/src/crashes/probeWithLinkCheck.ts
@@ -1,17 +1,20 @@
-/** Looks whether an endpoint is still there, unless this instance has lost the way to it. Owns nothing. */
+/** Probes whether an endpoint is alive, unless this instance has lost its link to it. Owns nothing. */
 
 import type { ProbeResult } from '@rackwalk/decisions'
 import type { LinkMonitor, MonitoredEndpoint } from '../routing/linkMonitor.js'
 import type { SuspectEndpoint } from './endpointCrashDetector.js'
 import { probeEndpoint } from './endpointProbe.js'
 
-/** That nobody listens proves an end only where others are reached: a link that is cut may refuse as well. */
+/**
+ * A refused connection proves a termination only if other endpoints are reachable: a cut link may refuse
+ * connections as well.
+ */
 export async function probeWithLinkCheck<Endpoint extends MonitoredEndpoint>(
   endpoint: SuspectEndpoint,
   links: LinkMonitor<Endpoint>,
 ): Promise<ProbeResult> {
-  const sign = await probeEndpoint(endpoint)
-  if (sign !== 'nobody-listens') return sign
-  const isReaching = await links.reachesOthers(endpoint.address, endpoint.service)
-  return isReaching ? sign : 'no-connection'
+  const result = await probeEndpoint(endpoint)
+  if (result !== 'nobody-listens') return result
+  const reachesOthers = await links.reachesOthers(endpoint.address, endpoint.service)
+  return reachesOthers ? result : 'no-connection'
 }
--- a/packages/router/src/crashes/promptPartGuard.ts
+++ b/packages/router/src/crashes/promptPartGuard.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests from endpoints that hold a part of a prompt under which endpoints ended. Owns what this instance believes of
- * parts; the rule is in decisions/retrying/deadlyParts. Others are told by whoever made the guard.
+ * Quarantines prompt parts under which endpoints crashed. Owns what this instance knows of them; the rule is
+ * in decisions/retrying/promptPartQuarantine. The owner of the guard sends its gossip to the other instances.
  */
 
 import { PromptPartQuarantine } from '@rackwalk/decisions'
@@ -9,16 +9,16 @@
 import type { ResetRequest } from './endpointCrashDetector.js'
 import { promptPartKeys } from './promptPartKey.js'
 
-/** What the guard works with. */
+/** Dependencies and callbacks of a guard. */
 export interface PromptPartGuardParts {
   readonly clock: Clock
-  /** For all other instances. */
-  readonly broadcast: (news: CrashGossip) => void
-  /** A part is refused from now on, or is no longer. */
+  /** Sends gossip to all other instances. */
+  readonly broadcast: (gossip: CrashGossip) => void
+  /** A part is refused from now on, or no longer refused. */
   readonly onPromptPartVerdict: (part: PromptPartKey, isRefused: boolean) => void
 }
 
-/** A prompt, as far as its parts are concerned. */
+/** The parts of a prompt, with the service that it is for. */
 export interface ServicePrompt {
   readonly service: string
   readonly promptParts: readonly { readonly id: string }[]
@@ -26,45 +26,46 @@
 
 const NO_KEYS: readonly PromptPartKey[] = []
 
-/** What one instance knows of parts of prompts that end endpoints. */
+/** Crash evidence of one instance against prompt parts. */
 export class PromptPartGuard {
   private readonly crashingParts = new PromptPartQuarantine()
 
   constructor(private readonly parts: PromptPartGuardParts) {}
 
-  /** Keys of the parts of a prompt, where anything is held against any part. */
+  /** Keys of the parts of a prompt; empty while no part is suspected. */
   keysOf(prompt: ServicePrompt): readonly PromptPartKey[] {
     if (this.crashingParts.isEmpty) return NO_KEYS
     return promptPartKeys(prompt.service, prompt.promptParts)
   }
 
-  /** What to do with a request that holds these parts. */
+  /** The verdict on a request that contains these parts. */
   verdict(keys: readonly PromptPartKey[]): QuarantineVerdict {
     return keys.length === 0 ? 'send' : this.crashingParts.verdict(keys, this.now)
   }
 
-  /** The part by whose hash an isolated request finds its endpoint; undefined where none is suspected. */
+  /**
+   * The part whose hash selects the endpoint of an isolated request; undefined where no part is suspected.
+   */
   isolationKey(keys: readonly PromptPartKey[]): PromptPartKey | undefined {
     return this.crashingParts.isolatingPart(keys)
   }
 
-  /** Parts that are refused. */
+  /** Number of refused parts. */
   get refusedCount(): number {
     return this.crashingParts.refusedParts.length
   }
 
-  /** Whether a part is refused. */
   isRefused(part: PromptPartKey): boolean {
     return this.crashingParts.isRefused(part)
   }
 
-  /** Ends that are held against a part. */
+  /** Starts that crashed under a part. */
   startsOf(part: PromptPartKey): readonly EndpointStart[] {
     return this.crashingParts.crashedStartsOf(part)
   }
 
-  /** An endpoint ended while these requests were there without an answer. */
-  noteEnd(start: EndpointStart, unanswered: readonly ResetRequest[]): void {
+  /** An endpoint crashed while these requests were in flight to it without an answer. */
+  noteCrash(start: EndpointStart, unanswered: readonly ResetRequest[]): void {
     const partEnds = [false, true].flatMap(wasIsolated => {
       const requests = unanswered.filter(request => request.wasIsolated === wasIsolated)
       const parts = [...new Set(requests.flatMap(request => request.parts ?? []))]
@@ -72,10 +73,11 @@
     })
     if (partEnds.length === 0) return
     this.parts.broadcast({ marks: [], cleared: [], partEnds })
-    for (const end of partEnds) this.announceRefused(this.crashingParts.noteCrash(end, this.now))
+    for (const crash of partEnds)
+      this.announceRefused(this.crashingParts.noteCrash(crash, this.now))
   }
 
-  /** An answer began to a request with these parts. */
+  /** An endpoint began to answer a request with these parts. */
   noteAnswered(keys: readonly PromptPartKey[]): void {
     const wasRefused = keys.filter(key => this.crashingParts.isRefused(key))
     const soundParts = this.crashingParts.noteAnswered(keys)
@@ -83,44 +85,45 @@
     for (const part of wasRefused) this.parts.onPromptPartVerdict(part, false)
   }
 
-  /** A request with these parts is sent: where one of them is refused, that is its trial. */
+  /** A request with these parts is sent. If one of them is refused, the request is its trial. */
   noteSent(keys: readonly PromptPartKey[]): void {
     const triedParts = this.crashingParts.noteTrial(keys, this.now)
     if (triedParts.length > 0) this.parts.broadcast({ marks: [], cleared: [], triedParts })
   }
 
-  /** What holds, for an instance that was not there when it was told. */
+  /** Current evidence, for an instance that joined after it was announced. */
   get newsSnapshot(): Pick<CrashGossip, 'partEnds' | 'deadlyParts'> {
     const { refusedParts } = this.crashingParts
     const refused = new Set(refusedParts)
-    const ends = this.crashingParts.evidence(this.now)
-    const partEnds = ends.filter(({ parts }) => parts.some(part => refused.has(part)))
+    const crashes = this.crashingParts.evidence(this.now)
+    const partEnds = crashes.filter(({ parts }) => parts.some(part => refused.has(part)))
     return { partEnds, deadlyParts: refusedParts }
   }
 
-  /** Takes in what others found out. */
+  /** Applies gossip from other instances. */
   applyNews({
     partEnds = [],
     deadlyParts = [],
     soundParts = [],
     triedParts = [],
   }: CrashGossip): void {
-    for (const end of partEnds) this.announceRefused(this.crashingParts.noteCrash(end, this.now))
+    for (const crash of partEnds)
+      this.announceRefused(this.crashingParts.noteCrash(crash, this.now))
     for (const part of deadlyParts) this.markRefused(part)
     this.crashingParts.noteTrial(triedParts, this.now)
     this.forget(soundParts)
   }
 
-  /** A record says that a part is refused for these ends. */
+  /** A stored record says that a part is refused because of crashes of these starts. */
   applyRecord(part: PromptPartKey, starts: readonly EndpointStart[]): void {
     for (const start of starts) {
-      const end = { start, parts: [part], wasIsolated: true, ageMilliseconds: 0 }
-      this.crashingParts.noteCrash(end, this.now)
+      const crash = { start, parts: [part], wasIsolated: true, ageMilliseconds: 0 }
+      this.crashingParts.noteCrash(crash, this.now)
     }
     this.markRefused(part)
   }
 
-  /** Nothing is held against these parts any more. */
+  /** Clears all evidence against these parts. */
   forget(parts: readonly PromptPartKey[]): void {
     const wasRefused = parts.filter(part => this.crashingParts.isRefused(part))
     this.crashingParts.clear(parts)
@@ -133,7 +136,10 @@
     this.parts.onPromptPartVerdict(part, true)
   }
 
-  /** What this instance has found deadly is told, so that those that see little of it need not find out. */
+  /**
+   * Announces parts that this instance has found to crash endpoints, so that instances that see few of these
+   * crashes need not collect the evidence themselves.
+   */
   private announceRefused(deadlyParts: readonly PromptPartKey[]): void {
     if (deadlyParts.length === 0) return
     this.parts.broadcast({ marks: [], cleared: [], deadlyParts })
--- a/packages/router/src/crashes/promptPartKey.ts
+++ b/packages/router/src/crashes/promptPartKey.ts
@@ -1,13 +1,16 @@
-/** What names a part of a prompt for all instances, whichever request holds it. */
+/** Identifies a prompt part across instances, whichever request contains it. */
 
 import { hash } from 'node:crypto'
 import { asId } from '@rackwalk/shared'
 import type { PromptPartKey } from '@rackwalk/shared'
 
-/** 96 bits: nobody finds a part for somebody else's key. */
+/** 96 bits: nobody can find a part that collides with somebody else's key. */
 const KEY_CHARACTERS = 16
 
-/** Keys of the parts of a prompt that other requests may share: the last one belongs to the request itself. */
+/**
+ * Keys of the parts of a prompt that other requests may contain. The last part belongs to the request itself
+ * and is left out.
+ */
 export function promptPartKeys(
   service: string,
   parts: readonly { readonly id: string }[],
--- a/packages/router/src/crashes/promptPartRecords.ts
+++ b/packages/router/src/crashes/promptPartRecords.ts
@@ -1,6 +1,6 @@
 /**
- * How records of requests that end endpoints also tell of parts of prompts: a part lies under a key that no request has, so
- * that an earlier version reads it as a request that nobody sends. Owns nothing.
+ * Stores quarantined prompt parts among the records of crash-inducing requests. A part is stored under a key
+ * that no request has, so that an earlier version reads it as a request that is never sent. Owns nothing.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
@@ -8,38 +8,38 @@
 import type { PromptPartKey, RequestFingerprint } from '@rackwalk/shared'
 import type { CrashGuard } from './crashGuard.js'
 
-/** No fingerprint of a request has this in it. */
+/** Occurs in no request fingerprint. */
 const PART_PREFIX = 'part:'
 
-/** What is kept of a part that is refused. */
+/** The crash marks that are stored for a refused part. */
 export function marksOfPart(guard: CrashGuard, part: PromptPartKey): readonly CrashMark[] {
   const fingerprint = recordKeyOf(part)
   const starts = guard.promptParts.startsOf(part)
   return starts.map(start => ({ fingerprint, start, wasIsolated: true }))
 }
 
-/** The key of the record of a part. */
+/** The record key of a part. */
 export function recordKeyOf(part: PromptPartKey): RequestFingerprint {
   return asId(`${PART_PREFIX}${part}`)
 }
 
-/** Takes in what records say, of requests and of parts. */
+/** Applies stored records of requests and of parts. */
 export function observeRecords(guard: CrashGuard, marks: readonly CrashMark[]): void {
   const byPart = groupBy(marks, ({ fingerprint }) => partOf(fingerprint))
-  for (const [part, own] of byPart) {
-    if (part === undefined) guard.applyNews({ marks: own, cleared: [] })
-    else noteRecordedPart(guard, part, own)
+  for (const [part, partMarks] of byPart) {
+    if (part === undefined) guard.applyNews({ marks: partMarks, cleared: [] })
+    else applyPartRecord(guard, part, partMarks)
   }
 }
 
-/** The record of a request or of a part has gone. */
+/** The record of a request or part was removed. */
 export function forgetRecord(guard: CrashGuard, key: RequestFingerprint): void {
   const part = partOf(key)
   if (part === undefined) guard.forget(key)
   else guard.promptParts.forget([part])
 }
 
-function noteRecordedPart(
+function applyPartRecord(
   { promptParts }: CrashGuard,
   part: PromptPartKey,
   marks: readonly CrashMark[],
@@ -50,7 +50,7 @@
   )
 }
 
-/** Undefined where the record is one of a request. */
+/** Undefined where the record belongs to a request. */
 function partOf(key: RequestFingerprint): PromptPartKey | undefined {
   return key.startsWith(PART_PREFIX)
     ? asId<PromptPartKey>(key.slice(PART_PREFIX.length))
--- a/packages/router/src/crashes/requestFingerprint.ts
+++ b/packages/router/src/crashes/requestFingerprint.ts
@@ -1,32 +1,35 @@
-/** What makes two requests the same one, whatever their ids and whichever instance they came to. */
+/** Identifies equal requests, whatever their ids and whichever instance received them. */
 
 import { createHash, hash } from 'node:crypto'
 import { SCOPE_PREFIX_LENGTH } from '@rackwalk/decisions'
 import { asId } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 
-/** What is known of a request without its body. */
+/** The part of a request that is known without its body. */
 export interface ScopedRequest {
-  /** With its query. */
+  /** Includes the query. */
   readonly path: string
-  /** Undefined where the route asks for no key. */
+  /** Undefined where the route requires no key. */
   readonly team: string | undefined
 }
 
-/** What a fingerprint is taken of. */
+/** The input of a fingerprint. */
 export interface FingerprintedRequest extends ScopedRequest {
   readonly body: Buffer
 }
 
-/** 96 bits: nobody finds a second body for somebody else's fingerprint. */
+/** 96 bits: nobody can find a second body with somebody else's fingerprint. */
 const DIGEST_CHARACTERS = 16
 
-/** What all requests of a team to one path share: their fingerprints begin with it. */
+/** The prefix of the fingerprints of all requests of a team to one path. */
 export function requestScope({ path, team }: ScopedRequest): string {
   return hash('sha256', `${path}\n${team ?? ''}`, 'base64url').slice(0, SCOPE_PREFIX_LENGTH)
 }
 
-/** The team is part of it: what one team sends never says anything of another one's request. */
+/**
+ * Returns the fingerprint of a request. It depends on the team, so that requests of one team never affect
+ * those of another.
+ */
 export function requestFingerprint({ path, team, body }: FingerprintedRequest): RequestFingerprint {
   const digest = createHash('sha256')
   digest.update(`${path}\n${team ?? ''}\n`)
--- a/packages/router/src/crashes/requestVerdict.ts
+++ b/packages/router/src/crashes/requestVerdict.ts
@@ -1,4 +1,7 @@
-/** What is believed of a request of the OpenAI-style kind, by itself and by the messages that it shares. Owns nothing. */
+/**
+ * Quarantine verdict on an OpenAI-style request, by its fingerprint and by the messages that it shares with
+ * other requests. Owns nothing.
+ */
 
 import { strictestVerdict } from '@rackwalk/decisions'
 import type { QuarantineVerdict } from '@rackwalk/decisions'
@@ -8,14 +11,14 @@
 import type { ServicePrompt } from './promptPartGuard.js'
 import { promptPartKeys } from './promptPartKey.js'
 
-/** A request, as far as it may end endpoints. */
+/** The part of a request that crash checks need. */
 export interface CrashCheckedRequest {
   readonly call: Call
   readonly target: string
   readonly crashFingerprint: RequestFingerprint | undefined
 }
 
-/** Its verdict, the stricter of both. */
+/** Returns the stricter verdict of the whole request and of its messages. */
 export function requestVerdict(
   crashes: CrashGuard,
   request: CrashCheckedRequest,
@@ -25,7 +28,7 @@
   return strictestVerdict(ofRequest, crashes.promptParts.verdict(messageKeys(crashes, request)))
 }
 
-/** Keys of the messages that other chats may share, where anything is held against any. */
+/** Keys of the messages that other chats may contain; empty while no part is suspected. */
 export function messageKeys(
   { promptParts }: CrashGuard,
   request: CrashCheckedRequest,
@@ -33,13 +36,13 @@
   return promptParts.keysOf(promptOf(request))
 }
 
-/** The same, whatever is held against them. */
+/** Like `messageKeys`, also while no part is suspected. */
 export function allMessageKeys(request: CrashCheckedRequest): readonly PromptPartKey[] {
   const { service, promptParts } = promptOf(request)
   return promptPartKeys(service, promptParts)
 }
 
-/** The messages are spelled out only where somebody asks for them: chats are long. */
+/** Serializes the messages only when they are read: chats are long. */
 function promptOf({ call, target }: CrashCheckedRequest): ServicePrompt {
   return {
     service: target,
