--- a/packages/router/__tests__/standIns/markedChats.ts
+++ b/packages/router/__tests__/standIns/markedChats.ts
@@ -189,13 +189,13 @@
       }
       const fate = judgeWithdrawal(open, end, askedAt)
       if (fate === 'none' || fate === 'doubted') continue
-      const isLookedAt = fate !== 'was-there'
+      const isAttributed = fate !== 'was-there'
       exchange.fail({
         kind: 'failed',
         reason: 'ended',
         stalled: false,
         end: 'endpoint-ended',
-        isLookedAt,
+        isAttributed,
       })
     }
   }
@@ -208,7 +208,7 @@
     if (verdict === 'refuse') return false
     const request = {
       incoming: {
-        caller: { left: new AbortController().signal },
+        caller: { disconnectSignal: new AbortController().signal },
         headers: new Map(isMarked ? [['x-marked', '1']] : []),
       },
       call: {
@@ -223,7 +223,7 @@
       repeatable: true,
       deadline: this.clock.sinceStart() + 60_000,
       crashFingerprint: fingerprint,
-      notePlaced: () => {},
+      noteDispatched: () => {},
     }
     try {
       const { endpointId } = this.router.choose(request as never)
