--- a/packages/router/src/advice/adviceFromHeaders.ts
+++ b/packages/router/src/advice/adviceFromHeaders.ts
@@ -1,8 +1,8 @@
 /**
- * What engines behind published protocols say of themselves in the head of an answer: the `RateLimit` fields of the IETF
- * draft (draft-ietf-httpapi-ratelimit-headers) and those that came before them, `x-ratelimit-*-requests` as OpenAI's
- * API has them, `Retry-After` (RFC 9110), and the state that this project's engines tell. Translates names and windows;
- * what the texts mean is read in one place for all kinds (decisions/choosing/endpointAdvice).
+ * Reads advice from the head of an answer of an engine with a published protocol: the `RateLimit` fields of
+ * the IETF draft (draft-ietf-httpapi-ratelimit-headers) and their predecessors, `x-ratelimit-*-requests` as
+ * in OpenAI's API, `Retry-After` (RFC 9110), and the state header of this project's engines. Translates names
+ * and windows only; the values are parsed in one place for all dialects (decisions/choosing/endpointAdvice).
  */
 
 import { parseList } from 'structured-headers'
@@ -13,15 +13,15 @@
 type RateTexts = AdviceHeaders['rates']
 
 const RETRY_AFTER = 'retry-after'
-/** Requests a minute, and what is left of them until a time that is given as `1m30s`. */
+/** Requests per minute, the number remaining, and the time until the reset, given as `1m30s`. */
 const MINUTE_LIMIT = 'x-ratelimit-limit-requests'
 const MINUTE_REMAINING = 'x-ratelimit-remaining-requests'
 const MINUTE_RESET = 'x-ratelimit-reset-requests'
-/** `"burst";q=100;w=60`: so many requests in so many seconds. */
+/** `"burst";q=100;w=60`: 100 requests in 60 seconds. */
 const POLICY = 'ratelimit-policy'
-/** `"burst";r=0;t=30`: so many are left for so many seconds. */
+/** `"burst";r=0;t=30`: 0 requests remain for 30 seconds. */
 const STATE = 'ratelimit'
-/** Before the draft had one field for each: the limit with the window of its policy. */
+/** Fields of earlier versions of the draft, where the limit carried the window of its policy. */
 const EARLIER_REMAINING = 'ratelimit-remaining'
 const EARLIER_RESET = 'ratelimit-reset'
 const LEAVING = 'x-endpoint-state'
@@ -29,27 +29,28 @@
 const MINUTE_SECONDS = 60
 const TOO_MANY_STATUS = 429
 const UNAVAILABLE_STATUS = 503
-/** With one of these an endpoint turns a request away. */
+/** Statuses with which an endpoint may reject a request. */
 const REJECTION_STATUSES = new Set([TOO_MANY_STATUS, UNAVAILABLE_STATUS])
 /** Hours, minutes, seconds and milliseconds, each at most once. */
 const DURATION_PATTERN = /^(?:(\d+)h)?(?:(\d+)m(?!s))?(?:(\d+(?:\.\d+)?)s)?(?:(\d+)ms)?$/
 const NOTHING_LEFT = '0'
-/** Text that no reader takes for a number or a date. */
+/** Parsed neither as a number nor as a date. */
 const UNREADABLE = 'unreadable'
 
-/** What an answer of the OpenAI-style kind says of its endpoint; header names in small letters. */
+/** Returns what an OpenAI-style answer advises about its endpoint. Header names are in lower case. */
 export function adviceFromHeaders(status: number, headers: Headers): AdviceHeaders {
-  const asked = REJECTION_STATUSES.has(status) ? headers[RETRY_AFTER] : undefined
+  const retryAfter = REJECTION_STATUSES.has(status) ? headers[RETRY_AFTER] : undefined
   return {
     rates: [...minuteRates(headers), ...policyRates(headers)],
     leaving: headers[LEAVING] === 'leaving' ? '1' : undefined,
-    rest: asked ?? usedUpUntil(headers),
+    rest: retryAfter ?? secondsUntilReset(headers),
   }
 }
 
 /**
- * Whether an endpoint turned the request away, so that it was not run. A 429 says so by itself; a 503 only where the
- * endpoint says that it wants rest or leaves, since others come from what stands before an endpoint that has failed.
+ * Whether the endpoint rejected the request without running it. A 429 always means that. A 503 means it only
+ * with a requested backoff or a leaving state, since other 503s come from a proxy in front of a failed
+ * endpoint.
  */
 export function isRejectedUnrun(status: number, headers: Headers): boolean {
   if (status === TOO_MANY_STATUS) return true
@@ -70,22 +71,25 @@
   if (policies === undefined) return [{ text: UNREADABLE, windowSeconds: 1 }]
   return policies.flatMap(policy => {
     const windowSeconds = Number(policy.get('w'))
-    // A quota of a day may be used in an hour, and one in another unit than requests bounds no rate.
+    // Windows longer than a minute and units other than requests bound no rate: a daily quota may be used up
+    // in an hour.
     const isRate = windowSeconds > 0 && windowSeconds <= MINUTE_SECONDS && !policy.has('qu')
     return isRate ? [{ text: String(policy.get('q')), windowSeconds }] : []
   })
 }
 
-/** Seconds until requests are left again; undefined where some are. */
-function usedUpUntil(headers: Headers): string | undefined {
+/** Seconds until requests are available again; undefined if some are available now. */
+function secondsUntilReset(headers: Headers): string | undefined {
   if (headers[MINUTE_REMAINING] === NOTHING_LEFT) return secondsOf(headers[MINUTE_RESET])
   if (headers[EARLIER_REMAINING] === NOTHING_LEFT) return headers[EARLIER_RESET]
   const states = parametersOf(headers[STATE] ?? '') ?? []
-  const usedUp = states.filter(state => state.get('r') === 0).map(state => Number(state.get('t')))
-  return usedUp.length === 0 ? undefined : String(Math.max(...usedUp))
+  const exhausted = states
+    .filter(state => state.get('r') === 0)
+    .map(state => Number(state.get('t')))
+  return exhausted.length === 0 ? undefined : String(Math.max(...exhausted))
 }
 
-/** Parameters of each item of a list; undefined where the text is no list. */
+/** Returns the parameters of each list item; undefined if the text is no list. */
 function parametersOf(text: string): readonly Parameters[] | undefined {
   try {
     return parseList(text).map(([, parameters]) => parameters)
@@ -94,7 +98,7 @@
   }
 }
 
-/** Undefined where there is no such text. */
+/** Returns a duration such as `1m30s` in seconds; undefined if there is none. */
 function secondsOf(duration: string | undefined): string | undefined {
   if (duration === undefined) return undefined
   const parts = DURATION_PATTERN.exec(duration)
--- a/packages/router/src/advice/endpointAdviceStore.ts
+++ b/packages/router/src/advice/endpointAdviceStore.ts
@@ -1,6 +1,6 @@
 /**
- * What all starts of endpoints have said of themselves. Owns the memory of each, which outlasts its row; tells what is
- * new to whoever made it.
+ * Stores the advice of all starts of endpoints. Owns the advice of each start, which outlasts its row.
+ * Reports changes to its owner.
  */
 
 import { adviceText } from '@rackwalk/decisions'
@@ -8,115 +8,120 @@
 import type { Clock, EndpointStart } from '@rackwalk/shared'
 import { StartAdvice } from './startAdvice.js'
 
-/** What the memory works with. */
+/** Dependencies and callbacks of a store. */
 export interface EndpointAdviceStoreParts {
   readonly clock: Clock
-  /** A start said something else of itself than before, in words; undefined where it says nothing any more. */
+  /** The advice of a start changed. `said` is its description, undefined if there is no advice any more. */
   readonly onChange: (start: EndpointStart, said: string | undefined) => void
-  /** For all other instances. */
-  readonly broadcast: (news: AdviceGossip) => void
+  /** Sends gossip to all other instances. */
+  readonly broadcast: (gossip: AdviceGossip) => void
 }
 
-/** Starts that are remembered at the most; the one that was touched longest ago is forgotten first. */
-const REMEMBERED_STARTS = 4_096
+/** Maximum number of stored starts; the least recently touched one is forgotten first. */
+const MAXIMUM_STARTS = 4_096
 
-interface Remembered {
+interface StoredAdvice {
   readonly advice: StartAdvice
-  /** Which kinds of things it said, and not their figures: a line for each answer would tell nothing. */
-  said: string
+  /**
+   * The kinds of advice without their figures, so that a change of figures alone is not logged: there would
+   * be a log line per answer.
+   */
+  saidKinds: string
 }
 
-/** The memory of one instance. */
+/** The advice known to one instance. */
 export class EndpointAdviceStore {
-  /** The one that was touched last stands last. */
-  private readonly starts = new Map<EndpointStart, Remembered>()
+  /** Ordered by last touch, the newest last. */
+  private readonly starts = new Map<EndpointStart, StoredAdvice>()
 
   constructor(private readonly parts: EndpointAdviceStoreParts) {}
 
-  /** What a start has said, if anything. */
+  /** The advice of a start, if any. */
   of(start: EndpointStart): StartAdvice | undefined {
     return this.starts.get(start)?.advice
   }
 
-  /** An endpoint said this in an answer. `isTrusted`: it is its own answer to what was asked, and whole. */
+  /**
+   * Stores the advice of an answer. `isTrusted`: the answer is the endpoint's own answer to this request, and
+   * complete.
+   */
   note(start: EndpointStart, advice: EndpointAdvice, isTrusted: boolean): void {
     const known = this.starts.get(start)
     const isSilent = adviceText(advice) === undefined
     if (known === undefined && isSilent) return
-    const remembered = this.touch(start)
-    this.noteRate(remembered.advice, advice, isTrusted)
-    if (advice.isLeaving) this.tell(remembered.advice.noteLeaving())
-    if (advice.restMilliseconds !== undefined)
-      remembered.advice.noteRetryAfter(advice.restMilliseconds)
-    else if (isTrusted) remembered.advice.noteAccepted()
-    this.noteChange(start, remembered, advice)
+    const stored = this.touch(start)
+    this.noteRate(stored.advice, advice, isTrusted)
+    if (advice.isLeaving) this.broadcast(stored.advice.noteLeaving())
+    if (advice.restMilliseconds !== undefined) stored.advice.noteRetryAfter(advice.restMilliseconds)
+    else if (isTrusted) stored.advice.noteAccepted()
+    this.noteChange(start, stored, advice)
   }
 
-  /** Another instance had such an answer. */
-  observe(news: AdviceGossip): void {
-    const isNothing = news.requestsPerSecond === undefined && news.isLeaving !== true
-    if (isNothing && !this.starts.has(news.start)) return
-    this.touch(news.start).advice.observe(news)
+  /** Applies advice that another instance received. */
+  observe(gossip: AdviceGossip): void {
+    const isNothing = gossip.requestsPerSecond === undefined && gossip.isLeaving !== true
+    if (isNothing && !this.starts.has(gossip.start)) return
+    this.touch(gossip.start).advice.observe(gossip)
   }
 
-  /** Another instance has requests in progress there: it will tell what it hears. */
+  /** Another instance has requests in flight to this start and will report the advice that it receives. */
   notePeerRequests(start: EndpointStart): void {
     this.starts.get(start)?.advice.noteActivity()
   }
 
-  /** A start is over. */
+  /** A start has terminated. */
   forget(start: EndpointStart): void {
     this.starts.delete(start)
   }
 
-  /** What holds of all starts, for an instance that may not have heard it. */
+  /** Current advice of all starts, for an instance that may not have received it. */
   get newsSnapshot(): readonly AdviceGossip[] {
     return [...this.starts.values()].flatMap(({ advice }) => advice.newsSnapshot ?? [])
   }
 
-  /** Starts that name a rate. */
+  /** Number of starts that advertise a rate limit. */
   get rateLimitedCount(): number {
     return this.newsSnapshot.filter(({ requestsPerSecond }) => requestsPerSecond !== undefined)
       .length
   }
 
-  /** Starts that want nothing from this instance for now. */
+  /** Number of starts to which this instance currently backs off. */
   get backingOffCount(): number {
     return [...this.starts.values()].filter(({ advice }) => advice.retryAfterMilliseconds > 0)
       .length
   }
 
-  /** Whether a start said that it leaves. */
+  /** Whether a start announced that it leaves. */
   isLeaving(start: EndpointStart): boolean {
     return this.of(start)?.isLeaving === true
   }
 
-  private noteRate(memory: StartAdvice, { rate }: EndpointAdvice, isTrusted: boolean): void {
+  private noteRate(startAdvice: StartAdvice, { rate }: EndpointAdvice, isTrusted: boolean): void {
     if (rate === 'unreadable') return
-    // What is no answer of the endpoint's own does not end a rate that it named.
+    // An answer that is not the endpoint's own does not lift a rate limit.
     if (rate === 'none' && !isTrusted) return
-    this.tell(memory.noteRate(rate === 'none' ? undefined : rate))
+    this.broadcast(startAdvice.noteRate(rate === 'none' ? undefined : rate))
   }
 
-  private tell(news: AdviceGossip | undefined): void {
-    if (news !== undefined) this.parts.broadcast(news)
+  private broadcast(gossip: AdviceGossip | undefined): void {
+    if (gossip !== undefined) this.parts.broadcast(gossip)
   }
 
-  private noteChange(start: EndpointStart, remembered: Remembered, advice: EndpointAdvice): void {
-    const said = kindsOf(advice)
-    if (said === remembered.said) return
-    remembered.said = said
+  private noteChange(start: EndpointStart, stored: StoredAdvice, advice: EndpointAdvice): void {
+    const kinds = kindsOf(advice)
+    if (kinds === stored.saidKinds) return
+    stored.saidKinds = kinds
     this.parts.onChange(start, adviceText(advice))
   }
 
-  private touch(start: EndpointStart): Remembered {
+  private touch(start: EndpointStart): StoredAdvice {
     const known = this.starts.get(start)
-    const remembered = known ?? { advice: new StartAdvice(start, this.parts.clock), said: '' }
+    const stored = known ?? { advice: new StartAdvice(start, this.parts.clock), saidKinds: '' }
     this.starts.delete(start)
     const [oldest] = this.starts.keys()
-    if (this.starts.size >= REMEMBERED_STARTS && oldest !== undefined) this.starts.delete(oldest)
-    this.starts.set(start, remembered)
-    return remembered
+    if (this.starts.size >= MAXIMUM_STARTS && oldest !== undefined) this.starts.delete(oldest)
+    this.starts.set(start, stored)
+    return stored
   }
 }
 
--- a/packages/router/src/advice/rejectionGuard.ts
+++ b/packages/router/src/advice/rejectionGuard.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps requests from endpoints that would turn them away and that bear only few of these. Owns what services said of it in
- * their answers, and what was sent at the risk of being turned away; the rule is in decisions/choosing/turnAwayRisk.
+ * Limits requests to nearly full endpoints that tolerate only few rejections. Owns the bounds that services
+ * named in their answers, and the sends that risked a rejection; the rule is in
+ * decisions/choosing/rejectionQuota.
  */
 
 import { isNearlyFull, rejectionQuota } from '@rackwalk/decisions'
@@ -8,16 +9,16 @@
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
 import { SendHistory } from './sendHistory.js'
 
-/** What the guard works with. */
+/** Dependencies of a guard. */
 export interface TurnAwayGuardParts {
   readonly clock: Clock
-  /** The name under which this instance is recorded. */
+  /** Name under which this instance is recorded. */
   readonly instance: string
-  /** All instances that are recorded, this one included; undefined while this one may not be known to them. */
+  /** All recorded instances including this one; undefined while the others may not know of this one. */
   readonly recordedInstances: () => readonly RecordedInstance[] | undefined
 }
 
-/** An endpoint, and what is in progress there from all instances. */
+/** An endpoint and the requests in progress there from all instances. */
 export interface EndpointOccupancy {
   readonly start: EndpointStart
   readonly service: string
@@ -26,55 +27,55 @@
 }
 
 interface RejectionBound {
-  readonly turnAwaysPerSecond: number
-  /** Monotonic time of the newest answer that named it. */
-  readonly saidAt: Milliseconds
+  readonly rejectionsPerSecond: number
+  /** Monotonic time of the newest answer that named the bound. */
+  readonly reportedAt: Milliseconds
 }
 
-/** Answers that were begun before a service said it may come for so long. */
-const SAID_MILLISECONDS: Milliseconds = 1_000
-/** Endpoints whose sends are remembered at the most. */
-const REMEMBERED_STARTS = 1_024
+/** Answers begun before a service named its bound may arrive for this long, and do not remove it. */
+const BOUND_RETENTION_MILLISECONDS: Milliseconds = 1_000
+/** Maximum number of endpoints whose sends are remembered. */
+const MAXIMUM_STARTS = 1_024
 
-/** What one instance knows of endpoints that bear few turned away requests. */
+/** Rejection bounds as known to one instance. */
 export class RejectionGuard {
-  /** By service: all endpoints of one say the same. */
+  /** By service: all endpoints of a service name the same bound. */
   private readonly bounds = new Map<string, RejectionBound>()
-  /** Sends at the risk of being turned away. */
+  /** Sends that risked a rejection. */
   private readonly sends = new Map<EndpointStart, SendHistory>()
 
   constructor(private readonly parts: TurnAwayGuardParts) {}
 
-  /** Services that named such a bound. */
+  /** Number of services that named a bound. */
   get boundedServices(): number {
     return this.bounds.size
   }
 
   /** An endpoint of a service named this bound in an answer, or none. */
-  note(service: string, turnAwaysPerSecond: number | undefined): void {
-    const saidAt = this.parts.clock.monotonic()
-    if (turnAwaysPerSecond !== undefined) {
-      this.bounds.set(service, { turnAwaysPerSecond, saidAt })
+  note(service: string, rejectionsPerSecond: number | undefined): void {
+    const reportedAt = this.parts.clock.monotonic()
+    if (rejectionsPerSecond !== undefined) {
+      this.bounds.set(service, { rejectionsPerSecond, reportedAt })
       return
     }
     const known = this.bounds.get(service)
-    if (known !== undefined && saidAt - known.saidAt > SAID_MILLISECONDS) {
+    if (known !== undefined && reportedAt - known.reportedAt > BOUND_RETENTION_MILLISECONDS) {
       this.bounds.delete(service)
     }
   }
 
-  /** Whether an endpoint may be sent something now. */
+  /** Whether a request may be sent to an endpoint now. */
   allows(endpoint: EndpointOccupancy): boolean {
     const bound = this.boundAtRisk(endpoint)
     if (bound === undefined) return true
     const recorded = this.parts.recordedInstances()
     if (recorded === undefined) return false
     const { instance } = this.parts
-    const licence = rejectionQuota(bound.turnAwaysPerSecond, instance, recorded, endpoint.start)
-    return licence !== undefined && this.sendsTo(endpoint.start).waitFor(licence) === 0
+    const quota = rejectionQuota(bound.rejectionsPerSecond, instance, recorded, endpoint.start)
+    return quota !== undefined && this.sendsTo(endpoint.start).waitFor(quota) === 0
   }
 
-  /** It is sent something now. */
+  /** A request is sent to the endpoint now. */
   noteSent(endpoint: EndpointOccupancy): void {
     if (this.boundAtRisk(endpoint) !== undefined) this.sendsTo(endpoint.start).note()
   }
@@ -87,7 +88,7 @@
   private sendsTo(start: EndpointStart): SendHistory {
     const known = this.sends.get(start)
     if (known !== undefined) return known
-    if (this.sends.size >= REMEMBERED_STARTS) this.sends.clear()
+    if (this.sends.size >= MAXIMUM_STARTS) this.sends.clear()
     const created = new SendHistory(this.parts.clock)
     this.sends.set(start, created)
     return created
--- a/packages/router/src/advice/sendHistory.ts
+++ b/packages/router/src/advice/sendHistory.ts
@@ -1,25 +1,28 @@
-/** When requests were sent to one endpoint from here, as far back as licences look. Owns these times. */
+/**
+ * Times at which this instance sent requests to one endpoint, as far back as quotas need them. Owns these
+ * times.
+ */
 
 import type { RateQuota } from '@rackwalk/decisions'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Times that are remembered at the most: no licence allows more in its window. */
-const REMEMBERED_SENDS = 64
+/** Maximum number of remembered times: no quota allows more sends in its window. */
+const MAXIMUM_SENDS = 64
 
-/** The sends to one endpoint. */
+/** Sends to one endpoint. */
 export class SendHistory {
   /** The newest last. */
   private readonly times: Milliseconds[] = []
 
   constructor(private readonly clock: Clock) {}
 
-  /** A request goes there now. */
+  /** A request is sent now. */
   note(): void {
     this.times.push(this.clock.monotonic())
-    if (this.times.length > REMEMBERED_SENDS) this.times.shift()
+    if (this.times.length > MAXIMUM_SENDS) this.times.shift()
   }
 
-  /** Time until fewer than so many were sent within a window; 0 where that is so now. */
+  /** Time until the sends are below the quota's limit for its window; 0 if they are now. */
   waitFor({ requests, windowMilliseconds }: RateQuota): Milliseconds {
     const sentAt = this.times.at(-requests) ?? Number.NEGATIVE_INFINITY
     return Math.max(0, sentAt + windowMilliseconds - this.clock.monotonic())
--- a/packages/router/src/advice/startAdvice.ts
+++ b/packages/router/src/advice/startAdvice.ts
@@ -1,32 +1,35 @@
 /**
- * What one start of an endpoint has said of itself in answers, here or to other instances. Owns it for as long as the
- * start is remembered, whatever rows say of it; decides nothing.
+ * Advice that one start of an endpoint gave in answers, here or to other instances. Owns it for as long as
+ * the start is remembered, whatever its row says; decides nothing.
  */
 
 import type { AdviceGossip } from '@rackwalk/decisions'
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
 
-/** A rate that is named from answer to answer anew is told this often at the most; a stricter one at once. */
+/** Minimum time between two broadcasts of a changing rate limit. A lower limit is broadcast at once. */
 const BROADCAST_INTERVAL_MILLISECONDS: Milliseconds = 500
 
-/** Age of what was never said, in news: more than anything is remembered. */
+/** Age in gossip of a rate that was never advertised: more than anything is remembered. */
 const OLDEST_MILLISECONDS: Milliseconds = 86_400_000
 
-/** The memory of one start. */
+/** The advice of one start. */
 export class StartAdvice {
-  /** Requests a second that it takes from the whole fleet; undefined where it names none. */
+  /** Requests per second that the start accepts from the whole fleet; undefined if it advertises no limit. */
   requestsPerSecond: number | undefined
-  /** Whether it said that it leaves: that holds until its end, whatever a row says that was written before. */
+  /**
+   * Whether the start announced that it leaves. That holds until it terminates, whatever a row written
+   * earlier says.
+   */
   isLeaving = false
-  /** Time, suspensions included, of the newest answer that told of a rate or of none. */
+  /** Time, suspensions included, of the newest answer that advertised a rate limit or none. */
   private rateAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Monotonic time until which it wants nothing from this instance. */
+  /** Monotonic time until which this instance sends it nothing. */
   private retryAfterUntil: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Whether it asked for rest and has taken nothing from here since. */
+  /** Whether it asked this instance to back off and has accepted no request from here since. */
   isOnTrial = false
-  /** Monotonic time at which anything was last heard of it. */
+  /** Monotonic time at which advice about it was last received. */
   private heardAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** What the others were told last, and when. */
+  /** The rate limit last broadcast, and when. */
   private broadcastRate: number | undefined
   private broadcastAt: Milliseconds = Number.NEGATIVE_INFINITY
 
@@ -35,17 +38,17 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Time since anything was heard of it, without suspensions. */
+  /** Time since advice about it was last received, suspensions excluded. */
   get silenceMilliseconds(): Milliseconds {
     return this.clock.monotonic() - this.heardAt
   }
 
-  /** Somebody asked it, and will tell what it answers if that is new. */
+  /** An instance has sent it a request and will broadcast new advice from the answer. */
   noteActivity(): void {
     this.heardAt = this.clock.monotonic()
   }
 
-  /** An answer told of a rate, or of none; news for the others where they don't know it. */
+  /** An answer advertised a rate limit or none. Returns gossip if the other instances do not know it. */
   noteRate(requestsPerSecond: number | undefined): AdviceGossip | undefined {
     this.noteActivity()
     this.rateAt = this.clock.sinceStart()
@@ -53,30 +56,33 @@
     return this.shouldBroadcast ? this.prepareBroadcast() : undefined
   }
 
-  /** Time until it wants something from this instance again; 0 where it does. */
+  /** Time until this instance may send it a request again; 0 if it may now. */
   get retryAfterMilliseconds(): Milliseconds {
     return Math.max(0, this.retryAfterUntil - this.clock.monotonic())
   }
 
-  /** It turned a request from here away and asked for rest; a shorter wish does not end a longer one. */
+  /** It rejected a request from here and asked for a backoff. A shorter backoff does not end a longer one. */
   noteRetryAfter(milliseconds: Milliseconds): void {
     this.retryAfterUntil = Math.max(this.retryAfterUntil, this.clock.monotonic() + milliseconds)
     this.isOnTrial = true
   }
 
-  /** It took a request from here; one that was sent before it asked for rest says nothing of that. */
+  /**
+   * It accepted a request from here. Acceptance of a request that was sent before the backoff does not end
+   * the trial.
+   */
   noteAccepted(): void {
     if (this.retryAfterMilliseconds === 0) this.isOnTrial = false
   }
 
-  /** An answer said that it leaves; news for the others where they don't know it. */
+  /** An answer announced that it leaves. Returns gossip if the other instances do not know it. */
   noteLeaving(): AdviceGossip | undefined {
     if (this.isLeaving) return undefined
     this.isLeaving = true
-    return this.news
+    return this.gossip
   }
 
-  /** Another instance had such an answer; what is newer here counts. */
+  /** Applies advice that another instance received, unless a newer one is known here. */
   observe({ requestsPerSecond, isLeaving = false, ageMilliseconds }: AdviceGossip): void {
     this.noteActivity()
     this.isLeaving ||= isLeaving
@@ -87,9 +93,9 @@
     this.broadcastRate = requestsPerSecond
   }
 
-  /** What is known, for an instance that may not have heard it; undefined where nothing holds. */
+  /** Current advice, for an instance that may not have received it; undefined if there is none. */
   get newsSnapshot(): AdviceGossip | undefined {
-    return this.requestsPerSecond === undefined && !this.isLeaving ? undefined : this.news
+    return this.requestsPerSecond === undefined && !this.isLeaving ? undefined : this.gossip
   }
 
   private get shouldBroadcast(): boolean {
@@ -102,16 +108,16 @@
   private prepareBroadcast(): AdviceGossip {
     this.broadcastRate = this.requestsPerSecond
     this.broadcastAt = this.clock.monotonic()
-    return this.news
+    return this.gossip
   }
 
-  private get news(): AdviceGossip {
+  private get gossip(): AdviceGossip {
     const { start, requestsPerSecond, isLeaving } = this
     return {
       start,
       ...(requestsPerSecond === undefined ? {} : { requestsPerSecond }),
       ...(isLeaving ? { isLeaving } : {}),
-      // What was never said is older than anything.
+      // A rate that was never advertised counts as older than anything.
       ageMilliseconds: Math.min(OLDEST_MILLISECONDS, this.clock.sinceStart() - this.rateAt),
     }
   }
