--- a/packages/router/src/streams/recentVersions.ts
+++ b/packages/router/src/streams/recentVersions.ts
@@ -1,22 +1,22 @@
-/** Which software versions of each service served lately. Owns when each was last there. */
+/** Tracks which software versions of each service served recently. Owns when each version was last seen. */
 
 import { RESUMPTION_WINDOW_MILLISECONDS } from '@rackwalk/decisions'
 import type { Clock, Milliseconds, SoftwareVersion } from '@rackwalk/shared'
 
-/** The software versions of all services, as one instance knows them. */
+/** Software versions of all services, as known to one instance. */
 export class RecentVersions {
-  /** By service, then by version: monotonic time at which it was last there. */
+  /** By service, then by version: monotonic time at which the version was last seen. */
   private readonly seenAt = new Map<string, Map<SoftwareVersion, Milliseconds>>()
-  /** By service: monotonic time at which it was first seen. */
+  /** By service: monotonic time at which the service was first seen. */
   private readonly firstSeenAt = new Map<string, Milliseconds>()
 
   constructor(
     private readonly clock: Clock,
-    /** Versions of the endpoints of a service that are listed. */
+    /** Versions of the listed endpoints of a service. */
     private readonly listed: (service: string) => ReadonlySet<SoftwareVersion>,
   ) {}
 
-  /** A version is there, or was until now. */
+  /** A version serves, or served until now. */
   note(service: string, version: SoftwareVersion): void {
     const now = this.clock.monotonic()
     if (!this.firstSeenAt.has(service)) this.firstSeenAt.set(service, now)
@@ -25,7 +25,9 @@
     this.seenAt.set(service, seen)
   }
 
-  /** Versions of which streams may be taken up again. */
+  /**
+   * Versions whose streams may still be resumed: those listed, and those seen within the resumption window.
+   */
   recentVersions(service: string): readonly SoftwareVersion[] {
     const oldest = this.clock.monotonic() - RESUMPTION_WINDOW_MILLISECONDS
     const listed = this.listed(service)
--- a/packages/router/src/streams/startedStream.ts
+++ b/packages/router/src/streams/startedStream.ts
@@ -1,4 +1,4 @@
-/** What is remembered of a stream when its first event is passed on. */
+/** Describes a stream for the origin cache when its first event is delivered. */
 
 import { RESUMPTION_WINDOW_MILLISECONDS } from '@rackwalk/decisions'
 import type { Milliseconds, SoftwareVersion } from '@rackwalk/shared'
@@ -6,10 +6,13 @@
 import { streamKey } from './streamKey.js'
 import type { StartedStream } from './streamOriginCache.js'
 
-/** A caller counts its time from its first try, which it may have sent a little later than it is told here. */
+/**
+ * Added to the lifetime of an entry: a caller counts its deadline from its first try, which it may have sent
+ * a little later than the gateway assumes.
+ */
 const SLACK_MILLISECONDS: Milliseconds = 1_000
 
-/** A request, as far as the memory looks at it. */
+/** The part of a request that the origin cache needs. */
 interface StreamRequest {
   readonly metadata: Pick<RequestMetadata, 'requestId' | 'resumption' | 'deadlineMilliseconds'>
   readonly route: { readonly isResumable: boolean }
@@ -17,7 +20,7 @@
   readonly team: string | undefined
 }
 
-/** Undefined where its caller can't take it up, or does not name the try that began it. */
+/** Returns undefined if the caller can't resume the stream or does not name the try that began it. */
 export function startedStreamOf(
   { metadata, route, service, team }: StreamRequest,
   softwareVersion: SoftwareVersion,
--- a/packages/router/src/streams/streamOriginCache.ts
+++ b/packages/router/src/streams/streamOriginCache.ts
@@ -1,14 +1,17 @@
-/** Where streams began, for as long as their callers may come back. Owns the entries and when each is forgotten. */
+/**
+ * Caches where streams began, for as long as their callers may resume them. Owns the entries and when each
+ * one expires.
+ */
 
 import { isSameOrigin } from '@rackwalk/decisions'
 import type { StreamOrigin } from '@rackwalk/decisions'
 import type { Clock, Milliseconds, StreamKey } from '@rackwalk/shared'
 
-/** A stream that has begun. */
+/** The entry of a stream that has begun. */
 export interface StartedStream {
   readonly key: StreamKey
   readonly origin: StreamOrigin
-  /** Time for which its caller may come back. */
+  /** Time for which its caller may resume it. */
   readonly lifetimeMilliseconds: Milliseconds
 }
 
@@ -19,12 +22,12 @@
   readonly isLocal: boolean
 }
 
-/** Streams remembered at the most, so that callers who begin many can't fill the memory. */
-const REMEMBERED_STREAMS = 16_384
+/** Maximum number of remembered streams, so that callers who begin many can't exhaust the memory. */
+const MAXIMUM_STREAMS = 16_384
 
-/** The streams that one instance remembers. */
+/** Stream origins known to one instance. */
 export class StreamOriginCache {
-  /** The oldest first. */
+  /** Oldest first. */
   private readonly entries = new Map<StreamKey, Entry>()
 
   constructor(private readonly clock: Clock) {}
@@ -33,22 +36,25 @@
     return this.entries.size
   }
 
-  /** Remembers a stream; one that is told to have begun in two ways keeps both, since nobody can say which is true. */
-  note({ key, origin, lifetimeMilliseconds }: StartedStream, isOwn: boolean): void {
+  /**
+   * Remembers a stream. If two origins are reported for it, both are kept, since nothing tells which one is
+   * right.
+   */
+  note({ key, origin, lifetimeMilliseconds }: StartedStream, isLocal: boolean): void {
     const known = this.unexpired(key)
     const origins = known?.origins ?? []
     const isKnown = origins.some(other => isSameOrigin(other, origin))
-    const until = this.clock.monotonic() + lifetimeMilliseconds
+    const expiresAt = this.clock.monotonic() + lifetimeMilliseconds
     this.entries.delete(key)
     this.entries.set(key, {
       origins: isKnown ? origins : [...origins, origin],
-      expiresAt: Math.max(until, known?.expiresAt ?? 0),
-      isLocal: isOwn || known?.isLocal === true,
+      expiresAt: Math.max(expiresAt, known?.expiresAt ?? 0),
+      isLocal: isLocal || known?.isLocal === true,
     })
     this.forgetOldest()
   }
 
-  /** Where a stream began; empty where nothing is remembered of it. */
+  /** The origins of a stream; empty if the stream is not remembered. */
   originsOf(key: StreamKey): readonly StreamOrigin[] {
     return this.unexpired(key)?.origins ?? []
   }
@@ -70,11 +76,13 @@
     return undefined
   }
 
-  /** Those whose time is over go first, as far as they are the oldest; at the bound any that is the oldest. */
+  /**
+   * Removes expired entries while they are the oldest, and the oldest entries whenever the limit is exceeded.
+   */
   private forgetOldest(): void {
     const now = this.clock.monotonic()
     for (const [key, { expiresAt }] of this.entries) {
-      if (expiresAt > now && this.entries.size <= REMEMBERED_STREAMS) return
+      if (expiresAt > now && this.entries.size <= MAXIMUM_STREAMS) return
       this.entries.delete(key)
     }
   }
--- a/packages/router/src/streams/streamOrigins.ts
+++ b/packages/router/src/streams/streamOrigins.ts
@@ -1,7 +1,7 @@
 /**
- * Remembers at which software version streams began, and finds out where one goes on that its caller takes up again. Owns what
- * this instance remembers and which versions it has seen; relies on its parts to tell and to ask other instances, and on
- * decisions/retrying/streamResumption for the rule.
+ * Remembers at which software version each stream began, and determines where a resumed stream continues.
+ * Owns the origins that this instance remembers and the versions that it has seen. Relies on its dependencies
+ * to notify and ask other instances, and on decisions/retrying/streamResumption for the rule.
  */
 
 import { hasMixedVersions, hasSingleVersion, resolveResumption } from '@rackwalk/decisions'
@@ -11,85 +11,88 @@
 import type { StartedStream } from './streamOriginCache.js'
 import { RecentVersions } from './recentVersions.js'
 
-/** What instances tell each other of streams and versions. */
+/** Gossip about streams and versions. */
 export interface StreamGossip {
   readonly begun: readonly StartedStream[]
-  /** Versions that serve, each with its service. */
+  /** Serving versions, each with its service. */
   readonly versions: readonly StreamOrigin[]
 }
 
-/** What one instance knows of a stream that another one is asked to go on with. */
+/** What one instance knows of a stream that another instance is asked to resume. */
 export interface OriginAnswer {
   readonly origins: readonly StreamOrigin[]
-  /** Versions of the service that served lately. */
+  /** Versions of the service that served recently. */
   readonly versions: readonly SoftwareVersion[]
 }
 
-/** A stream that is taken up. */
+/** A stream that a caller resumes. */
 export interface ResumedStream {
-  /** Undefined where the caller does not name its first try. */
+  /** Undefined if the caller does not name its first try. */
   readonly key: StreamKey | undefined
   readonly service: string
 }
 
-/** What the memory of streams works with. */
+/** Dependencies and callbacks of `StreamOrigins`. */
 export interface StreamOriginsParts {
   readonly clock: Clock
-  /** Versions of the endpoints of a service that are listed. */
+  /** Versions of the listed endpoints of a service. */
   readonly listedVersions: (service: string) => ReadonlySet<SoftwareVersion>
-  /** Whether the store told of endpoints a moment ago. */
+  /** Whether the list of endpoints was read from the store a moment ago. */
   readonly isListFresh: () => boolean
-  /** Tells those that keep each stream of it. */
+  /** Sends the streams to the instances that keep a replica of each. */
   readonly replicateStreams: (begun: readonly StartedStream[]) => void
-  /** Tells all other instances of versions. */
+  /** Sends versions to all other instances. */
   readonly broadcastVersions: (versions: readonly StreamOrigin[]) => void
-  /** Answers of other instances; those that do not answer in time are left out. */
+  /** Asks other instances about a stream; those that do not answer in time are left out. */
   readonly ask: (stream: ResumedStream) => Promise<readonly OriginAnswer[]>
 }
 
-/** Where the streams of the fleet began, as one instance knows it. */
+/** Origins of the fleet's streams, as known to one instance. */
 export class StreamOrigins {
-  private readonly memory: StreamOriginCache
+  private readonly cache: StreamOriginCache
   private readonly versions: RecentVersions
 
   constructor(private readonly parts: StreamOriginsParts) {
-    this.memory = new StreamOriginCache(parts.clock)
+    this.cache = new StreamOriginCache(parts.clock)
     this.versions = new RecentVersions(parts.clock, parts.listedVersions)
   }
 
-  /** Streams that are remembered here. */
+  /** Number of streams remembered here. */
   get size(): number {
-    return this.memory.size
+    return this.cache.size
   }
 
-  /** The first event of a stream is about to be passed on: whoever keeps it is told before its caller has anything. */
+  /**
+   * The first event of a stream is about to be delivered. Replicas are sent before the caller has any part of
+   * the answer.
+   */
   noteStarted(stream: StartedStream): void {
-    this.memory.note(stream, true)
+    this.cache.note(stream, true)
     if (hasMixedVersions(this.versions.recentVersions(stream.origin.service)))
       this.parts.replicateStreams([stream])
   }
 
-  /** An endpoint of a version is listed. */
+  /** An endpoint with this version is listed. */
   noteListed(origin: StreamOrigin): void {
     const isNew = this.noteVersion(origin)
     if (isNew) this.parts.broadcastVersions(this.versionsOf(origin.service))
   }
 
-  /** An endpoint of a version is no longer listed; its streams may still be taken up. */
+  /** An endpoint with this version is no longer listed. Its streams may still be resumed. */
   noteUnlisted({ service, softwareVersion }: StreamOrigin): void {
     this.versions.note(service, softwareVersion)
   }
 
-  /** Takes in what another instance told. */
+  /** Applies gossip of another instance. */
   observe({ begun, versions }: StreamGossip): void {
     for (const stream of begun) {
-      this.memory.note(stream, false)
+      this.cache.note(stream, false)
       this.noteVersion(stream.origin)
     }
     for (const origin of versions) this.noteVersion(origin)
   }
 
-  /** What an instance that comes now has to know. */
+  /** Serving versions of services that have several, for a newly started instance. */
   get versionsSnapshot(): readonly StreamOrigin[] {
     return this.versions.services
       .map(service => this.versionsOf(service))
@@ -97,12 +100,12 @@
       .flat()
   }
 
-  /** What is known here, for another instance that asks. */
+  /** The answer to another instance that asks about a stream. */
   answer({ key, service }: ResumedStream): OriginAnswer {
     return { origins: this.remembered(key), versions: this.versions.recentVersions(service) }
   }
 
-  /** Where a stream goes on that a caller takes up here. */
+  /** Determines where a stream continues that a caller resumes here. */
   async find(stream: ResumedStream): Promise<Resumption> {
     const { service } = stream
     const own = this.answer(stream)
@@ -126,7 +129,7 @@
   }
 
   private remembered(key: StreamKey | undefined): readonly StreamOrigin[] {
-    return key === undefined ? [] : this.memory.originsOf(key)
+    return key === undefined ? [] : this.cache.originsOf(key)
   }
 
   private versionsOf(service: string): readonly StreamOrigin[] {
@@ -135,13 +138,15 @@
       .map(softwareVersion => ({ service, softwareVersion }))
   }
 
-  /** Whether the version is another one than those that served lately; what began at the only one so far has to be kept then. */
+  /**
+   * Returns whether a service has a new version. When a second version appears, the streams begun at the only
+   * earlier one must be replicated from then on.
+   */
   private noteVersion({ service, softwareVersion }: StreamOrigin): boolean {
     const before = this.versions.recentVersions(service)
     this.versions.note(service, softwareVersion)
     const isNew = before.length > 0 && !before.includes(softwareVersion)
-    if (isNew && before.length === 1)
-      this.parts.replicateStreams(this.memory.servedLocally(service))
+    if (isNew && before.length === 1) this.parts.replicateStreams(this.cache.servedLocally(service))
     return isNew
   }
 }
