--- a/packages/router/__tests__/exchangeTerminator.spec.ts
+++ b/packages/router/__tests__/exchangeTerminator.spec.ts
@@ -90,12 +90,12 @@
     const { sign, after } = this.answer
     const isUnsettled = sign === 'held' || sign === 'no-connection'
     const question = {
-      sign: isUnsettled ? sign : ('held' as StateProbeResult),
+      result: isUnsettled ? sign : ('held' as StateProbeResult),
       written: sign === 'no-connection' ? new Promise<void>(() => {}) : Promise.resolve(),
       answered: new Promise<void>(resolve => {
         if (after === Infinity) return
         this.clock.after(after, () => {
-          question.sign = sign
+          question.result = sign
           resolve()
         })
       }),
--- a/packages/router/src/advice/rejectionGuard.ts
+++ b/packages/router/src/advice/rejectionGuard.ts
@@ -10,7 +10,7 @@
 import { SendHistory } from './sendHistory.js'
 
 /** Dependencies of a guard. */
-export interface TurnAwayGuardParts {
+export interface RejectionGuardParts {
   readonly clock: Clock
   /** Name under which this instance is recorded. */
   readonly instance: string
@@ -44,7 +44,7 @@
   /** Sends that risked a rejection. */
   private readonly sends = new Map<EndpointStart, SendHistory>()
 
-  constructor(private readonly parts: TurnAwayGuardParts) {}
+  constructor(private readonly parts: RejectionGuardParts) {}
 
   /** Number of services that named a bound. */
   get boundedServices(): number {
--- a/packages/router/src/advice/sendAdmission.ts
+++ b/packages/router/src/advice/sendAdmission.ts
@@ -26,7 +26,7 @@
 }
 
 /** Dependencies of a send admission. */
-export interface SendPermitsParts {
+export interface SendAdmissionParts {
   readonly clock: Clock
   /** Name under which this instance is recorded. */
   readonly instance: () => string
@@ -54,7 +54,7 @@
 export class SendAdmission {
   private readonly ranks = new Map<EndpointStart, RankEntry>()
 
-  constructor(private readonly parts: SendPermitsParts) {}
+  constructor(private readonly parts: SendAdmissionParts) {}
 
   /** Whether a request may be sent to an endpoint now. */
   allows(target: SendTarget): boolean {
--- a/packages/router/src/crashes/crashGuard.ts
+++ b/packages/router/src/crashes/crashGuard.ts
@@ -63,7 +63,7 @@
 export class CrashGuard {
   private readonly quarantine = new RequestQuarantine()
   /** Resets that are not confirmed as crashes yet: the endpoint is still being probed, here or by a peer. */
-  private readonly unconfirmed = new UnconfirmedCrashes()
+  private readonly pending = new UnconfirmedCrashes()
   private readonly suspectStarts = new SuspectEndpoints()
   private readonly detector: EndpointCrashDetector
   /** Quarantine of prompt parts that crash endpoints in any request that contains them. */
@@ -99,9 +99,7 @@
    */
   hasSuspectsInScope(scope: string): boolean {
     const now = this.parts.clock.monotonic()
-    return (
-      this.quarantine.hasSuspectsInScope(scope) || this.unconfirmed.hasSuspectsInScope(scope, now)
-    )
+    return this.quarantine.hasSuspectsInScope(scope) || this.pending.hasSuspectsInScope(scope, now)
   }
 
   /**
@@ -124,8 +122,8 @@
 
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
     const known = this.quarantine.verdict(fingerprint)
-    const unconfirmed = this.unconfirmed.verdict(fingerprint, this.parts.clock.monotonic())
-    const verdicts = [known, unconfirmed]
+    const pending = this.pending.verdict(fingerprint, this.parts.clock.monotonic())
+    const verdicts = [known, pending]
     if (verdicts.includes('refuse')) return 'refuse'
     return verdicts.includes('isolate') ? 'isolate' : 'send'
   }
@@ -230,8 +228,8 @@
 
   /** The result of the probe also settles what peers reported of this start. */
   private noteProbed(start: EndpointStart, hasEnded: boolean): void {
-    if (hasEnded) this.unconfirmed.noteTerminated(start, this.parts.clock.monotonic())
-    else this.unconfirmed.forget(start)
+    if (hasEnded) this.pending.noteTerminated(start, this.parts.clock.monotonic())
+    else this.pending.forget(start)
   }
 
   private noteAlive(start: EndpointStart): void {
@@ -274,7 +272,7 @@
       this.notifyVerdictChange(mark.fingerprint, () => this.noteMark(mark))
     }
     for (const { fingerprint, starts } of cleared) {
-      this.unconfirmed.clear(fingerprint, starts)
+      this.pending.clear(fingerprint, starts)
       this.notifyVerdictChange(fingerprint, () => this.quarantine.clear(fingerprint, starts))
     }
   }
@@ -284,15 +282,15 @@
     const now = this.parts.clock.monotonic()
     for (const start of lives) {
       this.suspectStarts.clearSuspicion(start)
-      this.unconfirmed.forget(start)
+      this.pending.forget(start)
     }
     // Marks say nothing of when the crash was, as they also come from stored records. So they suspect no
     // start.
     for (const { start } of suspected) this.suspectStarts.noteReset(start, now)
     for (const start of away) this.suspectStarts.noteTerminated(start, now)
-    for (const mark of suspected) this.unconfirmed.noteReset(mark, now)
-    for (const start of away) this.unconfirmed.noteTerminated(start, now)
-    for (const { start } of marks) this.unconfirmed.noteTerminated(start, now)
+    for (const mark of suspected) this.pending.noteReset(mark, now)
+    for (const start of away) this.pending.noteTerminated(start, now)
+    for (const { start } of marks) this.pending.noteTerminated(start, now)
   }
 
   private noteMark(mark: CrashMark): void {
--- a/packages/router/src/crashes/endpointProbe.ts
+++ b/packages/router/src/crashes/endpointProbe.ts
@@ -57,9 +57,9 @@
   const isAnswered = await isAnsweredInTime(stateProbe)
   stateProbe.cancel()
   // The probe is inconclusive if this process was too busy or could not connect.
-  if (isAnswered === undefined || stateProbe.sign === 'no-connection') return 'no-connection'
+  if (isAnswered === undefined || stateProbe.result === 'no-connection') return 'no-connection'
   // An endpoint that fails to report its state has no engine behind it.
-  return stateProbe.sign === 'lives' ? 'lives' : 'does-not-answer'
+  return stateProbe.result === 'lives' ? 'lives' : 'does-not-answer'
 }
 
 /**
--- a/packages/router/src/gateway/attemptedRequest.ts
+++ b/packages/router/src/gateway/attemptedRequest.ts
@@ -1,24 +1,27 @@
-/** A request that is sent to endpoints: what its attempts work with, what they are told of it, and how they end. */
+/**
+ * Types of a request that is sent to endpoints: the dependencies of its attempts, the request itself, and the
+ * result.
+ */
 
 import type { StreamOrigin } from '@rackwalk/decisions'
 import type { Milliseconds } from '@rackwalk/shared'
 import type { EndpointAdviceStore } from '../advice/endpointAdviceStore.js'
 import type { StreamOrigins } from '../streams/streamOrigins.js'
-import type { AttemptChoiceParts, ChoosingRequest } from './endpointSelector.js'
+import type { EndpointSelectorParts, ChoosingRequest } from './endpointSelector.js'
 import type { CallerReply } from './callerReply.js'
 import type { Dialect } from './dialect.js'
 
-/** What the attempts at requests work with. */
-export interface AttemptsParts extends AttemptChoiceParts {
+/** Dependencies of the attempts. */
+export interface AttemptsParts extends EndpointSelectorParts {
   readonly dialect: Dialect
   readonly advices: EndpointAdviceStore
   readonly connectMilliseconds: Milliseconds
-  /** No endpoint is left alone for longer than this by its own word. */
+  /** Upper limit of the backoff that an endpoint may ask for. */
   readonly longestRestMilliseconds: Milliseconds
   readonly streams: StreamOrigins
 }
 
-/** A request that may be sent: admitted, read and paid for. */
+/** An admitted request that has been read and whose tokens are reserved. */
 export interface AttemptedRequest extends ChoosingRequest {
   readonly priority: number | undefined
   readonly method: string
@@ -26,23 +29,26 @@
   /** Time, suspensions included, at which the caller or the route gives up. */
   readonly deadlineAt: Milliseconds
   readonly reply: CallerReply
-  /** Takes one retry of the service's budget, if there is one. */
+  /** Takes one retry from the service's budget, if one is left. */
   readonly takeRetry: () => boolean
-  /** Whether another instance may take it where no connection comes up. */
+  /** Whether another instance may serve it if no connection can be established. */
   readonly mayRelay: boolean
-  /** Where the stream began that it takes up; undefined where it takes up none. */
+  /** Origin of the stream that it resumes; undefined if it resumes none. */
   readonly origin: StreamOrigin | undefined
 }
 
-/** How the attempts ended, for the budget and the log. */
+/** Result of the attempts, for the budget and the log. */
 export interface AttemptsResult {
   /** Whether an endpoint ran the request, or may have. */
   readonly mayHaveRun: boolean
-  /** Whether the caller was given any part of an endpoint's answer. */
+  /** Whether the caller received any part of an endpoint's answer. */
   readonly hasDelivered: boolean
   readonly events: number
-  /** Whether the last answer came to its own end. */
+  /** Whether the last answer was complete. */
   readonly isWhole: boolean
-  /** Whether no connection came up for it, and its caller was told nothing: another instance may take it. */
+  /**
+   * Whether no connection was established and the caller has no part of an answer, so that another instance
+   * may serve the request.
+   */
   readonly isUnsent: boolean
 }
--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -1,5 +1,5 @@
 /**
- * The answer to one caller: its head, its bytes and how it ends. Owns whether it has begun and whether the
+ * Writes the answer to one caller: head, body and end. Owns whether the answer has begun and whether the
  * caller has left.
  */
 
@@ -15,7 +15,7 @@
 export class CallerReply {
   private started = false
   private ended = false
-  /** Whether the caller can tell where the answer ends without the end of the connection. */
+  /** Whether the caller can detect the end of the answer without the end of the connection. */
   private isFramed = true
   private hasLeft = false
   private readonly leaveListeners: (() => void)[] = []
@@ -24,7 +24,7 @@
     private readonly response: ServerResponse,
     private readonly ownHeaders: Readonly<Record<string, string>>,
     private readonly returnTime: RetryAfterFormat,
-    /** Whether the connection ends with this answer. */
+    /** Whether the connection closes after this answer. */
     private readonly mustClose: () => boolean,
     private readonly refusedBodies: RefusedBodyHandler,
   ) {
@@ -36,7 +36,7 @@
     return this.started
   }
 
-  /** Whether the caller went away before the answer was whole. */
+  /** Whether the caller left before the answer was complete. */
   get isCallerGone(): boolean {
     return this.hasLeft
   }
@@ -46,8 +46,9 @@
   }
 
   /**
-   * Passes on the head of an endpoint's answer. One whose length is not known ahead is sent in chunks, however the endpoint
-   * framed it: the end of a connection is no proof, since it also comes when this process ends.
+   * Delivers the head of an endpoint's answer. An answer of unknown length is sent in chunks, however the
+   * endpoint framed it: a closed connection does not prove that the answer is complete, since it also closes
+   * when this process terminates.
    */
   start(response: IncomingMessage, isLengthKnown: boolean): void {
     this.started = true
@@ -58,45 +59,46 @@
     this.response.writeHead(response.statusCode ?? 0, headers as unknown as Record<string, string>)
   }
 
-  /** False where the caller reads too slowly; `onDrain` is called when it has caught up. */
+  /** Returns false if the caller reads too slowly; `onDrain` is called once it has caught up. */
   write(chunk: Buffer, onDrain: () => void): boolean {
     const hasRoom = this.response.write(chunk)
     if (!hasRoom) this.response.once('drain', onDrain)
     return hasRoom
   }
 
-  /** Ends an answer that is whole. */
+  /** Ends a complete answer. */
   end(lastChunk?: Buffer): void {
     this.ended = true
     this.response.end(lastChunk)
   }
 
-  /** Breaks the answer off, so that it cannot be taken for whole; one that has ended stays as it is. */
+  /** Interrupts the answer so that it cannot be taken for complete. An ended answer is left as it is. */
   abort(): void {
     if (this.ended) return
     this.ended = true
     const socket = this.response.socket
-    // An answer that waits behind another one of its connection ends it when its turn comes.
+    // An answer queued behind another one on its connection has no socket yet; it closes the connection when
+    // its turn comes.
     if (socket === null) this.response.destroy()
     else if (this.isFramed) socket.destroy()
     else socket.resetAndDestroy()
   }
 
-  /** Answers with a numbered error of the gateway's own; tells what became of a body that nobody wants. */
+  /** Answers with a numbered error of the gateway. Returns what became of the unread body. */
   refuse(error: RackwalkError): RefusedBodyOutcome | undefined {
     this.started = true
     this.ended = true
     this.prepareEnd()
-    return this.refusedBodies.refuse(this.response, leastSeconds =>
-      this.refusal(error, leastSeconds),
+    return this.refusedBodies.refuse(this.response, minimumSeconds =>
+      this.refusal(error, minimumSeconds),
     )
   }
 
-  private refusal(error: RackwalkError, leastSeconds: number): Refusal {
-    const body = Buffer.from(JSON.stringify(errorBody(error, undefined, undefined, leastSeconds)))
+  private refusal(error: RackwalkError, minimumSeconds: number): Refusal {
+    const body = Buffer.from(JSON.stringify(errorBody(error, undefined, undefined, minimumSeconds)))
     const headers = {
       ...this.ownHeaders,
-      ...errorHeaders(error, undefined, this.returnTime, leastSeconds),
+      ...errorHeaders(error, undefined, this.returnTime, minimumSeconds),
       'content-length': String(body.length),
     }
     return { status: RESULT_TABLE[error.code].httpStatus, headers, body }
--- a/packages/router/src/gateway/connectionEnd.ts
+++ b/packages/router/src/gateway/connectionEnd.ts
@@ -1,17 +1,19 @@
 /**
- * Tells how the connection of one answer ended: in order, or by a reset. Owns its listener on the socket.
+ * Determines how the connection of one answer ended: closed in order, or reset. Owns its listener on the
+ * socket.
  */
 
 import type { Socket } from 'node:net'
 import { socketEnd } from '../socketEnd.js'
 import type { SocketEnd } from '../socketEnd.js'
 
-/** Watches a connection for as long as one answer is read from it. */
+/** Watches a connection while one answer is read from it. */
 export class ConnectionEnd {
   private ended: SocketEnd | undefined
 
   constructor(private readonly socket: Socket) {
-    // The client of node:http ends an answer without a length in its own listener, so this one goes first.
+    // The client of node:http ends an answer of unknown length in its own listener, so this listener must run
+    // first.
     socket.prependListener('end', this.note)
   }
 
@@ -20,7 +22,7 @@
     return this.ended
   }
 
-  /** The answer is read; the connection may carry another one. */
+  /** Stops watching: the answer is read and the connection may carry another one. */
   release(): void {
     this.socket.off('end', this.note)
   }
--- a/packages/router/src/gateway/connectionHeaders.ts
+++ b/packages/router/src/gateway/connectionHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection only and are never passed on. */
+/** Filters headers that concern one connection only and are never forwarded. */
 
 const CONNECTION_ONLY = new Set([
   'connection',
@@ -11,11 +11,11 @@
   'transfer-encoding',
   'upgrade',
   'expect',
-  // Between instances only.
+  // Used between instances only.
   'rackwalk-relayed-by',
 ])
 
-/** Copies names and values in turn, without what concerns one connection. */
+/** Copies alternating names and values, without those that concern one connection only. */
 export function withoutConnectionHeaders(
   rawHeaders: readonly string[],
   alsoDropped: (name: string) => boolean = () => false,
@@ -31,7 +31,7 @@
   return kept
 }
 
-/** Header names that a `Connection` header lists as its own. */
+/** Header names that a `Connection` header lists. */
 function namedByConnection(rawHeaders: readonly string[]): ReadonlySet<string> {
   const named = new Set<string>()
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -1,81 +1,84 @@
 /**
- * What a request and an answer mean, apart from how their headers are spelled. A dialect translates; the
- * gateway knows only these types.
+ * Requests and answers independent of how their headers are spelled. A dialect translates between the two;
+ * the gateway uses only these types.
  */
 
 import type { AdviceHeaders } from '@rackwalk/decisions'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { RetryAfterFormat } from '../retryAfter.js'
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt that several requests may contain. */
 export interface PromptPart {
   readonly id: string
   readonly tokens: TokenCount
 }
 
-/** What a caller says of its request. */
+/** Metadata that a caller sends with its request. */
 export interface RequestMetadata {
   readonly requestId: string
-  /** Time that the caller still waits, counted from the arrival. */
+  /** Time for which the caller waits, counted from the arrival of the request. */
   readonly deadlineMilliseconds: Milliseconds | undefined
   readonly credential: string | undefined
-  /** Absent where the request asks no model for tokens. */
+  /** Undefined if the request asks no model for tokens. */
   readonly tokens: { readonly prompt: TokenCount; readonly maximumOutput: TokenCount } | undefined
   readonly promptParts: readonly PromptPart[]
-  /** Set where the request takes a stream up again. */
+  /** Set if the request resumes a stream. */
   readonly resumption?: StreamResumption
 }
 
-/** What a caller says of a stream that it takes up again. */
+/** Metadata about a stream that a caller resumes. */
 export interface StreamResumption {
-  /** The try that brought the first event; undefined where the caller does not tell it. */
+  /** Id of the try that brought the first event; undefined if the caller does not name it. */
   readonly firstRequestId: string | undefined
 }
 
-/** What the gateway tells an endpoint beside what the caller sent. */
+/** Metadata that the gateway adds for an endpoint to what the caller sent. */
 export interface ForwardMetadata {
   readonly remainingMilliseconds: Milliseconds
-  /** The endpoint that must answer; any other refuses without running the request. */
+  /** Id of the endpoint that must answer; any other one refuses without running the request. */
   readonly endpoint: string
   readonly team: string | undefined
-  /** 0 is the most urgent; absent where the service orders nothing. */
+  /** 0 is the most urgent; undefined if the service does not order requests. */
   readonly priority: number | undefined
-  /** Set where an answer is continued: the last event that the caller has. */
+  /** Set if an answer is continued: id of the last event that the caller has. */
   readonly lastEventId: string | undefined
 }
 
-/** Load as an endpoint tells it. */
+/** Load as reported by an endpoint. */
 export interface EndpointLoad {
   readonly running: number
   readonly waiting: number
   readonly slots: number
 }
 
-/** What an endpoint says with its answer. */
+/** Metadata that an endpoint sends with its answer. */
 export interface ReplyMetadata {
   readonly requestId: string | undefined
   /** Whether the answer carries its endpoint's signature. */
   readonly isSigned: boolean
-  /** The endpoint says that it did not run the request and never will. */
+  /** Whether the endpoint states that it did not run the request and never will. */
   readonly isNotExecuted: boolean
   readonly load: EndpointLoad | undefined
-  /** Requests that it bears to turn away in a second, not yet read; undefined where it names none. */
+  /** Unparsed number of rejections per second that the endpoint tolerates; undefined if it names none. */
   readonly turnAways?: string | undefined
-  /** What bears on what it may be sent next, not yet read. */
+  /** Unparsed advice on which requests it may be sent next. */
   readonly advice: AdviceHeaders
 }
 
 type Headers = Readonly<Record<string, string | readonly string[] | undefined>>
 
-/** Spells requests and answers as one platform does. */
+/** Translates the headers of requests and answers for one platform. */
 export interface Dialect extends RetryAfterFormat {
-  /** Undefined where the headers make no request. */
+  /** Returns undefined if the headers are no valid request. */
   readRequest(headers: Headers): RequestMetadata | undefined
-  /** Headers for an endpoint, as a flat list of names and values. */
+  /** Headers for an endpoint, as a flat list of alternating names and values. */
   forwardHeaders(rawHeaders: readonly string[], forward: ForwardMetadata): string[]
-  /** Headers for another instance that serves the request in place of this one, as the caller would have sent them now. */
+  /**
+   * Headers for another instance that serves the request in place of this one, as the caller would send them
+   * now.
+   */
   relayHeaders(rawHeaders: readonly string[], remainingMilliseconds: Milliseconds): string[]
   readReply(status: number, headers: Headers): ReplyMetadata
-  /** Headers of an answer that the gateway gives itself. */
+  /** Headers of an answer that the gateway generates itself. */
   ownHeaders(requestId: string | undefined): Readonly<Record<string, string>>
 }
--- a/packages/router/src/gateway/endpointAgent.ts
+++ b/packages/router/src/gateway/endpointAgent.ts
@@ -1,19 +1,19 @@
-/** Kept connections to one endpoint. Owns the timers of idle connections. */
+/** Keeps idle connections to one endpoint for reuse. Owns their timers. */
 
 import { Agent } from 'node:http'
 import type { ClientRequest, IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import type { Duplex } from 'node:stream'
 
-/** An idle connection is kept this long where the endpoint does not say how long it keeps it. */
-const UNSTATED_IDLE_MILLISECONDS = 400
-/** A connection is closed this long before the endpoint would. */
+/** Lifetime of an idle connection if the endpoint does not state how long it keeps one. */
+const DEFAULT_IDLE_MILLISECONDS = 400
+/** An idle connection is closed this long before the endpoint would close it. */
 const IDLE_MARGIN_MILLISECONDS = 600
 const SHORTEST_IDLE_MILLISECONDS = 200
 
 /**
- * Closes idle connections before the endpoint does, and any on which bytes arrive that no
- * request asked for: they would be taken for the next answer.
+ * Closes idle connections before the endpoint does, and any on which bytes arrive without a request: they
+ * would be taken for the next answer.
  */
 export class EndpointAgent extends Agent {
   private readonly idle = new WeakMap<Socket, { timer: NodeJS.Timeout; drop: () => void }>()
@@ -48,10 +48,10 @@
   }
 }
 
-/** How long a connection may rest, given the endpoint's `Keep-Alive` header. */
+/** How long a connection may be idle, given the endpoint's `Keep-Alive` header. */
 function idleMilliseconds(keepAlive: string | readonly string[] | undefined): number {
   const text = typeof keepAlive === 'string' ? keepAlive : keepAlive?.join(',')
   const seconds = /timeout=(\d+)/.exec(text ?? '')?.[1]
-  if (seconds === undefined) return UNSTATED_IDLE_MILLISECONDS
+  if (seconds === undefined) return DEFAULT_IDLE_MILLISECONDS
   return Math.max(SHORTEST_IDLE_MILLISECONDS, Number(seconds) * 1000 - IDLE_MARGIN_MILLISECONDS)
 }
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints of all services, as they are listed. Owns which are there, which failure domains are being emptied,
- * and the timers of entries that lapsed.
+ * Keeps the listed endpoints of all services. Owns which endpoints exist, which failure domains are
+ * evacuated, and the timers of lapsed entries.
  */
 
 import { slownessFactor, baselineEventInterval } from '@rackwalk/decisions'
@@ -13,51 +13,56 @@
 import { startStateProbe } from './stateProbe.js'
 import type { StateProbe } from './stateProbe.js'
 
-/** Share of an endpoint's connections that all instances together use; the rest covers instances
- * that count their number differently for a moment. */
+/**
+ * Share of an endpoint's connections that all instances together use; the rest covers instances that briefly
+ * disagree about their number.
+ */
 const CONNECTION_SHARE = 0.85
 
-/** What a directory works with. */
+/** Dependencies and callbacks of a directory. */
 export interface EndpointDirectoryParts {
   readonly clock: Clock
-  /** Instances that share the endpoints' connections. */
+  /** Number of instances that share the endpoints' connections. */
   readonly instances: () => number
-  /** Connections that one endpoint of a service takes. */
+  /** Connections that one endpoint of a service accepts. */
   readonly maximumConnections: (service: string) => number
-  /** How long endpoints of a service stay cold after a start; 0 where they never are. */
+  /** How long endpoints of a service stay cold after a start; 0 if they never are. */
   readonly coldMilliseconds: (service: string) => Milliseconds
-  /** Whether a start said in an answer that it leaves. */
+  /** Whether a start announced in an answer that it leaves. */
   readonly saysLeaving?: (start: EndpointStart) => boolean
   readonly onChange: (endpoint: EndpointRecord, change: string) => void
-  /** A start of an endpoint is over, since another one is listed under its id. */
+  /** A start was replaced: another one is listed under its id. */
   readonly onReplaced?: (start: EndpointStart) => void
-  /** Asks at IP:PORT for the state under a path; over the network unless it is given. */
+  /** Probes the state at IP:PORT and a path; over the network by default. */
   readonly ask?: (address: string, path: string) => StateProbe
 }
 
-/** The usual pace of a service is reckoned anew after this time: it changes in seconds. */
-const USUAL_PACE_MILLISECONDS = 200
+/** The baseline event interval of a service is computed again after this time: it changes within seconds. */
+const BASELINE_MILLISECONDS = 200
 
-interface KnownPace {
+interface CachedBaseline {
   readonly pace: Milliseconds | undefined
   readonly at: Milliseconds
 }
 
-/** All endpoints that are listed, and those that lapsed. */
+/** The listed endpoints and those whose entries lapsed. */
 export class EndpointDirectory {
   private readonly endpoints = new Map<string, EndpointState>()
-  /** Endpoints whose entries are missing and may come back. */
+  /** Endpoints whose entries are missing and may reappear. */
   private readonly lapsed = new Map<string, Timer>()
-  /** Failure domains to which nothing new may be sent. */
+  /** Evacuated failure domains: no new request is sent there. */
   private readonly evacuated = new Set<string>()
-  /** Usual paces, by service. */
-  private readonly usualPaces = new Map<string, KnownPace>()
+  /** Baseline event intervals, by service. */
+  private readonly baselineIntervals = new Map<string, CachedBaseline>()
 
-  /** Ends what is open where nobody will answer. */
-  private readonly ends: ExchangeTerminator
+  /** Ends open exchanges with endpoints that have terminated. */
+  private readonly terminator: ExchangeTerminator
 
   constructor(private readonly parts: EndpointDirectoryParts) {
-    this.ends = new ExchangeTerminator({ clock: parts.clock, ask: parts.ask ?? startStateProbe })
+    this.terminator = new ExchangeTerminator({
+      clock: parts.clock,
+      ask: parts.ask ?? startStateProbe,
+    })
   }
 
   /** An endpoint was listed, or its record changed. */
@@ -75,27 +80,28 @@
     known.update(record)
   }
 
-  /** An endpoint started again under its id: nothing that was believed of the start before holds. */
+  /** An endpoint restarted under its id: nothing that was known of the earlier start applies any more. */
   private replace(known: EndpointState, record: EndpointRecord): void {
-    this.takeOut(record.id)
+    this.unlist(record.id)
     known.hasEnded = true
-    this.ends.noteTerminated(known, 'replaced')
+    this.terminator.noteTerminated(known, 'replaced')
     this.parts.onReplaced?.(known.record.start)
     this.parts.onChange(record, 'started again')
     this.endpoints.set(record.id, this.createState(record))
   }
 
   /**
-   * Nothing new is sent to the endpoints of a failure domain that is evacuated; what runs there goes on. When it
-   * is restored, its endpoints may have turned cold while nobody sent there, which their rows tell up to a heartbeat
-   * later: they count as cold until they would be warm.
+   * Evacuates or restores a failure domain. No new request is sent to the endpoints of an evacuated domain;
+   * requests that run there continue. After a restore, its endpoints may have turned cold while nothing was
+   * sent to them, and their rows show that up to a heartbeat later. So they count as cold until they would be
+   * warm.
    */
   setEvacuated(failureDomain: string, isEvacuated: boolean): void {
     if (isEvacuated) this.evacuated.add(failureDomain)
-    else if (this.evacuated.delete(failureDomain)) this.suspectCold(failureDomain)
+    else if (this.evacuated.delete(failureDomain)) this.assumeCold(failureDomain)
   }
 
-  private suspectCold(failureDomain: string): void {
+  private assumeCold(failureDomain: string): void {
     for (const endpoint of this.endpoints.values()) {
       const { record } = endpoint
       if (record.failureDomain !== failureDomain) continue
@@ -103,57 +109,66 @@
     }
   }
 
-  /** Requests from here that still run in failure domains that are being emptied. */
+  /** Requests of this instance that still run in evacuated failure domains. */
   get runningInEvacuated(): number {
     return [...this.endpoints.values()]
       .filter(({ record }) => this.evacuated.has(record.failureDomain))
       .reduce((sum, { running }) => sum + running, 0)
   }
 
-  /** Endpoints that bear only few requests at present. */
+  /** Number of endpoints that currently accept only few requests. */
   get coldCount(): number {
     return [...this.endpoints.values()].filter(({ isCold }) => isCold).length
   }
 
   /**
-   * Something else answers at the address of an endpoint: nothing more is sent there. While the
-   * store is out of reach, the list tells of an end only seconds later.
+   * Another endpoint answers at this endpoint's address: no further request is sent there. While the store is
+   * unreachable, the list shows the termination only seconds later.
    */
   noteEnded({ id, start }: Pick<EndpointRecord, 'id' | 'start'>): void {
     const known = this.endpoints.get(id)
-    // What an earlier start is told late does not speak of the one that is there now.
+    // A late report about an earlier start does not apply to the current one.
     if (known === undefined || known.hasEnded || known.record.start !== start) return
     known.hasEnded = true
-    this.ends.noteTerminated(known, 'misdirected')
+    this.terminator.noteTerminated(known, 'misdirected')
     this.parts.onChange(known.record, 'replaced')
   }
 
-  /** Nobody listens any more where this start of an endpoint did. */
+  /** The address of this start refuses connections. */
   noteUnreachable(start: EndpointStart): void {
     for (const endpoint of this.endpoints.values()) {
       if (endpoint.record.start === start) endpoint.noteUnreachable()
     }
   }
 
-  /** The engine of this start is away while something listens for it, as looks here or elsewhere found. */
+  /**
+   * The engine of this start does not respond while its address accepts connections, as probes here or at a
+   * peer found.
+   */
   noteUnresponsive(start: EndpointStart): void {
     for (const endpoint of this.endpoints.values()) {
-      if (endpoint.record.start === start) this.ends.noteSuspicion(endpoint, 'away')
+      if (endpoint.record.start === start) this.terminator.noteSuspicion(endpoint, 'away')
     }
   }
 
-  /** An endpoint broke an answer off that had begun: the others there are not told of its end by that. */
+  /**
+   * An endpoint interrupted an answer. That does not prove a termination for its other exchanges, so it only
+   * raises a suspicion.
+   */
   noteInterrupted(endpoint: EndpointState): void {
-    if (!endpoint.isPlannedShutdown) this.ends.noteSuspicion(endpoint, 'broke-off')
+    if (!endpoint.isPlannedShutdown) this.terminator.noteSuspicion(endpoint, 'broke-off')
   }
 
-  /** An endpoint is no longer listed; what runs there may end, unless nobody is there any more. */
+  /**
+   * An endpoint is no longer listed. Its running requests may finish, unless a probe shows that it has
+   * terminated.
+   */
   remove(id: string): void {
-    const known = this.takeOut(id)
-    if (known !== undefined && !known.isLeaving) this.ends.noteSuspicion(known, 'unlisted')
+    const known = this.unlist(id)
+    if (known !== undefined && !known.isLeaving) this.terminator.noteSuspicion(known, 'unlisted')
   }
 
-  private takeOut(id: string): EndpointState | undefined {
+  private unlist(id: string): EndpointState | undefined {
     this.endLapse(id)
     const known = this.endpoints.get(id)
     if (known === undefined) return undefined
@@ -164,7 +179,7 @@
     return known
   }
 
-  /** The entry of an endpoint is missing; unless it is listed again in time, the endpoint is gone. */
+  /** The entry of an endpoint is missing. The endpoint is removed unless it is listed again in time. */
   removeAfter(id: string, milliseconds: Milliseconds): void {
     const known = this.endpoints.get(id)
     if (known === undefined || this.lapsed.has(id)) return
@@ -176,17 +191,16 @@
     )
   }
 
-  /** Ids of all endpoints known here. */
   get ids(): readonly string[] {
     return [...this.endpoints.keys()]
   }
 
-  /** Endpoints of a service to which new requests may go. */
+  /** Endpoints of a service to which new requests may be sent. */
   available(service: string): readonly EndpointState[] {
     return this.listed(service).filter(({ isUnreachable }) => !isUnreachable)
   }
 
-  /** The same, those included where nobody listened a moment ago. */
+  /** Like `available`, including endpoints that recently refused a connection. */
   listed(service: string): readonly EndpointState[] {
     return [...this.endpoints.values()].filter(endpoint => {
       const { record, hasEnded, isLeaving } = endpoint
@@ -195,30 +209,29 @@
     })
   }
 
-  /** Endpoints of all other services. */
   listedElsewhere(service: string): readonly EndpointState[] {
     return [...this.endpoints.values()].filter(endpoint => {
       return endpoint.service !== service && !endpoint.hasEnded
     })
   }
 
-  /** How many times as long as a usual endpoint of its service one takes for an answer; 1 or more. */
+  /** Factor by which an endpoint is slower than usual for its service; at least 1. */
   slownessOf(endpoint: EndpointState): number {
     if (endpoint.pace === undefined) return 1
-    return slownessFactor(endpoint.pace, this.usualPace(endpoint.record.service))
+    return slownessFactor(endpoint.pace, this.baselineInterval(endpoint.record.service))
   }
 
-  private usualPace(service: string): Milliseconds | undefined {
+  private baselineInterval(service: string): Milliseconds | undefined {
     const now = this.parts.clock.monotonic()
-    const known = this.usualPaces.get(service)
-    if (known !== undefined && now - known.at < USUAL_PACE_MILLISECONDS) return known.pace
+    const known = this.baselineIntervals.get(service)
+    if (known !== undefined && now - known.at < BASELINE_MILLISECONDS) return known.pace
     const paces = this.available(service).flatMap(({ pace }) => pace ?? [])
     const pace = baselineEventInterval(paces)
-    this.usualPaces.set(service, { pace, at: now })
+    this.baselineIntervals.set(service, { pace, at: now })
     return pace
   }
 
-  /** Software versions of the endpoints of a service that are listed, those included that leave. */
+  /** Software versions of the listed endpoints of a service, including endpoints that are leaving. */
   softwareVersions(service: string): ReadonlySet<SoftwareVersion> {
     const versions = new Set<SoftwareVersion>()
     for (const { record } of this.endpoints.values()) {
@@ -231,17 +244,15 @@
     return this.endpoints.size
   }
 
-  /** The start of a listed endpoint. */
   startOf(id: string): EndpointStart | undefined {
     return this.endpoints.get(id)?.record.start
   }
 
-  /** The service of a listed endpoint. */
   serviceOf(id: string): string | undefined {
     return this.endpoints.get(id)?.record.service
   }
 
-  /** What is in progress from here, by endpoint of such services; those with nothing are left out. */
+  /** Requests in progress from here, by endpoint of the wanted services; idle endpoints are left out. */
   loads(isWanted: (service: string) => boolean): ReadonlyMap<string, InstanceLoad> {
     const loads = new Map<string, InstanceLoad>()
     for (const [id, { running, pendingTokens, record }] of this.endpoints) {
@@ -264,10 +275,13 @@
   }
 }
 
-/** Software does not change while it runs, so another version is another start, also where no time of the start is told. */
+/**
+ * A running process does not change its software, so another version is another start, even if the platform
+ * reports no start time.
+ */
 function isOtherStart(before: EndpointRecord, after: EndpointRecord): boolean {
   const versions = [before.softwareVersion, after.softwareVersion]
-  const isVersionTold = !versions.includes(UNKNOWN_SOFTWARE_VERSION)
-  const isOtherVersion = isVersionTold && before.softwareVersion !== after.softwareVersion
+  const areVersionsKnown = !versions.includes(UNKNOWN_SOFTWARE_VERSION)
+  const isOtherVersion = areVersionsKnown && before.softwareVersion !== after.softwareVersion
   return before.start !== after.start || isOtherVersion
 }
--- a/packages/router/src/gateway/endpointExchanges.ts
+++ b/packages/router/src/gateway/endpointExchanges.ts
@@ -1,4 +1,7 @@
-/** What is open at one start of an endpoint from here. Owns the exchanges; the rule is in decisions/retrying/endedExchange. */
+/**
+ * Keeps the open exchanges with one start of an endpoint. Owns these exchanges; the rule is in
+ * decisions/retrying/terminationSigns.
+ */
 
 import { isAsked, isTerminatedBy, wasInFlightAtCrash } from '@rackwalk/decisions'
 import type { InFlightState, SignEvidenceTimes, TerminationSign } from '@rackwalk/decisions'
@@ -6,34 +9,37 @@
 
 /** An exchange that can be ended before its endpoint or its caller ends it. */
 export interface TerminableExchange {
-  /** As it stands. */
+  /** Current state. */
   readonly open: InFlightState
-  /** Where its endpoint tells its state without using a slot; undefined where it has no such place. */
+  /** Path that reports the endpoint's state without using a slot; undefined if there is none. */
   readonly statePath: string | undefined
-  /** It was there without a part of an answer when its endpoint ended. */
+  /** The exchange was in flight without any part of an answer when its endpoint terminated. */
   suspect(): void
-  /** Its endpoint is over: its request goes on elsewhere, or its caller is told. */
+  /**
+   * Ends the exchange because its endpoint has terminated: its request continues elsewhere, or its caller
+   * receives an error.
+   */
   end(): void
 }
 
-/** The exchanges with one start of an endpoint. */
+/** Open exchanges with one start of an endpoint. */
 export class EndpointExchanges {
   private readonly exchanges = new Set<TerminableExchange>()
-  /** Monotonic time of the first break since anything was heard from the endpoint. */
+  /** Monotonic time of the first reset since data was last received from the endpoint. */
   private brokenAt: Milliseconds | undefined
 
-  /** An exchange begins; call what is returned when it is over. */
+  /** Adds an exchange. Returns a function that removes it once it is over. */
   add(exchange: TerminableExchange): () => void {
     this.exchanges.add(exchange)
     return () => this.exchanges.delete(exchange)
   }
 
-  /** The endpoint broke an exchange off. */
+  /** The endpoint reset an exchange. */
   noteReset({ now, heardAt }: { now: Milliseconds; heardAt: Milliseconds }): void {
     if (this.brokenAt === undefined || heardAt > this.brokenAt) this.brokenAt = now
   }
 
-  /** Where the endpoint is asked for its state at this sign; undefined where it isn't. */
+  /** Path at which this sign requires a state probe of the endpoint; undefined if it requires none. */
   probePath(sign: TerminationSign): string | undefined {
     const all = [...this.exchanges]
     if (
@@ -46,7 +52,10 @@
     return all.find(({ statePath }) => statePath !== undefined)?.statePath
   }
 
-  /** The endpoint may be over: what was there without a part of an answer may have ended it. */
+  /**
+   * The endpoint may have terminated: exchanges that were in flight without any part of an answer may have
+   * crashed it.
+   */
   suspect(knownAt: Milliseconds): void {
     const known = { brokenAt: this.brokenAt, knownAt }
     for (const exchange of this.exchanges) {
@@ -55,7 +64,7 @@
     }
   }
 
-  /** Ends what the sign ends. */
+  /** Ends the exchanges that this sign terminates. */
   end(sign: TerminationSign, times: SignEvidenceTimes): void {
     for (const exchange of [...this.exchanges]) {
       if (isTerminatedBy(exchange.open, sign, times)) exchange.end()
--- a/packages/router/src/gateway/endpointSelector.ts
+++ b/packages/router/src/gateway/endpointSelector.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the endpoint of each attempt at one request: collects what is known of those that may be sent something now,
- * and asks the rules. Owns why nothing was chosen, and what was believed of the request at the newest choice.
+ * Chooses the endpoint of each attempt at one request: collects the state of the endpoints that may be sent a
+ * request now and applies the rules. Owns the reason why no endpoint was chosen and the verdict on the
+ * request at the newest choice.
  */
 
 import {
@@ -31,8 +32,8 @@
 import type { GatewayRecord } from './gatewayRecord.js'
 import type { LinkMonitor } from '../routing/linkMonitor.js'
 
-/** What a choice rests on. */
-export interface AttemptChoiceParts {
+/** Dependencies of a selector. */
+export interface EndpointSelectorParts {
   readonly directory: EndpointDirectory
   readonly fleetLoad: FleetLoad
   readonly permits: SendAdmission
@@ -44,7 +45,7 @@
   readonly failureDomain: string
 }
 
-/** What a choice looks at of its request. */
+/** The part of a request that a choice depends on. */
 export interface ChoosingRequest {
   readonly metadata: RequestMetadata
   readonly route: GatewayRoute
@@ -55,40 +56,42 @@
   readonly record: GatewayRecord
 }
 
-/** What the attempts so far leave to choose. */
+/** Constraints that earlier attempts put on a choice. */
 export interface SelectionConstraints {
-  /** Starts that the request was sent to. */
+  /** Starts to which the request was sent. */
   readonly tried: ReadonlySet<EndpointStart>
-  /** The software version that the answer is bound to; undefined where any may give it. */
+  /** Software version that must give the answer; undefined if any may. */
   readonly softwareVersion: SoftwareVersion | undefined
 }
 
-/** The endpoint that was chosen, and how. */
+/** A chosen endpoint with its score. */
 export interface ChosenEndpoint {
   readonly endpoint: EndpointState
   readonly score: number
-  /** Endpoints that were compared. */
+  /** Number of endpoints that were compared. */
   readonly compared: number
 }
 
-/** The choices for one request. */
+/** Chooses endpoints for one request. */
 export class EndpointSelector {
-  /** What is believed of the request, as of the newest choice. */
+  /** Quarantine verdict on the request as of the newest choice. */
   verdict: QuarantineVerdict = 'send'
-  /** Why nothing was chosen; undefined where something was, or where an attempt tells more. */
+  /**
+   * Why no endpoint was chosen; undefined if one was, or if the outcome of an attempt is the better reason.
+   */
   noChoice: NoEndpointReason | undefined
-  /** What the fingerprint begins with: all that is known without the body. */
+  /** Prefix of the fingerprint: everything that is known without the body. */
   private readonly scope: string
 
   constructor(
-    private readonly parts: AttemptChoiceParts,
+    private readonly parts: EndpointSelectorParts,
     private readonly request: ChoosingRequest,
     private readonly bounds: SelectionConstraints,
   ) {
     this.scope = requestScope(request)
   }
 
-  /** The best endpoint, or undefined where none may take the request. */
+  /** Returns the best endpoint, or undefined if none may take the request. */
   choose(mayHaveRun: boolean): ChosenEndpoint | undefined {
     const { tried } = this.bounds
     const { available } = this
@@ -108,7 +111,10 @@
     return chosen
   }
 
-  /** All that it was sent to turned it away: why no other one may be asked, for its caller to know when to return. */
+  /**
+   * Every endpoint rejected the request. Records why no other endpoint may be tried, so that the caller knows
+   * when to retry.
+   */
   noteAllRejected(): void {
     const { available } = this
     const why = this.noChoiceReason(
@@ -119,14 +125,14 @@
     if (why.kind === 'none-permitted' && !hasOpen) this.noChoice = why
   }
 
-  /** Whether an endpoint that was not tried may be sent something now. */
+  /** Whether an untried endpoint may be sent the request now. */
   get hasUntried(): boolean {
     return this.available.some(
       endpoint => !this.bounds.tried.has(endpoint.start) && this.mayReceive(endpoint),
     )
   }
 
-  /** Endpoints of the service that may give the answer, or the rest of it. */
+  /** Endpoints of the service that may give the answer or the rest of it. */
   private get available(): readonly EndpointState[] {
     const { softwareVersion } = this.bounds
     const all = this.parts.directory.available(this.request.service.name)
@@ -134,33 +140,33 @@
     return all.filter(({ record }) => record.softwareVersion === softwareVersion)
   }
 
-  /** Whether the request may be suspected of ending endpoints, by what is known of it without its body. */
+  /** Whether the request may be suspected, judged by what is known without its body. */
   get isSuspect(): boolean {
     return this.parts.crashes.hasSuspectsInScope(this.scope)
   }
 
-  /** Keys of the parts of its prompt, where anything is held against any part. */
+  /** Keys of the prompt parts; empty while no part is suspected. */
   get promptPartKeys(): readonly PromptPartKey[] {
     const { service, metadata } = this.request
     const { promptParts } = metadata
     return this.parts.crashes.promptParts.keysOf({ service: service.name, promptParts })
   }
 
-  /** By the request itself, or by a part of its prompt. */
+  /** The verdict on the request itself or on a part of its prompt, whichever is stricter. */
   private get currentVerdict(): QuarantineVerdict {
     const { crashes } = this.parts
     const ofRequest = this.isSuspect ? crashes.verdict(this.fingerprint) : 'send'
     return strictestVerdict(ofRequest, crashes.promptParts.verdict(this.promptPartKeys))
   }
 
-  /** What the request is, apart from this try of it. */
+  /** Identifies the request, whichever try of it this is. */
   get fingerprint(): RequestFingerprint {
     const { path, team, body, record } = this.request
     record.fingerprint ??= requestFingerprint({ path, team, body })
     return record.fingerprint
   }
 
-  /** Something is sent to an endpoint that may turn it away. */
+  /** The request is sent to an endpoint that may reject it. */
   noteSent(endpoint: EndpointState): void {
     this.parts.turnAways.noteSent(this.occupancyOf(endpoint))
   }
@@ -176,13 +182,13 @@
     return { start, service, slots, running: all }
   }
 
-  /** Without those to which this instance has lost its links. */
+  /** The endpoints without those to which this instance has lost its links. */
   private withoutUnreachable(open: readonly EndpointState[]): readonly EndpointState[] {
     const unreached = this.parts.links.unreachableEndpoints(this.request.service.name)
     return open.filter(endpoint => !unreached.has(endpoint))
   }
 
-  /** Without those at which it is looked whether they have ended, where others are left. */
+  /** The endpoints without those that are probed for a crash, if others are left. */
   private preferUnsuspected(open: readonly EndpointState[]): readonly EndpointState[] {
     const trusted = open.filter(({ start }) => !this.parts.crashes.isSuspect(start))
     return trusted.length > 0 ? trusted : open
@@ -210,17 +216,17 @@
     return { endpoint, score: best.score, compared: ranked.length }
   }
 
-  /** The one among these at which all instances try a suspected request. */
+  /** The endpoint to which all instances send a suspected request. */
   private chooseIsolated(open: readonly EndpointState[]): ChosenEndpoint | undefined {
     const ids = open.map(({ record }) => record.id)
-    // All requests that hold the same suspected part cost one endpoint together.
+    // All requests that contain the same suspected part cost one endpoint together.
     const part = this.parts.crashes.promptParts.isolationKey(this.promptPartKeys)
     const id = rendezvousChoice(part ?? this.fingerprint, ids)
     const endpoint = open.find(({ record }) => record.id === id)
     return endpoint && { endpoint, score: 0, compared: open.length }
   }
 
-  /** Why nothing was open, given the endpoints that are available and those of them that are not full. */
+  /** Why no endpoint was open, given the available endpoints and those of them that have room. */
   private noChoiceReason(
     available: readonly EndpointState[],
     free: readonly EndpointState[],
@@ -232,7 +238,7 @@
     return { kind: 'none-permitted', refusal, chance: random.next() }
   }
 
-  /** Callers that accept any pause are harmed by none. */
+  /** A pause never harms callers that accept any pause. */
   private get pauseStretch(): number | undefined {
     const { route, service } = this.request
     if (route.pauseGoalMilliseconds === undefined) return 0
--- a/packages/router/src/gateway/endpointSnapshots.ts
+++ b/packages/router/src/gateway/endpointSnapshots.ts
@@ -1,4 +1,4 @@
-/** Snapshots of endpoints, as the choice of an endpoint takes them. Owns nothing. */
+/** Builds the endpoint snapshots that the choice of an endpoint works on. Owns nothing. */
 
 import type { EndpointSnapshot } from '@rackwalk/decisions'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -6,15 +6,15 @@
 import type { InstanceLoad } from './peerLoads.js'
 import type { EndpointState } from './endpointState.js'
 
-/** What the fleet knows of an endpoint beyond this instance's own requests. */
+/** State of endpoints beyond this instance's own requests. */
 export interface FleetKnowledge {
-  /** What other instances have in progress there. */
+  /** Requests in progress there from other instances. */
   ofPeers(endpoint: string): InstanceLoad
-  /** Tokens of long prompts sent there lately. */
+  /** Tokens of long prompts recently sent there, decaying with time. */
   recentTokens(endpoint: string): TokenCount
-  /** How many times as long as a usual one it takes for an answer; 1 or more. */
+  /** Factor by which it is slower than usual for its service; at least 1. */
   slowness(endpoint: EndpointState): number
-  /** Whether this instance hears at once what others send there. */
+  /** Whether it is in this instance's subset, so that peers report at once what they send there. */
   isInSubset(endpoint: string): boolean
   /** Tokens of a prompt that it would have to read. */
   uncachedTokens(
@@ -24,10 +24,10 @@
   ): TokenCount
 }
 
-/** The prompt of a request, as far as the choice looks at it. */
+/** The part of a request's metadata that the choice of an endpoint depends on. */
 export type PromptMetadata = Pick<RequestMetadata, 'tokens' | 'promptParts'>
 
-/** What is known of an endpoint for a request with this prompt; `now` is monotonic. */
+/** Returns the snapshot of an endpoint for a request with this prompt; `now` is monotonic. */
 export function snapshotEndpoint(
   endpoint: EndpointState,
   fleet: FleetKnowledge,
@@ -51,14 +51,15 @@
       ageMilliseconds: now - endpoint.loadAt,
     },
     failureShare: endpoint.failures,
-    // Where no prompt is read, sending unheard costs nothing that the endpoint's own word does not tell.
+    // A request without a prompt costs nothing that the load reported by the endpoint does not show, so it
+    // may be sent there without hearing the peers.
     isInSubset: prompt.tokens === undefined || fleet.isInSubset(id),
   }
 }
 
 /**
- * The longest part of a prompt that other requests share: the last part belongs to one request,
- * the one before it is what others have too. Undefined where the prompt names no such part.
+ * Returns the longest prompt part that other requests share: the last part belongs to one request, the one
+ * before it occurs in others too. Undefined if the prompt names no such part.
  */
 export function sharedPartOf({ promptParts }: PromptMetadata): string | undefined {
   return promptParts.length > 1 ? promptParts[promptParts.length - 2]?.id : undefined
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -1,6 +1,7 @@
 /**
- * One start of an endpoint: its record, and what this instance knows of it. Owns what is in progress there from
- * here, the connections, late failures, and until when it is cold. All of it ends with the start.
+ * State of one start of an endpoint: its record, and what this instance knows of it. Owns the requests in
+ * progress from here, the connections, the recent failures, and until when the endpoint is cold. All of it
+ * ends with the start.
  */
 
 import { nextEventInterval } from '@rackwalk/decisions'
@@ -18,68 +19,72 @@
 import { EndpointAgent } from './endpointAgent.js'
 import { EndpointExchanges } from './endpointExchanges.js'
 
-/** An endpoint as the platform lists it. */
+/** An endpoint as listed by the platform. */
 export interface EndpointRecord {
-  /** Under which the platform lists it, and which it answers to. */
+  /** Id under which the platform lists the endpoint, and which the endpoint expects in requests. */
   readonly id: string
   readonly start: EndpointStart
   readonly service: string
   /** IP:PORT. */
   readonly address: string
   readonly failureDomain: string
-  /** `UNTOLD_SOFTWARE_VERSION` where it tells none. */
+  /** `UNKNOWN_SOFTWARE_VERSION` if the endpoint reports none. */
   readonly softwareVersion: SoftwareVersion
   readonly slots: number
   readonly isLeaving: boolean
-  /** How much longer it bears only few requests; 0 once it is warm. */
+  /** Time for which it still accepts only few requests; 0 once it is warm. */
   readonly coldMilliseconds: Milliseconds
 }
 
-/** Weight of the newest outcome in an endpoint's failure share. */
+/** Weight of the newest outcome in the failure share. */
 const FAILURE_WEIGHT = 0.3
-/** Time in which a failure share halves while nothing is sent there. */
+/** Half-life of the failure share while no request is sent there. */
 const FAILURE_HALF_LIFE_MILLISECONDS = 2_500
 /**
- * An endpoint where nobody listened is left alone for this long, since its row may stand for longer and each instance would
- * find out with requests of its own; one that is back in the meantime is missed for so long at the most.
+ * An endpoint that refused a connection gets no request for this long: its row may stay listed for longer,
+ * and each instance would find out with requests of its own. An endpoint that recovers in the meantime is
+ * missed for this long at most.
  */
 const UNREACHABLE_MILLISECONDS = 1_000
 /** A request in progress at an endpoint. */
 export interface RequestInProgress {
-  /** Its first event came, so its prompt is read; may be called again. */
+  /** The first event arrived, so the prompt has been read; may be called again. */
   noteBegun(): void
-  /** It has ended; call it once. */
+  /** The request has ended; call it once. */
   end(): void
 }
 
-/** One endpoint: its record, and what is in progress there from this instance. */
+/** State of one start of an endpoint. */
 export class EndpointState {
   running = 0
-  /** Prompt tokens of requests that have not had their first event. */
+  /** Prompt tokens of requests whose first event has not arrived. */
   pendingTokens: TokenCount = 0
   load: EndpointLoad | undefined
   loadAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Milliseconds an event of its answers, at their quickest; undefined until one was timed. */
+  /** Milliseconds per event of its answers, when they run undisturbed; undefined until timed. */
   pace: Milliseconds | undefined
-  /** Whether something else answered at its address: this start of it is over, whatever is listed. */
+  /**
+   * Whether another endpoint answered at its address or another start replaced it: this start has terminated,
+   * whatever is listed.
+   */
   hasEnded = false
-  /** Monotonic time at which anything last came from it. */
+  /** Monotonic time at which data was last received from it. */
   heardAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** What is open there from here. */
+  /** Open exchanges with it from this instance. */
   readonly exchanges = new EndpointExchanges()
-  /** False once its entry has gone. */
+  /** False once its entry was removed. */
   isListed = true
-  /** By its own word, */
+  /** Monotonic time until which it is cold according to its row. */
   private coldUntil: Milliseconds
-  /** and where it may have turned cold since its newest word. */
-  private suspectUntil: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Requests that were sent there from here. */
+  /** Monotonic time until which it may be cold, having turned so since its newest row. */
+  private assumedColdUntil: Milliseconds = Number.NEGATIVE_INFINITY
+  /** Requests sent there from here. */
   private readonly sends: SendHistory
-  /** Nobody listened there a moment ago; until then it is not tried again. */
+  /** Monotonic time until which it is not tried again after it refused a connection. */
   private unreachableUntil: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Monotonic time at which a new connection last came up, */
+  /** Monotonic time at which a new connection was last established. */
   private connectedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** and at which one last did not. */
+  /** Monotonic time at which establishing a connection last failed. */
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
   private failureShare = 0
   private failureAt: Milliseconds = 0
@@ -95,46 +100,46 @@
     this.sends = new SendHistory(clock)
   }
 
-  /** Takes a newer record of the same start in. */
+  /** Applies a newer record of the same start. */
   update(record: EndpointRecord): void {
     this.record = withVersionOf(this.record, record)
     this.coldUntil = this.clock.monotonic() + record.coldMilliseconds
   }
 
-  /** Whether it said that it leaves, in its row or in an answer: a row may come late, or not at all. */
+  /** Whether it announced that it leaves, in its row or in an answer: a row may arrive late or never. */
   get isLeaving(): boolean {
     return this.record.isLeaving || this.saysLeaving(this.record.start)
   }
 
-  /** Whether its end was announced: it said that it leaves, or its entry went while it went on. */
+  /** Whether its termination was announced: it is leaving, or its entry was removed before it terminated. */
   get isPlannedShutdown(): boolean {
     return this.isLeaving || (!this.isListed && !this.hasEnded)
   }
 
-  /** Nobody listens there. */
+  /** Its address refuses connections. */
   noteUnreachable(): void {
     this.unreachableUntil = this.clock.monotonic() + UNREACHABLE_MILLISECONDS
   }
 
-  /** Whether nobody listened there a moment ago. */
+  /** Whether it recently refused a connection. */
   get isUnreachable(): boolean {
     return this.clock.monotonic() < this.unreachableUntil
   }
 
-  /** Whether it bears only few requests at present. */
+  /** Whether it currently accepts only few requests. */
   get isCold(): boolean {
     return this.coldMilliseconds > 0
   }
 
-  /** Time until it is warm; 0 where it is. */
+  /** Time until it is warm; 0 if it is warm. */
   get coldMilliseconds(): Milliseconds {
-    const until = Math.max(this.coldUntil, this.suspectUntil)
+    const until = Math.max(this.coldUntil, this.assumedColdUntil)
     return Math.max(0, until - this.clock.monotonic())
   }
 
-  /** It may have turned cold unseen, and counts as cold for this long. */
+  /** It may have turned cold unnoticed; it counts as cold for this long. */
   assumeCold(milliseconds: Milliseconds): void {
-    this.suspectUntil = this.clock.monotonic() + milliseconds
+    this.assumedColdUntil = this.clock.monotonic() + milliseconds
   }
 
   get start(): EndpointStart {
@@ -149,9 +154,9 @@
     return this.record.address
   }
 
-  /** Time until fewer than so many requests were sent there from here within a window; 0 where that is so now. */
-  waitFor(licence: RateQuota): Milliseconds {
-    return this.sends.waitFor(licence)
+  /** Time until the sends from here to it are below the quota's limit for its window; 0 if they are now. */
+  waitFor(quota: RateQuota): Milliseconds {
+    return this.sends.waitFor(quota)
   }
 
   get agent(): EndpointAgent {
@@ -165,7 +170,7 @@
     return this.running < this.connectionLimit()
   }
 
-  /** A request is sent there; `tokens` of its prompt have to be read. */
+  /** A request is sent there; `tokens` of its prompt are not cached and have to be read. */
   beginRequest(tokens: TokenCount): RequestInProgress {
     let pending = tokens
     this.sends.note()
@@ -182,28 +187,28 @@
     return { noteBegun, end }
   }
 
-  /** What new connections from here have shown of the way to it. */
+  /** What attempts to connect from here have shown of the link to it. */
   get link(): EndpointLink {
     const { connectedAt, failedAt } = this
     return { failureDomain: this.record.failureDomain, connectedAt, failedAt }
   }
 
-  /** A new connection to it came up. */
+  /** A new connection to it was established. */
   noteConnected(): void {
     this.connectedAt = this.clock.monotonic()
   }
 
-  /** A new connection to it did not come up. */
+  /** A new connection to it could not be established. */
   noteConnectFailed(): void {
     this.failedAt = this.clock.monotonic()
   }
 
-  /** Something came from it: it lives. */
+  /** Data was received from it, so it is alive. */
   noteHeard(): void {
     this.heardAt = this.clock.monotonic()
   }
 
-  /** An answer from there ran at this pace for a while; milliseconds an event. */
+  /** One of its answers ran at this pace for a while; milliseconds per event. */
   notePace(pace: Milliseconds): void {
     this.pace = nextEventInterval(this.pace, pace)
   }
@@ -213,14 +218,14 @@
     this.loadAt = this.clock.monotonic()
   }
 
-  /** Notes whether a request sent there came to an answer. */
+  /** Records whether a request sent there was answered. */
   noteOutcome(succeeded: boolean): void {
     const share = this.failures
     this.failureShare = share + FAILURE_WEIGHT * ((succeeded ? 0 : 1) - share)
     this.failureAt = this.clock.monotonic()
   }
 
-  /** Share of late requests that failed there, in [0, 1], fading with time. */
+  /** Share of recent requests that failed there, in [0, 1], decaying with time. */
   get failures(): number {
     const age = this.clock.monotonic() - this.failureAt
     return this.failureShare * 0.5 ** (age / FAILURE_HALF_LIFE_MILLISECONDS)
@@ -231,7 +236,7 @@
   }
 }
 
-/** A row that tells no version does not take back the one that was told of the same start. */
+/** A row without a version does not clear the version already known for the same start. */
 function withVersionOf(before: EndpointRecord, after: EndpointRecord): EndpointRecord {
   if (after.softwareVersion !== UNKNOWN_SOFTWARE_VERSION) return after
   return { ...after, softwareVersion: before.softwareVersion }
--- a/packages/router/src/gateway/eventDelivery.ts
+++ b/packages/router/src/gateway/eventDelivery.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a stream of events as it passes: counts them and knows the last id. Owns the piece of an event
- * whose end has not come.
+ * Parses a stream of events as it passes through: counts the events and remembers the last id. Owns the
+ * incomplete event at the end.
  */
 
 import { EventSplitter } from '../engine/eventSplitter.js'
@@ -13,29 +13,32 @@
   private count = 0
   private lastId: string | undefined
 
-  /** Whole events among the bytes, as one slice each; the rest waits for its end. */
+  /**
+   * Returns the complete events in the received bytes, one slice each; an incomplete rest is kept until its
+   * end arrives.
+   */
   read(chunk: Buffer): readonly Buffer[] {
     const events = this.splitter.split(chunk)
     for (const event of events) this.note(event)
     return events
   }
 
-  /** Another endpoint continues after the last whole event: the piece of the next one is void. */
+  /** Another endpoint continues after the last complete event, so the incomplete rest is discarded. */
   continueElsewhere(): void {
     this.splitter = new EventSplitter()
   }
 
-  /** Events seen so far. */
+  /** Number of complete events so far. */
   get events(): number {
     return this.count
   }
 
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   get lastEventId(): string | undefined {
     return this.lastId
   }
 
-  /** Whether bytes of an event without its end were seen. */
+  /** Whether an incomplete event was received. */
   get isInsideEvent(): boolean {
     return this.splitter.remainderBytes > 0
   }
--- a/packages/router/src/gateway/exchangeTerminator.ts
+++ b/packages/router/src/gateway/exchangeTerminator.ts
@@ -1,6 +1,7 @@
 /**
- * Ends what is open at starts of endpoints that are over. A proof ends it at once; at other signs the endpoint is asked for
- * its state first. Owns the questions in progress; the rule is in decisions/retrying/endedExchange.
+ * Ends open exchanges with starts of endpoints that have terminated. A proof ends them at once; at other
+ * results the endpoint's state is probed first. Owns the probes in progress; the rule is in
+ * decisions/retrying/terminationSigns.
  */
 
 import {
@@ -15,96 +16,96 @@
 import { settlesWithin } from './stateProbe.js'
 import type { StateProbe } from './stateProbe.js'
 
-/** What the ends are found with. */
-export interface EndedEndpointsParts {
+/** Dependencies of a terminator. */
+export interface ExchangeTerminatorParts {
   readonly clock: Clock
-  /** Asks at IP:PORT for the state under a path. */
+  /** Probes the state at IP:PORT and a path. */
   readonly ask: (address: string, path: string) => StateProbe
 }
 
-/** After so long a question says something, if it is not answered. */
-const TELLING_MILLISECONDS: readonly Milliseconds[] = [
+/** Times after which an unanswered probe is a sign of termination. */
+const PROBE_TIMEOUTS: readonly Milliseconds[] = [
   PROBE_TIMEOUT_MILLISECONDS,
   LONG_PROBE_TIMEOUT_MILLISECONDS,
 ]
 
-/** The endpoints that are over, or may be. */
+/** Terminates exchanges of endpoints that have terminated, or may have. */
 export class ExchangeTerminator {
-  private readonly asked = new Set<EndpointState>()
+  private readonly probed = new Set<EndpointState>()
 
-  constructor(private readonly parts: EndedEndpointsParts) {}
+  constructor(private readonly parts: ExchangeTerminatorParts) {}
 
-  /** A start is over for certain. */
+  /** A start has certainly terminated. */
   noteTerminated(endpoint: EndpointState, proof: 'replaced' | 'misdirected'): void {
     const askedAt = this.parts.clock.monotonic()
     endpoint.exchanges.suspect(askedAt)
     endpoint.exchanges.end(proof, { askedAt, heardAt: endpoint.heardAt })
   }
 
-  /** A start may be over: it is asked, where something waits there. */
-  noteSuspicion(endpoint: EndpointState, why: TerminationSign): void {
-    const path = endpoint.exchanges.probePath(why)
-    if (path === undefined || this.asked.has(endpoint)) return
-    // What gives way for an end by a question may be what brought the end about.
-    if (why === 'away') endpoint.exchanges.suspect(this.parts.clock.monotonic())
-    this.asked.add(endpoint)
-    void this.askUntilKnown(endpoint, why, path).finally(() => this.asked.delete(endpoint))
+  /** A start may have terminated; it is probed if exchanges are open there. */
+  noteSuspicion(endpoint: EndpointState, cause: TerminationSign): void {
+    const path = endpoint.exchanges.probePath(cause)
+    if (path === undefined || this.probed.has(endpoint)) return
+    // The exchanges that the probe will end may be the ones that crashed the endpoint.
+    if (cause === 'away') endpoint.exchanges.suspect(this.parts.clock.monotonic())
+    this.probed.add(endpoint)
+    void this.probeUntilKnown(endpoint, cause, path).finally(() => this.probed.delete(endpoint))
   }
 
-  private async askUntilKnown(
+  private async probeUntilKnown(
     endpoint: EndpointState,
-    why: TerminationSign,
+    cause: TerminationSign,
     path: string,
   ): Promise<void> {
-    const signs: StateProbeResult[] = []
+    const results: StateProbeResult[] = []
     let isKnown = true
     do {
-      isKnown = await this.askOnce(endpoint, { why, path, signs })
-    } while (isKnown && requiresAnotherProbe(why, signs))
+      isKnown = await this.probeOnce(endpoint, { cause, path, results })
+    } while (isKnown && requiresAnotherProbe(cause, results))
   }
 
-  /** Resolves with whether anything is known by this question. */
-  private async askOnce(
+  /** Resolves with whether the probe gave a result. */
+  private async probeOnce(
     endpoint: EndpointState,
-    { why, path, signs }: { why: TerminationSign; path: string; signs: StateProbeResult[] },
+    { cause, path, results }: { cause: TerminationSign; path: string; results: StateProbeResult[] },
   ): Promise<boolean> {
     const { clock, ask } = this.parts
     const askedAt = clock.monotonic()
-    const question = ask(endpoint.record.address, path)
-    const isKnown = await this.waitForAnswer(question, elapsed => {
-      const sign = signOfProbes(why, [...signs, question.sign], elapsed)
-      if (sign !== undefined) this.act(endpoint, sign, askedAt)
+    const probe = ask(endpoint.record.address, path)
+    const isKnown = await this.waitForAnswer(probe, elapsed => {
+      const sign = signOfProbes(cause, [...results, probe.result], elapsed)
+      if (sign !== undefined) this.applySign(endpoint, sign, askedAt)
     })
-    signs.push(question.sign)
-    question.cancel()
+    results.push(probe.result)
+    probe.cancel()
     return isKnown
   }
 
-  /** Judges a question at each time at which it says something. */
+  /** Judges a probe after each of its timeouts and when it is answered. */
   private async waitForAnswer(
-    question: StateProbe,
+    probe: StateProbe,
     judge: (elapsed: Milliseconds) => void,
   ): Promise<boolean> {
     const { clock } = this.parts
-    const isWritten = await settlesWithin(question, question.written, {
+    const isWritten = await settlesWithin(probe, probe.written, {
       clock,
       delay: LONG_PROBE_TIMEOUT_MILLISECONDS,
     })
     if (isWritten === undefined) return false
     let elapsed = 0
-    for (const bound of isWritten ? TELLING_MILLISECONDS : []) {
+    for (const bound of isWritten ? PROBE_TIMEOUTS : []) {
       const delay = bound - elapsed
-      const isAnswered = await settlesWithin(question, question.answered, { clock, delay })
+      const isAnswered = await settlesWithin(probe, probe.answered, { clock, delay })
       if (isAnswered === undefined) return false
       if (isAnswered) break
       elapsed = bound
       judge(elapsed)
     }
-    if (question.sign !== 'held') judge(elapsed)
+    if (probe.result !== 'held') judge(elapsed)
     return true
   }
 
-  private act(endpoint: EndpointState, sign: TerminationSign, askedAt: Milliseconds): void {
+  private applySign(endpoint: EndpointState, sign: TerminationSign, askedAt: Milliseconds): void {
     const { heardAt } = endpoint
     if (heardAt > askedAt) return
     if (sign === 'silent' || sign === 'still-silent') endpoint.noteUnreachable()
--- a/packages/router/src/gateway/findStreamOrigin.ts
+++ b/packages/router/src/gateway/findStreamOrigin.ts
@@ -1,6 +1,6 @@
 /**
- * The filter for streams that callers take up again: finds the software version that began one, or refuses the request before
- * anything is set aside for it. Owns nothing; the rule is in decisions/retrying/streamResumption.
+ * Filter for resumed streams: finds the software version that began the stream, or refuses the request before
+ * tokens are reserved for it. Owns nothing; the rule is in decisions/retrying/streamResumption.
  */
 
 import type { StreamOrigin } from '@rackwalk/decisions'
@@ -12,13 +12,13 @@
 import type { GatewayRoute, GatewayTeam } from './gatewayConfiguration.js'
 import type { GatewayRecord } from './gatewayRecord.js'
 
-/** What the filter works with. */
+/** Dependencies of the filter. */
 export interface ResumedStreamParts {
   readonly streams: StreamOrigins
   readonly directory: EndpointDirectory
 }
 
-/** A request that may take a stream up. */
+/** A request that may resume a stream. */
 export interface ResumingRequest {
   readonly metadata: RequestMetadata
   readonly route: GatewayRoute
@@ -27,7 +27,10 @@
   readonly record: GatewayRecord
 }
 
-/** Where the stream goes on; undefined where the request begins one. Throws where it can't go on. */
+/**
+ * Returns where the stream continues; undefined if the request begins a new one. Throws if the stream can't
+ * be continued.
+ */
 export async function findStreamOrigin(
   { streams, directory }: ResumedStreamParts,
   { metadata, route, service, team, record }: ResumingRequest,
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -1,6 +1,6 @@
 /**
- * What the whole fleet has in progress at the endpoints and what it has sent there before. Owns what peers
- * told and the reckoning of prompt caches; relies on the directory for this instance's own requests.
+ * Tracks what the whole fleet has in progress at the endpoints and which prompts it sent there. Owns the
+ * peers' reports and the estimate of prompt caches; relies on the directory for this instance's own requests.
  */
 
 import { EndpointSubsets } from '@rackwalk/decisions'
@@ -15,39 +15,39 @@
 import type { EndpointDirectory } from './endpointDirectory.js'
 import type { EndpointState } from './endpointState.js'
 
-/** What the knowledge of the fleet rests on. */
+/** Dependencies and callbacks of `FleetLoad`. */
 export interface FleetLoadParts {
   readonly instance: string
   readonly incarnation: string
   readonly directory: EndpointDirectory
   readonly clock: Clock
-  /** Tokens that an endpoint of a service holds; undefined where nothing is said. */
+  /** Tokens that the memory of an endpoint of a service holds; undefined if not configured. */
   readonly capacityOf: (service: string) => TokenCount | undefined
-  /** Instances that use endpoints, this one included. */
+  /** Number of instances that use endpoints, including this one. */
   readonly users: () => number
-  /** Something was sent to an endpoint, of which the others are told. */
+  /** A request was sent to an endpoint and is to be reported to peers. */
   readonly onSent?: () => void
-  /** Another instance told of requests in progress at an endpoint. */
+  /** Another instance reported requests in progress at an endpoint. */
   readonly onAsked?: (endpoint: string) => void
-  /** Whether the others are told of work at endpoints of a service. */
+  /** Whether loads at endpoints of a service are reported to peers. */
   readonly isTold: (service: string) => boolean
 }
 
-/** The knowledge of the whole fleet, on one instance. */
+/** Load of the whole fleet, as known to one instance. */
 export class FleetLoad {
   private readonly peers: PeerLoads
   private readonly caches = new PromptCaches()
-  /** What streams that passed through here tell of long prompts. */
+  /** Pauses that long prompts caused in streams passing through this instance. */
   readonly pauses = new PauseStretchTracker()
   private readonly reporter: LoadReporter
-  private readonly readings: PrefillTracker
-  private readonly homes = new EndpointSubsets()
-  /** Monotonic time at which a report last told of work here. */
+  private readonly prefills: PrefillTracker
+  private readonly subsets = new EndpointSubsets()
+  /** Monotonic time at which a report of this instance last contained work. */
   private workedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: FleetLoadParts) {
     this.peers = new PeerLoads(parts.clock)
-    this.readings = new PrefillTracker(parts.clock)
+    this.prefills = new PrefillTracker(parts.clock)
     this.reporter = new LoadReporter(
       { instance: parts.instance, incarnation: parts.incarnation },
       parts.directory,
@@ -56,7 +56,7 @@
     )
   }
 
-  /** What other instances have in progress at an endpoint. */
+  /** Requests in progress at an endpoint from other instances. */
   ofPeers(endpoint: string): InstanceLoad {
     return this.peers.at(endpoint)
   }
@@ -66,32 +66,32 @@
     return Math.max(0, prompt - this.caches.cachedTokens(endpoint, parts))
   }
 
-  /** Tokens of long prompts that all instances have sent to an endpoint lately. */
+  /** Tokens of long prompts that all instances recently sent to an endpoint, decaying with time. */
   recentTokens(endpoint: string): TokenCount {
-    return this.readings.recentTokens(endpoint)
+    return this.prefills.recentTokens(endpoint)
   }
 
-  /** How many times as long as a usual one an endpoint takes for an answer; 1 or more. */
+  /** Factor by which an endpoint is slower than usual for its service; at least 1. */
   slowness(endpoint: EndpointState): number {
     return this.parts.directory.slownessOf(endpoint)
   }
 
-  /** A prompt, of which the endpoint has to read so many tokens, is sent from here. */
+  /** A prompt is sent from here, of which the endpoint has to read `uncachedTokens`. */
   noteSent(endpoint: string, parts: readonly PromptPart[], uncachedTokens: TokenCount): void {
-    this.readings.note(endpoint, uncachedTokens)
+    this.prefills.note(endpoint, uncachedTokens)
     this.caches.noteSent(endpoint, parts, this.capacityAt(endpoint))
     this.parts.onSent?.()
   }
 
-  /** Whether this instance hears at once what others send to an endpoint. */
+  /** Whether an endpoint is in this instance's subset, so that peers report at once what they send there. */
   isInSubset(endpoint: string): boolean {
-    return this.homes.isInSubset(this.parts.instance, endpoint, this.parts.users())
+    return this.subsets.isInSubset(this.parts.instance, endpoint, this.parts.users())
   }
 
-  /** Takes in what another instance told. */
+  /** Applies a report of another instance. */
   observe(report: PeerLoadReport): void {
     for (const { endpoint, tokens } of this.peers.observe(report)) {
-      this.readings.note(endpoint, tokens)
+      this.prefills.note(endpoint, tokens)
     }
     for (const { endpoint, running, parts } of report.loads) {
       if (running > 0) this.parts.onAsked?.(endpoint)
@@ -99,68 +99,70 @@
     }
   }
 
-  /** What to tell the others; undefined where there is nothing new and no sign of life due. */
-  nextReport(isSignDue: boolean): PeerLoadReport | undefined {
-    const report = this.reporter.next(isSignDue)
+  /** Returns the next report to peers; undefined if nothing has changed and no heartbeat is due. */
+  nextReport(isHeartbeatDue: boolean): PeerLoadReport | undefined {
+    const report = this.reporter.next(isHeartbeatDue)
     if (this.reporter.hasWork) this.workedAt = this.parts.clock.monotonic()
     return report
   }
 
   /**
-   * What was sent since the last report, for each of these instances that is at home where it was
-   * sent; the others hear of it with the next report.
+   * Reports of requests sent since the last report, for each of these instances whose subset contains the
+   * endpoint. Other instances receive them with the next regular report.
    */
   urgentReports(instances: readonly string[]): ReadonlyMap<string, PeerLoadReport> {
     const grown = this.reporter.takeGrown()
     const users = this.parts.users()
     const reports = new Map<string, PeerLoadReport>()
     for (const instance of instances) {
-      const loads = grown.filter(({ endpoint }) => this.homes.isInSubset(instance, endpoint, users))
+      const loads = grown.filter(({ endpoint }) =>
+        this.subsets.isInSubset(instance, endpoint, users),
+      )
       if (loads.length > 0) reports.set(instance, this.reporter.partial(loads))
     }
     return reports
   }
 
-  /** Everything that the others were told, for one that got no reports before. */
+  /** A full report of what was already reported, for an instance that received no reports before. */
   fullReport(): PeerLoadReport {
     return this.reporter.fullReport()
   }
 
-  /** A report of nothing but that this instance lives. */
+  /** A report that only shows that this instance is alive. */
   heartbeatReport(): PeerLoadReport {
     return this.reporter.heartbeatReport()
   }
 
-  /** Whether an instance was heard of lately. */
+  /** Whether an instance was heard recently. */
   hasRecentHeartbeat(instance: string): boolean {
     return this.peers.hears(instance)
   }
 
-  /** Time since any instance was last heard of. */
+  /** Time since any instance was last heard. */
   get heardAgoMilliseconds(): Milliseconds {
     return this.peers.heardAgoMilliseconds
   }
 
-  /** Whether an instance told of work at endpoints lately. */
+  /** Whether an instance recently reported work at endpoints. */
   isUsing(instance: string): boolean {
     return this.peers.isUsing(instance)
   }
 
-  /** Whether the others were told of work here lately. */
+  /** Whether this instance recently reported work to its peers. */
   get isSelfUsing(): boolean {
     return this.parts.clock.monotonic() - this.workedAt < USING_MILLISECONDS
   }
 
-  /** Forgets instances that have been silent for this long; call it now and then. */
+  /** Forgets instances that have been silent for this long; to be called periodically. */
   expire(silence: Milliseconds): void {
     this.peers.expire(silence)
   }
 
-  /** An endpoint is gone. */
+  /** The endpoint was removed. */
   forget(endpoint: string): void {
     this.peers.forget(endpoint)
     this.caches.forget(endpoint)
-    this.readings.forget(endpoint)
+    this.prefills.forget(endpoint)
   }
 
   private capacityAt(endpoint: string): TokenCount | undefined {
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a request of the gateway kind: identify, read, reserve, attempt, settle, record. Owns the
- * retry budget of each service and the count of requests in progress.
+ * Serves requests of the gateway: identifies, reads, reserves, attempts, settles and records each one. Owns
+ * the retry budget of each service and the count of requests in progress.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -38,19 +38,19 @@
 import { findStreamOrigin } from './findStreamOrigin.js'
 import type { AttemptsParts, AttemptsResult } from './attemptedRequest.js'
 
-/** What the gateway works with. */
+/** Dependencies and callbacks of the gateway. */
 export interface GatewayParts extends AttemptsParts, InstanceAdmissionParts, PeerRelayParts {
   readonly dialect: Dialect
   readonly clock: Clock
   readonly random: RandomSource
   readonly ledger: PrepaidLedger
-  /** The configuration in force; undefined until one is known. */
+  /** The configuration in force; undefined until one is loaded. */
   readonly routes: () => RouteTable | undefined
   readonly retryBounds: RetryBounds
   readonly instances: () => number
-  /** Throws where what this instance knows is too old to serve by. */
+  /** Throws if this instance's knowledge is too stale to serve requests. */
   readonly checkKnowledge: () => void
-  /** Whether connections end with their next answer. */
+  /** Whether connections close after their next answer. */
   readonly isDraining: () => boolean
   /** Whether new requests are refused. */
   readonly isRefusing: () => boolean
@@ -58,13 +58,13 @@
   readonly onRecord: (record: GatewayRecord) => void
 }
 
-/** What the routes known here make of a request. */
-interface NamedRequest {
+/** The route and team of a request according to the known routes. */
+interface MatchedRequest {
   readonly routes: RouteTable
   readonly path: string
-  /** Undefined where no route takes the path. */
+  /** Undefined if no route matches the path. */
   readonly route: GatewayRoute | undefined
-  /** Undefined where the route asks for no key, or nobody holds the one shown. */
+  /** Undefined if the route requires no key, or the key belongs to no team. */
   readonly team: GatewayTeam | undefined
 }
 
@@ -77,7 +77,7 @@
   readonly deadlineAt: Milliseconds
 }
 
-/** A request that is read whole. */
+/** A request whose body was read completely. */
 interface ReadRequest extends IdentifiedRequest {
   readonly method: string
   readonly path: string
@@ -87,9 +87,9 @@
   readonly record: GatewayRecord
 }
 
-/** A request of which it is known where it may go on. */
+/** A request whose stream origin is determined. */
 interface ResumedRequest extends ReadRequest {
-  /** Undefined where it takes no stream up. */
+  /** Undefined if it resumes no stream. */
   readonly origin: StreamOrigin | undefined
 }
 
@@ -117,17 +117,17 @@
     return this.running
   }
 
-  /** How much of what the instance bears is in use. */
+  /** Usage of this instance's capacity. */
   get admissionState(): AdmissionState {
     return this.admission.state
   }
 
-  /** The share of requests that ended lately and were turned away for reasons of this instance, in [0, 1]. */
+  /** Share of recently ended requests that were refused because of this instance's own limits, in [0, 1]. */
   get refusedShare(): number {
     return this.admission.refusedShare
   }
 
-  /** Serves one request to its end; `relayedBy` names the instance that handed it over, where one did. */
+  /** Serves one request to its end; `relayedBy` names the instance that relayed it, if any. */
   async handle(
     request: IncomingMessage,
     response: ServerResponse,
@@ -167,9 +167,9 @@
     const identified = this.identify(request, metadata, record)
     this.checkSize(request)
     this.admission.admit(request, workRankOf(identified))
-    const body = await this.readWhole(request, reply)
+    const body = await this.readFully(request, reply)
     this.refuseCrashing(identified, request.url ?? '/', body, record)
-    const read: ReadRequest = { ...identified, ...sentParts(request), body, reply, record }
+    const read: ReadRequest = { ...identified, ...forwardedParts(request), body, reply, record }
     const mayRelay = record.relayedBy === undefined
     if (mayRelay && this.parts.links.isCutOff(identified.service.name)) return this.relay(read)
     const result = await this.attempt(read, mayRelay)
@@ -183,7 +183,10 @@
     return this.attemptAt({ ...read, service, origin }, mayRelay)
   }
 
-  /** A stream goes on at the service that began it, whichever of its route's is chosen for new ones. */
+  /**
+   * A resumed stream continues at the service that began it, whichever target of the route is chosen for new
+   * streams.
+   */
   private serviceOf(origin: StreamOrigin | undefined, { service }: ReadRequest): GatewayService {
     if (origin === undefined) return service
     return this.parts.routes()?.service(origin.service) ?? service
@@ -213,7 +216,7 @@
     return result
   }
 
-  /** Another instance serves what this one can't send to any endpoint. */
+  /** Relays a request that this instance can't send to any endpoint. */
   private async relay(read: ReadRequest): Promise<void> {
     const relayed: RelayableRequest = { ...read, service: read.service.name }
     const isDone = await new PeerRelay(this.parts, relayed).run()
@@ -224,7 +227,7 @@
     throw new NotRunError(ResultCode.NoEndpoint, 'no connection')
   }
 
-  /** A request that ends endpoints is refused before tokens are set aside for it. */
+  /** Refuses a crash-inducing request before tokens are reserved for it. */
   private refuseCrashing(
     { team, service, metadata: { promptParts } }: IdentifiedRequest,
     path: string,
@@ -256,11 +259,11 @@
     metadata: RequestMetadata,
     record: GatewayRecord,
   ): IdentifiedRequest {
-    const named = this.nameRequest(request, metadata, record)
+    const matched = this.matchRequest(request, metadata, record)
     if (this.parts.isRefusing()) throw new NotRunError(ResultCode.InstanceDraining)
     this.parts.checkKnowledge()
-    if (named === undefined) throw new NotRunError(ResultCode.InstanceNotReady)
-    const { routes, path, route, team } = named
+    if (matched === undefined) throw new NotRunError(ResultCode.InstanceNotReady)
+    const { routes, path, route, team } = matched
     if (route === undefined) throw new NotRunError(ResultCode.NotFound, path)
     if (team === undefined && !route.isAnonymous) throw new NotRunError(ResultCode.UnknownKey)
     const serviceName = chooseService(route, this.parts.random.next())
@@ -273,14 +276,15 @@
   }
 
   /**
-   * What the routes known here make of a request; undefined where none are known. The record names it also where the
-   * request is then refused, so that a team that is refused everything is seen in its own counters.
+   * Matches a request against the known routes; undefined if none are known. The record names the match also
+   * if the request is then refused, so that a team whose requests are all refused shows up in its own
+   * counters.
    */
-  private nameRequest(
+  private matchRequest(
     request: IncomingMessage,
     metadata: RequestMetadata,
     record: GatewayRecord,
-  ): NamedRequest | undefined {
+  ): MatchedRequest | undefined {
     const routes = this.parts.routes()
     if (routes === undefined) return undefined
     const path = (request.url ?? '/').split('?')[0] ?? '/'
@@ -302,14 +306,14 @@
     return this.limits?.bodyBytes ?? 0
   }
 
-  /** A body that is told to be too large is not begun. */
+  /** Refuses a body whose declared size is too large, before reading it. */
   private checkSize(request: IncomingMessage): void {
     const isTooLarge = (declaredBodyBytes(request) ?? 0) > this.largestBody
     if (isTooLarge) throw new NotRunError(ResultCode.BodyTooLarge)
   }
 
-  /** The whole body; the caller still waits when it is there. */
-  private async readWhole(request: IncomingMessage, reply: CallerReply): Promise<Buffer> {
+  /** Reads the complete body, and confirms that the caller has not left meanwhile. */
+  private async readFully(request: IncomingMessage, reply: CallerReply): Promise<Buffer> {
     const idle = this.limits?.idleMilliseconds ?? 0
     let bytes: Bytes = 0
     request.on('data', (chunk: Buffer) => (bytes += chunk.length))
@@ -319,7 +323,7 @@
     return body
   }
 
-  /** Sets the largest cost aside where the team has a prepaid budget. */
+  /** Reserves the largest possible cost if the team has a prepaid budget. */
   private async reserve(
     { metadata, team, route, deadlineAt }: IdentifiedRequest,
     record: GatewayRecord,
@@ -388,12 +392,12 @@
   }
 }
 
-/** What is passed on of a request beside its body. */
-function sentParts({ method = 'GET', url = '/', rawHeaders }: IncomingMessage) {
+/** The parts of a request besides its body that are forwarded. */
+function forwardedParts({ method = 'GET', url = '/', rawHeaders }: IncomingMessage) {
   return { method, path: url, rawHeaders }
 }
 
-/** What the caller would lose by a refusal, and what the request takes. */
+/** The rank that load shedding gives a request: its priority and the number of answer tokens it may take. */
 function workRankOf({ team, route, metadata }: IdentifiedRequest): ShedRank {
   const priority = team?.priority ?? route.priority
   return { priority, answerTokens: metadata.tokens?.maximumOutput ?? 0 }
--- a/packages/router/src/gateway/gatewayAnswerDelivery.ts
+++ b/packages/router/src/gateway/gatewayAnswerDelivery.ts
@@ -1,7 +1,7 @@
 /**
- * Passes the body of an endpoint's answer on to the caller: streams by whole events as they come,
- * other answers when they are whole, or as they come where they are large. Owns what is held back
- * of one answer; relies on the exchange to tell a whole answer from a broken one.
+ * Delivers the body of an endpoint's answer to the caller: streams by complete events as they arrive, other
+ * answers once they are complete, or as they arrive if they are large. Owns the part of one answer that is
+ * held back; relies on the exchange to tell a complete answer from an interrupted one.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -12,25 +12,28 @@
 import type { AnswerRecord } from './gatewayRecord.js'
 import type { UpstreamExchange } from './upstreamExchange.js'
 
-/** What an answer is passed on with. */
+/** Dependencies and callbacks of a delivery. */
 export interface GatewayAnswerDeliveryParts {
   readonly exchange: UpstreamExchange
   readonly response: IncomingMessage
   readonly reply: CallerReply
   /** Events of all attempts at the request. */
   readonly events: EventDelivery
-  /** The caller is about to get the first bytes of an answer. */
+  /** The caller is about to receive the first bytes of an answer. */
   readonly onStart: () => void
-  /** Whole events have come from the endpoint; the first ones say that its prompt is read. */
+  /** Complete events arrived from the endpoint; the first ones show that it has read the prompt. */
   readonly onEvents: (count: number) => void
-  /** Bytes of an answer that is no stream have come. */
+  /** Bytes of an answer arrived that is no stream. */
   readonly onBytes: () => void
 }
 
-/** Answers up to this size are kept until they are whole, so that a broken one can be repeated. */
+/**
+ * Answers up to this size are held until they are complete, so that the request can be repeated if the answer
+ * is interrupted.
+ */
 const MAXIMUM_HELD_BYTES = 256 * 1024
 
-/** One answer on its way to the caller. */
+/** Delivers one answer to its caller. */
 export class GatewayAnswerDelivery {
   private held: Buffer[] = []
   private heldBytes = 0
@@ -42,7 +45,7 @@
 
   constructor(private readonly parts: GatewayAnswerDeliveryParts) {}
 
-  /** How the body came; undefined until it has ended. */
+  /** How the body arrived; undefined until it has ended. */
   get record(): AnswerRecord | undefined {
     if (this.ended === undefined) return undefined
     const { framing, end } = this.ended
@@ -50,7 +53,7 @@
     return { framing, end, events: this.eventCount, withheldBytes }
   }
 
-  /** Passes whole events on as they come; a rest without its end is never passed on. */
+  /** Delivers complete events as they arrive; an incomplete rest is never delivered. */
   relayEvents(): Promise<EndedAnswer> {
     const { events } = this.parts
     this.isStream = true
@@ -61,7 +64,7 @@
     )
   }
 
-  /** Keeps an answer until it is whole; a large one is passed on as it comes. */
+  /** Holds an answer until it is complete; a large one is delivered as it arrives. */
   relayWhole(): Promise<EndedAnswer> {
     return this.relay(
       chunk => this.hold(chunk),
@@ -69,7 +72,7 @@
     )
   }
 
-  /** Only an answer that is proven whole is ended. */
+  /** Reads the body. Ends the caller's answer only if the endpoint's answer is proven complete. */
   private relay(onData: (chunk: Buffer) => void, isBodyOpen: () => boolean): Promise<EndedAnswer> {
     const { exchange } = this.parts
     return new Promise(resolve => {
@@ -124,13 +127,18 @@
     reply.start(response, this.isLengthKnown(exchange.framing))
   }
 
-  /** Another endpoint may go on with a stream and word the rest otherwise. */
+  /**
+   * The length of a stream is never declared: another endpoint may continue it and word the rest differently.
+   */
   private isLengthKnown(framing: AnswerFraming): boolean {
     if (framing === 'bodiless') return true
     return framing === 'length' && !this.isStream
   }
 
-  /** A caller that reads slowly slows the endpoint down, not this process's memory. */
+  /**
+   * Delivers bytes. Pauses reading from the endpoint while the caller is behind, so that a slow caller slows
+   * down the endpoint instead of filling this process's memory.
+   */
   private write(bytes: Buffer): void {
     const { reply, exchange } = this.parts
     this.passedBytes += bytes.length
--- a/packages/router/src/gateway/gatewayConfiguration.ts
+++ b/packages/router/src/gateway/gatewayConfiguration.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration of the gateway kind: routes, services, teams and limits, as one version, with the
- * indexes that the way of a request needs.
+ * The gateway's configuration: one version of routes, services, teams and limits, with the indexes that
+ * serving a request needs.
  */
 
 import type { WarmUpBounds } from '@rackwalk/decisions'
@@ -11,7 +11,7 @@
   readonly weight: number
 }
 
-/** Where requests of a host and path prefix go, and what they allow. */
+/** The targets of requests with a host and path prefix, and their limits. */
 export interface GatewayRoute {
   readonly name: string
   readonly host: string
@@ -20,46 +20,46 @@
   /** Whether a request may run more than once. */
   readonly isIdempotent: boolean
   readonly isStreaming: boolean
-  /** Whether a broken stream may be continued at another endpoint. */
+  /** Whether an interrupted stream may be continued at another endpoint. */
   readonly isResumable: boolean
   readonly isAnonymous: boolean
   readonly targets: readonly RouteTarget[]
-  /** Endpoints that one request may be sent to. */
+  /** Maximum number of endpoints to which one request is sent. */
   readonly maximumAttempts: number
   readonly timeoutMilliseconds: Milliseconds
   readonly goalMilliseconds: Milliseconds
-  /** The longest pause between events that callers accept; undefined where any is. */
+  /** The longest pause between events that callers accept; undefined if they accept any. */
   readonly pauseGoalMilliseconds: Milliseconds | undefined
   /** 0 is the most urgent. */
   readonly priority: number
 }
 
-/** A service, which endpoints provide. */
+/** A service that endpoints provide. */
 export interface GatewayService {
   readonly name: string
-  /** Connections that one endpoint takes from all instances together. */
+  /** Connections that one endpoint accepts from all instances together. */
   readonly maximumConnections: number
-  /** Present where the endpoints run a model. */
+  /** Set if the endpoints run a model. */
   readonly engine: GatewayEngine | undefined
-  /** Present where endpoints that have just started bear less. */
+  /** Set if endpoints that have just started accept fewer requests. */
   readonly warmUp: WarmUpBounds | undefined
 }
 
-/** What the endpoints of a model are like. */
+/** Properties of the endpoints of a model. */
 interface GatewayEngine {
-  /** Where an endpoint tells its state without using a slot. */
+  /** Path that reports an endpoint's state without using a slot. */
   readonly statePath: string
   readonly tokensPerEvent: TokenCount
-  /** Tokens that an endpoint's memory holds; undefined where nothing is said. */
+  /** Tokens that an endpoint's memory holds; undefined if not configured. */
   readonly capacity: TokenCount | undefined
 }
 
-/** A team, its keys, and the tokens that it has paid for. */
+/** A team with its keys and prepaid tokens. */
 export interface GatewayTeam {
   readonly name: string
   readonly keys: readonly string[]
   readonly priority: number | undefined
-  /** Undefined where nothing bounds the team. */
+  /** Undefined if the team has no limit. */
   readonly prepaid: TokenCount | undefined
 }
 
@@ -80,7 +80,7 @@
   readonly limits: GatewayLimits
 }
 
-/** A configuration with the indexes that the request path needs. */
+/** A configuration with the indexes that serving a request needs. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, readonly GatewayRoute[]>()
   private readonly teamsByKey = new Map<string, GatewayTeam>()
@@ -104,7 +104,7 @@
     return this.configuration.version
   }
 
-  /** The route with the longest prefix that begins the path; `host` may carry a port. */
+  /** Returns the route with the longest prefix that matches the path; `host` may contain a port. */
   match(host: string, path: string): GatewayRoute | undefined {
     const name = host.toLowerCase().replace(/:\d+$/, '')
     return this.routesByHost.get(name)?.find(route => path.startsWith(route.pathPrefix))
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -1,4 +1,4 @@
-/** What is kept of one request's decisions; it becomes one line of the log. */
+/** The record of one request's decisions; it becomes one log line. */
 
 import type { Bytes, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type {
@@ -15,22 +15,22 @@
 import type { StreamPause } from './streamPace.js'
 import type { Execution, RequestFingerprint, SoftwareVersion } from '@rackwalk/shared'
 
-/** How the body of an answer came. */
+/** How the body of an answer arrived. */
 export interface AnswerRecord {
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
-  /** Whole events that came from the endpoint. */
+  /** Complete events received from the endpoint. */
   readonly events: number
-  /** Bytes of the body that came and did not go to the caller. */
+  /** Bytes of the body that were received and not delivered to the caller. */
   readonly withheldBytes: Bytes
 }
 
-/** One endpoint that a request was sent to. */
+/** One attempt: an endpoint to which the request was sent. */
 export interface AttemptRecord {
   readonly endpoint: string
   readonly softwareVersion: SoftwareVersion
   readonly score: number
-  /** Endpoints that were compared. */
+  /** Number of endpoints that were compared. */
   readonly compared: number
   readonly waitedMilliseconds: Milliseconds
   /** Prompt tokens of other requests that the endpoint had to read when it was chosen. */
@@ -39,59 +39,60 @@
   readonly uncachedTokens: TokenCount
   /** Undefined until the attempt has ended. */
   outcome: AttemptOutcome | undefined
-  /** What the endpoint said of itself with its answer; undefined where it said nothing. */
+  /** Advice that the endpoint gave with its answer; undefined if it gave none. */
   said?: string
-  /** Undefined where no body was read for the caller. */
+  /** Undefined if no body was read for the caller. */
   answer?: AnswerRecord
-  /** Undefined where no second event came. */
+  /** Undefined if there was no second event. */
   longestPause: StreamPause | undefined
 }
 
-/** Another instance that a request was handed to. */
+/** One relay: another instance to which the request was sent. */
 export interface RelayRecord {
   readonly instance: string
   /** Undefined until it is known. */
   outcome: RelayOutcome | undefined
 }
 
-/** One request, from its arrival to its end. */
+/** The record of one request, from its arrival to its end. */
 export interface GatewayRecord {
   readonly requestId: string
   readonly receivedAt: Milliseconds
-  /** Set where it takes a stream up again. */
+  /** Set if it resumes a stream. */
   readonly resumption?: StreamResumption | undefined
-  /** How it became known where that stream began, or why it did not. */
+  /** How the origin of that stream was determined, or why it was not. */
   originSource?: OriginSource
-  /** Undefined where nobody had to tell it from others. */
+  /** Undefined if no decision needed it. */
   fingerprint?: RequestFingerprint
   configurationVersion?: number
   route?: string
   team?: string
   service?: string
-  /** Largest possible cost, and how it was reserved. */
+  /** Largest possible cost. */
   tokens?: TokenCount
+  /** How the cost was reserved. */
   reservation?: string
   /** Instances that lent tokens for it. */
   loans?: readonly { readonly lender: string; readonly tokens: TokenCount }[]
-  /** Instances that were asked for tokens in vain, and what each answered. */
+  /** Instances that were asked for tokens and lent none, with their answers. */
   lenders?: readonly LenderAnswer[]
-  /** What was known of the budget when it refused. */
+  /** State of the budget at the time of the refusal. */
   budget?: Readonly<Record<string, unknown>>
   spent?: TokenCount
   attempts: AttemptRecord[]
-  /** Instances that it was handed to, since this one could not send it to any endpoint. */
+  /** Instances to which it was relayed because this one could not send it to any endpoint. */
   relays: RelayRecord[]
-  /** The instance that handed it to this one. */
+  /** The instance that relayed it to this one. */
   relayedBy?: string
   status?: number
-  /** Numbered result; 0 where the endpoint's own answer was passed on. */
+  /** Numbered result; 0 if the endpoint's own answer was delivered. */
   code?: number
   execution?: Execution
   detail?: string
-  /** What became of the body of a refused request; undefined where none was left. */
+  /** What became of the body of a refused request; undefined if none was left to read. */
   refusedBody?: RefusedBodyOutcome | undefined
   firstByteMilliseconds?: Milliseconds
-  /** Why its caller counts a served answer as late. */
+  /** Why a served answer was late for its caller. */
   lateness?: Lateness
   totalMilliseconds?: Milliseconds
 }
--- a/packages/router/src/gateway/instanceAdmission.ts
+++ b/packages/router/src/gateway/instanceAdmission.ts
@@ -1,7 +1,8 @@
 /**
- * Refuses at once what this instance itself cannot carry: its link, or its processor; holds back what nobody may wait
- * for any more; and sees to the bodies of refused requests. Owns what both still bear, the timer that tells how long
- * ready work waits, and the count of callers that had left; the rules are in decisions/admitting.
+ * Refuses requests at once that exceed the capacity of this instance's link or processor, holds back requests
+ * whose callers may have left, and handles the bodies of refused requests. Owns the remaining capacity of
+ * link and processor, the timer that samples how long ready work waits, and the count of callers that had
+ * left; the rules are in decisions/admitting.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -20,39 +21,41 @@
 import type { RefusedBodyCounters } from '../refusedBodyHandler.js'
 import type { CallerReply } from './callerReply.js'
 
-/** What the admission works with. */
+/** Dependencies of the admission. */
 export interface InstanceAdmissionParts {
   readonly clock: Clock
   readonly random: RandomSource
-  /** How long new connections wait to be taken; asking costs a connection now and then. */
+  /** How long new connections wait to be accepted. A call occasionally costs a connection. */
   readonly acceptMilliseconds: () => Milliseconds
-  /** What the own link carries. */
+  /** Capacity of this instance's link. */
   readonly linkBytesPerSecond: number
   readonly refusedBodyCounters: RefusedBodyCounters
 }
 
-/** How much of what the instance bears is in use; each in [0, 1]. */
+/** Usage of this instance's capacity; each value is in [0, 1]. */
 export interface AdmissionState {
-  /** Part of the requests that is refused since the processor is full. */
+  /** Share of requests that is refused because the processor is saturated. */
   readonly refusedPart: number
-  /** Part of the requests read lately whose callers had left before. */
+  /** Share of recently read requests whose callers had already left. */
   readonly abandonedShare: number
-  /** Part of the link's budget for bodies that is spent. */
+  /** Used share of the link's budget for bodies. */
   readonly linkShare: number
 }
 
-/** An instance with fewer requests in progress has no queue before it: it costs nothing there. */
-const PROBED_REQUESTS = 8
+/**
+ * With fewer requests in progress than this, an instance has no accept queue, and measuring it costs nothing.
+ */
+const MINIMUM_SAMPLED_REQUESTS = 8
 
-/** Takes requests as long as link and processor bear them. */
+/** Admits requests within the capacity of link and processor. */
 export class InstanceAdmission {
-  /** Sends refusals within what the link bears. */
+  /** Sends refusals within the link's capacity. */
   readonly refusedBodies: RefusedBodyHandler
   private readonly link: LinkBandwidthBudget
   private readonly processor = new ProcessorLoadShedder()
   private readonly abandoned = new AbandonedRequests()
   private readonly refusals = new LocalRefusals()
-  private isWatching = false
+  private isSampling = false
 
   constructor(
     private readonly parts: InstanceAdmissionParts,
@@ -68,9 +71,9 @@
     })
   }
 
-  /** Throws where the request cannot be carried; nothing of its body has been read then. */
+  /** Throws if the request exceeds the capacity; none of its body has been read then. */
   admit(request: IncomingMessage, rank: ShedRank): void {
-    this.watchDelay()
+    this.scheduleSample()
     if (!this.processor.admits(rank, this.parts.random.next())) {
       const wait = this.processor.recoveryMilliseconds
       throw new NotRunError(ResultCode.ProcessorFull, undefined, toRetryAfterSeconds(wait))
@@ -87,25 +90,25 @@
     }
   }
 
-  /** A request has ended. */
+  /** A request has ended with this result code. */
   noteEnd(code: ResultCode): void {
     this.refusals.noteEnd(code, this.parts.clock.monotonic())
   }
 
-  /** The share of requests that ended lately and were turned away for reasons of this instance, in [0, 1]. */
+  /** Share of recently ended requests that were refused because of this instance's own limits, in [0, 1]. */
   get refusedShare(): number {
     return this.refusals.share(this.parts.clock.monotonic())
   }
 
-  /** So much of a body has been read, to its end or until its reading was given up. */
+  /** Accounts for the part of a body that was read, to its end or until reading was given up. */
   noteBody(request: IncomingMessage, bytes: Bytes): void {
     if (declaredBodyBytes(request) !== undefined) return
     this.link.noteBodyRead(bytes, this.parts.clock.monotonic())
   }
 
   /**
-   * A request has been read. Waits where callers of others had left before theirs were, and throws where this one
-   * has: nobody waits for it any more.
+   * The request has been read. Waits if callers of other requests had left before these were read, and throws
+   * if this caller has left, since nobody waits for the answer.
    */
   async confirmCaller(reply: CallerReply): Promise<void> {
     const { clock } = this.parts
@@ -127,21 +130,22 @@
     throw new NotRunError(ResultCode.LinkFull, undefined, toRetryAfterSeconds(wait))
   }
 
-  /** Looks at the delay while there is work; an idle instance wakes for nothing. */
-  private watchDelay(): void {
-    if (this.isWatching) return
-    this.isWatching = true
+  /** Samples the event loop delay while there is work; an idle instance wakes up for nothing. */
+  private scheduleSample(): void {
+    if (this.isSampling) return
+    this.isSampling = true
     const { clock } = this.parts
     const dueAt = clock.monotonic() + SAMPLE_INTERVAL_MILLISECONDS
     clock.after(SAMPLE_INTERVAL_MILLISECONDS, () => {
-      this.isWatching = false
+      this.isSampling = false
       const now = clock.monotonic()
       this.processor.noteSample({
         delayMilliseconds: Math.max(0, now - dueAt),
-        acceptMilliseconds: this.running() < PROBED_REQUESTS ? 0 : this.parts.acceptMilliseconds(),
+        acceptMilliseconds:
+          this.running() < MINIMUM_SAMPLED_REQUESTS ? 0 : this.parts.acceptMilliseconds(),
         abandonedShare: this.abandoned.share(now),
       })
-      if (this.running() > 0 || this.processor.shedShare > 0) this.watchDelay()
+      if (this.running() > 0 || this.processor.shedShare > 0) this.scheduleSample()
     })
   }
 }
--- a/packages/router/src/gateway/lateness.ts
+++ b/packages/router/src/gateway/lateness.ts
@@ -1,21 +1,21 @@
-/** Was a served answer late for its caller, and why? */
+/** Decides whether and why an answer was late for its caller. */
 
 import type { Milliseconds } from '@rackwalk/shared'
 import type { GatewayRoute } from './gatewayConfiguration.js'
 import type { StreamPause } from './streamPace.js'
 
-/** What made an answer late: its beginning, or a pause between two of its events. */
+/** Why an answer was late: its first byte, or a pause between two of its events. */
 export type Lateness = 'first-byte' | 'pause'
 
-/** When the parts of an answer came. */
+/** Timing of an answer. */
 export interface AnswerTimes {
-  /** Time from the arrival of the request; undefined where no answer began. */
+  /** Time from the arrival of the request; undefined if no answer began. */
   readonly firstByteMilliseconds: Milliseconds | undefined
-  /** Undefined where no second event came. */
+  /** Undefined if there was no second event. */
   readonly longestPause: StreamPause | undefined
 }
 
-/** Undefined where the answer came in time, or none began. */
+/** Returns undefined if the answer was in time, or none began. */
 export function latenessCause(
   route: Pick<GatewayRoute, 'goalMilliseconds' | 'pauseGoalMilliseconds'>,
   { firstByteMilliseconds, longestPause }: AnswerTimes,
--- a/packages/router/src/gateway/loadReporter.ts
+++ b/packages/router/src/gateway/loadReporter.ts
@@ -1,77 +1,77 @@
 /**
- * Makes the reports of what this instance has in progress: what changed, and now and then everything. Owns
- * what was told last.
+ * Builds reports of the requests that this instance has in progress: changes only, and at intervals
+ * everything. Owns what was last reported.
  */
 
 import type { InstanceLoad, PeerLoadReport, EndpointReport } from './peerLoads.js'
 import type { PromptCaches } from './promptCaches.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
 
-/** Reports between two whole ones; a lost report is made good by the next whole one. */
-const REPORTS_A_WHOLE = 12
+/** Number of reports per full report. A full report makes up for lost ones. */
+const FULL_REPORT_INTERVAL = 12
 
-/** Tells what this instance has in progress: what changed, and now and then everything. */
+/** Builds load reports: changes only, and at intervals everything. */
 export class LoadReporter {
   private sequence = 0
   private reports = 0
   private lastReported = new Map<string, InstanceLoad>()
-  /** What was in progress when somebody was last told of it. */
-  private seen: ReadonlyMap<string, InstanceLoad> = new Map()
+  /** Loads as of the newest report or urgent report. */
+  private lastObserved: ReadonlyMap<string, InstanceLoad> = new Map()
 
   constructor(
     private readonly identity: { readonly instance: string; readonly incarnation: string },
     private readonly directory: EndpointDirectory,
     private readonly caches: PromptCaches,
-    /** Whether the others are told of work at endpoints of a service. */
+    /** Whether loads at endpoints of a service are reported. */
     private readonly isTold: (service: string) => boolean,
   ) {}
 
-  /** Whether the last report told of work in progress. */
+  /** Whether the last report contained work in progress. */
   get hasWork(): boolean {
     return this.lastReported.size > 0
   }
 
-  /** The next report; undefined where nothing has changed, unless a sign of life is due. */
-  next(isSignDue: boolean): PeerLoadReport | undefined {
+  /** Returns the next report; undefined if nothing has changed, unless a heartbeat is due. */
+  next(isHeartbeatDue: boolean): PeerLoadReport | undefined {
     this.sequence += 1
     this.reports += 1
-    const isWhole = this.reports % REPORTS_A_WHOLE === 0
+    const isWhole = this.reports % FULL_REPORT_INTERVAL === 0
     const current = this.directory.loads(this.isTold)
-    const parts = this.caches.takeUntold()
-    const isNews = (endpoint: string) =>
+    const parts = this.caches.takeUnreported()
+    const hasChanged = (endpoint: string) =>
       parts.has(endpoint) || !isSame(current.get(endpoint), this.lastReported.get(endpoint))
     const endpoints = new Set([...current.keys(), ...this.lastReported.keys(), ...parts.keys()])
     const loads = [...endpoints]
-      .filter(endpoint => isWhole || isNews(endpoint))
+      .filter(endpoint => isWhole || hasChanged(endpoint))
       .map((endpoint): EndpointReport => ({
         endpoint,
         ...(current.get(endpoint) ?? NO_LOAD),
         parts: parts.get(endpoint) ?? [],
       }))
     this.lastReported = new Map(current)
-    this.seen = current
-    if (!isWhole && !isSignDue && loads.length === 0) return undefined
+    this.lastObserved = current
+    if (!isWhole && !isHeartbeatDue && loads.length === 0) return undefined
     return { ...this.identity, sequence: this.sequence, isWhole, loads }
   }
 
-  /** Endpoints to which something was sent since the last report or the last call. */
+  /** Endpoints whose load has grown since the last report or the last call. */
   takeGrown(): readonly EndpointReport[] {
     const current = this.directory.loads(this.isTold)
     const grown = [...current].filter(([endpoint, { running, pendingTokens }]) => {
-      const before = this.seen.get(endpoint) ?? NO_LOAD
+      const before = this.lastObserved.get(endpoint) ?? NO_LOAD
       return running > before.running || pendingTokens > before.pendingTokens
     })
-    this.seen = current
+    this.lastObserved = current
     return grown.map(([endpoint, load]) => ({ endpoint, ...load, parts: [] }))
   }
 
-  /** A report of these endpoints alone. */
+  /** Builds a report of these endpoints only. */
   partial(loads: readonly EndpointReport[]): PeerLoadReport {
     this.sequence += 1
     return { ...this.identity, sequence: this.sequence, isWhole: false, loads }
   }
 
-  /** Everything as last told, for an instance that got no reports before. */
+  /** Builds a full report of the loads as last reported, for an instance that received no reports before. */
   fullReport(): PeerLoadReport {
     this.sequence += 1
     const loads = [...this.lastReported].map(([endpoint, load]) => ({
@@ -83,9 +83,9 @@
   }
 
   /**
-   * For instances that get no reports: it names one endpoint in use where there is one, and tells so that
-   * this instance uses endpoints. Two that stand by and have callers of their own would otherwise never
-   * learn of each other, and their prompts would wait behind each other's.
+   * Builds a report for instances that get no load reports. It names one endpoint in use, if there is one,
+   * and so shows that this instance uses endpoints. Otherwise two standby instances with callers of their own
+   * would never learn of each other, and their prompts would queue behind each other's.
    */
   heartbeatReport(): PeerLoadReport {
     const [used] = this.lastReported
@@ -97,6 +97,6 @@
 
 const NO_LOAD: InstanceLoad = { running: 0, pendingTokens: 0 }
 
-function isSame(load: InstanceLoad | undefined, told: InstanceLoad | undefined): boolean {
-  return load?.running === told?.running && load?.pendingTokens === told?.pendingTokens
+function isSame(load: InstanceLoad | undefined, reported: InstanceLoad | undefined): boolean {
+  return load?.running === reported?.running && load?.pendingTokens === reported?.pendingTokens
 }
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -1,47 +1,47 @@
 /**
- * What other instances have in progress at the endpoints, as they last told. Owns one state for each peer
- * and the sums over all of them.
+ * Keeps the requests in progress of other instances at the endpoints, as last reported. Owns one state for
+ * each peer and the sums over all peers.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { PromptPart } from './dialect.js'
 
-/** Requests in progress at one endpoint from one or several instances. */
+/** Requests in progress at one endpoint, from one or several instances. */
 export interface InstanceLoad {
   readonly running: number
-  /** Prompt tokens of requests that have not had their first event. */
+  /** Prompt tokens of requests whose first event has not arrived. */
   readonly pendingTokens: TokenCount
 }
 
-/** What one instance told of its requests in progress. */
+/** A report by one instance of its requests in progress. */
 export interface PeerLoadReport {
   readonly instance: string
-  /** Names one life of the instance. */
+  /** Identifies one run of the instance's process. */
   readonly incarnation: string
-  /** Rises within one life of the instance; a report that comes late is dropped. */
+  /** Increases within one run of the instance; a report that arrives out of order is dropped. */
   readonly sequence: number
-  /** Whether endpoints that are not named have nothing in progress from there. */
+  /** Whether unnamed endpoints have no requests in progress from this instance. */
   readonly isWhole: boolean
   readonly loads: readonly EndpointReport[]
 }
 
-/** What one instance told of one endpoint. */
+/** The part of a report about one endpoint. */
 export interface EndpointReport extends InstanceLoad {
   readonly endpoint: string
-  /** Shared parts of prompts that were sent there since the last report. */
+  /** Shared prompt parts sent there since the last report. */
   readonly parts: readonly PromptPart[]
 }
 
-/** By how much the prompt tokens of a peer's requests grew at one endpoint; may be negative. */
+/** Growth of the pending prompt tokens of a peer at one endpoint; may be negative. */
 export interface TokenGrowth {
   readonly endpoint: string
   readonly tokens: TokenCount
 }
 
 /**
- * An instance that had work at an endpoint within this time uses endpoints: one to which a request
- * comes each second stays among those that are told of load, also from one sign of life to the next in a
- * large fleet; one to which a request strays does not.
+ * An instance that reported work at an endpoint within this time counts as using endpoints. With one request
+ * per second it keeps receiving load reports, even between two heartbeats in a large fleet; with an
+ * occasional stray request it does not.
  */
 export const USING_MILLISECONDS = 4_000
 
@@ -49,29 +49,31 @@
   incarnation: string
   sequence: number
   heardAt: Milliseconds
-  /** Monotonic time at which it last told of work. */
+  /** Time at which it last reported work, suspensions included. */
   workedAt: Milliseconds
   readonly loads: Map<string, InstanceLoad>
 }
 
 const NO_LOAD: InstanceLoad = { running: 0, pendingTokens: 0 }
 
-/** The loads of all peers. */
+/** Loads of all peers. */
 export class PeerLoads {
   private readonly peers = new Map<string, PeerState>()
-  /** Sums over all peers, kept so that a choice costs one look-up an endpoint. */
+  /** Sums over all peers, so that a choice costs one lookup per endpoint. */
   private readonly sums = new Map<string, InstanceLoad>()
 
   private lastHeardAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly clock: Clock) {}
 
-  /** Time since any peer was last heard of. */
+  /** Time since any peer was last heard. */
   get heardAgoMilliseconds(): Milliseconds {
     return this.clock.sinceStart() - this.lastHeardAt
   }
 
-  /** Takes a report in; by how much prompt tokens grew since the one before, by endpoint. */
+  /**
+   * Applies a report. Returns by how much pending prompt tokens grew since the previous report, by endpoint.
+   */
   observe(report: PeerLoadReport): readonly TokenGrowth[] {
     const peer = this.peerOf(report)
     if (report.sequence <= peer.sequence) return []
@@ -90,29 +92,29 @@
     return growths
   }
 
-  /** What all peers that were heard of lately have in progress at an endpoint. */
+  /** Requests in progress at an endpoint from all peers that are not silent. */
   at(endpoint: string): InstanceLoad {
     return this.sums.get(endpoint) ?? NO_LOAD
   }
 
-  /** Whether an instance was heard of lately. */
+  /** Whether an instance was heard recently. */
   hears(instance: string): boolean {
     return this.peers.has(instance)
   }
 
-  /** Whether an instance told of work at endpoints lately. */
+  /** Whether an instance recently reported work at endpoints. */
   isUsing(instance: string): boolean {
     const peer = this.peers.get(instance)
     if (peer === undefined) return false
     return peer.loads.size > 0 || this.clock.sinceStart() - peer.workedAt < USING_MILLISECONDS
   }
 
-  /** An endpoint is gone, or started again: nothing that was told of it holds. */
+  /** The endpoint was removed or restarted: earlier reports about it no longer apply. */
   forget(endpoint: string): void {
     for (const peer of this.peers.values()) this.replace(peer, endpoint, NO_LOAD)
   }
 
-  /** Forgets instances that have been silent for this long; call it now and then. */
+  /** Forgets instances that have been silent for this long; to be called periodically. */
   expire(silence: Milliseconds): void {
     const oldest = this.clock.sinceStart() - silence
     for (const [instance, peer] of this.peers) {
@@ -122,7 +124,7 @@
     }
   }
 
-  /** What is known of the reporting life of an instance; an earlier life has ended. */
+  /** The state of the run of the instance that reports; an earlier run has terminated. */
   private peerOf({ instance, incarnation }: PeerLoadReport): PeerState {
     const known = this.peers.get(instance)
     if (known?.incarnation === incarnation) return known
--- a/packages/router/src/gateway/peerRelay.ts
+++ b/packages/router/src/gateway/peerRelay.ts
@@ -1,6 +1,7 @@
 /**
- * Hands one request to another instance, which serves it as its own: it admits it, holds its budget and makes the attempts.
- * Owns the exchange in progress; the rules are in decisions/choosing/relayPeer and decisions/retrying/relayStep.
+ * Relays one request to another instance, which serves it as its own: it admits the request, reserves its
+ * budget and makes the attempts. Owns the exchange in progress; the rules are in decisions/choosing/relayPeer
+ * and decisions/retrying/relayStep.
  */
 
 import type { Agent, IncomingMessage } from 'node:http'
@@ -16,7 +17,7 @@
 import type { GatewayRecord, RelayRecord } from './gatewayRecord.js'
 import { UpstreamExchange } from './upstreamExchange.js'
 
-/** Another instance that takes requests of this one's callers. */
+/** Another instance that serves requests of this instance's callers. */
 export interface RelayPeer {
   readonly instance: string
   /** IP:PORT for peers. */
@@ -24,23 +25,23 @@
   readonly agent: Agent
 }
 
-/** Other instances, as far as they take requests of this one's callers. */
+/** Chooses among the instances that serve requests of this instance's callers. */
 export interface RelayPeers {
-  /** The one to ask for a service; undefined where there is none beside these. */
+  /** The instance to ask next for a service; undefined if there is none besides those already asked. */
   choose(service: string, asked: ReadonlySet<string>): RelayPeer | undefined
 }
 
-/** What a relay works with. */
+/** Dependencies of a relay. */
 export interface PeerRelayParts {
   readonly dialect: Dialect
   readonly clock: Clock
   readonly relayPeers: RelayPeers
-  /** This instance, as it names itself to the others. */
+  /** Name of this instance among its peers. */
   readonly instance: string
   readonly connectMilliseconds: Milliseconds
 }
 
-/** A request that was read, and that no endpoint was sent. */
+/** A request that was read and not sent to any endpoint. */
 export interface RelayableRequest {
   readonly metadata: RequestMetadata
   readonly route: GatewayRoute
@@ -55,15 +56,15 @@
   readonly record: GatewayRecord
 }
 
-/** Names the instance that relays a request; what carries it is never relayed again. */
+/** Header that names the relaying instance; a request that carries it is never relayed again. */
 export const RELAYED_BY = 'rackwalk-relayed-by'
 
-/** The other instance refuses at the deadline by itself; its answer is awaited this much longer. */
+/** The other instance refuses at the deadline by itself; its answer is awaited for this much longer. */
 const DEADLINE_SLACK_MILLISECONDS: Milliseconds = 120
 const STATUS_OK = 200
 const STATUS_ERROR = 400
 
-/** The way of one request through other instances. */
+/** Relays one request to other instances, one after another. */
 export class PeerRelay {
   private readonly asked = new Set<string>()
   private readonly outcomes: RelayOutcome[] = []
@@ -75,7 +76,10 @@
     private readonly request: RelayableRequest,
   ) {}
 
-  /** Whether the caller has an answer; false where nothing was sent to anybody. */
+  /**
+   * Relays the request. Resolves with whether the caller has an answer; false if nothing was sent to any
+   * instance.
+   */
   async run(): Promise<boolean> {
     const { reply, deadlineAt } = this.request
     const { clock } = this.parts
@@ -116,20 +120,20 @@
     return this.parts.relayPeers.choose(this.request.service, this.asked)
   }
 
-  /** Whether the caller was given its answer, or what there is of it. */
+  /** Resolves with whether the caller received the answer, or as much of it as there is. */
   private async ask(peer: RelayPeer): Promise<boolean> {
     this.asked.add(peer.instance)
-    const told: RelayRecord = { instance: peer.instance, outcome: undefined }
-    this.request.record.relays.push(told)
+    const relayRecord: RelayRecord = { instance: peer.instance, outcome: undefined }
+    this.request.record.relays.push(relayRecord)
     const exchange = this.open(peer)
     this.exchange = exchange
     const head = await exchange.awaitAnswer()
     const outcome = this.outcomeOf(head)
-    told.outcome = outcome
+    relayRecord.outcome = outcome
     this.outcomes.push(outcome)
     if (head.kind !== 'head') return false
     const step = relayStep(this.outcomes, this.request.route, this.nextPeer !== undefined)
-    if (step === 'pass-on') return this.passOn(exchange, head.response, told)
+    if (step === 'pass-on') return this.passOn(exchange, head.response, relayRecord)
     if (outcome.kind === 'refused') exchange.drain()
     else exchange.abort('aborted')
     return false
@@ -162,7 +166,7 @@
   private async passOn(
     exchange: UpstreamExchange,
     response: IncomingMessage,
-    told: RelayRecord,
+    relayRecord: RelayRecord,
   ): Promise<boolean> {
     const { reply, route, record } = this.request
     const relay = new GatewayAnswerDelivery({
@@ -178,21 +182,21 @@
     const ended = await (isStream ? relay.relayEvents() : relay.relayWhole())
     const fate = answerDisposition(ended, { route, isReplyStarted: reply.isStarted })
     if (fate === 'whole') {
-      noteRefusal(record, told.outcome)
+      noteRefusal(record, relayRecord.outcome)
       return true
     }
-    return this.endBroken(ended, told)
+    return this.endInterrupted(ended, relayRecord)
   }
 
-  /** The answer broke off: what the caller has of it can't be mended from here. */
-  private endBroken(ended: EndedAnswer, told: RelayRecord): boolean {
+  /** The answer was interrupted: what the caller already has can't be completed from here. */
+  private endInterrupted(ended: EndedAnswer, relayRecord: RelayRecord): boolean {
     this.outcomes.pop()
     const outcome: RelayOutcome = { kind: 'failed', reason: `broke off: ${ended.end}` }
-    told.outcome = outcome
+    relayRecord.outcome = outcome
     this.outcomes.push(outcome)
-    const mayGoOn = isEndpointFailure(ended) && !this.request.reply.isStarted
-    if (!mayGoOn) this.giveUp()
-    return !mayGoOn
+    const mayContinue = isEndpointFailure(ended) && !this.request.reply.isStarted
+    if (!mayContinue) this.giveUp()
+    return !mayContinue
   }
 
   private noteStart(): void {
@@ -223,7 +227,7 @@
   }
 }
 
-/** A refusal of the other instance is one to this one's caller as well. */
+/** Records a refusal by the other instance, which is one for this instance's caller as well. */
 function noteRefusal(record: GatewayRecord, outcome: RelayOutcome | undefined): void {
   if (outcome?.kind !== 'refused') return
   record.code = ResultCode.RelayRefused
--- a/packages/router/src/gateway/prefillTracker.ts
+++ b/packages/router/src/gateway/prefillTracker.ts
@@ -1,14 +1,16 @@
 /**
- * How much long prompt was sent to each endpoint lately. Owns a fading sum for each endpoint; a sum
- * tells where prompts will be read next, while what is pending tells only of now.
+ * Tracks the tokens of long prompts that were recently sent to each endpoint. Owns an exponentially decaying
+ * sum for each endpoint. The sum predicts where prompts will be read next; pending tokens describe only the
+ * present.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Prompts with less to read than this disturb nobody for long. */
+/** Shorter uncached prompts disturb other requests only briefly and are not counted. */
 const LONG_TOKENS: TokenCount = 2_000
 /**
- * Time in which a sum halves. Not longer: what an endpoint read seconds ago tells little of an endpoint that fails.
+ * Half-life of a sum. It is not longer because tokens read seconds ago say little about an endpoint that
+ * fails.
  */
 const HALF_LIFE_MILLISECONDS = 1_500
 
@@ -17,29 +19,29 @@
   readonly at: Milliseconds
 }
 
-/** Fading sums of long prompts, by endpoint. */
+/** Decaying sums of long prompts, by endpoint. */
 export class PrefillTracker {
-  private readonly sums = new Map<string, DecayingSum>()
+  private readonly totals = new Map<string, DecayingSum>()
 
   constructor(private readonly clock: Clock) {}
 
-  /** So many tokens are to be read at an endpoint from now on; short prompts do not count. */
+  /** Adds tokens that an endpoint has to read from now on; short prompts are ignored. */
   note(endpoint: string, tokens: TokenCount): void {
     if (tokens < LONG_TOKENS) return
-    const sum = this.recentTokens(endpoint) + tokens
-    this.sums.set(endpoint, { tokens: sum, at: this.clock.monotonic() })
+    const total = this.recentTokens(endpoint) + tokens
+    this.totals.set(endpoint, { tokens: total, at: this.clock.monotonic() })
   }
 
-  /** What was to be read there lately, fading with time. */
+  /** Tokens of long prompts recently sent to the endpoint, decaying with time. */
   recentTokens(endpoint: string): TokenCount {
-    const sum = this.sums.get(endpoint)
-    if (sum === undefined) return 0
-    const age = this.clock.monotonic() - sum.at
-    return sum.tokens * 0.5 ** (age / HALF_LIFE_MILLISECONDS)
+    const total = this.totals.get(endpoint)
+    if (total === undefined) return 0
+    const age = this.clock.monotonic() - total.at
+    return total.tokens * 0.5 ** (age / HALF_LIFE_MILLISECONDS)
   }
 
-  /** An endpoint is gone. */
+  /** The endpoint was removed. */
   forget(endpoint: string): void {
-    this.sums.delete(endpoint)
+    this.totals.delete(endpoint)
   }
 }
--- a/packages/router/src/gateway/promptCaches.ts
+++ b/packages/router/src/gateway/promptCaches.ts
@@ -1,18 +1,19 @@
 /**
- * What the endpoints are likely to have cached of earlier prompts. Nobody asks them: what this instance and
- * its peers sent there is known, and an endpoint drops what was unused for longest. Owns that reckoning.
+ * Estimates which prompt parts the endpoints have cached. Endpoints are not asked: the estimate follows from
+ * the prompts that this instance and its peers sent, and from the fact that an endpoint evicts the least
+ * recently used parts. Owns the estimate.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
 import type { PromptPart } from './dialect.js'
 
-/** Part of an endpoint's memory that holds cached parts; running requests take the rest. */
+/** Share of an endpoint's memory that holds cached parts; running requests take the rest. */
 const CACHE_SHARE = 0.6
-/** Memory of an endpoint whose configuration names none. */
-const UNSTATED_CAPACITY: TokenCount = 100_000
+/** Memory of an endpoint whose configuration states none. */
+const DEFAULT_CAPACITY: TokenCount = 100_000
 
 class EndpointCache {
-  /** Tokens by part id, the part unused for longest first. */
+  /** Tokens by part id, the least recently used part first. */
   readonly parts = new Map<string, TokenCount>()
   private total: TokenCount = 0
 
@@ -28,29 +29,29 @@
   }
 }
 
-/** The prompt caches of all endpoints. */
+/** Estimated prompt caches of all endpoints. */
 export class PromptCaches {
   private readonly endpoints = new Map<string, EndpointCache>()
-  private untold = new Map<string, PromptPart[]>()
+  private unreported = new Map<string, PromptPart[]>()
 
-  /** Notes a prompt that this instance sends to an endpoint; peers are told of its shared parts. */
+  /** Notes a prompt that this instance sends to an endpoint; its shared parts are reported to peers. */
   noteSent(endpoint: string, parts: readonly PromptPart[], capacity: TokenCount | undefined): void {
     this.note(endpoint, parts, capacity)
-    const untold = this.untold.get(endpoint) ?? []
-    // The last part belongs to one request or session.
-    untold.push(...parts.slice(0, -1))
-    if (untold.length > 0) this.untold.set(endpoint, untold)
+    const unreported = this.unreported.get(endpoint) ?? []
+    // The last part belongs to a single request or session.
+    unreported.push(...parts.slice(0, -1))
+    if (unreported.length > 0) this.unreported.set(endpoint, unreported)
   }
 
-  /** Notes parts of prompts that anybody sent to an endpoint. */
+  /** Notes prompt parts that any instance sent to an endpoint. */
   note(endpoint: string, parts: readonly PromptPart[], capacity: TokenCount | undefined): void {
     const cache = this.endpoints.get(endpoint) ?? new EndpointCache()
     this.endpoints.set(endpoint, cache)
-    const limit = CACHE_SHARE * (capacity ?? UNSTATED_CAPACITY)
+    const limit = CACHE_SHARE * (capacity ?? DEFAULT_CAPACITY)
     for (const part of parts) cache.use(part, limit)
   }
 
-  /** Tokens of a prompt that an endpoint need not read: its first parts, up to one not held. */
+  /** Tokens of a prompt that an endpoint need not read: its leading parts up to the first uncached one. */
   cachedTokens(endpoint: string, parts: readonly PromptPart[]): TokenCount {
     const cache = this.endpoints.get(endpoint)
     if (cache === undefined) return 0
@@ -62,15 +63,15 @@
     return tokens
   }
 
-  /** An endpoint is gone; the next one at its address holds nothing. */
+  /** The endpoint was removed; the next one at its address has an empty cache. */
   forget(endpoint: string): void {
     this.endpoints.delete(endpoint)
   }
 
-  /** Shared parts sent since the last call, by endpoint. */
-  takeUntold(): ReadonlyMap<string, readonly PromptPart[]> {
-    const untold = this.untold
-    this.untold = new Map()
-    return untold
+  /** Returns the shared parts sent since the last call, by endpoint. */
+  takeUnreported(): ReadonlyMap<string, readonly PromptPart[]> {
+    const unreported = this.unreported
+    this.unreported = new Map()
+    return unreported
   }
 }
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -1,8 +1,8 @@
 /**
- * Sends one request of the gateway kind to endpoints until one answers. The rules say which
- * endpoint is asked, whether another one is asked after a failure, and what the caller is told at
- * the end (packages/decisions); this module collects what they need, acts, and notes the outcomes.
- * Owns the exchange in progress and the outcomes of the attempts.
+ * Sends one request of the gateway to endpoints until one answers. The rules in packages/decisions determine
+ * which endpoint is tried, whether another one follows after a failure, and what the caller receives in the
+ * end; this module collects their inputs, acts on them, and records the outcomes. Owns the exchange in
+ * progress and the outcomes of the attempts.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -38,18 +38,17 @@
 import { ENDPOINT_ENDED, UpstreamExchange } from './upstreamExchange.js'
 import type { HeadOutcome } from './upstreamExchange.js'
 
-/** `done`: an answer was passed on whole. */
+/** What follows an attempt; `done`: a complete answer was delivered. */
 type AttemptEnd = 'done' | Exclude<RetryStep, 'pass-on'>
 
-/**
- * An endpoint ends its work at the deadline by itself; its answer is awaited this much longer.
- */
+/** An endpoint stops working at the deadline by itself; its answer is awaited for this much longer. */
 const DEADLINE_SLACK_MILLISECONDS = 80
 /**
- * Where the endpoint of a suspected request refuses the connection, another try of the same request may just have ended it:
- * its news is awaited this long before the next endpoint is put at risk.
+ * If the endpoint of a suspected request refuses the connection, another try of the same request may just
+ * have crashed it. The gossip about that crash is awaited for this long before the next endpoint is put at
+ * risk.
  */
-const NEWS_MILLISECONDS = 100
+const GOSSIP_WAIT_MILLISECONDS = 100
 /** No process listens at the address. */
 const CONNECTION_REFUSED = 'ECONNREFUSED'
 const STATUS_OK = 200
@@ -59,19 +58,19 @@
 /** The attempts at one request. */
 export class RequestAttempts implements SelectionConstraints {
   readonly tried = new Set<EndpointStart>()
-  /** Set with the first event: what two software versions write does not fit together in one stream. */
+  /** Set with the first event: the output of two software versions must not be mixed in one stream. */
   softwareVersion: SoftwareVersion | undefined
   private readonly events = new EventDelivery()
   private readonly history: AttemptOutcome[] = []
   private exchange: UpstreamExchange | undefined
-  /** Monotonic time at which anything last came in the exchange, or at which it began. */
+  /** Monotonic time at which data was last received in the exchange, or at which it began. */
   private lastReceivedAt: Milliseconds = 0
-  /** The exchange is over, whatever is done about it afterwards. */
+  /** Removes the exchange from its endpoint's open exchanges, whatever follows. */
   private closeExchange = () => {}
   private hasDelivered = false
   private isLate = false
   private isUnsent = false
-  /** Monotonic time at which the attempt in progress was sent. */
+  /** Monotonic time at which the current attempt was sent. */
   private sentAt: Milliseconds = 0
   private readonly choice: EndpointSelector
 
@@ -83,7 +82,10 @@
     this.choice = new EndpointSelector(parts, request, this)
   }
 
-  /** Serves the request to its end; the caller has an answer or a refusal when it resolves. */
+  /**
+   * Serves the request to its end. When this resolves, the caller has an answer or a refusal, unless the
+   * request is to be relayed.
+   */
   async run(): Promise<AttemptsResult> {
     const { reply } = this.request
     reply.onLeave(() => this.exchange?.abort('caller-left'))
@@ -105,7 +107,7 @@
   }
 
   private get isOver(): boolean {
-    // The timer does not count the time of a suspension.
+    // The timer does not run during a suspension.
     this.isLate ||= this.parts.clock.sinceStart() >= this.lateAt
     return this.isLate || this.request.reply.isCallerGone
   }
@@ -114,7 +116,7 @@
     return this.request.deadlineAt + DEADLINE_SLACK_MILLISECONDS
   }
 
-  /** True where an answer was passed on whole. */
+  /** Resolves with whether a complete answer was delivered. */
   private async attemptUntilDone(): Promise<boolean> {
     while (!this.isOver) {
       const chosen = this.choice.choose(this.history.some(mayHaveRun))
@@ -124,12 +126,12 @@
       if (end === 'done') return true
       if (end === 'give-up') break
     }
-    this.isUnsent = this.mayGoToPeer
+    this.isUnsent = this.canRelay
     if (!this.isUnsent) this.giveUp()
     return false
   }
 
-  private get mayGoToPeer(): boolean {
+  private get canRelay(): boolean {
     const { isOver, history, choice, request } = this
     const isCutOff = this.parts.links.isCutOff(request.service.name)
     if (isOver || !request.mayRelay || choice.verdict === 'refuse') return false
@@ -163,7 +165,7 @@
     this.parts.crashes.promptParts.noteSent(this.choice.promptPartKeys)
     try {
       const exchange = this.open(endpoint)
-      this.makeEndable(endpoint, exchange)
+      this.registerExchange(endpoint, exchange)
       const head = await exchange.awaitAnswer()
       if (head.kind === 'head') {
         return await this.takeAnswer(endpoint, exchange, head.response, pending.noteBegun)
@@ -176,18 +178,18 @@
     }
   }
 
-  /** Lets the end of its endpoint end an exchange, until that is closed. */
-  private makeEndable(endpoint: EndpointState, exchange: UpstreamExchange): void {
+  /** Registers an exchange with its endpoint, so that a termination of the endpoint ends it. */
+  private registerExchange(endpoint: EndpointState, exchange: UpstreamExchange): void {
     const { route, reply, service } = this.request
     const { sentAt } = this
-    const quietSince = () => this.lastReceivedAt
+    const lastReceivedAt = () => this.lastReceivedAt
     this.lastReceivedAt = sentAt
     this.closeExchange = endpoint.exchanges.add({
       get open() {
         const isReplyStarted = reply.isStarted
         return {
           sentAt,
-          lastReceivedAt: quietSince(),
+          lastReceivedAt: lastReceivedAt(),
           isRetryable: canRepeat({ route, isReplyStarted }),
           isReplyStarted,
           isPaused: exchange.isPaused,
@@ -205,20 +207,20 @@
   ): Promise<AttemptEnd> {
     endpoint.noteOutcome(false)
     if (reason === ENDPOINT_ENDED) return this.endAttempt(terminatedOutcome(kind, reason))
-    if (kind === 'failed') return this.endBroken(endpoint, { kind, reason })
+    if (kind === 'failed') return this.endReset(endpoint, { kind, reason })
     if (reason === CONNECTION_REFUSED) endpoint.noteUnreachable()
     this.parts.links.noteConnectFailed(endpoint)
     const end = this.endAttempt({ kind: 'connect-failed', reason })
-    const mayBeNews = end === 'try-another' && this.choice.verdict === 'isolate'
-    if (mayBeNews) await sleep(this.parts.clock, NEWS_MILLISECONDS)
+    const isGossipExpected = end === 'try-another' && this.choice.verdict === 'isolate'
+    if (isGossipExpected) await sleep(this.parts.clock, GOSSIP_WAIT_MILLISECONDS)
     return end
   }
 
   /**
-   * The endpoint broke the request off before any part of an answer. Before it goes to another one, it must be known
-   * whether it ended this one.
+   * The endpoint reset the request before any part of an answer. Before the request is sent to another
+   * endpoint, it must be known whether it crashed this one.
    */
-  private async endBroken(endpoint: EndpointState, outcome: AttemptOutcome): Promise<AttemptEnd> {
+  private async endReset(endpoint: EndpointState, outcome: AttemptOutcome): Promise<AttemptEnd> {
     const { heardAt } = endpoint
     this.closeExchange()
     endpoint.exchanges.noteReset({ now: this.parts.clock.monotonic(), heardAt })
@@ -228,7 +230,10 @@
     return end
   }
 
-  /** It had no part of an answer when its endpoint broke it off or ended; resolves once it is known which. */
+  /**
+   * The endpoint reset the request or terminated before any part of an answer. Resolves once it is known
+   * which.
+   */
   private noteReset(endpoint: EndpointState): Promise<boolean> | undefined {
     if (this.isOver) return undefined
     const wasIsolated = this.choice.verdict === 'isolate'
@@ -246,7 +251,7 @@
     return this.parts.fleetLoad.uncachedTokens(endpoint, tokens?.prompt ?? 0, promptParts)
   }
 
-  /** Prompt tokens that an endpoint has to read for requests from anywhere. */
+  /** Prompt tokens that an endpoint has to read for requests from all instances. */
   private pendingTokens(endpoint: EndpointState): TokenCount {
     const peers = this.parts.fleetLoad.ofPeers(endpoint.record.id)
     return endpoint.pendingTokens + peers.pendingTokens
@@ -275,7 +280,7 @@
     return exchange
   }
 
-  /** Judges the head of an answer and passes the answer on where it may be. */
+  /** Classifies the head of an answer and delivers the answer if it is acceptable. */
   private async takeAnswer(
     endpoint: EndpointState,
     exchange: UpstreamExchange,
@@ -292,11 +297,11 @@
     if (outcome.kind === 'refused' && isMisdirected(status)) {
       this.parts.directory.noteEnded(endpoint.record)
     }
-    // An endpoint that refuses is full, not broken.
+    // An endpoint that refuses is full, not failing.
     if (outcome.kind !== 'refused') endpoint.noteOutcome(isSuccessful(outcome))
     if (isProxyError(status, outcome)) {
       exchange.abort('aborted')
-      return this.endBroken(endpoint, outcome)
+      return this.endReset(endpoint, outcome)
     }
     if (outcome.kind !== 'not-trusted') endpoint.noteHeard()
     const step = this.note(outcome)
@@ -305,7 +310,7 @@
     return step
   }
 
-  /** What the endpoint says of itself with this answer. */
+  /** Stores the advice that the endpoint gave with this answer. */
   private noteAdvice(
     endpoint: EndpointState,
     { advice }: ReplyMetadata,
@@ -364,11 +369,11 @@
     if (fate === 'whole') return 'done'
     if (!isEndpointFailure(answer)) return 'give-up'
     endpoint.noteOutcome(false)
-    // The attempt was noted as answered; now more is known of it.
+    // The attempt was recorded as answered; its outcome is now known to be another one.
     this.history.pop()
     const outcome = { kind: 'broke-off', events: this.events.events } as const
     if (answer.end === ENDPOINT_ENDED) return this.endAttempt(outcome)
-    return hasBegun ? this.endCut(endpoint, outcome) : this.endBroken(endpoint, outcome)
+    return hasBegun ? this.endInterrupted(endpoint, outcome) : this.endReset(endpoint, outcome)
   }
 
   private relay(
@@ -379,7 +384,7 @@
     return isStream ? relay.relayEvents() : relay.relayWhole()
   }
 
-  /** The rest of a stream comes from the software version that wrote its first event. */
+  /** The rest of a stream must come from the software version that wrote its first event. */
   private noteEvents({ record }: EndpointState, pace: StreamPace, count: number): void {
     if (this.events.events === count) this.noteBegun(record)
     pace.noteEvents(count)
@@ -392,8 +397,8 @@
     if (begun !== undefined) parts.streams.noteStarted(begun)
   }
 
-  /** The endpoint broke an answer off that had begun, so this request is not what ended it. */
-  private endCut(endpoint: EndpointState, outcome: AttemptOutcome): AttemptEnd {
+  /** The endpoint interrupted an answer that had begun, so this request did not crash it. */
+  private endInterrupted(endpoint: EndpointState, outcome: AttemptOutcome): AttemptEnd {
     this.parts.directory.noteInterrupted(endpoint)
     return this.endAttempt(outcome)
   }
@@ -403,7 +408,7 @@
     if (attempt !== undefined) attempt.answer = relay.record
   }
 
-  /** An endpoint has given a part of its answer, so this request does not end what begins to run it. */
+  /** An endpoint has begun to answer, so this request does not crash endpoints that begin to run it. */
   private noteAnswered(): void {
     const { choice } = this
     const { crashes } = this.parts
@@ -428,13 +433,13 @@
     this.parts.fleetLoad.pauses.note(service.name, longestPause, goal)
   }
 
-  /** Notes an outcome after which nothing can be passed on. */
+  /** Records an outcome after which nothing can be delivered. */
   private endAttempt(outcome: AttemptOutcome): AttemptEnd {
     const step = this.note(outcome)
     return step === 'pass-on' ? 'give-up' : step
   }
 
-  /** Notes the outcome of the attempt in progress and asks what to do next. */
+  /** Records the outcome of the current attempt and determines the next step. */
   private note(outcome: AttemptOutcome): RetryStep {
     const { route, reply, record, takeRetry } = this.request
     this.history.push(outcome)
@@ -456,7 +461,7 @@
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - record.receivedAt
   }
 
-  /** Whether all that got the request say that they did not run it. */
+  /** Whether every endpoint that received the request says that it did not run it. */
   private get isTurnedAway(): boolean {
     const { history } = this
     return history.at(-1)?.kind === 'refused' && !history.some(mayHaveRun)
@@ -480,7 +485,7 @@
   }
 }
 
-/** Ends an exchange whose answer is not passed on; a connection is kept where that is safe. */
+/** Ends an exchange whose answer is not delivered; its connection is kept if that is safe. */
 function discard(exchange: UpstreamExchange, outcome: AttemptOutcome, step: RetryStep): void {
   if (outcome.kind === 'refused') return exchange.drain()
   if (outcome.kind === 'answered' && step === 'try-another') return exchange.drain()
--- a/packages/router/src/gateway/stateProbe.ts
+++ b/packages/router/src/gateway/stateProbe.ts
@@ -1,4 +1,7 @@
-/** Asks an endpoint for its state, without a bound of time of its own. Sends no request that would run. */
+/**
+ * Requests the state of an endpoint, without a time limit of its own. Sends no request that an engine would
+ * run.
+ */
 
 import { request } from 'node:http'
 import { isServerError } from '@rackwalk/decisions'
@@ -6,48 +9,54 @@
 import { deferred } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** A question that is open until it is answered or withdrawn. */
+/** A state request that is pending until it is answered or cancelled. */
 export interface StateProbe {
-  /** What it has come to so far. */
-  readonly sign: StateProbeResult
-  /** Resolves once it is written on a connection that was seen up, or has failed: its time to be answered begins. */
+  /** The result so far. */
+  readonly result: StateProbeResult
+  /**
+   * Resolves once the request is written on an established connection, or has failed. The time limit for the
+   * answer starts here.
+   */
   readonly written: Promise<void>
-  /** Resolves once it is answered or has failed. */
+  /** Resolves once the request is answered or has failed. */
   readonly answered: Promise<void>
-  /** On a busy processor an answer may be there and wait to be read: resolves after that. */
+  /**
+   * Resolves after pending input was read: on a busy processor an answer may have arrived and not been read
+   * yet.
+   */
   readAll(): Promise<void>
   cancel(): void
 }
 
-/** Whoever waits takes so many timers that prove nothing, and then knows nothing. */
-const UNPROVEN_WAITS = 5
-/** A timer that fires later than this was held up by its own loop. */
+/** After this many timers that prove nothing a wait is inconclusive. */
+const MAXIMUM_INCONCLUSIVE_WAITS = 5
+/** A timer that fires later than this was delayed by its own event loop. */
 const LATE_MILLISECONDS: Milliseconds = 25
-/** The timers of Node.js count whole milliseconds, and fire so much early. */
+/** Node.js timers count whole milliseconds and may fire this much early. */
 const EARLY_MILLISECONDS: Milliseconds = 1
 
 /**
- * Whether a timer that fired after so long says something of who did not answer. One that was late says only that its loop
- * was held, and one that was armed at the end of a long turn of it fires early.
+ * Whether a timer that fired after `waited` proves that the other side did not answer. A late timer only
+ * shows that its event loop was blocked, and one armed at the end of a long turn of the loop fires early.
  */
 function isTimely(waited: Milliseconds, delay: Milliseconds): boolean {
   return waited >= delay - EARLY_MILLISECONDS && waited <= delay + LATE_MILLISECONDS
 }
 
-/** Asks at IP:PORT for the state under a path. */
+/** Requests the state at IP:PORT and a path. */
 export function startStateProbe(address: string, path: string): StateProbe {
   const [host, port] = address.split(':')
   const call = request({ host, port: Number(port), path, agent: false })
-  let sign: StateProbeResult = 'no-connection'
+  let result: StateProbeResult = 'no-connection'
   const written = deferred<void>()
   const answered = new Promise<void>(resolve => {
     const finish = (found: StateProbeResult) => {
-      sign = found
+      result = found
       written.resolve()
       resolve()
     }
     const noteConnected = () => {
-      sign = 'held'
+      result = 'held'
       written.resolve()
     }
     call.on('socket', socket => socket.once('connect', noteConnected))
@@ -57,13 +66,13 @@
     })
     call.on('error', (error: NodeJS.ErrnoException) => {
       if (error.code === 'ECONNREFUSED') finish('nobody-listens')
-      else finish(sign === 'held' ? 'turned-away' : sign)
+      else finish(result === 'held' ? 'turned-away' : result)
     })
   })
   call.end()
   return {
-    get sign() {
-      return sign
+    get result() {
+      return result
     },
     written: written.promise,
     answered,
@@ -72,35 +81,35 @@
   }
 }
 
-/** Whether something comes of a question within a time; undefined where this process was too busy to know. */
+/** Whether an event of a probe occurs within a time; undefined where this process was too busy to know. */
 export async function settlesWithin(
-  question: StateProbe,
+  probe: StateProbe,
   event: Promise<void>,
   { clock, delay }: { clock: Clock; delay: Milliseconds },
 ): Promise<boolean | undefined> {
-  let hasCome = false
-  const coming = event.then(() => {
-    hasCome = true
+  let hasSettled = false
+  const settling = event.then(() => {
+    hasSettled = true
   })
-  for (let wait = 0; wait < UNPROVEN_WAITS; wait += 1) {
-    const waited = await waitFor(coming, { clock, delay })
-    // What came while the loop was held is read first.
-    await question.readAll()
-    if (hasCome) return true
+  for (let wait = 0; wait < MAXIMUM_INCONCLUSIVE_WAITS; wait += 1) {
+    const waited = await waitFor(settling, { clock, delay })
+    // Input that arrived while the event loop was blocked is read first.
+    await probe.readAll()
+    if (hasSettled) return true
     if (isTimely(waited, delay)) return false
   }
   return undefined
 }
 
-/** Resolves with the time that it took. */
+/** Resolves with the time that the wait took. */
 async function waitFor(
-  coming: Promise<void>,
+  settling: Promise<void>,
   { clock, delay }: { clock: Clock; delay: Milliseconds },
 ): Promise<Milliseconds> {
   const armedAt = clock.monotonic()
   const over = deferred<void>()
   const timer = clock.after(delay, () => over.resolve())
-  await Promise.race([coming, over.promise])
+  await Promise.race([settling, over.promise])
   timer.cancel()
   return clock.monotonic() - armedAt
 }
--- a/packages/router/src/gateway/streamPace.ts
+++ b/packages/router/src/gateway/streamPace.ts
@@ -1,33 +1,39 @@
 /**
- * Times the events of one stream as they come from its endpoint: the longest pause, with what was
- * read meanwhile, and the pace while nothing was. Owns those figures.
+ * Times the events of one stream as they arrive from its endpoint: the longest pause, with the prompt tokens
+ * read meanwhile, and the pace while none were read. Owns those figures.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Events over which a pace is taken, so that several in one packet do not look quick. */
+/** Events over which a pace is averaged, so that several events in one packet do not look fast. */
 const PACE_EVENTS = 8
 
-/** With more than this to read, an endpoint's pace tells of the reading and not of the endpoint. */
+/**
+ * With more pending prompt tokens than this, the pace reflects the reading of prompts and not the endpoint
+ * itself.
+ */
 const CALM_TOKENS: TokenCount = 500
 
 /** The longest pause between two events of a stream. */
 export interface StreamPause {
   readonly milliseconds: Milliseconds
-  /** Tokens of other prompts that the endpoint had to read when it began or ended, the larger. */
+  /**
+   * Tokens of other prompts that the endpoint had to read at the pause's beginning or end, whichever are
+   * more.
+   */
   readonly pendingTokens: TokenCount
 }
 
-/** What a stream is timed with. */
+/** Dependencies and callbacks of a stream's timing. */
 export interface StreamPaceParts {
   readonly clock: Clock
-  /** Prompt tokens that its endpoint has to read now. */
+  /** Prompt tokens that its endpoint currently has to read. */
   readonly pendingTokens: () => TokenCount
-  /** The stream has run at this pace for a while; milliseconds an event. */
+  /** The stream ran at this pace for a while; milliseconds per event. */
   readonly onPace: (pace: Milliseconds) => void
 }
 
-/** The times of one stream. */
+/** Timing of one stream. */
 export class StreamPace {
   private lastAt: Milliseconds | undefined
   private lastPendingTokens: TokenCount = 0
@@ -43,15 +49,15 @@
     return this.pause
   }
 
-  /** So many whole events have just come. */
+  /** This many complete events have just arrived. */
   noteEvents(count: number): void {
     const now = this.parts.clock.monotonic()
     const pendingTokens = this.parts.pendingTokens()
-    const beside = Math.max(pendingTokens, this.lastPendingTokens)
+    const disturbingTokens = Math.max(pendingTokens, this.lastPendingTokens)
     if (this.lastAt === undefined) this.windowAt = now
     else {
-      this.notePause(now - this.lastAt, beside)
-      this.noteWindow(now, count, beside)
+      this.notePause(now - this.lastAt, disturbingTokens)
+      this.noteWindow(now, count, disturbingTokens)
     }
     this.lastAt = now
     this.lastPendingTokens = pendingTokens
--- a/packages/router/src/gateway/suspectEndpoint.ts
+++ b/packages/router/src/gateway/suspectEndpoint.ts
@@ -1,10 +1,10 @@
-/** An endpoint that broke a request off, as the search for ends looks at it. Owns nothing. */
+/** Describes an endpoint that reset a request for the crash detector. Owns nothing. */
 
 import type { SuspectEndpoint } from '../crashes/endpointCrashDetector.js'
 import type { EndpointState } from './endpointState.js'
 import type { GatewayService } from './gatewayConfiguration.js'
 
-/** The endpoint as it is known at this moment. */
+/** The endpoint as known at this moment. */
 export function suspectEndpointOf(
   endpoint: EndpointState,
   { engine }: GatewayService,
--- a/packages/router/src/gateway/upstreamExchange.ts
+++ b/packages/router/src/gateway/upstreamExchange.ts
@@ -1,6 +1,6 @@
 /**
- * One request to one endpoint, up to the head of its answer and then its body. Owns the connection's part
- * in it; tells a whole answer from a broken one.
+ * Sends one request to one endpoint and reads the head and body of its answer. Owns the use of the
+ * connection; tells a complete answer from an interrupted one.
  */
 
 import { request as httpRequest } from 'node:http'
@@ -10,50 +10,50 @@
 import type { Milliseconds } from '@rackwalk/shared'
 import { ConnectionEnd } from './connectionEnd.js'
 
-/** Where a request is sent. */
+/** The endpoint to which a request is sent. */
 export interface ExchangeEndpoint {
   /** `address` is IP:PORT. */
   readonly record: { readonly address: string }
   readonly agent: Agent
-  /** Called once a new connection has come up. */
+  /** Called when a new connection has been established. */
   noteConnected?(): void
 }
 
-/** What is sent. */
+/** A request as it is sent to an endpoint. */
 export interface UpstreamRequest {
   readonly method: string
   readonly path: string
-  /** Names and values in turn. */
+  /** Names and values alternate. */
   readonly headers: readonly string[]
   readonly body: Buffer
   readonly connectMilliseconds: Milliseconds
 }
 
-/** What came of sending it. */
+/** The outcome of sending a request, up to the head of the answer. */
 export type HeadOutcome =
   | { readonly kind: 'head'; readonly response: IncomingMessage }
-  /** No connection came up: nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | { readonly kind: 'not-sent'; readonly reason: string }
-  /** Something was sent, and no answer came. */
+  /** The request may have been sent, and no answer arrived. */
   | { readonly kind: 'failed'; readonly reason: string }
 
-/** What becomes of the body of an answer. */
+/** Receives the body of an answer. */
 export interface BodyListener {
   onData(chunk: Buffer): void
-  /** What the reading ended with; `complete` and `closed` only after all that came was handed over. */
+  /** How the body ended; `complete` and `closed` only after all received data was passed to `onData`. */
   onEnd(end: AnswerEnd): void
 }
 
-/** Why an exchange is ended on this side. */
+/** Why this instance ended an exchange. */
 export type AbortReason = Extract<
   AnswerEnd,
   'aborted' | 'deadline' | 'caller-left' | 'endpoint-ended'
 >
 
-/** The reason of an exchange that was ended here since its endpoint is over. */
+/** Reason of an exchange that this instance ended because its endpoint has terminated. */
 export const ENDPOINT_ENDED = 'endpoint-ended'
 
-/** The exchange, from the sending to the end of the answer. */
+/** The exchange, from sending the request to the end of the answer. */
 export class UpstreamExchange {
   private readonly call: ClientRequest
   private readonly head: Promise<HeadOutcome>
@@ -88,7 +88,7 @@
     return this.head
   }
 
-  /** How the answer tells where it ends; ask it after the head. */
+  /** How the answer marks its end; valid only after the head. */
   get framing(): AnswerFraming {
     const headers = this.response?.headers
     return answerFraming({
@@ -99,7 +99,7 @@
     })
   }
 
-  /** Hands the body over as it comes; call it once, after the head. */
+  /** Passes the body to a listener as it arrives; call it once, after the head. */
   readBody(listener: BodyListener): void {
     const response = this.response
     if (response === undefined) return
@@ -115,12 +115,15 @@
     response.on('close', () => finish(this.brokenEnd))
   }
 
-  /** Reads the rest of an answer that nobody wants, so that its connection can be used again. */
+  /** Reads and discards the rest of an answer so that its connection can be reused. */
   drain(): void {
     this.readBody({ onData: () => {}, onEnd: () => {} })
   }
 
-  /** Reads no more until it is resumed; has no effect on a rest that is handed over since its time is up. */
+  /**
+   * Stops reading until `resume`. Has no effect once the rest of the answer is being flushed after its
+   * deadline.
+   */
   pause(): void {
     if (!this.mustFlush) this.response?.pause()
   }
@@ -129,41 +132,45 @@
     this.response?.resume()
   }
 
-  /** Whether nothing is read at present. */
+  /** Whether reading is paused. */
   get isPaused(): boolean {
     return this.response?.isPaused() === true
   }
 
   /**
-   * Ends the exchange and its connection; the endpoint drops the request. A deadline ends no answer that is all here: what is
-   * left of it is handed over at once, since a caller who reads no more would hold its request for ever. The end of its
-   * endpoint does not touch it either.
+   * Ends the exchange and its connection, upon which the endpoint drops the request. A deadline does not end
+   * an answer that was received completely: the rest is passed on at once, since a caller that has stopped
+   * reading would otherwise hold its request forever. A termination of the endpoint does not affect such an
+   * answer either.
    */
   abort(reason: AbortReason): void {
-    if (reason === 'deadline' && this.isReceived) return this.handOver()
+    if (reason === 'deadline' && this.isReceived) return this.flush()
     if (reason === ENDPOINT_ENDED && this.isReceived) return
     this.abortReason ??= reason
     this.call.destroy()
   }
 
-  private handOver(): void {
+  private flush(): void {
     this.mustFlush = true
     this.response?.resume()
   }
 
-  /** Whether all of the answer has come, though a slow caller may not have been given it yet. */
+  /** Whether the complete answer was received, though a slow caller may not have it yet. */
   private get isReceived(): boolean {
     if (this.framing === 'connection') return this.connectionEnd?.kind === 'closed'
     return this.response?.complete === true
   }
 
-  /** The end of an answer of which all that came was handed over. */
+  /** The end of an answer whose received data was all passed on. */
   private deliveredEnd(response: IncomingMessage): AnswerEnd {
     if (this.framing !== 'connection') return response.complete ? 'complete' : this.brokenEnd
     return this.connectionEnd?.kind ?? 'reset'
   }
 
-  /** The end of an answer that may lack something: one that ends with its connection can't be told from a broken one. */
+  /**
+   * The end of an answer that may lack data. An answer framed by its connection can't be told from an
+   * interrupted one.
+   */
   private get brokenEnd(): AnswerEnd {
     const isClosed = this.framing !== 'connection' && this.connectionEnd?.kind === 'closed'
     return isClosed ? 'closed' : 'reset'
@@ -196,7 +203,8 @@
         this.connected = true
         return
       }
-      // On a busy processor the timer is late, and the connection may be up and wait to be seen: that comes first.
+      // On a busy processor the timer fires late, and an established connection may not have been noticed
+      // yet: that event is processed first.
       const giveUp = () => setImmediate(() => this.giveUpConnecting())
       const timer = setTimeout(giveUp, connectMilliseconds)
       socket.setNoDelay(true)
