--- a/packages/router/__tests__/adviceFromHeaders.spec.ts
+++ b/packages/router/__tests__/adviceFromHeaders.spec.ts
@@ -5,11 +5,11 @@
 
 const CONTEXT = { wallTime: Date.UTC(2026, 0, 4, 8, 0, 0), longestRestMilliseconds: 60_000 }
 
-function said(status: number, headers: Readonly<Record<string, string>>): string {
+function describeAdvice(status: number, headers: Readonly<Record<string, string>>): string {
   return adviceText(parseAdvice(adviceFromHeaders(status, headers), CONTEXT)) ?? 'nothing'
 }
 
-/** Each with the status of its answer. */
+/** Heads of answers, each with its status. */
 const HEADS: readonly (readonly [number, Readonly<Record<string, string>>])[] = [
   [200, {}],
   [200, { 'x-ratelimit-limit-requests': '78' }],
@@ -35,7 +35,7 @@
   it('is read as what it means', () => {
     const table = HEADS.map(([status, headers]) => {
       const fields = Object.entries(headers).map(([name, value]) => `${name}: ${value}`)
-      return `${status} ${fields.join(' | ')} -> ${said(status, headers)}`
+      return `${status} ${fields.join(' | ')} -> ${describeAdvice(status, headers)}`
     })
     expect(table).toMatchInlineSnapshot(`
       [
@@ -61,12 +61,12 @@
     `)
   })
 
-  it('never throws, whatever stands there', () => {
+  it('never throws, whatever the headers contain', () => {
     const names = [...new Set(HEADS.flatMap(([, headers]) => Object.keys(headers)))]
     const heads = fc.dictionary(fc.constantFrom(...names), fc.string())
     fc.assert(
       fc.property(fc.constantFrom(200, 429, 503), heads, (status, headers) => {
-        expect(said(status, headers).length).toBeLessThan(200)
+        expect(describeAdvice(status, headers).length).toBeLessThan(200)
       }),
       { seed: 7, numRuns: 500 },
     )
--- a/packages/router/__tests__/callerReply.spec.ts
+++ b/packages/router/__tests__/callerReply.spec.ts
@@ -7,9 +7,9 @@
 import { CallerReply, RefusedBodyHandler, StandardRetryAfter } from '@rackwalk/router'
 import { SystemClock } from '@rackwalk/shared'
 
-/** What a caller sees of a reply that is broken off, whatever its connection was doing. */
+/** What a caller sees of an interrupted reply, in any state of its connection. */
 
-/** More than the buffers of a connection take. */
+/** More than the buffers of a connection hold. */
 const LARGE = Buffer.alloc(20_000_000, 'x')
 const HEAD = { statusCode: 200, rawHeaders: ['Content-Type', 'text/plain'] } as IncomingMessage
 
@@ -44,7 +44,7 @@
   return (started.address() as AddressInfo).port
 }
 
-/** Reads an answer; the caller begins to read when `until` is over. */
+/** Reads an answer; the caller begins to read when `until` resolves. */
 function read(port: number, until: Promise<void>): Promise<{ bytes: number; isWhole: boolean }> {
   return new Promise((resolve, reject) => {
     const call = request({ port, host: '127.0.0.1', agent: new Agent() })
@@ -65,36 +65,36 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds))
 }
 
-describe('a reply that is broken off', () => {
-  it('stays whole where it was ended before, though most of it still waits for its caller', async () => {
-    let isCut = () => {}
-    const cut = new Promise<void>(resolve => (isCut = resolve))
+describe('a reply that is aborted', () => {
+  it('stays complete if it was ended before, although most of it is still buffered', async () => {
+    let noteAborted = () => {}
+    const aborted = new Promise<void>(resolve => (noteAborted = resolve))
     const port = await listen(reply => {
       reply.start(HEAD, false)
       reply.end(LARGE)
       setTimeout(() => {
         reply.abort()
-        isCut()
+        noteAborted()
       }, 20)
     })
-    expect(await read(port, cut)).toEqual({ bytes: LARGE.length, isWhole: true })
+    expect(await read(port, aborted)).toEqual({ bytes: LARGE.length, isWhole: true })
   })
 
-  it('is not whole while bytes of it wait for their caller', async () => {
-    let isCut = () => {}
-    const cut = new Promise<void>(resolve => (isCut = resolve))
+  it('is not complete while bytes of it are buffered', async () => {
+    let noteAborted = () => {}
+    const aborted = new Promise<void>(resolve => (noteAborted = resolve))
     const port = await listen(reply => {
       reply.start(HEAD, false)
       reply.write(LARGE, () => {})
       setTimeout(() => {
         reply.abort()
-        isCut()
+        noteAborted()
       }, 20)
     })
-    expect((await read(port, cut)).isWhole).toBe(false)
+    expect((await read(port, aborted)).isWhole).toBe(false)
   })
 
-  it('is not whole where its caller has all bytes that came', async () => {
+  it('is not complete if its caller has all bytes written so far', async () => {
     const port = await listen(reply => {
       reply.start(HEAD, false)
       reply.write(Buffer.from('some'), () => {})
@@ -103,7 +103,7 @@
     expect(await read(port, Promise.resolve())).toEqual({ bytes: 4, isWhole: false })
   })
 
-  it('ends the connection when its turn comes behind another answer', async () => {
+  it('closes the connection when its turn comes behind another answer', async () => {
     const replies: CallerReply[] = []
     const port = await listen(reply => {
       reply.start(HEAD, false)
@@ -123,21 +123,21 @@
     expect(text.match(/HTTP\/1.1 200/g)).toHaveLength(1)
   })
 
-  it('does nothing to a connection that has gone', async () => {
-    let cutGone = () => {}
-    const cut = new Promise<void>(resolve => (cutGone = resolve))
+  it('does nothing to a closed connection', async () => {
+    let noteAborted = () => {}
+    const aborted = new Promise<void>(resolve => (noteAborted = resolve))
     const port = await listen((reply, response) => {
       reply.start(HEAD, false)
       reply.write(Buffer.from('some'), () => {})
       response.on('close', () => {
         reply.abort()
-        cutGone()
+        noteAborted()
       })
     })
     const call = request({ port, host: '127.0.0.1', agent: new Agent() })
     call.on('error', () => {})
     call.on('response', () => call.destroy())
     call.end()
-    await cut
+    await aborted
   })
 })
--- a/packages/router/__tests__/endpointAdviceStore.spec.ts
+++ b/packages/router/__tests__/endpointAdviceStore.spec.ts
@@ -5,10 +5,10 @@
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointStart } from '@rackwalk/shared'
 
-/** What an instance remembers of what endpoints said, and what it tells the others. */
+/** The advice of endpoints that an instance stores, and what it broadcasts. */
 
 const START = asId<EndpointStart>('endpoint-1')
-const SAYS_NOTHING: EndpointAdvice = {
+const NO_ADVICE: EndpointAdvice = {
   rate: 'none',
   isLeaving: false,
   restMilliseconds: undefined,
@@ -17,59 +17,61 @@
 
 function create() {
   const clock = new VirtualClock()
-  const told: AdviceGossip[] = []
+  const broadcasts: AdviceGossip[] = []
   const changes: (string | undefined)[] = []
   const advices = new EndpointAdviceStore({
     clock,
     onChange: (_, said) => changes.push(said),
-    broadcast: news => told.push(news),
+    broadcast: gossip => broadcasts.push(gossip),
   })
-  return { clock, advices, told, changes }
+  return { clock, advices, broadcasts, changes }
 }
 
 function rate(requestsPerSecond: number): EndpointAdvice {
-  return { ...SAYS_NOTHING, rate: requestsPerSecond }
+  return { ...NO_ADVICE, rate: requestsPerSecond }
 }
 
-describe('a rate that is remembered', () => {
-  it('ends with an answer of its endpoint that names none, and the others are told', () => {
-    const { advices, told, changes } = create()
+describe('a stored rate limit', () => {
+  it('ends with an answer of its endpoint that names none, which is broadcast', () => {
+    const { advices, broadcasts, changes } = create()
     advices.note(START, rate(1.3), true)
-    advices.note(START, SAYS_NOTHING, true)
+    advices.note(START, NO_ADVICE, true)
     expect(advices.of(START)?.requestsPerSecond).toBeUndefined()
-    expect(told.map(({ requestsPerSecond }) => requestsPerSecond)).toEqual([1.3, undefined])
+    expect(broadcasts.map(({ requestsPerSecond }) => requestsPerSecond)).toEqual([1.3, undefined])
     expect(changes).toEqual(['takes 1.3 a second', undefined])
   })
 
-  it('does not end with what is no answer of the endpoint, or can not be read', () => {
+  it("does not end with an answer that is not the endpoint's own, or with unreadable advice", () => {
     const { advices } = create()
     advices.note(START, rate(1.3), true)
-    advices.note(START, SAYS_NOTHING, false)
-    advices.note(START, { ...SAYS_NOTHING, rate: 'unreadable', faults: ['rate'] }, true)
+    advices.note(START, NO_ADVICE, false)
+    advices.note(START, { ...NO_ADVICE, rate: 'unreadable', faults: ['rate'] }, true)
     expect(advices.of(START)?.requestsPerSecond).toBe(1.3)
   })
 
-  it('ends with the start, and a row that comes again changes nothing', () => {
+  it('ends with the start', () => {
     const { advices } = create()
     advices.note(START, rate(1.3), true)
     advices.forget(START)
     expect(advices.of(START)).toBeUndefined()
   })
 
-  it('is told once where it stays, at once where it is stricter, and else now and then', async () => {
-    const { clock, advices, told } = create()
+  it('is broadcast once if unchanged, at once if stricter, and at intervals otherwise', async () => {
+    const { clock, advices, broadcasts } = create()
     for (let count = 0; count < 100; count += 1) {
       advices.note(START, rate(2 + count / 100), true)
       await clock.advance(10)
     }
-    expect(told.length).toBeLessThanOrEqual(3)
-    const before = told.length
+    expect(broadcasts.length).toBeLessThanOrEqual(3)
+    const before = broadcasts.length
     advices.note(START, rate(0.5), true)
     advices.note(START, rate(0.5), true)
-    expect(told.slice(before).map(({ requestsPerSecond }) => requestsPerSecond)).toEqual([0.5])
+    expect(broadcasts.slice(before).map(({ requestsPerSecond }) => requestsPerSecond)).toEqual([
+      0.5,
+    ])
   })
 
-  it('is what the newest answer said, in whatever order news of answers come', () => {
+  it('is that of the newest answer, in whatever order gossip arrives', () => {
     const answers = fc.uniqueArray(
       fc.record({
         ageMilliseconds: fc.nat(5_000),
@@ -82,7 +84,7 @@
         const { advices } = create()
         advices.note(START, rate(5), true)
         for (const answer of all) advices.observe({ start: START, ...answer })
-        // The own answer is the newest, or else one of the same moment.
+        // The instance's own answer is the newest, or else gossip of the same moment.
         const newest = all.find(({ ageMilliseconds }) => ageMilliseconds === 0)
         const expected = newest === undefined ? 5 : newest.requestsPerSecond
         expect(advices.of(START)?.requestsPerSecond).toBe(expected)
@@ -91,7 +93,7 @@
     )
   })
 
-  it('fills no memory without bound', () => {
+  it('is kept for a bounded number of starts', () => {
     const { advices } = create()
     for (let count = 0; count < 10_000; count += 1) {
       advices.note(asId(`endpoint-${count}`), rate(1), true)
--- a/packages/router/__tests__/endpointCrashDetector.spec.ts
+++ b/packages/router/__tests__/endpointCrashDetector.spec.ts
@@ -12,14 +12,14 @@
 import { EndpointDirectory, EndpointCrashDetector } from '@rackwalk/router'
 import type { EndpointCrash, EndpointRecord } from '@rackwalk/router'
 
-/** When a broken request says that its endpoint has ended, and when it doesn't. */
+/** Whether a reset request shows that its endpoint has terminated. */
 
-const FIRST = broken('first')
-/** What a look takes. */
-const LOOK_MILLISECONDS = 10
-const SECOND = broken('second')
+const FIRST = resetRequest('first')
+/** Duration of one probe. */
+const PROBE_MILLISECONDS = 10
+const SECOND = resetRequest('second')
 
-function broken(fingerprint: string, sentAt = 0) {
+function resetRequest(fingerprint: string, sentAt = 0) {
   return { fingerprint: asId<RequestFingerprint>(fingerprint), wasIsolated: false, sentAt }
 }
 
@@ -37,32 +37,32 @@
   }
 }
 
-function watch(
-  outcome: ProbeResult | ((look: number) => ProbeResult),
-  onLooked?: (count: number) => void,
+function setUp(
+  outcome: ProbeResult | ((probe: number) => ProbeResult),
+  afterProbe?: (count: number) => void,
 ) {
   const clock = new VirtualClock()
   const heard = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
-  const told: EndpointCrash[] = []
-  const away: number[] = []
-  const lookedAts: number[] = []
+  const reported: EndpointCrash[] = []
+  const unresponsiveAt: number[] = []
+  const probedAts: number[] = []
   let probes = 0
-  const starts = new SuspectEndpoints()
-  const ends = new EndpointCrashDetector({
+  const suspects = new SuspectEndpoints()
+  const detector = new EndpointCrashDetector({
     clock,
-    suspects: starts,
+    suspects,
     probe: async () => {
       probes += 1
-      if (onLooked !== undefined) {
-        await sleep(clock, LOOK_MILLISECONDS)
-        onLooked(probes)
+      if (afterProbe !== undefined) {
+        await sleep(clock, PROBE_MILLISECONDS)
+        afterProbe(probes)
       }
       return typeof outcome === 'string' ? outcome : outcome(probes)
     },
-    onCrash: end => told.push(end),
+    onCrash: crash => reported.push(crash),
     onUnresponsive: (_, { lookedAt }) => {
-      away.push(clock.monotonic())
-      lookedAts.push(lookedAt)
+      unresponsiveAt.push(clock.monotonic())
+      probedAts.push(lookedAt)
     },
     onProbing: () => {},
     onProbed: () => {},
@@ -74,44 +74,48 @@
     maximumConnections: () => 8,
     coldMilliseconds: () => 0,
     onChange: () => {},
-    onReplaced: start => ends.noteReplaced(start),
+    onReplaced: start => detector.noteReplaced(start),
   })
   directory.set(recordOf(1))
   const [state] = directory.available('models')
-  /** The endpoint as it is known when it breaks a request off. */
+  /** The endpoint as known when it resets a request. */
   const endpoint = () => {
     const { record = recordOf(1), isPlannedShutdown = false, hasEnded = false } = state ?? {}
     return { ...record, isPlannedShutdown, hasEnded, statePath: undefined, heard: () => heard }
   }
-  const unanswered = () => told.map(end => end.unanswered.map(request => request.fingerprint))
+  const unanswered = () =>
+    reported.map(crash => crash.unanswered.map(request => request.fingerprint))
   return {
     clock,
     heard,
-    ends,
-    broken: starts,
+    detector,
+    suspects,
     directory,
     endpoint,
     unanswered,
-    away,
-    lookedAts,
+    unresponsiveAt,
+    probedAts,
     probes: () => probes,
   }
 }
 
-describe('an endpoint that breaks requests off', () => {
-  it('has ended where nobody listens there: one look tells of all that it had not answered', async () => {
-    const { ends, endpoint, unanswered, probes } = watch('nobody-listens')
-    await Promise.all([ends.noteReset(endpoint(), FIRST), ends.noteReset(endpoint(), SECOND)])
+describe('an endpoint that resets requests', () => {
+  it('has terminated if its address refuses connections: one probe covers all unanswered requests', async () => {
+    const { detector, endpoint, unanswered, probes } = setUp('nobody-listens')
+    await Promise.all([
+      detector.noteReset(endpoint(), FIRST),
+      detector.noteReset(endpoint(), SECOND),
+    ])
     expect(unanswered()).toEqual([['first', 'second']])
-    await ends.noteReset(endpoint(), broken('late'))
+    await detector.noteReset(endpoint(), resetRequest('late'))
     expect(unanswered()).toEqual([['first', 'second'], ['late']])
     expect(probes()).toBe(1)
   })
 
-  it('has not ended under what it broke off long before, however much it breaks off since', async () => {
-    const { clock, ends, endpoint, directory, unanswered } = watch('lives')
+  it('is not reported as crashed by requests that it reset long before, however many resets follow', async () => {
+    const { clock, detector, endpoint, directory, unanswered } = setUp('lives')
     for (let count = 0; count < 60; count += 1) {
-      await ends.noteReset(endpoint(), broken(`refuted-${count}`, clock.monotonic()))
+      await detector.noteReset(endpoint(), resetRequest(`refuted-${count}`, clock.monotonic()))
       await clock.advance(500)
     }
     directory.set(recordOf(2))
@@ -121,184 +125,193 @@
     expect(held).not.toContain('refuted-0')
   })
 
-  it('has not ended under what was sent after its first break: that met its front', async () => {
-    const { clock, ends, endpoint, unanswered } = watch('nobody-listens')
+  it('is not reported as crashed by requests sent after its first reset, which met only its front', async () => {
+    const { clock, detector, endpoint, unanswered } = setUp('nobody-listens')
     await clock.advance(100)
-    const known = [ends.noteReset(endpoint(), broken('there', 90))]
+    const known = [detector.noteReset(endpoint(), resetRequest('there', 90))]
     await clock.advance(10)
-    known.push(ends.noteReset(endpoint(), broken('sent to its front', 105)))
+    known.push(detector.noteReset(endpoint(), resetRequest('sent to its front', 105)))
     expect(await Promise.all(known)).toEqual([true, true])
     expect(unanswered()).toEqual([['there']])
-    await ends.noteReset(endpoint(), broken('at the next end', 108))
+    await detector.noteReset(endpoint(), resetRequest('at the next end', 108))
     expect(unanswered()).toEqual([['there']])
   })
 
   it.each(['lives', 'no-connection'] as const)(
-    'has not ended where the look says %s',
-    async look => {
-      const { ends, endpoint, unanswered } = watch(look)
-      await ends.noteReset(endpoint(), FIRST)
+    'has not terminated if the probe results in %s',
+    async probe => {
+      const { detector, endpoint, unanswered } = setUp(probe)
+      await detector.noteReset(endpoint(), FIRST)
       expect(unanswered()).toEqual([])
     },
   )
 
-  it('has ended also where it listens again, once its row tells of a new start', async () => {
-    const { ends, directory, endpoint, unanswered } = watch('lives')
-    await ends.noteReset(endpoint(), FIRST)
+  it('has terminated once its row shows a new start, although its address accepts connections again', async () => {
+    const { detector, directory, endpoint, unanswered } = setUp('lives')
+    await detector.noteReset(endpoint(), FIRST)
     directory.set(recordOf(2))
     expect(unanswered()).toEqual([['first']])
   })
 
-  it('ends as planned where it said that it leaves, or where its entry went first', async () => {
-    const leaving = watch('nobody-listens')
+  it('terminates as planned if it announced that it leaves, or if its entry was removed before', async () => {
+    const leaving = setUp('nobody-listens')
     leaving.directory.set({ ...recordOf(1), isLeaving: true })
-    await leaving.ends.noteReset(leaving.endpoint(), FIRST)
+    await leaving.detector.noteReset(leaving.endpoint(), FIRST)
     expect(leaving.unanswered()).toEqual([])
-    const gone = watch('nobody-listens')
+    const gone = setUp('nobody-listens')
     gone.directory.remove('endpoint-1')
-    await gone.ends.noteReset(gone.endpoint(), FIRST)
+    await gone.detector.noteReset(gone.endpoint(), FIRST)
     expect(gone.unanswered()).toEqual([])
   })
 })
 
-describe('an endpoint behind whose address something goes on listening', () => {
-  /** Whether an end is told, where this is heard when the first, second look is over; the break is at 100. */
-  async function isEnd(
+describe('a terminated endpoint whose address still accepts connections', () => {
+  /**
+   * Whether a termination is detected if this is received when the first or second probe completes; the reset
+   * is at 100.
+   */
+  async function detectsTermination(
     heardOf: (now: number) => { askedAt?: number; readAt?: number },
     at: number,
   ) {
-    const played: ReturnType<typeof watch> = watch('does-not-answer', count => {
-      if (count === at) Object.assign(played.heard, heardOf(played.clock.monotonic()))
+    const setup: ReturnType<typeof setUp> = setUp('does-not-answer', count => {
+      if (count === at) Object.assign(setup.heard, heardOf(setup.clock.monotonic()))
     })
-    await played.clock.advance(100)
-    const known = played.ends.noteReset(played.endpoint(), broken('there', 90))
-    await played.clock.advance(1_000)
+    await setup.clock.advance(100)
+    const known = setup.detector.noteReset(setup.endpoint(), resetRequest('there', 90))
+    await setup.clock.advance(1_000)
     return known
   }
 
   it.each([
-    ['a report that was asked for before the break and came after it', 99, true],
-    ['a report that was asked for after the break', 101, false],
+    ['a report that was requested before the reset and arrived after it', 99, true],
+    ['a report that was requested after the reset', 101, false],
   ] as const)('is judged by %s', async (_, askedAt, hasEnded) => {
-    expect(await isEnd(() => ({ askedAt }), 1)).toBe(hasEnded)
-    expect(await isEnd(() => ({ askedAt }), 2)).toBe(hasEnded)
+    expect(await detectsTermination(() => ({ askedAt }), 1)).toBe(hasEnded)
+    expect(await detectsTermination(() => ({ askedAt }), 2)).toBe(hasEnded)
   })
 
-  it('has ended although bytes that left before are read until the first look is over', async () => {
-    expect(await isEnd(readAt => ({ readAt }), 1)).toBe(true)
-    expect(await isEnd(readAt => ({ readAt }), 2)).toBe(false)
+  it('has terminated although bytes sent before are read until the first probe completes', async () => {
+    expect(await detectsTermination(readAt => ({ readAt }), 1)).toBe(true)
+    expect(await detectsTermination(readAt => ({ readAt }), 2)).toBe(false)
   })
 })
 
-describe('an endpoint that no look could judge', () => {
+describe('an endpoint whose probe was inconclusive', () => {
   const { start } = recordOf(1)
 
-  // A silent front breaks nothing more off, so nobody looked again and the suspicion lapsed.
-  it('is looked at again when a suspected request is sent there', async () => {
-    const { clock, ends, endpoint, unanswered, probes } = watch(look => {
-      return look === 1 ? 'no-connection' : 'nobody-listens'
+  // A silent front resets no further request, so nothing started another probe and the suspicion expired.
+  it('is probed again when a suspected request is sent there', async () => {
+    const { clock, detector, endpoint, unanswered, probes } = setUp(probe => {
+      return probe === 1 ? 'no-connection' : 'nobody-listens'
     })
-    await ends.noteReset(endpoint(), FIRST)
-    ends.noteSuspectSent(start)
+    await detector.noteReset(endpoint(), FIRST)
+    detector.noteSuspectSent(start)
     await clock.advance(99)
     expect([probes(), unanswered()]).toEqual([1, []])
     await clock.advance(1)
     expect([probes(), unanswered()]).toEqual([2, [['first']]])
   })
 
-  it('is in doubt no longer for that, and one that lives or was not looked at is left alone', async () => {
-    const unproven = watch('no-connection', () => {})
-    const isKnown = unproven.ends.noteReset(unproven.endpoint(), FIRST)
-    await unproven.clock.advance(LOOK_MILLISECONDS)
+  it('does not stay suspect longer for that, and an endpoint that is alive or was not probed is not probed again', async () => {
+    const unproven = setUp('no-connection', () => {})
+    const isKnown = unproven.detector.noteReset(unproven.endpoint(), FIRST)
+    await unproven.clock.advance(PROBE_MILLISECONDS)
     await isKnown
     for (let time = 0; time < 8; time += 1) {
-      unproven.ends.noteSuspectSent(start)
+      unproven.detector.noteSuspectSent(start)
       await unproven.clock.advance(120)
     }
-    const isInDoubt = () => unproven.broken.isSuspect(start, unproven.clock.monotonic())
+    const isInDoubt = () => unproven.suspects.isSuspect(start, unproven.clock.monotonic())
     expect([unproven.probes(), isInDoubt()]).toEqual([9, true])
     await unproven.clock.advance(30)
     expect(isInDoubt()).toBe(false)
-    const lives = watch('lives')
-    lives.ends.noteSuspectSent(start)
-    await lives.ends.noteReset(lives.endpoint(), FIRST)
-    lives.ends.noteSuspectSent(start)
+    const lives = setUp('lives')
+    lives.detector.noteSuspectSent(start)
+    await lives.detector.noteReset(lives.endpoint(), FIRST)
+    lives.detector.noteSuspectSent(start)
     await lives.clock.advance(1_000)
     expect(lives.probes()).toBe(1)
   })
 })
 
-describe('an endpoint that another instance tells of as ended', () => {
+describe('an endpoint that another instance reports as terminated', () => {
   const { start } = recordOf(1)
 
-  // An instance whose looks showed nothing kept its marks untold, and one that proves a request was lost with them.
-  it('has ended under what broke off here, where the look showed nothing before or shows nothing', async () => {
-    const before = watch('no-connection')
-    expect(await before.ends.noteReset(before.endpoint(), FIRST)).toBe(false)
-    before.ends.notePeerReport(start)
-    const during: ReturnType<typeof watch> = watch('no-connection', () =>
-      during.ends.notePeerReport(start),
+  // An instance with inconclusive probes never reported its marks, and a mark that would have proved a
+  // request to be crash-inducing was lost.
+  it('was crashed by requests that it reset here, if the probe before or after the report was inconclusive', async () => {
+    const before = setUp('no-connection')
+    expect(await before.detector.noteReset(before.endpoint(), FIRST)).toBe(false)
+    before.detector.notePeerReport(start)
+    const during: ReturnType<typeof setUp> = setUp('no-connection', () =>
+      during.detector.notePeerReport(start),
     )
-    const isKnown = during.ends.noteReset(during.endpoint(), FIRST)
-    await during.clock.advance(LOOK_MILLISECONDS)
+    const isKnown = during.detector.noteReset(during.endpoint(), FIRST)
+    await during.clock.advance(PROBE_MILLISECONDS)
     expect(await isKnown).toBe(true)
     expect([before.unanswered(), during.unanswered()]).toEqual([[['first']], [['first']]])
   })
 
-  it('has not ended where a look showed life, or it told its state since', async () => {
-    const lives = watch('lives')
-    await lives.ends.noteReset(lives.endpoint(), FIRST)
-    lives.ends.notePeerReport(start)
-    const heard = watch('no-connection')
-    await heard.ends.noteReset(heard.endpoint(), FIRST)
+  it('has not terminated if a probe found it alive, or it reported its state since', async () => {
+    const lives = setUp('lives')
+    await lives.detector.noteReset(lives.endpoint(), FIRST)
+    lives.detector.notePeerReport(start)
+    const heard = setUp('no-connection')
+    await heard.detector.noteReset(heard.endpoint(), FIRST)
     heard.heard.askedAt = 1
-    heard.ends.notePeerReport(start)
+    heard.detector.notePeerReport(start)
     expect([lives.unanswered(), heard.unanswered()]).toEqual([[], []])
   })
 })
 
-describe('an endpoint where nobody listens', () => {
-  it('is left alone for a second, by whoever saw it or was told', async () => {
-    const { directory, endpoint, clock } = watch('nobody-listens')
+describe('an endpoint whose address refuses connections', () => {
+  it('gets no request for a second, here or at instances that were told', async () => {
+    const { directory, endpoint, clock } = setUp('nobody-listens')
     directory.noteUnreachable(endpoint().start)
     expect(directory.available('models')).toEqual([])
     await clock.advance(1_000)
     expect(directory.available('models')).toHaveLength(1)
   })
 
-  it('says nothing of the start that follows it', () => {
-    const { directory, endpoint } = watch('nobody-listens')
+  it('does not affect its next start', () => {
+    const { directory, endpoint } = setUp('nobody-listens')
     const { start } = endpoint()
     directory.set(recordOf(2))
     directory.noteUnreachable(start)
     expect(directory.available('models')).toHaveLength(1)
   })
 
-  it('ended under what was there, however late its front lets go of that', async () => {
-    const { clock, ends, endpoint, unanswered } = watch('does-not-answer')
+  it('crashed under the requests in flight, however late its front resets them', async () => {
+    const { clock, detector, endpoint, unanswered } = setUp('does-not-answer')
     await clock.advance(100)
-    const known = ends.noteReset(endpoint(), broken('first', 90))
+    const known = detector.noteReset(endpoint(), resetRequest('first', 90))
     await clock.advance(25)
     await known
     await clock.advance(1_000)
-    await ends.noteReset(endpoint(), broken('held by the front', 95))
-    await ends.noteReset(endpoint(), broken('sent to the front', 200))
-    ends.stop()
+    await detector.noteReset(endpoint(), resetRequest('held by the front', 95))
+    await detector.noteReset(endpoint(), resetRequest('sent to the front', 200))
+    detector.stop()
     expect(unanswered()).toEqual([['first'], ['held by the front']])
   })
 
-  it('is not back for a look to which no connection came up', async () => {
-    const looks: ProbeResult[] = ['does-not-answer', 'does-not-answer', 'no-connection', 'lives']
-    const { clock, ends, endpoint, away, lookedAts, probes } = watch(
-      look => looks[look - 1] ?? 'lives',
+  it('has not recovered because a probe could not connect', async () => {
+    const probeResults: ProbeResult[] = [
+      'does-not-answer',
+      'does-not-answer',
+      'no-connection',
+      'lives',
+    ]
+    const { clock, detector, endpoint, unresponsiveAt, probedAts, probes } = setUp(
+      probe => probeResults[probe - 1] ?? 'lives',
     )
-    const known = ends.noteReset(endpoint(), FIRST)
+    const known = detector.noteReset(endpoint(), FIRST)
     await clock.advance(25)
     await known
     await clock.advance(2_000)
-    ends.stop()
-    expect(away).toEqual([25, 525])
-    expect(lookedAts).toEqual([25, 25])
+    detector.stop()
+    expect(unresponsiveAt).toEqual([25, 525])
+    expect(probedAts).toEqual([25, 25])
     expect(probes()).toBe(4)
   })
 })
--- a/packages/router/__tests__/endpointProbe.spec.ts
+++ b/packages/router/__tests__/endpointProbe.spec.ts
@@ -6,11 +6,11 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { probeEndpoint } from '@rackwalk/router'
 
-/** On a busy processor a look at an endpoint that lives told that no connection came up. */
+/** Guards against probes that reported a live endpoint as unreachable because this process was busy. */
 
 const BUSY_MILLISECONDS = 300
 
-const LOOKS = 8
+const PROBES = 8
 /** A server in a process of its own that answers at once, or never. */
 const SERVER = `
   const answer = (_, response) => process.argv[1] === 'holds' || response.end('{}')
@@ -26,8 +26,8 @@
   while (performance.now() < until);
 }
 
-async function endpointThat(does: 'answers' | 'holds') {
-  const started = spawn(process.execPath, ['-e', SERVER, does], {
+async function endpointThat(behaviour: 'answers' | 'holds') {
+  const started = spawn(process.execPath, ['-e', SERVER, behaviour], {
     stdio: ['ignore', 'inherit', 'inherit', 'ipc'],
   })
   child = started
@@ -35,7 +35,7 @@
   return { address: `127.0.0.1:${port}`, statePath: '/state' }
 }
 
-/** Holds each turn of the loop for so long until what is returned is called. */
+/** Blocks each turn of the event loop for this long until the returned function is called. */
 function holdTurns(milliseconds: number): () => void {
   let isOver = false
   const hold = () => {
@@ -54,35 +54,38 @@
   child?.kill()
 })
 
-describe('a look at an endpoint', () => {
-  it('sees a connection that came up while the processor was busy beyond the time for it', async () => {
+describe('a probe of an endpoint', () => {
+  it('notices a connection that was established while the processor was busy beyond the time limit', async () => {
     const listening = createServer()
     server = listening
     await new Promise<void>(resolve => listening.listen(0, '127.0.0.1', resolve))
     const { port } = listening.address() as AddressInfo
-    const look = probeEndpoint({ address: `127.0.0.1:${port}`, statePath: undefined })
+    const probe = probeEndpoint({ address: `127.0.0.1:${port}`, statePath: undefined })
     process.nextTick(workFor, BUSY_MILLISECONDS)
-    expect(await look).toBe('lives')
+    expect(await probe).toBe('lives')
   })
 
-  it.each([60, 120, 250])('sees an answer in turns of %i ms of its loop', async turn => {
-    const endpoint = await endpointThat('answers')
-    const release = holdTurns(turn)
-    const signs: string[] = []
-    for (let look = 0; look < LOOKS; look += 1) signs.push(await probeEndpoint(endpoint))
-    release()
-    expect(signs).toEqual(Array(LOOKS).fill('lives'))
-  })
+  it.each([60, 120, 250])(
+    'notices an answer while each turn of its event loop takes %i ms',
+    async turn => {
+      const endpoint = await endpointThat('answers')
+      const release = holdTurns(turn)
+      const results: string[] = []
+      for (let probe = 0; probe < PROBES; probe += 1) results.push(await probeEndpoint(endpoint))
+      release()
+      expect(results).toEqual(Array(PROBES).fill('lives'))
+    },
+  )
 
-  it('knows nothing of an endpoint that holds the question where its loop is always held', async () => {
+  it('is inconclusive for an endpoint that does not answer while its own event loop is always blocked', async () => {
     const endpoint = await endpointThat('holds')
     const release = holdTurns(BUSY_MILLISECONDS)
-    const sign = await probeEndpoint(endpoint)
+    const result = await probeEndpoint(endpoint)
     release()
-    expect(sign).toBe('no-connection')
+    expect(result).toBe('no-connection')
   })
 
-  it('tells that an endpoint holds the question where its loop is free', async () => {
+  it('finds that an endpoint does not answer while its event loop is free', async () => {
     expect(await probeEndpoint(await endpointThat('holds'))).toBe('does-not-answer')
   })
 })
--- a/packages/router/__tests__/exchangeTerminator.spec.ts
+++ b/packages/router/__tests__/exchangeTerminator.spec.ts
@@ -5,13 +5,13 @@
 import { EndpointDirectory } from '@rackwalk/router'
 import type { EndpointRecord, EndpointState } from '@rackwalk/router'
 
-/** What is open at an endpoint that is over, or may be, on virtual time. */
+/** Exchanges that are open at an endpoint that has terminated, or may have, on virtual time. */
 
-const GOES_ON = { isRetryable: true, isReplyStarted: false }
-const RESUMES = { isRetryable: true, isReplyStarted: true }
+const REPEATABLE = { isRetryable: true, isReplyStarted: false }
+const RESUMABLE = { isRetryable: true, isReplyStarted: true }
 const ONCE = { isRetryable: false, isReplyStarted: false }
-const BEGUN = { isRetryable: false, isReplyStarted: true }
-const KINDS = { again: GOES_ON, resume: RESUMES, once: ONCE, stream: BEGUN }
+const BEGUN_ONCE = { isRetryable: false, isReplyStarted: true }
+const KINDS = { again: REPEATABLE, resume: RESUMABLE, once: ONCE, stream: BEGUN_ONCE }
 const ALL = Object.keys(KINDS)
 const LATE = 10_000
 
@@ -29,13 +29,13 @@
   }
 }
 
-/** Each question comes to what the endpoint does then, after so long. */
-interface Answer {
-  readonly sign: StateProbeResult
+/** The result of each probe, and the time after which it arrives. */
+interface ProbeAnswer {
+  readonly result: StateProbeResult
   readonly after: number
 }
 
-/** Its timers fire late while the loop is held. */
+/** A clock whose timers fire late while the event loop is blocked. */
 class HeldClock extends VirtualClock {
   heldUntil = 0
 
@@ -44,12 +44,12 @@
   }
 }
 
-class Place {
+class Setup {
   readonly clock = new HeldClock()
   readonly ended: string[] = []
   readonly suspected: string[] = []
-  questions = 0
-  answer: Answer = { sign: 'held', after: Infinity }
+  probes = 0
+  answer: ProbeAnswer = { result: 'held', after: Infinity }
   readonly directory = new EndpointDirectory({
     clock: this.clock,
     instances: () => 1,
@@ -86,236 +86,236 @@
   }
 
   private ask() {
-    this.questions += 1
-    const { sign, after } = this.answer
-    const isUnsettled = sign === 'held' || sign === 'no-connection'
-    const question = {
-      result: isUnsettled ? sign : ('held' as StateProbeResult),
-      written: sign === 'no-connection' ? new Promise<void>(() => {}) : Promise.resolve(),
+    this.probes += 1
+    const { result, after } = this.answer
+    const isUnsettled = result === 'held' || result === 'no-connection'
+    const probe = {
+      result: isUnsettled ? result : ('held' as StateProbeResult),
+      written: result === 'no-connection' ? new Promise<void>(() => {}) : Promise.resolve(),
       answered: new Promise<void>(resolve => {
         if (after === Infinity) return
         this.clock.after(after, () => {
-          question.result = sign
+          probe.result = result
           resolve()
         })
       }),
       readAll: () => Promise.resolve(),
       cancel: () => {},
     }
-    return question
+    return probe
   }
 }
 
-/** Sent at 0, told at 1,000. */
-async function placeWithAll(): Promise<Place> {
-  const place = new Place()
-  place.sendAll()
-  await place.clock.advance(1_000)
-  return place
+/** One exchange of each kind, sent at 0; returns at 1,000. */
+async function setUpWithAll(): Promise<Setup> {
+  const setup = new Setup()
+  setup.sendAll()
+  await setup.clock.advance(1_000)
+  return setup
 }
 
-describe('what is open at a start whose engine is told to be away', () => {
-  it('ends in two steps, as the question for its state is held', async () => {
-    const place = await placeWithAll()
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(PROBE_TIMEOUT_MILLISECONDS - 1)
-    expect(place.ended).toEqual([])
-    await place.clock.advance(1)
-    expect(place.ended).toEqual(['again', 'resume'])
-    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS - PROBE_TIMEOUT_MILLISECONDS)
-    expect(place.ended).toEqual(['again', 'resume', 'once'])
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual(['again', 'resume', 'once'])
+describe('exchanges at a start whose engine is reported as unresponsive', () => {
+  it('end in two steps while the state probe is not answered', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(PROBE_TIMEOUT_MILLISECONDS - 1)
+    expect(setup.ended).toEqual([])
+    await setup.clock.advance(1)
+    expect(setup.ended).toEqual(['again', 'resume'])
+    await setup.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS - PROBE_TIMEOUT_MILLISECONDS)
+    expect(setup.ended).toEqual(['again', 'resume', 'once'])
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual(['again', 'resume', 'once'])
   })
 
-  // A slow engine tells its state later than short looks wait.
-  it('stays if it may run once where the endpoint tells its state slowly', async () => {
-    const place = await placeWithAll()
-    place.answer = { sign: 'lives', after: LONG_PROBE_TIMEOUT_MILLISECONDS - 1 }
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual(['again', 'resume'])
+  // A slow engine reports its state later than short probes wait.
+  it('stay open if they may run only once and the endpoint reports its state slowly', async () => {
+    const setup = await setUpWithAll()
+    setup.answer = { result: 'lives', after: LONG_PROBE_TIMEOUT_MILLISECONDS - 1 }
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual(['again', 'resume'])
   })
 
-  it.each<Answer>([
-    { sign: 'lives', after: 0 },
-    { sign: 'lives', after: PROBE_TIMEOUT_MILLISECONDS - 1 },
-    { sign: 'turned-away', after: 1 },
-    { sign: 'nobody-listens', after: 1 },
-    { sign: 'no-connection', after: Infinity },
-  ])('stays where the question comes to $sign after $after ms', async answer => {
-    const place = await placeWithAll()
-    place.answer = answer
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual([])
+  it.each<ProbeAnswer>([
+    { result: 'lives', after: 0 },
+    { result: 'lives', after: PROBE_TIMEOUT_MILLISECONDS - 1 },
+    { result: 'turned-away', after: 1 },
+    { result: 'nobody-listens', after: 1 },
+    { result: 'no-connection', after: Infinity },
+  ])('stay open if the probe results in $result after $after ms', async answer => {
+    const setup = await setUpWithAll()
+    setup.answer = answer
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual([])
   })
 
-  // News may come after the engine is back, and after a new request was sent to it.
-  it('stays where it was sent after the question, until the next news', async () => {
-    const place = await placeWithAll()
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(1)
-    place.send('later', GOES_ON)
-    await place.clock.advance(LATE)
-    expect(place.ended).not.toContain('later')
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.ended).toContain('later')
+  // Gossip may arrive after the engine is back and after a new request was sent to it.
+  it('stay open if sent after the probe, until the next report', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(1)
+    setup.send('later', REPEATABLE)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).not.toContain('later')
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toContain('later')
   })
 
-  it('stays where the endpoint goes on for others meanwhile', async () => {
-    const place = await placeWithAll()
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(1)
-    place.endpoint.noteHeard()
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual([])
-    expect(place.endpoint.isUnreachable).toBe(false)
+  it('stay open if the endpoint sends data to other exchanges meanwhile', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(1)
+    setup.endpoint.noteHeard()
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual([])
+    expect(setup.endpoint.isUnreachable).toBe(false)
   })
 
-  it('stays where news speaks of another start', async () => {
-    const place = await placeWithAll()
-    place.directory.noteUnresponsive(recordOf(2).start)
-    await place.clock.advance(LATE)
-    expect([place.ended, place.questions]).toEqual([[], 0])
+  it('stay open if the report is about another start', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteUnresponsive(recordOf(2).start)
+    await setup.clock.advance(LATE)
+    expect([setup.ended, setup.probes]).toEqual([[], 0])
   })
 
-  it('is asked about once at a time, and not at all where nothing could be ended', async () => {
-    const place = await placeWithAll()
-    place.directory.noteUnresponsive(recordOf().start)
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.questions).toBe(1)
+  it('cause one probe at a time, and none if no exchange could be ended', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteUnresponsive(recordOf().start)
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.probes).toBe(1)
   })
 
-  // What was sent to the front after the end did not end the engine.
-  it('is suspected only where it was sent before the first break', async () => {
-    const place = await placeWithAll()
-    const now = place.clock.monotonic()
-    place.endpoint.exchanges.noteReset({ now, heardAt: place.endpoint.heardAt })
-    await place.clock.advance(50)
-    place.send('to the front', GOES_ON)
-    place.endpoint.exchanges.noteReset({ now: now + 50, heardAt: place.endpoint.heardAt })
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.suspected).toEqual(ALL)
-    expect(place.ended).toContain('to the front')
+  // A request sent to the front after the crash did not crash the engine.
+  it('are suspected only if sent before the first reset', async () => {
+    const setup = await setUpWithAll()
+    const now = setup.clock.monotonic()
+    setup.endpoint.exchanges.noteReset({ now, heardAt: setup.endpoint.heardAt })
+    await setup.clock.advance(50)
+    setup.send('to the front', REPEATABLE)
+    setup.endpoint.exchanges.noteReset({ now: now + 50, heardAt: setup.endpoint.heardAt })
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.suspected).toEqual(ALL)
+    expect(setup.ended).toContain('to the front')
   })
 })
 
-describe('what is open at a start that answers while the loop of this instance is held', () => {
-  it.each([250, 400, 700])('stays where the answer is read after %i ms', async held => {
-    const place = await placeWithAll()
-    place.answer = { sign: 'lives', after: held + 1 }
-    place.clock.heldUntil = place.clock.monotonic() + held
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual([])
+describe("exchanges at a start that answers while this instance's event loop is blocked", () => {
+  it.each([250, 400, 700])('stay open if the answer is read after %i ms', async held => {
+    const setup = await setUpWithAll()
+    setup.answer = { result: 'lives', after: held + 1 }
+    setup.clock.heldUntil = setup.clock.monotonic() + held
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual([])
   })
 
-  it('stays where the loop is held in every turn', async () => {
-    const place = await placeWithAll()
-    const after = place.clock.after.bind(place.clock)
-    place.clock.after = (delay, run) => after(delay + PROBE_TIMEOUT_MILLISECONDS, run)
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual([])
+  it('stay open if the event loop is blocked in every turn', async () => {
+    const setup = await setUpWithAll()
+    const after = setup.clock.after.bind(setup.clock)
+    setup.clock.after = (delay, run) => after(delay + PROBE_TIMEOUT_MILLISECONDS, run)
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual([])
   })
 
-  it('ends where the question is held on once the loop is free', async () => {
-    const place = await placeWithAll()
-    place.clock.heldUntil = place.clock.monotonic() + PROBE_TIMEOUT_MILLISECONDS * 2
-    place.directory.noteUnresponsive(recordOf().start)
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual(['again', 'resume', 'once'])
+  it('end if the probe is still unanswered once the event loop is free', async () => {
+    const setup = await setUpWithAll()
+    setup.clock.heldUntil = setup.clock.monotonic() + PROBE_TIMEOUT_MILLISECONDS * 2
+    setup.directory.noteUnresponsive(recordOf().start)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual(['again', 'resume', 'once'])
   })
 })
 
-describe('what is open at a start that is over for certain', () => {
-  it('ends at once when its row tells of a new start', async () => {
-    const place = await placeWithAll()
-    place.directory.set(recordOf(2))
-    expect([place.ended, place.questions]).toEqual([ALL, 0])
+describe('exchanges at a start that has certainly terminated', () => {
+  it('end at once when the row shows a new start', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.set(recordOf(2))
+    expect([setup.ended, setup.probes]).toEqual([ALL, 0])
   })
 
-  it('ends at once when another server answers at its address', async () => {
-    const place = await placeWithAll()
-    place.directory.noteEnded(recordOf())
-    expect([place.ended, place.questions]).toEqual([ALL, 0])
+  it('end at once when another endpoint answers at the address', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteEnded(recordOf())
+    expect([setup.ended, setup.probes]).toEqual([ALL, 0])
   })
 
-  it('leaves what is open at the start that follows', async () => {
-    const place = await placeWithAll()
-    place.directory.set(recordOf(2))
-    place.directory.noteEnded(recordOf(1))
-    const [next] = place.directory.available('models')
+  it('do not include those at the next start', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.set(recordOf(2))
+    setup.directory.noteEnded(recordOf(1))
+    const [next] = setup.directory.available('models')
     expect(next?.start).toBe(recordOf(2).start)
   })
 })
 
-describe('what is open at a start that broke off an answer which had begun', () => {
-  it('goes on elsewhere after one question that is held, and ends for good after two', async () => {
-    const place = await placeWithAll()
-    place.directory.noteInterrupted(place.endpoint)
-    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
-    expect(place.ended).toEqual(['again', 'resume'])
-    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
-    expect(place.ended).toEqual(['again', 'resume', 'once'])
-    expect(place.suspected).toEqual([])
+describe('exchanges at a start that interrupted an answer', () => {
+  it('continue elsewhere after one unanswered probe, and end for good after two', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.noteInterrupted(setup.endpoint)
+    await setup.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
+    expect(setup.ended).toEqual(['again', 'resume'])
+    await setup.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
+    expect(setup.ended).toEqual(['again', 'resume', 'once'])
+    expect(setup.suspected).toEqual([])
   })
 
-  it.each<Answer>([
-    { sign: 'lives', after: 1 },
-    { sign: 'turned-away', after: 1 },
-    { sign: 'nobody-listens', after: 1 },
-    { sign: 'no-connection', after: Infinity },
-  ])('stays where the question comes to $sign', async answer => {
-    const place = await placeWithAll()
-    place.answer = answer
-    place.directory.noteInterrupted(place.endpoint)
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual([])
+  it.each<ProbeAnswer>([
+    { result: 'lives', after: 1 },
+    { result: 'turned-away', after: 1 },
+    { result: 'nobody-listens', after: 1 },
+    { result: 'no-connection', after: Infinity },
+  ])('stay open if the probe results in $result', async answer => {
+    const setup = await setUpWithAll()
+    setup.answer = answer
+    setup.directory.noteInterrupted(setup.endpoint)
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual([])
   })
 })
 
-describe('what is open at a start whose row is gone', () => {
-  it('stays where the endpoint serves on and tells its state', async () => {
-    const place = await placeWithAll()
-    place.answer = { sign: 'lives', after: 1 }
-    place.directory.remove('endpoint-1')
-    await place.clock.advance(LATE)
-    expect([place.ended, place.questions]).toEqual([[], 1])
+describe('exchanges at a start whose row was removed', () => {
+  it('stay open if the endpoint keeps serving and reports its state', async () => {
+    const setup = await setUpWithAll()
+    setup.answer = { result: 'lives', after: 1 }
+    setup.directory.remove('endpoint-1')
+    await setup.clock.advance(LATE)
+    expect([setup.ended, setup.probes]).toEqual([[], 1])
   })
 
-  it('stays where it closes its listener and serves on', async () => {
-    const place = await placeWithAll()
-    place.answer = { sign: 'nobody-listens', after: 1 }
-    place.directory.remove('endpoint-1')
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual([])
+  it('stay open if the endpoint closes its listener and keeps serving', async () => {
+    const setup = await setUpWithAll()
+    setup.answer = { result: 'nobody-listens', after: 1 }
+    setup.directory.remove('endpoint-1')
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual([])
   })
 
-  // A failure domain without power resets nothing.
-  it('goes on elsewhere where no connection comes up twice, and stays if it may run once', async () => {
-    const place = await placeWithAll()
-    place.answer = { sign: 'no-connection', after: Infinity }
-    place.directory.remove('endpoint-1')
-    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
-    expect(place.ended).toEqual([])
-    await place.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
-    expect(place.ended).toEqual(['again', 'resume'])
-    await place.clock.advance(LATE)
-    expect(place.ended).toEqual(['again', 'resume'])
+  // A failure domain without power resets no connection.
+  it('continue elsewhere after two failed connections, and stay open if they may run only once', async () => {
+    const setup = await setUpWithAll()
+    setup.answer = { result: 'no-connection', after: Infinity }
+    setup.directory.remove('endpoint-1')
+    await setup.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
+    expect(setup.ended).toEqual([])
+    await setup.clock.advance(LONG_PROBE_TIMEOUT_MILLISECONDS)
+    expect(setup.ended).toEqual(['again', 'resume'])
+    await setup.clock.advance(LATE)
+    expect(setup.ended).toEqual(['again', 'resume'])
   })
 
-  it('is not asked about where the endpoint said that it leaves', async () => {
-    const place = await placeWithAll()
-    place.directory.set(recordOf(1, true))
-    place.directory.remove('endpoint-1')
-    await place.clock.advance(LATE)
-    expect([place.ended, place.questions]).toEqual([[], 0])
+  it('cause no probe if the endpoint announced that it leaves', async () => {
+    const setup = await setUpWithAll()
+    setup.directory.set(recordOf(1, true))
+    setup.directory.remove('endpoint-1')
+    await setup.clock.advance(LATE)
+    expect([setup.ended, setup.probes]).toEqual([[], 0])
   })
 })
--- a/packages/router/__tests__/innocentSuspects.spec.ts
+++ b/packages/router/__tests__/innocentSuspects.spec.ts
@@ -4,26 +4,30 @@
 import { VirtualClock, asId, endpointStart } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 
-/** What is believed of a request was forgotten too early, or held against it for an end that it had no part in. */
+/**
+ * Faults guarded against: the suspicion of a request was forgotten too early, or a crash was attributed to a
+ * request that had no part in it.
+ */
 
 const START = endpointStart('endpoint-1', 1)
 const SUSPECT = asId<RequestFingerprint>('suspect-fingerprint')
-/** Nothing ever came from the endpoint. */
-const UNHEARD = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
+/** Nothing was ever received from the endpoint. */
+const NEVER_HEARD = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
 
-/** One instance; its looks show what the test decides, or are never over. */
-function setUp(sign: ProbeResult | 'pending') {
+/** One instance; the test sets the result of its probes, or they never complete. */
+function setUp(result: ProbeResult | 'pending') {
   const clock = new VirtualClock()
-  const looks: { sign: ProbeResult | 'pending' } = { sign }
+  const probe: { result: ProbeResult | 'pending' } = { result }
   const guard = new CrashGuard({
     clock,
-    probe: () => (looks.sign === 'pending' ? new Promise(() => {}) : Promise.resolve(looks.sign)),
+    probe: () =>
+      probe.result === 'pending' ? new Promise(() => {}) : Promise.resolve(probe.result),
     onCrash: () => {},
     onUnreachable: () => {},
     broadcast: () => {},
     onVerdict: () => {},
   })
-  const breakOff = (fingerprint = SUSPECT, wasIsolated = false) => {
+  const reset = (fingerprint = SUSPECT, wasIsolated = false) => {
     const endpoint = {
       id: 'endpoint-1',
       start: START,
@@ -32,54 +36,54 @@
       statePath: '/load',
       isPlannedShutdown: false,
       hasEnded: false,
-      heard: () => UNHEARD,
+      heard: () => NEVER_HEARD,
     }
     return guard.noteReset(endpoint, { fingerprint, wasIsolated, sentAt: clock.monotonic() })
   }
-  const hear = (news: { marks?: readonly CrashMark[]; away?: readonly (typeof START)[] }) => {
-    guard.applyNews({ marks: [], cleared: [], ...news })
+  const receive = (gossip: { marks?: readonly CrashMark[]; away?: readonly (typeof START)[] }) => {
+    guard.applyNews({ marks: [], cleared: [], ...gossip })
   }
-  return { clock, looks, guard, breakOff, hear }
+  return { clock, probe, guard, reset, receive }
 }
 
-describe('a request that was sent as any other and is still looked at', () => {
-  it('stays isolated where another instance tells of the end first', async () => {
-    const { clock, guard, breakOff, hear } = setUp('pending')
-    void breakOff()
+describe('an unsuspected request whose endpoint is still being probed', () => {
+  it('stays isolated if another instance reports the termination first', async () => {
+    const { clock, guard, reset, receive } = setUp('pending')
+    void reset()
     await clock.advance(10)
-    hear({ away: [START] })
+    receive({ away: [START] })
     expect(guard.verdict(SUSPECT)).toBe('isolate')
   })
 
-  it('stays isolated where the mark of another request of that start comes first', async () => {
-    const { clock, guard, breakOff, hear } = setUp('pending')
-    void breakOff()
+  it('stays isolated if the mark of another request at that start arrives first', async () => {
+    const { clock, guard, reset, receive } = setUp('pending')
+    void reset()
     await clock.advance(10)
     const fingerprint = asId<RequestFingerprint>('another-fingerprint')
-    hear({ marks: [{ fingerprint, start: START, wasIsolated: false }] })
+    receive({ marks: [{ fingerprint, start: START, wasIsolated: false }] })
     expect(guard.verdict(SUSPECT)).toBe('isolate')
   })
 })
 
-describe('a suspected request that a cut broke off', () => {
-  it('is not refused for an end that another instance tells of four seconds later', async () => {
-    const { clock, guard, breakOff, hear } = setUp('no-connection')
-    await breakOff(SUSPECT, true)
+describe('a suspected request that a cut link reset', () => {
+  it('is not refused for a termination that another instance reports four seconds later', async () => {
+    const { clock, guard, reset, receive } = setUp('no-connection')
+    await reset(SUSPECT, true)
     await clock.advance(4_000)
-    hear({ away: [START] })
+    receive({ away: [START] })
     expect(guard.verdict(SUSPECT)).toBe('send')
   })
 })
 
-describe('what a grey endpoint broke off while looks showed that it lives', () => {
-  it('is not told to newcomers', async () => {
-    const { clock, looks, guard, breakOff } = setUp('lives')
+describe('requests that a failing endpoint reset while probes found it alive', () => {
+  it('are not announced to new instances', async () => {
+    const { clock, probe, guard, reset } = setUp('lives')
     for (let count = 0; count < 100; count += 1) {
-      await breakOff(asId<RequestFingerprint>(`innocent-${count}`))
+      await reset(asId<RequestFingerprint>(`innocent-${count}`))
       await clock.advance(10)
     }
-    looks.sign = 'pending'
-    void breakOff()
+    probe.result = 'pending'
+    void reset()
     await clock.advance(0)
     expect(guard.newsSnapshot.suspected).toEqual([
       { fingerprint: SUSPECT, start: START, wasIsolated: false },
--- a/packages/router/__tests__/knownEnds.spec.ts
+++ b/packages/router/__tests__/knownEnds.spec.ts
@@ -4,27 +4,27 @@
 import type { RequestFingerprint } from '@rackwalk/shared'
 import { CrashGuard } from '@rackwalk/router'
 
-/** Which ends of endpoints give up what waits there, and with what times. */
+/** Which terminations release the requests waiting at an endpoint, and with which times. */
 
 const START = endpointStart('engine', 7)
 const FINGERPRINT = asId<RequestFingerprint>('request')
 
-function watch() {
+function setUp() {
   const clock = new VirtualClock()
-  const ends: KnownTermination[] = []
+  const terminations: KnownTermination[] = []
   const guard = new CrashGuard({
     clock,
     probe: async () => 'does-not-answer',
     onCrash: () => {},
     onUnreachable: () => {},
-    onKnownEnd: (_, end) => ends.push(end),
+    onKnownEnd: (_, termination) => terminations.push(termination),
     broadcast: () => {},
     onVerdict: () => {},
   })
-  return { clock, ends, guard }
+  return { clock, terminations, guard }
 }
 
-function breaking() {
+function resetOfEndpoint() {
   const endpoint = {
     id: 'engine',
     start: START,
@@ -38,38 +38,38 @@
   return [endpoint, { fingerprint: FINGERPRINT, wasIsolated: false, sentAt: 0 }] as const
 }
 
-describe('an end of an endpoint', () => {
-  it('is told by every look that shows it, with the time of the break and of that look', async () => {
-    const { clock, ends, guard } = watch()
+describe('a termination of an endpoint', () => {
+  it('is reported by every probe that shows it, with the times of the reset and of that probe', async () => {
+    const { clock, terminations, guard } = setUp()
     await clock.advance(1_000)
-    const known = guard.noteReset(...breaking())
+    const known = guard.noteReset(...resetOfEndpoint())
     await clock.advance(25)
     await known
     await clock.advance(500)
     guard.stop()
-    const [first] = ends
+    const [first] = terminations
     expect(first).toEqual({ source: 'look', brokenAt: 1_000, lookedAt: 1_025 })
-    expect(ends.at(-1)).toEqual({ source: 'look', brokenAt: 1_000, lookedAt: 1_525 })
+    expect(terminations.at(-1)).toEqual({ source: 'look', brokenAt: 1_000, lookedAt: 1_525 })
   })
 
-  it('is told by news of it, with the time of the first ones', async () => {
-    const { clock, ends, guard } = watch()
+  it('is reported by gossip, with the time of the first message', async () => {
+    const { clock, terminations, guard } = setUp()
     await clock.advance(1_000)
     guard.applyNews({ marks: [], cleared: [], away: [START] })
     await clock.advance(500)
     guard.applyNews({ marks: [], cleared: [], away: [START] })
-    expect(ends).toEqual([
+    expect(terminations).toEqual([
       { source: 'news', firstToldAt: 1_000, toldAt: 1_000 },
       { source: 'news', firstToldAt: 1_000, toldAt: 1_500 },
     ])
   })
 
-  it('is not told by a record of it, which may be a week old', () => {
-    const { ends, guard } = watch()
+  it('is not reported by a stored record, which may be a week old', () => {
+    const { terminations, guard } = setUp()
     guard.applyNews({
       marks: [{ fingerprint: FINGERPRINT, start: START, wasIsolated: false }],
       cleared: [],
     })
-    expect(ends).toEqual([])
+    expect(terminations).toEqual([])
   })
 })
--- a/packages/router/__tests__/peerLoads.spec.ts
+++ b/packages/router/__tests__/peerLoads.spec.ts
@@ -52,7 +52,7 @@
 }
 
 describe('PeerLoads', () => {
-  it('adds up what several instances have in progress', () => {
+  it('adds up the requests in progress of several instances', () => {
     const loads = new PeerLoads(new VirtualClock())
     loads.observe(report(1, 2))
     loads.observe({ ...report(1, 3), instance: 'other' })
@@ -60,7 +60,7 @@
     expect(loads.at('s2')).toEqual({ running: 0, pendingTokens: 0 })
   })
 
-  it('drops a report that comes late, and takes one of a new life of the instance', () => {
+  it('drops a report that arrives out of order, and accepts one from a new run of the instance', () => {
     const loads = new PeerLoads(new VirtualClock())
     loads.observe(report(100, 4))
     loads.observe(report(99, 1))
@@ -69,15 +69,15 @@
     expect(loads.at('s1').running).toBe(2)
   })
 
-  it('makes good a lost report with the next whole one', () => {
+  it('makes up for a lost report with the next full one', () => {
     const loads = new PeerLoads(new VirtualClock())
     loads.observe(report(1, 4))
-    // The report that this had ended was lost.
+    // The report that this request had ended was lost.
     loads.observe(report(3, 0, { isWhole: true }))
     expect(loads.at('s1')).toEqual({ running: 0, pendingTokens: 0 })
   })
 
-  it('forgets an instance that has fallen silent', async () => {
+  it('forgets a silent instance', async () => {
     const clock = new VirtualClock()
     const loads = new PeerLoads(clock)
     loads.observe(report(1, 4))
@@ -92,15 +92,15 @@
   })
 })
 
-describe('who uses endpoints', () => {
-  it('is seen from the work that it tells of, until some time after that has ended', async () => {
+describe('use of endpoints by an instance', () => {
+  it('follows from the work that it reports, until some time after that has ended', async () => {
     const clock = new VirtualClock()
     const loads = new PeerLoads(clock)
     loads.observe(report(1, 0))
     expect(loads.isUsing('peer')).toBe(false)
     loads.observe(report(2, 3))
     await clock.advance(10_000)
-    // A long answer is told of once.
+    // A long answer is reported only once.
     expect(loads.isUsing('peer')).toBe(true)
     loads.observe(report(3, 0, { isWhole: true }))
     expect(loads.isUsing('peer')).toBe(false)
@@ -122,11 +122,11 @@
     caches.noteSent('s1', PARTS, undefined)
     endpoint.running = 1
     endpoint.pendingTokens = 700
-    const told = [reporter.next(false), reporter.next(false)]
+    const reported = [reporter.next(false), reporter.next(false)]
     endpoint.running = 0
     endpoint.pendingTokens = 0
     expect([
-      ...told,
+      ...reported,
       reporter.next(false),
       reporter.next(false),
       reporter.next(true),
@@ -166,13 +166,13 @@
     const wholes: number[] = []
     const named: number[] = []
     for (let turn = 1; turn <= 24; turn += 1) {
-      const sign = reporter.heartbeatReport()
-      expect(sign).toMatchObject({ isWhole: false, sequence: 2 * turn - 1 })
-      named.push(sign.loads.length)
+      const heartbeat = reporter.heartbeatReport()
+      expect(heartbeat).toMatchObject({ isWhole: false, sequence: 2 * turn - 1 })
+      named.push(heartbeat.loads.length)
       if (reporter.next(true)?.isWhole) wholes.push(turn)
     }
     expect(wholes).toEqual([12, 24])
-    // Nothing was told before the first report, and a sign tells nothing that a report did not.
+    // Nothing was reported before the first report, and a heartbeat contains nothing that a report did not.
     expect(named).toEqual([0, ...Array.from({ length: 23 }, () => 1)])
   })
 
@@ -191,7 +191,7 @@
 })
 
 describe('PromptCaches', () => {
-  it('counts the first parts that an endpoint holds, up to one that it does not', () => {
+  it('counts the leading parts that an endpoint has cached, up to the first uncached one', () => {
     const caches = new PromptCaches()
     caches.note('s1', [{ id: 'system', tokens: 300 }], undefined)
     expect(caches.cachedTokens('s1', PARTS)).toBe(300)
@@ -202,7 +202,7 @@
     expect(caches.cachedTokens('s2', PARTS)).toBe(0)
   })
 
-  it('drops what was unused for longest when an endpoint is full', () => {
+  it('drops the least recently used part when an endpoint is full', () => {
     const caches = new PromptCaches()
     const capacity = 1_000
     caches.note('s1', [{ id: 'a', tokens: 300 }], capacity)
@@ -215,7 +215,7 @@
 })
 
 describe('the choice of an endpoint', () => {
-  it('counts what other instances have sent there', () => {
+  it('counts the requests of other instances', () => {
     const directory = directoryOf('s1', 's2')
     const peers = new PeerLoads(new VirtualClock())
     const fleet = {
@@ -238,7 +238,7 @@
         chance: new SystemRandom().next(),
       })[0]?.id
     }
-    // Found on played days: each instance saw a seventh of a long prompt queue.
+    // Guards against instances that each saw only a seventh of a long prompt queue.
     peers.observe(report(1, 5))
     expect(choose()).toBe('s2')
     peers.observe({ ...report(1, 9), instance: 'other', loads: [load('s2')] })
--- a/packages/router/__tests__/sendAdmission.spec.ts
+++ b/packages/router/__tests__/sendAdmission.spec.ts
@@ -6,7 +6,7 @@
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointStart } from '@rackwalk/shared'
 
-/** Whether an endpoint may be sent something, after whatever it said and however long nobody heard of it. */
+/** Whether an endpoint may be sent a request, after any advice and any time without contact. */
 
 const LONGEST_REST_MILLISECONDS = 60_000
 const ENDPOINTS = ['endpoint-1', 'endpoint-2', 'endpoint-3'].map(id => asId<EndpointStart>(id))
@@ -15,22 +15,22 @@
   const clock = new VirtualClock()
   const advices = new EndpointAdviceStore({ clock, onChange: () => {}, broadcast: () => {} })
   const instances = ['instance-1', 'instance-2', 'instance-3']
-  const permits = new SendAdmission({
+  const admission = new SendAdmission({
     clock,
     advices,
     instance: () => 'instance-1',
     recordedInstances: () => instances.map(instance => ({ instance, isWorking: true })),
     boundsOf: () => undefined,
   })
-  const subjects = ENDPOINTS.map(start => {
+  const targets = ENDPOINTS.map(start => {
     const sends = new SendHistory(clock)
-    const waitFor = (licence: RateQuota) => sends.waitFor(licence)
+    const waitFor = (quota: RateQuota) => sends.waitFor(quota)
     return { start, service: 'models', coldMilliseconds: 0, waitFor, sends }
   })
-  return { clock, advices, permits, subjects }
+  return { clock, advices, admission, targets }
 }
 
-/** What endpoints may write, sense and nonsense. */
+/** Headers that endpoints may send, valid or not. */
 const heads = fc.record({
   endpoint: fc.nat(ENDPOINTS.length - 1),
   rates: fc.array(
@@ -44,10 +44,10 @@
   pause: fc.nat(5_000),
 })
 
-describe('endpoints that ask for whatever they like', () => {
-  it('shut an instance out for no longer than is allowed', async () => {
+describe('endpoints with arbitrary advice', () => {
+  it('block an instance for no longer than is allowed', async () => {
     const property = fc.asyncProperty(fc.array(heads, { maxLength: 12 }), async all => {
-      const { clock, advices, permits, subjects } = create()
+      const { clock, advices, admission, targets } = create()
       for (const { endpoint, rates, rest, pause } of all) {
         const start = ENDPOINTS[endpoint]
         if (start === undefined) continue
@@ -56,39 +56,39 @@
           longestRestMilliseconds: LONGEST_REST_MILLISECONDS,
         }
         advices.note(start, parseAdvice({ ...NO_ADVICE_HEADERS, rates, rest }, context), true)
-        subjects[endpoint]?.sends.note()
+        targets[endpoint]?.sends.note()
         await clock.advance(pause)
       }
-      // Each in the order of those that share a rate may ask after a while without a word.
+      // Any instance that shares a rate may send a request after a while without contact.
       await clock.advance(LONGEST_REST_MILLISECONDS + 12_000)
-      expect(subjects.every(subject => permits.allows(subject))).toBe(true)
+      expect(targets.every(target => admission.allows(target))).toBe(true)
     })
     await fc.assert(property, { seed: 7, numRuns: 60 })
   })
 
-  it('are asked again at the time that a refusal tells', async () => {
-    const { clock, advices, permits, subjects } = create()
-    const [subject] = subjects
-    if (subject === undefined) return
+  it('are sent a request again after the wait that a refusal names', async () => {
+    const { clock, advices, admission, targets } = create()
+    const [target] = targets
+    if (target === undefined) return
     const context = { wallTime: 0, longestRestMilliseconds: LONGEST_REST_MILLISECONDS }
-    advices.note(subject.start, parseAdvice({ ...NO_ADVICE_HEADERS, rest: '3' }, context), false)
-    const refusal = permits.refusalOf(subject)
+    advices.note(target.start, parseAdvice({ ...NO_ADVICE_HEADERS, rest: '3' }, context), false)
+    const refusal = admission.refusalOf(target)
     expect(refusal).toEqual({ kind: 'rest', waitMilliseconds: 3_000 })
     await clock.advance(refusal?.waitMilliseconds ?? 0)
-    expect(permits.allows(subject)).toBe(true)
-    subject.sends.note()
-    expect(permits.allows(subject)).toBe(false)
-    advices.note(subject.start, parseAdvice(NO_ADVICE_HEADERS, context), true)
-    expect(permits.allows(subject)).toBe(true)
+    expect(admission.allows(target)).toBe(true)
+    target.sends.note()
+    expect(admission.allows(target)).toBe(false)
+    advices.note(target.start, parseAdvice(NO_ADVICE_HEADERS, context), true)
+    expect(admission.allows(target)).toBe(true)
   })
 
-  it('get nothing for longer where the machine was suspended meanwhile', () => {
-    const { clock, advices, permits, subjects } = create()
-    const [subject] = subjects
-    if (subject === undefined) return
+  it('stay blocked for longer if the machine was suspended meanwhile', () => {
+    const { clock, advices, admission, targets } = create()
+    const [target] = targets
+    if (target === undefined) return
     const context = { wallTime: 0, longestRestMilliseconds: LONGEST_REST_MILLISECONDS }
-    advices.note(subject.start, parseAdvice({ ...NO_ADVICE_HEADERS, rest: '3' }, context), false)
+    advices.note(target.start, parseAdvice({ ...NO_ADVICE_HEADERS, rest: '3' }, context), false)
     clock.suspend(10_000)
-    expect(permits.allows(subject)).toBe(false)
+    expect(admission.allows(target)).toBe(false)
   })
 })
--- a/packages/router/__tests__/standIns/markedChats.ts
+++ b/packages/router/__tests__/standIns/markedChats.ts
@@ -1,6 +1,7 @@
 /**
- * Several instances of the OpenAI-style kind on virtual time that are sent a chat which ends engines behind their fronts: the
- * real dispatch, choice and guard, with looks, news and held loops as a test orders them.
+ * Simulates on virtual time several OpenAI-style instances that are sent a chat which crashes engines behind
+ * their fronts: the real dispatch, choice and guard, with probes, gossip and blocked event loops as a test
+ * specifies them.
  */
 
 import { judgeWithdrawal } from '@rackwalk/decisions'
@@ -11,25 +12,25 @@
 
 export type Front = 'closes' | 'silent' | 'answers 500' | 'answers 503'
 
-/** When one instance does nothing, or sees too little of its looks to know anything. */
+/** A time during which one instance's event loop is blocked, or its probes are inconclusive. */
 interface Window {
   readonly instance: number
   readonly from: Milliseconds
   readonly until: Milliseconds
 }
 
-/** What is forced on a play. */
-export interface Order {
+/** Conditions of a simulation. */
+export interface Scenario {
   readonly front: Front
-  /** From the question to its answer; of a silent front a look takes 100 ms more. */
-  readonly lookMilliseconds?: readonly Milliseconds[]
-  /** Between any two instances, by the one that tells. */
-  readonly newsMilliseconds?: readonly Milliseconds[]
+  /** Duration of a probe, by instance; with a silent front a probe takes 100 ms more. */
+  readonly probeMilliseconds?: readonly Milliseconds[]
+  /** Delay of gossip between two instances, by sender. */
+  readonly gossipMilliseconds?: readonly Milliseconds[]
   readonly holds?: readonly Window[]
-  /** Looks that begin then prove nothing: their process is too busy to know. */
-  readonly blind?: readonly Window[]
+  /** Probes that begin then are inconclusive, as in a process that is too busy to know. */
+  readonly inconclusive?: readonly Window[]
   readonly markedMilliseconds?: Milliseconds
-  /** Time between two chats of others; none where undefined. */
+  /** Time between two chats of other callers; no such chats if undefined. */
   readonly otherMilliseconds?: Milliseconds
   readonly backMilliseconds?: Milliseconds
   readonly runMilliseconds?: Milliseconds
@@ -40,8 +41,8 @@
 const ENGINES = 8
 const MARKED = asId<RequestFingerprint>('marked-fingerprint')
 const RUN_MILLISECONDS = 5_000
-const BEGIN_MILLISECONDS = 3
-const BLIND_MILLISECONDS = 500
+const CRASH_MILLISECONDS = 3
+const INCONCLUSIVE_MILLISECONDS = 500
 const REPORT_MILLISECONDS = 100
 
 interface Exchange {
@@ -51,7 +52,7 @@
 
 class Engine {
   readonly id: EndpointId
-  ends = 0
+  crashes = 0
   isUp = true
   open = new Set<Exchange>()
 
@@ -60,7 +61,10 @@
   }
 }
 
-/** The clock of a process whose loop is held at times: what falls due then is done at the end of that. */
+/**
+ * The clock of a process whose event loop is blocked at times: timers that fall due then fire at the end of
+ * that time.
+ */
 class HeldClock implements Clock {
   constructor(
     private readonly clock: VirtualClock,
@@ -96,14 +100,14 @@
   readonly exchanges = new Map<EndpointId, Set<Exchange>>()
 
   constructor(
-    private readonly play: MarkedChats,
+    private readonly simulation: MarkedChats,
     readonly number: number,
     random: SeededRandom,
   ) {
-    const { catalogue, order } = play
+    const { catalogue, scenario } = simulation
     this.clock = new HeldClock(
-      play.clock,
-      (order.holds ?? []).filter(({ instance }) => instance === number),
+      simulation.clock,
+      (scenario.holds ?? []).filter(({ instance }) => instance === number),
     )
     const { clock } = this
     this.endpoints = new EndpointTable(
@@ -114,20 +118,21 @@
     )
     this.guard = new CrashGuard({
       clock,
-      probe: ({ address }) => play.look(this, address),
-      onCrash: end => {
-        const { id } = end.endpoint
-        const marks = end.unanswered.filter(({ fingerprint }) => fingerprint === MARKED)
-        play.log(
+      probe: ({ address }) => simulation.probe(this, address),
+      onCrash: crash => {
+        const { id } = crash.endpoint
+        const marks = crash.unanswered.filter(({ fingerprint }) => fingerprint === MARKED)
+        simulation.log(
           this,
-          `known end of ${id}, ${marks.map(m => (m.wasIsolated ? 'isolated' : 'sent')).join()}`,
+          `detected crash of ${id}, ${marks.map(m => (m.wasIsolated ? 'isolated' : 'sent')).join()}`,
         )
       },
       onUnreachable: start => this.endpoints.noteUnreachable(endpointOf(start)),
-      onKnownEnd: (start, end) => this.noteKnownEnd(endpointOf(start), end),
-      broadcast: news => play.tell(this, news),
+      onKnownEnd: (start, termination) => this.applyTermination(endpointOf(start), termination),
+      broadcast: gossip => simulation.broadcast(this, gossip),
       onVerdict: (fingerprint, isRefused) => {
-        if (fingerprint === MARKED) play.log(this, isRefused ? 'refused' : 'no longer refused')
+        if (fingerprint === MARKED)
+          simulation.log(this, isRefused ? 'refused' : 'no longer refused')
       },
     })
     this.router = new EndpointRouter({
@@ -159,7 +164,7 @@
 
   private attempt({ endpointId, headers }: { endpointId: EndpointId; headers: object }) {
     const isMarked = 'x-marked' in headers
-    const engine = this.play.engines.find(({ id }) => id === endpointId) as Engine
+    const engine = this.simulation.engines.find(({ id }) => id === endpointId) as Engine
     return new Promise<object>(resolve => {
       const sentAt = this.clock.monotonic()
       const exchange: Exchange = {
@@ -172,11 +177,11 @@
       }
       const there = this.exchanges.get(endpointId) ?? new Set()
       this.exchanges.set(endpointId, there.add(exchange))
-      this.play.arrive(this, engine, exchange, isMarked)
+      this.simulation.arrive(this, engine, exchange, isMarked)
     })
   }
 
-  private noteKnownEnd(endpointId: EndpointId, end: KnownTermination): void {
+  private applyTermination(endpointId: EndpointId, termination: KnownTermination): void {
     const { askedAt } = this.endpoints.lastHeard(endpointId)
     for (const exchange of [...(this.exchanges.get(endpointId) ?? [])]) {
       const { sentAt } = exchange
@@ -187,7 +192,7 @@
         isRepeatable: true,
         firstDoubtedAt: undefined,
       }
-      const fate = judgeWithdrawal(open, end, askedAt)
+      const fate = judgeWithdrawal(open, termination, askedAt)
       if (fate === 'none' || fate === 'doubted') continue
       const isAttributed = fate !== 'was-there'
       exchange.fail({
@@ -200,11 +205,11 @@
     }
   }
 
-  /** A caller's chat; refused ones are sent nowhere. */
+  /** Sends a caller's chat; refused ones are sent nowhere. */
   async send(isMarked: boolean, name: string): Promise<boolean> {
     const fingerprint = isMarked ? MARKED : asId<RequestFingerprint>(name)
     const verdict = this.guard.verdict(fingerprint)
-    if (isMarked) this.play.log(this, `try: ${verdict}`)
+    if (isMarked) this.simulation.log(this, `try: ${verdict}`)
     if (verdict === 'refuse') return false
     const request = {
       incoming: {
@@ -235,7 +240,7 @@
   }
 }
 
-/** One play of an order. */
+/** One run of a scenario. */
 export class MarkedChats {
   readonly clock = new VirtualClock()
   readonly engines = Array.from({ length: ENGINES }, (_, number) => new Engine(number))
@@ -245,7 +250,7 @@
   private others = 0
   private served = 0
 
-  constructor(readonly order: Order) {
+  constructor(readonly scenario: Scenario) {
     const endpoints = this.engines.map(({ id }) => ({
       endpointId: id,
       spec: {
@@ -262,7 +267,7 @@
       isEvacuated: () => false,
       policyFor: () => ({ retryShare: 0.1, policy: 'expected-first-token' }),
     }
-    const random = new SeededRandom(order.seed ?? 1)
+    const random = new SeededRandom(scenario.seed ?? 1)
     this.members = Array.from(
       { length: INSTANCES },
       (_, number) => new Member(this, number, random),
@@ -275,37 +280,37 @@
     )
   }
 
-  tell(from: Member, news: CrashGossip): void {
-    const delay = this.order.newsMilliseconds?.[from.number] ?? 2
+  broadcast(from: Member, gossip: CrashGossip): void {
+    const delay = this.scenario.gossipMilliseconds?.[from.number] ?? 2
     for (const member of this.members) {
-      if (member !== from) member.clock.after(delay, () => member.guard.applyNews(news))
+      if (member !== from) member.clock.after(delay, () => member.guard.applyNews(gossip))
     }
   }
 
-  look(member: Member, address: string): Promise<ProbeResult> {
+  probe(member: Member, address: string): Promise<ProbeResult> {
     const now = this.clock.monotonic()
     const engine = this.engines.find(({ id }) => address.startsWith(`${id}:`)) as Engine
-    const blind = this.order.blind?.some(({ instance, from, until }) => {
+    const inconclusive = this.scenario.inconclusive?.some(({ instance, from, until }) => {
       return instance === member.number && now >= from && now < until
     })
-    const duration = this.order.lookMilliseconds?.[member.number] ?? 4
+    const duration = this.scenario.probeMilliseconds?.[member.number] ?? 4
     return new Promise(resolve => {
-      if (blind === true)
-        return void member.clock.after(BLIND_MILLISECONDS, () => resolve('no-connection'))
-      // The question is there half way.
+      if (inconclusive === true)
+        return void member.clock.after(INCONCLUSIVE_MILLISECONDS, () => resolve('no-connection'))
+      // The probe request arrives after half of the time.
       this.clock.after(duration / 2, () => {
-        const sign = engine.isUp ? 'lives' : 'does-not-answer'
-        const held = !engine.isUp && this.order.front === 'silent' ? 100 : 0
+        const result = engine.isUp ? 'lives' : 'does-not-answer'
+        const held = !engine.isUp && this.scenario.front === 'silent' ? 100 : 0
         member.clock.after(duration / 2 + held, () => {
-          this.log(member, `look at ${engine.id}: ${sign}`)
-          resolve(sign)
+          this.log(member, `probe of ${engine.id}: ${result}`)
+          resolve(result)
         })
       })
     })
   }
 
   arrive(member: Member, engine: Engine, exchange: Exchange, isMarked: boolean): void {
-    const { front } = this.order
+    const { front } = this.scenario
     const broken = { kind: 'failed', reason: 'broken off', stalled: false }
     const reply = (status: number) => ({
       kind: 'answering',
@@ -314,9 +319,9 @@
     if (isMarked) this.log(member, `sent to ${engine.id}${engine.isUp ? '' : ' (front)'}`)
     if (engine.isUp) {
       engine.open.add(exchange)
-      this.clock.after(isMarked ? BEGIN_MILLISECONDS : 20, () => {
+      this.clock.after(isMarked ? CRASH_MILLISECONDS : 20, () => {
         if (!engine.open.has(exchange)) return
-        if (isMarked) this.end(engine)
+        if (isMarked) this.crash(engine)
         else exchange.fail(reply(200))
       })
     } else if (front === 'closes') exchange.fail(broken)
@@ -324,29 +329,31 @@
     else if (front === 'answers 503') exchange.fail(reply(503))
   }
 
-  private end(engine: Engine): void {
-    engine.ends += 1
-    this.log(undefined, `END ${this.ends}: ${engine.id}`)
+  private crash(engine: Engine): void {
+    engine.crashes += 1
+    this.log(undefined, `END ${this.crashes}: ${engine.id}`)
     engine.isUp = false
     for (const exchange of [...engine.open]) {
       exchange.fail({ kind: 'failed', reason: 'broken off', stalled: false })
     }
-    this.clock.after(this.order.backMilliseconds ?? 2_000, () => {
+    this.clock.after(this.scenario.backMilliseconds ?? 2_000, () => {
       engine.isUp = true
     })
   }
 
-  get ends(): number {
-    return this.engines.reduce((sum, { ends }) => sum + ends, 0)
+  get crashes(): number {
+    return this.engines.reduce((sum, { crashes }) => sum + crashes, 0)
   }
 
-  /** Ends, and the share of others that were served. */
-  async run(): Promise<{ ends: number; served: number }> {
+  /**
+   * Runs the simulation. Resolves with the number of crashes and the share of other chats that were served.
+   */
+  async run(): Promise<{ crashes: number; served: number }> {
     const {
       markedMilliseconds = 250,
       otherMilliseconds,
       runMilliseconds = RUN_MILLISECONDS,
-    } = this.order
+    } = this.scenario
     for (let at = 10, count = 0; at < runMilliseconds; at += markedMilliseconds, count += 1) {
       this.sendAt(at, count, true)
     }
@@ -358,7 +365,7 @@
     for (const member of this.members) this.report(member, runMilliseconds)
     await this.clock.advance(runMilliseconds + 1_000)
     for (const { guard } of this.members) guard.stop()
-    return { ends: this.ends, served: this.served / Math.max(1, this.others) }
+    return { crashes: this.crashes, served: this.served / Math.max(1, this.others) }
   }
 
   private sendAt(at: Milliseconds, count: number, isMarked: boolean): void {
--- a/packages/router/__tests__/standIns/scriptedAnswer.ts
+++ b/packages/router/__tests__/standIns/scriptedAnswer.ts
@@ -5,25 +5,25 @@
 import { UpstreamExchange } from '@rackwalk/router'
 import type { AbortReason } from '@rackwalk/router'
 
-/** One answer of an endpoint, byte by byte, and a reader of it. */
+/** One scripted answer of an endpoint, byte by byte, and the behaviour of its reader. */
 export interface AnswerScript {
   readonly framing: AnswerFraming
   readonly pieces: readonly string[]
-  /** Bytes of the wire that are not sent. */
+  /** Number of bytes at the end of the wire data that are not sent. */
   readonly missing: number
-  /** Where the wire is cut into writes; each is sent in a turn of its own. */
+  /** Positions at which the wire data is split into writes; each one is sent in a turn of its own. */
   readonly splits: readonly number[]
   /** How the endpoint leaves the connection, in the turn of its last bytes. */
   readonly ending: 'stays' | 'closes' | 'resets'
-  /** Whether the reader stops at the first bytes until all else has happened. */
+  /** Whether the reader pauses at the first bytes until everything else has happened. */
   readonly isReaderSlow: boolean
-  /** Whether a reader that stopped never goes on. */
+  /** Whether a paused reader never resumes. */
   readonly isReaderStuck?: boolean
-  /** Why the reader gives up after the first bytes, if it does. */
+  /** Why the reader aborts after the first bytes, if it does. */
   readonly abort: AbortReason | undefined
 }
 
-/** What the reader got. */
+/** The answer as received by the reader. */
 export interface ReadAnswer {
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
@@ -37,7 +37,7 @@
   bodiless: () => '',
 }
 
-/** All that the endpoint would send, after the head. */
+/** Everything that the endpoint would send after the head. */
 export function wireOf({ framing, pieces }: AnswerScript): string {
   if (framing === 'bodiless') return ''
   if (framing !== 'chunks') return pieces.join('')
@@ -59,7 +59,7 @@
     for (const socket of this.sockets) socket.destroy()
   }
 
-  /** Has the script's answer read to its end. */
+  /** Reads the scripted answer to its end. */
   async read(script: AnswerScript): Promise<ReadAnswer> {
     this.script = script
     const { port } = this.server.address() as AddressInfo
@@ -81,7 +81,7 @@
 
   private serve(socket: Socket): void {
     this.sockets.add(socket)
-    // A reset drops what the socket still holds back to send it with more.
+    // A reset drops data that the socket still buffers in order to send it with more.
     socket.setNoDelay(true)
     socket.on('error', () => {})
     socket.on('close', () => this.sockets.delete(socket))
@@ -135,10 +135,10 @@
   })
 }
 
-/** The reader of an answer whose rest never comes gives up after this long. */
+/** The reader of an answer whose rest never arrives gives up after this time. */
 const PATIENCE_MILLISECONDS = 30
 
-/** Lets whatever is ready be read. */
+/** Lets pending input be read. */
 function turn(): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, 1))
 }
--- a/packages/router/__tests__/streamOrigins.spec.ts
+++ b/packages/router/__tests__/streamOrigins.spec.ts
@@ -6,7 +6,7 @@
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { SoftwareVersion, StreamKey } from '@rackwalk/shared'
 
-/** What one instance remembers of streams, what it tells of them, and whom it asks. */
+/** What one instance remembers of streams, what it sends to others, and whom it asks. */
 
 const SERVICE = 'models'
 const KEY = asId<StreamKey>('stream')
@@ -25,7 +25,7 @@
 function setUp(answers: readonly OriginAnswer[] = []) {
   const clock = new VirtualClock()
   const listed = new Set<SoftwareVersion>()
-  const told: string[] = []
+  const sent: string[] = []
   const asked: string[] = []
   let isListFresh = true
   const origins = new StreamOrigins({
@@ -33,9 +33,9 @@
     listedVersions: () => listed,
     isListFresh: () => isListFresh,
     replicateStreams: begun =>
-      told.push(...begun.map(({ key, origin }) => `${key} began at ${origin.softwareVersion}`)),
+      sent.push(...begun.map(({ key, origin }) => `${key} began at ${origin.softwareVersion}`)),
     broadcastVersions: versions =>
-      told.push(versions.map(({ softwareVersion }) => softwareVersion).join(' and ')),
+      sent.push(versions.map(({ softwareVersion }) => softwareVersion).join(' and ')),
     ask: async ({ key }) => {
       asked.push(key ?? 'unnamed')
       return Promise.resolve(answers)
@@ -54,7 +54,7 @@
     return `${origin?.softwareVersion ?? 'nowhere'} (${source})`
   }
   const cutOff = () => (isListFresh = false)
-  return { clock, origins, told, asked, list, drop, find, cutOff }
+  return { clock, origins, sent, asked, list, drop, find, cutOff }
 }
 
 function answer(origins: readonly string[], versions: readonly string[]): OriginAnswer {
@@ -62,37 +62,37 @@
 }
 
 describe('an instance', () => {
-  it('tells and asks nothing while one software version serves', async () => {
-    const { clock, origins, told, asked, list, find } = setUp()
+  it('sends and asks nothing while only one software version serves', async () => {
+    const { clock, origins, sent, asked, list, find } = setUp()
     list('v1')
     await clock.advance(RESUMPTION_WINDOW_MILLISECONDS)
     origins.noteStarted(begunAt('v1'))
     expect(await find(KEY)).toBe('v1 (remembered)')
     expect(await find(OTHER)).toBe('v1 (only-version)')
-    expect([told, asked]).toEqual([[], []])
+    expect([sent, asked]).toEqual([[], []])
   })
 
-  it('tells keepers of each stream while several serve, and of its own when a second one appears', () => {
-    const { origins, told, list } = setUp()
+  it('replicates each stream while several versions serve, and its own earlier ones when a second version appears', () => {
+    const { origins, sent, list } = setUp()
     list('v1')
     origins.noteStarted(begunAt('v1'))
     list('v1.1')
     origins.noteStarted(begunAt('v1.1', LATER))
-    expect(told).toEqual(['stream began at v1', 'v1 and v1.1', 'later began at v1.1'])
+    expect(sent).toEqual(['stream began at v1', 'v1 and v1.1', 'later began at v1.1'])
   })
 
-  it('learns of a version from another instance before its row comes', () => {
-    const { origins, told, list } = setUp()
+  it('learns of a version from another instance before its row is read', () => {
+    const { origins, sent, list } = setUp()
     list('v1')
     origins.noteStarted(begunAt('v1'))
     origins.observe({ begun: [], versions: [originOf('v1'), originOf('v1.1')] })
-    expect(told).toEqual(['stream began at v1'])
+    expect(sent).toEqual(['stream began at v1'])
     list('v1.1')
-    expect(told).toEqual(['stream began at v1'])
+    expect(sent).toEqual(['stream began at v1'])
     expect(origins.versionsSnapshot).toEqual([originOf('v1'), originOf('v1.1')])
   })
 
-  it('goes on with a stream that it was told of, without a question', async () => {
+  it('continues a replicated stream without asking', async () => {
     const { origins, asked, list, find } = setUp()
     list('v1')
     list('v1.1')
@@ -101,7 +101,7 @@
     expect(asked).toEqual([])
   })
 
-  it('asks where it does not remember, and refuses where nobody does', async () => {
+  it('asks if it does not remember a stream, and refuses if no instance does', async () => {
     const knowing = setUp([answer([], ['v1', 'v1.1']), answer(['v1'], ['v1', 'v1.1'])])
     knowing.list('v1')
     knowing.list('v1.1')
@@ -115,7 +115,7 @@
     expect(await alone.find(KEY)).toBe('nowhere (unknown)')
   })
 
-  it('goes on at the only version right after its start where the others know no other', async () => {
+  it('continues at the only version right after its start if the others know no other', async () => {
     const { asked, list, find } = setUp([answer([], ['v1'])])
     list('v1')
     expect([await find(KEY), await find(undefined)]).toEqual([
@@ -125,7 +125,7 @@
     expect(asked).toEqual(['stream', 'unnamed'])
   })
 
-  it('does not go on anywhere where two tell it differently', async () => {
+  it('continues nowhere if two instances report different origins', async () => {
     const { origins, list, find } = setUp()
     list('v1')
     list('v1.1')
@@ -134,7 +134,7 @@
     expect(await find(KEY)).toBe('nowhere (contradictory)')
   })
 
-  it('counts a version that has gone for as long as its streams may be taken up', async () => {
+  it('counts a removed version for as long as its streams may be resumed', async () => {
     const { clock, list, drop, find } = setUp()
     list('v1')
     list('v1.1')
@@ -146,25 +146,25 @@
   })
 })
 
-describe('the memory of streams', () => {
-  it('forgets a stream when its caller can no longer come back', async () => {
+describe('the cache of stream origins', () => {
+  it('forgets a stream when its caller can no longer resume it', async () => {
     const clock = new VirtualClock()
-    const memory = new StreamOriginCache(clock)
-    memory.note(begunAt('v1'), true)
+    const cache = new StreamOriginCache(clock)
+    cache.note(begunAt('v1'), true)
     await clock.advance(LIFETIME - 1)
-    expect(memory.originsOf(KEY)).toEqual([originOf('v1')])
+    expect(cache.originsOf(KEY)).toEqual([originOf('v1')])
     await clock.advance(1)
-    expect([memory.originsOf(KEY), memory.servedLocally(SERVICE)]).toEqual([[], []])
+    expect([cache.originsOf(KEY), cache.servedLocally(SERVICE)]).toEqual([[], []])
   })
 
-  it('is bounded, and lets the oldest go', () => {
-    const memory = new StreamOriginCache(new VirtualClock())
+  it('is bounded and drops the oldest streams', () => {
+    const cache = new StreamOriginCache(new VirtualClock())
     for (let index = 0; index < 20_000; index += 1) {
-      memory.note(begunAt('v1', asId<StreamKey>(`stream-${index}`)), index % 2 === 0)
+      cache.note(begunAt('v1', asId<StreamKey>(`stream-${index}`)), index % 2 === 0)
     }
-    expect(memory.size).toBe(16_384)
-    expect(memory.originsOf(asId<StreamKey>('stream-0'))).toEqual([])
-    expect(memory.originsOf(asId<StreamKey>('stream-19999'))).toEqual([originOf('v1')])
-    expect(memory.servedLocally(SERVICE).length).toBe(8_192)
+    expect(cache.size).toBe(16_384)
+    expect(cache.originsOf(asId<StreamKey>('stream-0'))).toEqual([])
+    expect(cache.originsOf(asId<StreamKey>('stream-19999'))).toEqual([originOf('v1')])
+    expect(cache.servedLocally(SERVICE).length).toBe(8_192)
   })
 })
--- a/packages/router/__tests__/streamPace.spec.ts
+++ b/packages/router/__tests__/streamPace.spec.ts
@@ -2,7 +2,7 @@
 import { PauseStretchTracker, PrefillTracker, StreamPace, latenessCause } from '@rackwalk/router'
 import { VirtualClock } from '@rackwalk/shared'
 
-/** Sight of streams: their pauses and pace, and what endpoints read beside them. */
+/** Pauses and pace of streams, and prompts that endpoints read at the same time. */
 
 async function time(pauses: readonly number[], pendingTokens: (now: number) => number) {
   const clock = new VirtualClock()
@@ -22,17 +22,17 @@
 const STEADY = Array.from({ length: 20 }, () => 25)
 
 describe('the pace of a stream', () => {
-  it('is told every eight events, the first one aside', async () => {
+  it('is reported every eight events, not counting the first one', async () => {
     const { paces } = await time([400, ...STEADY], () => 0)
     expect(paces).toEqual([25, 25])
   })
 
-  it('is not told while its endpoint reads beside it', async () => {
+  it('is not reported while its endpoint reads other prompts', async () => {
     const { paces } = await time([400, ...STEADY], now => (now < 520 ? 9_000 : 0))
     expect(paces).toEqual([25])
   })
 
-  it('knows its longest pause and what was to be read when that began or ended', async () => {
+  it('includes the longest pause and the pending tokens when that began or ended', async () => {
     const { longestPause } = await time([400, 25, 310, 25], now => (now < 500 ? 9_000 : 100))
     expect(longestPause).toEqual({ milliseconds: 310, pendingTokens: 9_000 })
   })
@@ -43,33 +43,33 @@
   })
 })
 
-describe('what endpoints read', () => {
-  it('fades, counts long prompts only, and ends with the endpoint', async () => {
+describe('prompts that endpoints read', () => {
+  it('are summed with decay, only if long, until the endpoint is removed', async () => {
     const clock = new VirtualClock()
-    const meter = new PrefillTracker(clock)
-    meter.note('s1', 8_000)
-    meter.note('s1', 1_999)
-    meter.note('s1', -8_000)
-    const tokens = [meter.recentTokens('s1')]
+    const tracker = new PrefillTracker(clock)
+    tracker.note('s1', 8_000)
+    tracker.note('s1', 1_999)
+    tracker.note('s1', -8_000)
+    const tokens = [tracker.recentTokens('s1')]
     await clock.advance(1_500)
-    tokens.push(meter.recentTokens('s1'))
-    meter.note('s1', 2_000)
-    tokens.push(meter.recentTokens('s1'))
-    meter.forget('s1')
-    tokens.push(meter.recentTokens('s1'))
+    tokens.push(tracker.recentTokens('s1'))
+    tracker.note('s1', 2_000)
+    tokens.push(tracker.recentTokens('s1'))
+    tracker.forget('s1')
+    tokens.push(tracker.recentTokens('s1'))
     expect(tokens).toEqual([8_000, 4_000, 6_000, 0])
   })
 
-  it('stretches pauses by service, as those beside long prompts tell', () => {
-    const meter = new PauseStretchTracker()
-    meter.note('model', { milliseconds: 290, pendingTokens: 500 }, 300)
-    expect(meter.stretchOf('model')).toBeUndefined()
-    meter.note('model', { milliseconds: 270, pendingTokens: 9_000 }, 300)
-    expect([meter.stretchOf('model'), meter.stretchOf('other')]).toEqual([0.9, undefined])
+  it('stretch pauses, which are tracked by service', () => {
+    const tracker = new PauseStretchTracker()
+    tracker.note('model', { milliseconds: 290, pendingTokens: 500 }, 300)
+    expect(tracker.stretchOf('model')).toBeUndefined()
+    tracker.note('model', { milliseconds: 270, pendingTokens: 9_000 }, 300)
+    expect([tracker.stretchOf('model'), tracker.stretchOf('other')]).toEqual([0.9, undefined])
   })
 })
 
-describe('an answer', () => {
+describe('lateness of an answer', () => {
   const route = { goalMilliseconds: 1_000, pauseGoalMilliseconds: 300 }
   const pause = (milliseconds: number) => ({ milliseconds, pendingTokens: 0 })
 
@@ -83,7 +83,7 @@
     expect(latenessCause(route, { firstByteMilliseconds, longestPause })).toBe(expected)
   })
 
-  it('may pause where callers accept any pause', () => {
+  it('is not caused by a pause if callers accept any pause', () => {
     const patient = { ...route, pauseGoalMilliseconds: undefined }
     const times = { firstByteMilliseconds: 500, longestPause: pause(9_000) }
     expect(latenessCause(patient, times)).toBeUndefined()
--- a/packages/router/__tests__/suspectNews.spec.ts
+++ b/packages/router/__tests__/suspectNews.spec.ts
@@ -10,16 +10,19 @@
 } from '@rackwalk/shared'
 import type { RequestFingerprint } from '@rackwalk/shared'
 
-/** All that was open at an endpoint was told to all instances, one by one, as often as the endpoint was told of as away. */
+/**
+ * Guards against gossip floods: all requests that were open at an endpoint were announced to all instances
+ * one by one, each time the endpoint was reported as unresponsive.
+ */
 
 const START = endpointStart('endpoint-1', 1)
-const UNHEARD = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
-/** Requests that are open there. */
+const NEVER_HEARD = { askedAt: Number.NEGATIVE_INFINITY, readAt: Number.NEGATIVE_INFINITY }
+/** Requests that are open at the endpoint. */
 const OPEN = 30
-/** Time between two times that it is told of as away. */
-const AWAY_MILLISECONDS = 500
+/** Time between two reports that the endpoint is unresponsive. */
+const REPORT_MILLISECONDS = 500
 
-/** What is open at the one endpoint that is listed. */
+/** Open exchanges of the only listed endpoint. */
 function exchangesAt(clock: VirtualClock) {
   const directory = new EndpointDirectory({
     clock,
@@ -42,31 +45,31 @@
   return endpoint.exchanges
 }
 
-/** Open exchanges with one start, and what is told of them to others; a look takes so long and shows this. */
-function setUp(sign: ProbeResult, lookMilliseconds: number) {
+/** Open exchanges with one start, and the gossip about them; a probe takes this long and has this result. */
+function setUp(result: ProbeResult, probeMilliseconds: number) {
   const clock = new VirtualClock()
-  const news: CrashGossip[] = []
+  const broadcasts: CrashGossip[] = []
   const guard = new CrashGuard({
     clock,
     probe: async () => {
-      await sleep(clock, lookMilliseconds)
-      return sign
+      await sleep(clock, probeMilliseconds)
+      return result
     },
     onCrash: () => {},
     onUnreachable: () => {},
-    broadcast: told => news.push(told),
+    broadcast: gossip => broadcasts.push(gossip),
     onVerdict: () => {},
   })
   const exchanges = exchangesAt(clock)
   const known = {
     isPlannedShutdown: false,
     hasEnded: false,
-    heard: () => UNHEARD,
+    heard: () => NEVER_HEARD,
     isStartReported: true,
   }
   const address = '127.0.0.1:1'
   const endpoint = { id: 'endpoint-1', start: START, service: 'models', address, ...known }
-  const breaking = { ...endpoint, statePath: '/load' }
+  const suspectEndpoint = { ...endpoint, statePath: '/load' }
   for (let count = 0; count < OPEN; count += 1) {
     const fingerprint = asId<RequestFingerprint>(`fingerprint-${count}`)
     const request = { fingerprint, wasIsolated: false, sentAt: 0 }
@@ -79,7 +82,7 @@
         isPaused: false,
       },
       statePath: '/load',
-      suspect: () => void guard.noteReset(breaking, request),
+      suspect: () => void guard.noteReset(suspectEndpoint, request),
       end: () => {},
     })
   }
@@ -87,29 +90,29 @@
     await clock.advance(1_000)
     for (let time = 0; time < times; time += 1) {
       exchanges.suspect(clock.monotonic())
-      await clock.advance(AWAY_MILLISECONDS)
+      await clock.advance(REPORT_MILLISECONDS)
     }
     guard.stop()
   }
-  const suspected = () => news.filter(told => (told.suspected ?? []).length > 0)
-  const marks = () => news.flatMap(told => told.marks)
-  return { guard, suspectAt, suspected, marks, news }
+  const suspected = () => broadcasts.filter(gossip => (gossip.suspected ?? []).length > 0)
+  const marks = () => broadcasts.flatMap(gossip => gossip.marks)
+  return { guard, suspectAt, suspected, marks, broadcasts }
 }
 
-describe('requests that are open at an endpoint that is told of as away', () => {
-  it('are told to others together, and once where the look shows an end', async () => {
-    const { suspectAt, suspected, marks, news } = setUp('does-not-answer', 10)
+describe('requests that are open at an endpoint that is reported as unresponsive', () => {
+  it('are announced to peers together, and once if the probe shows a termination', async () => {
+    const { suspectAt, suspected, marks, broadcasts } = setUp('does-not-answer', 10)
     await suspectAt(5)
     expect(suspected()).toHaveLength(2)
-    expect(suspected().flatMap(told => told.suspected)).toHaveLength(OPEN)
+    expect(suspected().flatMap(gossip => gossip.suspected)).toHaveLength(OPEN)
     expect(marks()).toHaveLength(OPEN)
-    expect(news.filter(told => told.marks.length > 0)).toHaveLength(1)
+    expect(broadcasts.filter(gossip => gossip.marks.length > 0)).toHaveLength(1)
   })
 
-  it('are told again together, each once, for as long as the look takes', async () => {
+  it('are announced again together, each once, for as long as the probe takes', async () => {
     const { guard, suspectAt, suspected } = setUp('does-not-answer', 10_000)
     await suspectAt(4)
-    expect(suspected().map(told => told.suspected?.length)).toEqual([
+    expect(suspected().map(gossip => gossip.suspected?.length)).toEqual([
       1,
       OPEN - 1,
       OPEN,
@@ -120,10 +123,10 @@
     expect(guard.verdict(asId(`fingerprint-${OPEN - 1}`))).toBe('isolate')
   })
 
-  it('are told together with each look that showed nothing', async () => {
+  it('are announced together with each inconclusive probe', async () => {
     const { suspectAt, suspected, marks } = setUp('no-connection', 10)
     await suspectAt(3)
-    expect(suspected().map(told => told.suspected?.length)).toEqual(
+    expect(suspected().map(gossip => gossip.suspected?.length)).toEqual(
       [0, 1, 2].flatMap(() => [1, OPEN - 1]),
     )
     expect(marks()).toEqual([])
