--- a/packages/router/src/crashes/crashGuard.ts
+++ b/packages/router/src/crashes/crashGuard.ts
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Number of requests refused because of crash marks. Requests that are refused only until a probe ends have
-   * no record and are not counted.
+   * Number of requests refused because of crash marks. Requests that are refused provisionally until their
+   * mark arrives have no record and are not counted.
    */
   get refusedCount(): number {
     return this.quarantine.refusedCount
--- a/packages/router/src/crashes/endpointCrashDetector.ts
+++ b/packages/router/src/crashes/endpointCrashDetector.ts
@@ -270,9 +270,9 @@
   }
 
   /**
-   * A suspected request is sent to an endpoint that reset requests and whose probes proved nothing. An
-   * address that accepts connections without answering resets no further request, so the endpoint is probed
-   * once more; otherwise the suspicion would stay open.
+   * A suspected request is sent to an endpoint that reset requests and whose probes proved nothing. A front
+   * that holds requests without answering resets no further one, so the endpoint is probed once more. That
+   * probe alone does not prolong the suspicion.
    */
   noteSuspectSent(start: EndpointStart): void {
     const suspicion = this.suspicions.get(start)
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -61,7 +61,7 @@
   pendingTokens: TokenCount = 0
   load: EndpointLoad | undefined
   loadAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Milliseconds per event of its answers, when they run undisturbed; undefined until timed. */
+  /** Milliseconds per event of its answers, following the quickest ones; undefined until timed. */
   pace: Milliseconds | undefined
   /**
    * Whether another endpoint answered at its address or another start replaced it: this start has terminated,
--- a/packages/router/src/gateway/exchangeTerminator.ts
+++ b/packages/router/src/gateway/exchangeTerminator.ts
@@ -24,7 +24,7 @@
 }
 
 /** Times after which an unanswered probe is a sign of termination. */
-const PROBE_TIMEOUTS: readonly Milliseconds[] = [
+const PROBE_TIMEOUTS_MILLISECONDS: readonly Milliseconds[] = [
   PROBE_TIMEOUT_MILLISECONDS,
   LONG_PROBE_TIMEOUT_MILLISECONDS,
 ]
@@ -93,7 +93,7 @@
     })
     if (isWritten === undefined) return false
     let elapsed = 0
-    for (const bound of isWritten ? PROBE_TIMEOUTS : []) {
+    for (const bound of isWritten ? PROBE_TIMEOUTS_MILLISECONDS : []) {
       const delay = bound - elapsed
       const isAnswered = await settlesWithin(probe, probe.answered, { clock, delay })
       if (isAnswered === undefined) return false
--- a/packages/router/src/gateway/instanceAdmission.ts
+++ b/packages/router/src/gateway/instanceAdmission.ts
@@ -43,7 +43,8 @@
 }
 
 /**
- * With fewer requests in progress than this, an instance has no accept queue, and measuring it costs nothing.
+ * With fewer requests in progress than this, an instance has no accept queue. The wait for it is not sampled
+ * then, so that sampling costs no connection.
  */
 const MINIMUM_SAMPLED_REQUESTS = 8
 
