--- a/packages/router/src/gateway/endpointExchanges.ts
+++ b/packages/router/src/gateway/endpointExchanges.ts
@@ -26,7 +26,7 @@
 export class EndpointExchanges {
   private readonly exchanges = new Set<TerminableExchange>()
   /** Monotonic time of the first reset since data was last received from the endpoint. */
-  private brokenAt: Milliseconds | undefined
+  private firstResetAt: Milliseconds | undefined
 
   /** Adds an exchange. Returns a function that removes it once it is over. */
   add(exchange: TerminableExchange): () => void {
@@ -36,7 +36,7 @@
 
   /** The endpoint reset an exchange. */
   noteReset({ now, heardAt }: { now: Milliseconds; heardAt: Milliseconds }): void {
-    if (this.brokenAt === undefined || heardAt > this.brokenAt) this.brokenAt = now
+    if (this.firstResetAt === undefined || heardAt > this.firstResetAt) this.firstResetAt = now
   }
 
   /** Path at which this sign requires a state probe of the endpoint; undefined if it requires none. */
@@ -57,7 +57,7 @@
    * crashed it.
    */
   suspect(knownAt: Milliseconds): void {
-    const known = { brokenAt: this.brokenAt, knownAt }
+    const known = { brokenAt: this.firstResetAt, knownAt }
     for (const exchange of this.exchanges) {
       const { open } = exchange
       if (open.lastReceivedAt === open.sentAt && wasInFlightAtCrash(open, known)) exchange.suspect()
--- a/packages/router/src/gateway/endpointSelector.ts
+++ b/packages/router/src/gateway/endpointSelector.ts
@@ -86,14 +86,14 @@
   constructor(
     private readonly parts: EndpointSelectorParts,
     private readonly request: ChoosingRequest,
-    private readonly bounds: SelectionConstraints,
+    private readonly constraints: SelectionConstraints,
   ) {
     this.scope = requestScope(request)
   }
 
   /** Returns the best endpoint, or undefined if none may take the request. */
   choose(mayHaveRun: boolean): ChosenEndpoint | undefined {
-    const { tried } = this.bounds
+    const { tried } = this.constraints
     const { available } = this
     const free = available.filter(({ hasRoom, start }) => hasRoom && !tried.has(start))
     const open = this.withoutUnreachable(free.filter(endpoint => this.mayReceive(endpoint)))
@@ -128,13 +128,13 @@
   /** Whether an untried endpoint may be sent the request now. */
   get hasUntried(): boolean {
     return this.available.some(
-      endpoint => !this.bounds.tried.has(endpoint.start) && this.mayReceive(endpoint),
+      endpoint => !this.constraints.tried.has(endpoint.start) && this.mayReceive(endpoint),
     )
   }
 
   /** Endpoints of the service that may give the answer or the rest of it. */
   private get available(): readonly EndpointState[] {
-    const { softwareVersion } = this.bounds
+    const { softwareVersion } = this.constraints
     const all = this.parts.directory.available(this.request.service.name)
     if (softwareVersion === undefined) return all
     return all.filter(({ record }) => record.softwareVersion === softwareVersion)
--- a/packages/router/src/gateway/gatewayAnswerDelivery.ts
+++ b/packages/router/src/gateway/gatewayAnswerDelivery.ts
@@ -38,7 +38,7 @@
   private held: Buffer[] = []
   private heldBytes = 0
   private receivedBytes = 0
-  private passedBytes = 0
+  private deliveredBytes = 0
   private eventCount = 0
   private isStream = false
   private ended: EndedAnswer | undefined
@@ -49,31 +49,34 @@
   get record(): AnswerRecord | undefined {
     if (this.ended === undefined) return undefined
     const { framing, end } = this.ended
-    const withheldBytes = this.receivedBytes - this.passedBytes
+    const withheldBytes = this.receivedBytes - this.deliveredBytes
     return { framing, end, events: this.eventCount, withheldBytes }
   }
 
   /** Delivers complete events as they arrive; an incomplete rest is never delivered. */
-  relayEvents(): Promise<EndedAnswer> {
+  deliverEvents(): Promise<EndedAnswer> {
     const { events } = this.parts
     this.isStream = true
     events.continueElsewhere()
-    return this.relay(
-      chunk => this.passEvents(chunk),
+    return this.readBody(
+      chunk => this.writeEvents(chunk),
       () => events.isInsideEvent,
     )
   }
 
   /** Holds an answer until it is complete; a large one is delivered as it arrives. */
-  relayWhole(): Promise<EndedAnswer> {
-    return this.relay(
+  deliverWhole(): Promise<EndedAnswer> {
+    return this.readBody(
       chunk => this.hold(chunk),
       () => false,
     )
   }
 
   /** Reads the body. Ends the caller's answer only if the endpoint's answer is proven complete. */
-  private relay(onData: (chunk: Buffer) => void, isBodyOpen: () => boolean): Promise<EndedAnswer> {
+  private readBody(
+    onData: (chunk: Buffer) => void,
+    isBodyOpen: () => boolean,
+  ): Promise<EndedAnswer> {
     const { exchange } = this.parts
     return new Promise(resolve => {
       const onEnd = (end: AnswerEnd) => {
@@ -88,11 +91,11 @@
 
   private end(): void {
     this.start()
-    this.passedBytes += this.heldBytes
+    this.deliveredBytes += this.heldBytes
     this.parts.reply.end(this.takeHeld())
   }
 
-  private passEvents(chunk: Buffer): void {
+  private writeEvents(chunk: Buffer): void {
     const { events, onEvents } = this.parts
     this.receivedBytes += chunk.length
     const whole = events.read(chunk)
@@ -141,7 +144,7 @@
    */
   private write(bytes: Buffer): void {
     const { reply, exchange } = this.parts
-    this.passedBytes += bytes.length
+    this.deliveredBytes += bytes.length
     if (!reply.write(bytes, () => exchange.resume())) exchange.pause()
   }
 }
--- a/packages/router/src/gateway/peerRelay.ts
+++ b/packages/router/src/gateway/peerRelay.ts
@@ -69,7 +69,7 @@
   private readonly asked = new Set<string>()
   private readonly outcomes: RelayOutcome[] = []
   private exchange: UpstreamExchange | undefined
-  private isLate = false
+  private isDeadlinePassed = false
 
   constructor(
     private readonly parts: PeerRelayParts,
@@ -84,8 +84,8 @@
     const { reply, deadlineAt } = this.request
     const { clock } = this.parts
     reply.onLeave(() => this.exchange?.abort('caller-left'))
-    const untilLate = deadlineAt + DEADLINE_SLACK_MILLISECONDS - clock.sinceStart()
-    const timer = clock.after(untilLate, () => this.passDeadline())
+    const untilAbort = deadlineAt + DEADLINE_SLACK_MILLISECONDS - clock.sinceStart()
+    const timer = clock.after(untilAbort, () => this.passDeadline())
     try {
       return await this.askUntilDone()
     } finally {
@@ -94,12 +94,12 @@
   }
 
   private passDeadline(): void {
-    this.isLate = true
+    this.isDeadlinePassed = true
     this.exchange?.abort('deadline')
   }
 
   private get isOver(): boolean {
-    return this.isLate || this.request.reply.isCallerGone
+    return this.isDeadlinePassed || this.request.reply.isCallerGone
   }
 
   private async askUntilDone(): Promise<boolean> {
@@ -133,7 +133,7 @@
     this.outcomes.push(outcome)
     if (head.kind !== 'head') return false
     const step = relayStep(this.outcomes, this.request.route, this.nextPeer !== undefined)
-    if (step === 'pass-on') return this.passOn(exchange, head.response, relayRecord)
+    if (step === 'pass-on') return this.deliver(exchange, head.response, relayRecord)
     if (outcome.kind === 'refused') exchange.drain()
     else exchange.abort('aborted')
     return false
@@ -163,25 +163,25 @@
     return new UpstreamExchange(endpoint, sent)
   }
 
-  private async passOn(
+  private async deliver(
     exchange: UpstreamExchange,
     response: IncomingMessage,
     relayRecord: RelayRecord,
   ): Promise<boolean> {
     const { reply, route, record } = this.request
-    const relay = new GatewayAnswerDelivery({
+    const delivery = new GatewayAnswerDelivery({
       exchange,
       response,
       reply,
       events: new EventDelivery(),
-      onStart: () => this.noteStart(),
+      onStart: () => this.noteFirstByte(),
       onEvents: () => {},
       onBytes: () => {},
     })
     const isStream = route.isStreaming && response.statusCode === STATUS_OK
-    const ended = await (isStream ? relay.relayEvents() : relay.relayWhole())
-    const fate = answerDisposition(ended, { route, isReplyStarted: reply.isStarted })
-    if (fate === 'whole') {
+    const ended = await (isStream ? delivery.deliverEvents() : delivery.deliverWhole())
+    const disposition = answerDisposition(ended, { route, isReplyStarted: reply.isStarted })
+    if (disposition === 'whole') {
       noteRefusal(record, relayRecord.outcome)
       return true
     }
@@ -199,7 +199,7 @@
     return !mayContinue
   }
 
-  private noteStart(): void {
+  private noteFirstByte(): void {
     const { record } = this.request
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - record.receivedAt
     record.execution = 'ran'
@@ -221,7 +221,7 @@
     if (reply.isCallerGone) return new DispatchedError(ResultCode.CallerLeft)
     const wasSent = this.outcomes.some(({ kind }) => kind === 'failed')
     if (!wasSent) return new NotRunError(ResultCode.DeadlineUnreachable)
-    if (this.isLate) return new DispatchedError(ResultCode.DeadlinePassed)
+    if (this.isDeadlinePassed) return new DispatchedError(ResultCode.DeadlinePassed)
     if (reply.isStarted) return new DispatchedError(ResultCode.EndpointBrokeOff)
     return new DispatchedError(ResultCode.EndpointFailed)
   }
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -68,18 +68,18 @@
   /** Removes the exchange from its endpoint's open exchanges, whatever follows. */
   private closeExchange = () => {}
   private hasDelivered = false
-  private isLate = false
+  private isDeadlinePassed = false
   private isUnsent = false
   /** Monotonic time at which the current attempt was sent. */
   private sentAt: Milliseconds = 0
-  private readonly choice: EndpointSelector
+  private readonly selector: EndpointSelector
 
   constructor(
     private readonly parts: AttemptsParts,
     private readonly request: AttemptedRequest,
   ) {
     this.softwareVersion = request.origin?.softwareVersion
-    this.choice = new EndpointSelector(parts, request, this)
+    this.selector = new EndpointSelector(parts, request, this)
   }
 
   /**
@@ -89,8 +89,8 @@
   async run(): Promise<AttemptsResult> {
     const { reply } = this.request
     reply.onLeave(() => this.exchange?.abort('caller-left'))
-    const untilLate = this.lateAt - this.parts.clock.sinceStart()
-    const timer = this.parts.clock.after(untilLate, () => this.passDeadline())
+    const untilAbort = this.abortAt - this.parts.clock.sinceStart()
+    const timer = this.parts.clock.after(untilAbort, () => this.passDeadline())
     try {
       const isWhole = await this.attemptUntilDone()
       const { hasDelivered, isUnsent } = this
@@ -102,24 +102,24 @@
   }
 
   private passDeadline(): void {
-    this.isLate = true
+    this.isDeadlinePassed = true
     this.exchange?.abort('deadline')
   }
 
   private get isOver(): boolean {
     // The timer does not run during a suspension.
-    this.isLate ||= this.parts.clock.sinceStart() >= this.lateAt
-    return this.isLate || this.request.reply.isCallerGone
+    this.isDeadlinePassed ||= this.parts.clock.sinceStart() >= this.abortAt
+    return this.isDeadlinePassed || this.request.reply.isCallerGone
   }
 
-  private get lateAt(): Milliseconds {
+  private get abortAt(): Milliseconds {
     return this.request.deadlineAt + DEADLINE_SLACK_MILLISECONDS
   }
 
   /** Resolves with whether a complete answer was delivered. */
   private async attemptUntilDone(): Promise<boolean> {
     while (!this.isOver) {
-      const chosen = this.choice.choose(this.history.some(mayHaveRun))
+      const chosen = this.selector.choose(this.history.some(mayHaveRun))
       if (chosen === undefined) break
       this.noteChoice(chosen)
       const end = await this.attempt(chosen.endpoint)
@@ -132,9 +132,9 @@
   }
 
   private get canRelay(): boolean {
-    const { isOver, history, choice, request } = this
+    const { isOver, history, selector, request } = this
     const isCutOff = this.parts.links.isCutOff(request.service.name)
-    if (isOver || !request.mayRelay || choice.verdict === 'refuse') return false
+    if (isOver || !request.mayRelay || selector.verdict === 'refuse') return false
     return wasNeverSent(history, isCutOff)
   }
 
@@ -157,18 +157,18 @@
   private async attempt(endpoint: EndpointState): Promise<AttemptEnd> {
     const { id } = endpoint.record
     const uncachedTokens = this.uncachedTokens(id)
-    this.choice.noteSent(endpoint)
+    this.selector.noteSent(endpoint)
     const pending = endpoint.beginRequest(uncachedTokens)
     this.sentAt = this.parts.clock.monotonic()
     this.parts.fleetLoad.noteSent(id, this.request.metadata.promptParts, uncachedTokens)
     this.tried.add(endpoint.record.start)
-    this.parts.crashes.promptParts.noteSent(this.choice.promptPartKeys)
+    this.parts.crashes.promptParts.noteSent(this.selector.promptPartKeys)
     try {
       const exchange = this.open(endpoint)
       this.registerExchange(endpoint, exchange)
       const head = await exchange.awaitAnswer()
       if (head.kind === 'head') {
-        return await this.takeAnswer(endpoint, exchange, head.response, pending.noteBegun)
+        return await this.handleAnswer(endpoint, exchange, head.response, pending.noteBegun)
       }
       return await this.endWithoutAnswer(endpoint, head)
     } finally {
@@ -211,7 +211,7 @@
     if (reason === CONNECTION_REFUSED) endpoint.noteUnreachable()
     this.parts.links.noteConnectFailed(endpoint)
     const end = this.endAttempt({ kind: 'connect-failed', reason })
-    const isGossipExpected = end === 'try-another' && this.choice.verdict === 'isolate'
+    const isGossipExpected = end === 'try-another' && this.selector.verdict === 'isolate'
     if (isGossipExpected) await sleep(this.parts.clock, GOSSIP_WAIT_MILLISECONDS)
     return end
   }
@@ -236,13 +236,13 @@
    */
   private noteReset(endpoint: EndpointState): Promise<boolean> | undefined {
     if (this.isOver) return undefined
-    const wasIsolated = this.choice.verdict === 'isolate'
-    const { sentAt, choice } = this
-    const { fingerprint } = choice
+    const wasIsolated = this.selector.verdict === 'isolate'
+    const { sentAt, selector } = this
+    const { fingerprint } = selector
     const { service, metadata } = this.request
-    const breaking = suspectEndpointOf(endpoint, service)
+    const suspect = suspectEndpointOf(endpoint, service)
     const parts = promptPartKeys(service.name, metadata.promptParts)
-    return this.parts.crashes.noteReset(breaking, { fingerprint, wasIsolated, sentAt, parts })
+    return this.parts.crashes.noteReset(suspect, { fingerprint, wasIsolated, sentAt, parts })
   }
 
   /** Tokens of the prompt that an endpoint would have to read. */
@@ -281,7 +281,7 @@
   }
 
   /** Classifies the head of an answer and delivers the answer if it is acceptable. */
-  private async takeAnswer(
+  private async handleAnswer(
     endpoint: EndpointState,
     exchange: UpstreamExchange,
     response: IncomingMessage,
@@ -305,7 +305,7 @@
     }
     if (outcome.kind !== 'not-trusted') endpoint.noteHeard()
     const step = this.note(outcome)
-    if (step === 'pass-on') return this.passOn(endpoint, exchange, response, noteBegun)
+    if (step === 'pass-on') return this.deliver(endpoint, exchange, response, noteBegun)
     discard(exchange, outcome, step)
     return step
   }
@@ -334,7 +334,7 @@
     return { kind: 'answered', status }
   }
 
-  private async passOn(
+  private async deliver(
     endpoint: EndpointState,
     exchange: UpstreamExchange,
     response: IncomingMessage,
@@ -350,23 +350,23 @@
       if (!hasBegun) this.noteAnswered()
       hasBegun = true
     }
-    const relay = new GatewayAnswerDelivery({
+    const delivery = new GatewayAnswerDelivery({
       exchange,
       response,
       reply,
       events: this.events,
-      onStart: () => this.noteStart(),
+      onStart: () => this.noteFirstByte(),
       onEvents: count => {
         noteBytes()
         this.noteEvents(endpoint, pace, count)
       },
       onBytes: noteBytes,
     })
-    const answer = await this.relay(relay, response)
-    this.noteAnswer(relay)
+    const answer = await this.deliverBody(delivery, response)
+    this.recordAnswer(delivery)
     this.notePause(pace)
-    const fate = answerDisposition(answer, { route, isReplyStarted: reply.isStarted })
-    if (fate === 'whole') return 'done'
+    const disposition = answerDisposition(answer, { route, isReplyStarted: reply.isStarted })
+    if (disposition === 'whole') return 'done'
     if (!isEndpointFailure(answer)) return 'give-up'
     endpoint.noteOutcome(false)
     // The attempt was recorded as answered; its outcome is now known to be another one.
@@ -376,12 +376,12 @@
     return hasBegun ? this.endInterrupted(endpoint, outcome) : this.endReset(endpoint, outcome)
   }
 
-  private relay(
-    relay: GatewayAnswerDelivery,
+  private deliverBody(
+    delivery: GatewayAnswerDelivery,
     { statusCode }: IncomingMessage,
   ): Promise<EndedAnswer> {
     const isStream = this.request.route.isStreaming && statusCode === STATUS_OK
-    return isStream ? relay.relayEvents() : relay.relayWhole()
+    return isStream ? delivery.deliverEvents() : delivery.deliverWhole()
   }
 
   /** The rest of a stream must come from the software version that wrote its first event. */
@@ -403,17 +403,17 @@
     return this.endAttempt(outcome)
   }
 
-  private noteAnswer(relay: GatewayAnswerDelivery): void {
+  private recordAnswer(delivery: GatewayAnswerDelivery): void {
     const attempt = this.request.record.attempts.at(-1)
-    if (attempt !== undefined) attempt.answer = relay.record
+    if (attempt !== undefined) attempt.answer = delivery.record
   }
 
   /** An endpoint has begun to answer, so this request does not crash endpoints that begin to run it. */
   private noteAnswered(): void {
-    const { choice } = this
+    const { selector } = this
     const { crashes } = this.parts
-    if (choice.isSuspect) crashes.noteAnswered(choice.fingerprint)
-    crashes.promptParts.noteAnswered(choice.promptPartKeys)
+    if (selector.isSuspect) crashes.noteAnswered(selector.fingerprint)
+    crashes.promptParts.noteAnswered(selector.promptPartKeys)
   }
 
   private startPace(endpoint: EndpointState): StreamPace {
@@ -450,32 +450,32 @@
       history: this.history,
       isReplyStarted: reply.isStarted,
       isAbandoned: this.isOver,
-      hasUntriedEndpoint: this.choice.hasUntried,
+      hasUntriedEndpoint: this.selector.hasUntried,
       takeRetry,
     })
   }
 
-  private noteStart(): void {
+  private noteFirstByte(): void {
     const { record } = this.request
     this.hasDelivered = true
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - record.receivedAt
   }
 
   /** Whether every endpoint that received the request says that it did not run it. */
-  private get isTurnedAway(): boolean {
+  private get isRejected(): boolean {
     const { history } = this
     return history.at(-1)?.kind === 'refused' && !history.some(mayHaveRun)
   }
 
   private giveUp(): void {
     const { reply, record, service } = this.request
-    if (this.isTurnedAway) this.choice.noteAllRejected()
+    if (this.isRejected) this.selector.noteAllRejected()
     const error = finalError({
       service: service.name,
       history: this.history,
       isCallerGone: reply.isCallerGone,
-      isLate: this.isLate,
-      noChoice: this.choice.noChoice,
+      isLate: this.isDeadlinePassed,
+      noChoice: this.selector.noChoice,
     })
     record.code = error.code
     record.detail = error.message
