--- a/packages/coordination/src/prepaid/accountReport.ts
+++ b/packages/coordination/src/prepaid/accountReport.ts
@@ -1,6 +1,6 @@
 /**
- * What operators are told of one budget on one instance: the figures behind a refusal, and
- * episodes in which callers were refused tokens that exist. Decides nothing.
+ * Reports on one budget of one instance for operators: the figures behind a refusal, and the
+ * episodes in which callers were refused tokens that exist. Makes no decisions.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -9,54 +9,56 @@
 import type { PartitionView } from './partitionView.js'
 import { freeInPool } from './prepaidRows.js'
 
-/** What a report draws on. */
+/** Dependencies of an `AccountReport`. */
 export interface AccountReportParts {
   readonly budget: string
   readonly clock: Clock
   readonly holding: HoldingState
   readonly view: PartitionView
   readonly limit: () => TokenCount | undefined
-  /** Tokens a second that callers here ask for. */
+  /** Tokens per second that callers of this instance request. */
   readonly demandPerSecond: () => number
-  /** The other instances among which holdings are divided. */
+  /** The other instances among which the budget is divided. */
   readonly others: () => readonly string[]
-  /** Time for which a call to the store has been on its way; undefined where none is. */
+  /** Age of the store call in progress; undefined if there is none. */
   readonly callAge: () => Milliseconds | undefined
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
 }
 
-/** Tells of one budget on one instance. */
+/** Reports on one budget of one instance. */
 export class AccountReport {
   private readonly shortage: BudgetShortage
-  /** Monotonic time at which rows of the budget were last told here. */
+  /** Monotonic time at which rows of the budget were last received. */
   private rowsSeenAt: Milliseconds | undefined
 
   constructor(private readonly parts: AccountReportParts) {
     this.shortage = new BudgetShortage(parts.clock)
   }
 
-  /** Whether callers here are being refused tokens that exist. */
+  /** Whether callers of this instance are being refused tokens that exist. */
   get isShort(): boolean {
     return this.shortage.isShort
   }
 
-  /** Rows of the budget were told here. */
+  /** Records that rows of the budget were received. */
   recordRowsSeen(): void {
     this.rowsSeenAt = this.parts.clock.monotonic()
   }
 
-  /** A caller was refused tokens that other instances hold, or that are out of reach. */
+  /**
+   * Records that a caller was refused tokens that other instances hold or that cannot be reached.
+   */
   recordRefusal(): void {
     if (this.shortage.recordRefusal()) this.emitEvent('budget_short', this.describe())
   }
 
-  /** Tells the end of an episode that is over; call it now and then. */
+  /** Emits an event for an episode of refusals that has ended; to be called periodically. */
   reportEndedShortage(): void {
     const ended = this.shortage.takeEnded()
     if (ended !== undefined) this.emitEvent('budget_covered', { ...ended })
   }
 
-  /** What is known here, for decision records and logs. */
+  /** Returns the state of the budget as this instance knows it, for decision records and logs. */
   describe(): Readonly<Record<string, unknown>> {
     const { holding, view, limit, demandPerSecond, callAge } = this.parts
     const others = this.parts.others()
@@ -77,12 +79,12 @@
     }
   }
 
-  /** Tells an event of this budget. */
+  /** Emits an event with the name of this budget added to its fields. */
   emitEvent(event: string, fields: Readonly<Record<string, unknown>>): void {
     this.parts.onEvent(event, { budget: this.parts.budget, ...fields })
   }
 
-  /** Time since rows of the budget were last told here. */
+  /** Time since rows of the budget were last received; undefined before the first ones. */
   get rowsAge(): Milliseconds | undefined {
     if (this.rowsSeenAt === undefined) return undefined
     return Math.round(this.parts.clock.monotonic() - this.rowsSeenAt)
--- a/packages/coordination/src/prepaid/borrower.ts
+++ b/packages/coordination/src/prepaid/borrower.ts
@@ -1,62 +1,64 @@
 /**
- * Borrows tokens that other instances hold, for one request, where neither the own holding nor the
- * pool covers it. Owns which lenders lately gave no answer or too little, and which loans are still to
- * be repaid; relies on a channel to reach lenders.
+ * Borrows tokens that other instances hold, for one request, when neither this instance's holding
+ * nor the pool covers the request. Owns the record of lenders that recently gave no answer or too
+ * few tokens, and of the loans still to be repaid. Reaches lenders through a channel.
  */
 
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { Loan, LoanChannel } from './loan.js'
 
-/** What a borrower works with. */
+/** Dependencies of a `Borrower`. */
 export interface BorrowerParts {
   readonly channel: LoanChannel
   readonly clock: Clock
-  /** Prefix of loan ids; no other incarnation has it. */
+  /** Prefix of loan ids; no other incarnation uses the same one. */
   readonly incarnation: string
 }
 
-/** What a lender answered to one request. */
+/** A lender's answer to one loan request. */
 export interface LenderAnswer {
   readonly lender: string
   readonly asked: TokenCount
-  /** Undefined where no answer came. */
+  /** Undefined if no answer arrived. */
   readonly lent: TokenCount | undefined
   readonly milliseconds: Milliseconds
 }
 
-/** What came of borrowing for one request. */
+/** The result of borrowing for one request. */
 export interface BorrowResult {
-  /** Undefined where the loans do not add up; they are repaid then. */
+  /** Undefined if the loans do not add up to the requested tokens; in that case they are repaid. */
   readonly loans: readonly Loan[] | undefined
-  /** Every lender that was asked, in order. */
+  /** Answers of all lenders that were asked, in order. */
   readonly answers: readonly LenderAnswer[]
 }
 
 /** A lender that gave no answer is not asked again for this long. */
 const SILENT_BACKOFF_MILLISECONDS = 1_000
-/** A lender that had too little of a budget is not asked for it again for this long. */
+/**
+ * A lender that held too few tokens of a budget is not asked for that budget again for this long.
+ */
 const SHORT_BACKOFF_MILLISECONDS = 200
-/** Lenders that one request asks at most. */
+/** Maximum number of lenders asked for one request. */
 const LENDERS_ASKED = 6
-/** Time that a lender may take for a transaction of its own. */
+/** Time that a lender may spend on a store transaction of its own. */
 const LENDER_PATIENCE_MILLISECONDS = 50
 const REPAY_ATTEMPTS = 5
 const REPAY_RETRY_MILLISECONDS = 700
 
-/** Borrows for one instance, over all its budgets. */
+/** Borrows tokens for one instance, across all its budgets. */
 export class Borrower {
   private readonly silentUntil = new Map<string, Milliseconds>()
   private readonly shortUntil = new Map<string, Milliseconds>()
-  /** Questions to each lender that are not answered yet. */
+  /** Number of unanswered loan requests per lender. */
   private readonly inFlightRequests = new Map<string, number>()
   private loans = 0
 
   constructor(private readonly parts: BorrowerParts) {}
 
   /**
-   * Loans that add up to `tokens`, from lenders in the order given; none where they do not, with
-   * everything repaid. Asks nobody after `patience` has passed.
+   * Returns loans that add up to `tokens`, asking lenders in the given order. If they do not add
+   * up, repays every loan and returns none. Asks no further lender once `patience` has passed.
    */
   async borrow(
     budget: string,
@@ -84,15 +86,19 @@
     return { loans: undefined, answers }
   }
 
-  /** Tells the lender what of a loan was spent; a lender never reached counts all of it. */
+  /**
+   * Reports to the lender how much of a loan was spent; a lender that cannot be reached counts the
+   * whole loan as spent.
+   */
   repay(budget: string, loan: Loan, spent: TokenCount): void {
     void this.repayWithRetries(budget, loan, spent)
   }
 
   /**
-   * In the order given, but for lenders that have not answered other requests yet: requests that
-   * come together would all wait for the first one, and then all take it for silent. Those that give no sign of life come
-   * last: waiting for one of them takes longer than a request may borrow, so that nobody else would be asked.
+   * Returns the lenders to ask, in the given order, except that lenders with unanswered requests
+   * come later: otherwise simultaneous requests would all wait for the first lender and then all
+   * treat it as silent. Silent instances come last: waiting for one takes longer than a request may
+   * spend on borrowing, so no other lender would be asked.
    */
   private eligibleLenders(budget: string, lenders: readonly string[]): readonly string[] {
     const now = this.parts.clock.monotonic()
@@ -105,7 +111,7 @@
       .slice(0, LENDERS_ASKED)
   }
 
-  /** Undefined where no answer came. */
+  /** Requests a loan from one lender; undefined if no answer arrived. */
   private async ask(lender: string, budget: string, tokens: TokenCount): Promise<Loan | undefined> {
     this.loans += 1
     const id = `${this.parts.incarnation}/${this.loans}`
@@ -117,7 +123,7 @@
     const now = this.parts.clock.monotonic()
     if (lent === undefined) {
       this.silentUntil.set(lender, now + SILENT_BACKOFF_MILLISECONDS)
-      // The loan may have been given although the answer was lost.
+      // The lender may have granted the loan although its answer was lost.
       this.repay(budget, { lender, id, tokens }, 0)
       return undefined
     }
@@ -133,7 +139,7 @@
     return this.inFlightRequests.get(lender) ?? 0
   }
 
-  /** Counts a question to a lender until it is answered. */
+  /** Counts a request to a lender as in flight until it is answered. */
   private async trackInFlight<Answer>(lender: string, question: Promise<Answer>): Promise<Answer> {
     this.inFlightRequests.set(lender, this.inFlightTo(lender) + 1)
     try {
--- a/packages/coordination/src/prepaid/budgetShortage.ts
+++ b/packages/coordination/src/prepaid/budgetShortage.ts
@@ -1,15 +1,15 @@
 /**
- * Whether callers of one budget are being refused tokens that exist: since when, and how many. Owns the
- * episode in progress. A holding that stands still against its demand is seen by nothing else: each refusal
- * by itself looks like one caller's bad moment.
+ * Whether callers of one budget are being refused tokens that exist: since when, and how many. Owns
+ * the current episode. Nothing else detects a holding that fails to adapt to its demand: each
+ * refusal by itself looks like a temporary shortage for one caller.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** An episode ends when nobody was refused for this long. */
+/** An episode ends after this long without a refusal. */
 const QUIET_MILLISECONDS: Milliseconds = 2_000
 
-/** An episode that is over. */
+/** An episode that has ended. */
 export interface EndedShortage {
   /** From the first refusal to the last one. */
   readonly milliseconds: Milliseconds
@@ -22,7 +22,7 @@
   refused: number
 }
 
-/** The shortage of one budget on one instance. */
+/** Tracks the shortage of one budget on one instance. */
 export class BudgetShortage {
   private episode: Episode | undefined
 
@@ -33,7 +33,10 @@
     return this.episode !== undefined
   }
 
-  /** A caller was refused tokens that exist; true where an episode begins with it. */
+  /**
+   * Records that a caller was refused tokens that exist; returns true if an episode starts with
+   * this refusal.
+   */
   recordRefusal(): boolean {
     const now = this.clock.monotonic()
     if (this.episode !== undefined) {
@@ -45,7 +48,7 @@
     return true
   }
 
-  /** The episode, where it has come to its end; call it now and then. */
+  /** Returns the episode once it has ended, and otherwise undefined; to be called periodically. */
   takeEnded(): EndedShortage | undefined {
     const { episode } = this
     if (episode === undefined) return undefined
--- a/packages/coordination/src/prepaid/demandMeter.ts
+++ b/packages/coordination/src/prepaid/demandMeter.ts
@@ -1,26 +1,32 @@
-/** Tokens or requests a second, averaged over the last seconds. Owns one decaying sum. */
+/** Tokens or requests per second, averaged over the last few seconds. Owns one decaying sum. */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Time over which demand is averaged. */
+/** Time constant of the average. */
 export const DEMAND_WINDOW_MILLISECONDS = 6_000
 
-/** After so long without demand the next one is taken for the beginning of another. */
+/** Demand after an idle period of this length counts as a new period of demand. */
 const IDLE_MILLISECONDS = 2 * DEMAND_WINDOW_MILLISECONDS
-/** A single request is not taken for the demand of less time than this. */
+/**
+ * Lower bound of the averaging window, so that a single request is not extrapolated from a shorter
+ * time.
+ */
 const MINIMUM_WINDOW_MILLISECONDS = 2_000
 
-/** Measures tokens a second with exponential forgetting. */
+/** Measures tokens per second with exponential decay. */
 export class DemandMeter {
   private decayedTotal = 0
   private countedAt: Milliseconds
   private addedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Beginning of the present demand. */
+  /** Start of the current period of demand. */
   private startedAt: Milliseconds
 
   constructor(
     private readonly clock: Clock,
-    /** The longer, the less a single request says; the window's length takes each for one of many. */
+    /**
+     * Lower bound of the averaging window. The longer it is, the less weight a single request has;
+     * at the full window length, each request counts as one of many.
+     */
     private readonly shortestSeen: Milliseconds = MINIMUM_WINDOW_MILLISECONDS,
   ) {
     this.startedAt = clock.monotonic()
@@ -42,8 +48,9 @@
   }
 
   /**
-   * What the window has seen of the present demand, weighted as the demand is. Counted from the start of
-   * the process instead, the first second of demand reads as a sixth of it.
+   * The part of the window that covers the current period of demand, with the same exponential
+   * weights as the demand. If it were counted from the start of the process, the first second of
+   * demand would read as a sixth of its rate.
    */
   private get effectiveWindowMilliseconds(): Milliseconds {
     const age = this.countedAt - this.startedAt
--- a/packages/coordination/src/prepaid/holdingState.ts
+++ b/packages/coordination/src/prepaid/holdingState.ts
@@ -1,25 +1,28 @@
 /**
- * What this incarnation may still commit of one budget. Owns the tokens committed here and the rows of
- * this incarnation that are, or may come to be, in the store; relies on decisions/admitting/spendingBound.
+ * Bounds what this incarnation may still commit of one budget. Owns the tokens committed here and
+ * the rows of this incarnation that are, or may still take effect, in the store. Uses
+ * decisions/admitting/spendingBound.
  */
 
 import type { Clock, Milliseconds, TokenCount, Version } from '@rackwalk/shared'
 import { committedBound, timeUntilCommitted } from '@rackwalk/decisions'
 import type { HolderRow } from './prepaidRows.js'
 
-/** A holder row of this incarnation that is, or may come to be, in the store. */
+/** A holder row of this incarnation that is in the store or may still take effect there. */
 interface SentRow {
   readonly row: HolderRow
-  /** Tokens that the row counts as committed before anybody asked for them. */
+  /** Tokens that the row counts as committed before any request asked for them. */
   readonly ahead: TokenCount
   readonly sentAt: Milliseconds
-  /** The version that the row must replace; with any other it can never take effect. */
+  /**
+   * The version that the row must replace; the write can never take effect on any other version.
+   */
   readonly expectedVersion: Version
 }
 
 /**
- * What this incarnation may still commit of one budget. While the outcome of a write is
- * unknown both the old and the new row may be in force, so the smaller of their bounds holds.
+ * Bounds what this incarnation may still commit of one budget. While the outcome of a write is
+ * unknown, either the old or the new row may be in force, so the smaller of their bounds applies.
  */
 export class HoldingState {
   private confirmed: SentRow | undefined
@@ -34,12 +37,12 @@
     return this.confirmed !== undefined
   }
 
-  /** Handed out or reserved by this incarnation. */
+  /** Tokens handed out or reserved by this incarnation. */
   get committed(): TokenCount {
     return this.committedTokens
   }
 
-  /** Part of what is committed that requests and loans in progress reserve. */
+  /** The part of the committed tokens that requests and loans in progress reserve. */
   get reserved(): TokenCount {
     return this.reservedTokens
   }
@@ -63,7 +66,9 @@
     return Math.max(0, Math.min(...bounds) - this.committedTokens)
   }
 
-  /** Time after which tokens may be committed without a write; undefined where never. */
+  /**
+   * Time after which the tokens may be committed without a write; undefined if that never happens.
+   */
   waitFor(tokens: TokenCount): Milliseconds | undefined {
     const rows = this.possibleRows()
     if (rows.length === 0 || tokens > this.unspent) return undefined
@@ -75,7 +80,9 @@
     return waits.includes(undefined) ? undefined : Math.max(...waits.filter(isNumber))
   }
 
-  /** Sequence of the row sent last; each row sent has its own, whatever became of it. */
+  /**
+   * Sequence number of the row sent last; each row sent has its own number, whatever its outcome.
+   */
   get lastSequence(): number {
     return this.sequence
   }
@@ -90,33 +97,34 @@
     return sentAt === undefined ? Number.POSITIVE_INFINITY : this.clock.monotonic() - sentAt
   }
 
-  /** Tokens committed since the newest confirmed row. */
+  /** Change of the committed tokens since the newest confirmed row. */
   get unrecorded(): TokenCount {
     const { row, ahead } = this.confirmed ?? NO_ROW
     return Math.abs(this.committedTokens - (row.committed - ahead))
   }
 
-  /** Reserves tokens until `settle`. */
+  /** Reserves tokens until `settle` is called. */
   commit(tokens: TokenCount): void {
     this.committedTokens += tokens
     this.reservedTokens += tokens
   }
 
-  /** Ends a reservation, of which so many tokens were handed out; the rest is free again. */
+  /** Ends a reservation of which `spent` tokens were handed out; the rest becomes free again. */
   settle(reserved: TokenCount, spent: TokenCount): void {
     this.committedTokens -= reserved - spent
     this.reservedTokens -= reserved
   }
 
-  /** A row is about to be sent; from now on its bounds hold as well. */
+  /** Records that a row is about to be sent; from now on its bounds apply as well. */
   recordSent(row: HolderRow, ahead: TokenCount, expectedVersion: Version): void {
     this.sequence = row.sequence
     this.unresolved.push({ row, ahead, sentAt: this.clock.monotonic(), expectedVersion })
   }
 
   /**
-   * The store was seen to have the row of this sequence, as this version. Rows sent to replace
-   * an earlier version are resolved by that; one sent since may still take effect.
+   * Records that the store has the row of this sequence number, at this version. Rows that were
+   * sent to replace an earlier version are thereby resolved; a row sent since then may still take
+   * effect.
    */
   confirmRow(sequence: number, version: Version): void {
     const taken = this.unresolved.find(({ row }) => row.sequence === sequence)
@@ -124,25 +132,28 @@
     this.unresolved = this.unresolved.filter(({ expectedVersion }) => expectedVersion >= version)
   }
 
-  /** The store did not take the row of this sequence and never will. */
+  /** Records that the store did not accept the row of this sequence number and never will. */
   withdraw(sequence: number): void {
     this.unresolved = this.unresolved.filter(({ row }) => row.sequence !== sequence)
   }
 
-  /** The row in the store is no longer this incarnation's: nothing may be spent. */
+  /**
+   * Records that the row in the store no longer belongs to this incarnation: it may not spend any
+   * tokens.
+   */
   invalidate(): void {
     this.confirmed = undefined
     this.unresolved = []
   }
 
   private possibleRows(): readonly SentRow[] {
-    // Before the first confirmed row nothing may be spent, whatever is on its way.
+    // Before the first confirmed row nothing may be spent, even if a write is in flight.
     if (this.confirmed === undefined) return []
     return [this.confirmed, ...this.unresolved]
   }
 }
 
-/** What is recorded before the first row. */
+/** The recorded state before the first row. */
 const NO_ROW = { row: { committed: 0 }, ahead: 0 }
 
 function isNumber(value: number | undefined): value is number {
--- a/packages/coordination/src/prepaid/lender.ts
+++ b/packages/coordination/src/prepaid/lender.ts
@@ -1,6 +1,6 @@
 /**
- * The lending side of loans: commits tokens out of this instance's holding for a borrower, and frees what
- * was not spent. Owns the open loans; one that is never repaid counts as spent.
+ * The lending side of loans: commits tokens out of this instance's holding for a borrower, and
+ * frees unspent tokens. Owns the open loans; a loan that is never repaid counts as spent.
  */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -8,31 +8,34 @@
 
 /** The holding out of which a lender lends. */
 export interface LendingAccount {
-  /** Commits at most so many tokens for another instance and tells how many. */
+  /** Commits at most this many tokens for another instance and returns how many were committed. */
   lend(tokens: TokenCount, patience: Milliseconds): Promise<TokenCount>
-  /** Ends a loan: what of it was not spent is free again. */
+  /** Ends a loan; its unspent tokens become free again. */
   settle(lent: TokenCount, spent: TokenCount): void
 }
 
-/** Ended loans that are remembered, so that a request that comes after its end gets nothing. */
+/**
+ * Maximum number of ended loans remembered, so that a loan request that arrives after its own
+ * repayment is granted nothing.
+ */
 const REMEMBERED_ENDS = 2_000
-/** Open loans that are remembered; older ones were never repaid and count as spent. */
+/** Maximum number of open loans remembered; older ones were never repaid and count as spent. */
 const REMEMBERED_LOANS = 20_000
 
-/** What this instance has lent to others. A loan that is never repaid counts as spent. */
+/** Tracks what this instance has lent to others. A loan that is never repaid counts as spent. */
 export class Lender {
   private readonly open = new Map<string, TokenCount>()
   private readonly ended = new Set<string>()
 
   constructor(private readonly accountOf: (budget: string) => LendingAccount | undefined) {}
 
-  /** Tokens that the borrower may spend from now on. */
+  /** Grants a loan and returns the tokens that the borrower may spend from now on. */
   async lend(request: LoanRequest): Promise<TokenCount> {
     const account = this.accountOf(request.budget)
     if (account === undefined || this.ended.has(request.id)) return 0
     const tokens = await account.lend(request.tokens, request.patienceMilliseconds)
     if (tokens === 0) return 0
-    // The borrower may have given up while the store was asked.
+    // The borrower may have given up while the account was waiting for the store.
     if (this.ended.has(request.id)) {
       account.settle(tokens, 0)
       return 0
@@ -42,7 +45,10 @@
     return tokens
   }
 
-  /** Frees what was not spent; a repayment that comes twice, or for no loan, changes nothing. */
+  /**
+   * Ends a loan and frees its unspent tokens; a duplicate repayment, or one for an unknown loan,
+   * changes nothing.
+   */
   repay({ id, budget, spent }: LoanRepayment): void {
     this.noteEnd(id)
     const tokens = this.open.get(id)
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -1,39 +1,39 @@
 /**
- * The rows of one budget as last seen, whether by a read, the feed or a refused write. Owns the newest
- * sight of each row; an older one never replaces a newer.
+ * The rows of one budget as last seen in a read, in the change feed or in a rejected write. Owns
+ * the newest version of each row; an older version never replaces a newer one.
  */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import { POOL_KEY, holderKey, holderRowCodec, instanceOfKey, poolRowCodec } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
 
-/** A row as it came from a read, a feed or a refused transaction. */
+/** A row as received from a read, a feed or a rejected transaction. */
 export interface RowUpdate {
   readonly key: string
-  /** Undefined where the row was removed. */
+  /** Undefined if the row was removed. */
   readonly value: string | undefined
   readonly version: number
 }
 
-/** A row that is there; it is decoded once, since every decision looks at all of them. */
+/** A row that has been seen. Its value is decoded once, since every decision reads all rows. */
 interface KnownRow<Row> {
-  /** Undefined where the row was removed. */
+  /** Undefined if the row was removed. */
   readonly row: Row | undefined
   readonly version: number
 }
 
 const ABSENT = { row: undefined, version: 0 }
 
-/** The rows of one budget's partition as last seen; an older sight never replaces a newer. */
+/** The rows of one budget's partition as last seen; an older version never replaces a newer one. */
 export class PartitionView {
   private knownPool: KnownRow<PoolRow> = ABSENT
-  /** By instance. */
+  /** Holder rows by instance. */
   private readonly holders = new Map<string, KnownRow<HolderRow>>()
   private loaded = false
 
   constructor(
     private readonly instance: string,
-    /** Told the key of a row that is not of its form; what was known before stays. */
+    /** Called with the key of a malformed row; the last valid version is kept. */
     private readonly onMalformed: (key: string) => void,
   ) {}
 
@@ -49,7 +49,7 @@
     return this.holders.get(this.instance)?.row
   }
 
-  /** Versions for conditions: 0 where a row must not be there. */
+  /** Row versions for write conditions: 0 if the row must not exist. */
   get poolVersion(): number {
     return conditionVersion(this.knownPool)
   }
@@ -58,7 +58,10 @@
     return conditionVersion(this.holders.get(this.instance) ?? ABSENT)
   }
 
-  /** True where any row was of its form, or all that there are were told. */
+  /**
+   * Applies rows to the view. Returns whether any row was valid, or the update was the whole,
+   * empty, partition.
+   */
   apply(updates: readonly RowUpdate[], isWhole: boolean): boolean {
     const taken = updates.filter(update => this.set(update))
     if (!isWhole) return taken.length > 0
@@ -67,7 +70,7 @@
     return taken.length > 0 || updates.length === 0
   }
 
-  /** A transaction of this instance was done. */
+  /** Applies a transaction of this instance that succeeded. */
   applyWrite(
     written: { readonly pool: PoolRow; readonly holder: HolderRow; readonly changesPool: boolean },
     version: number,
@@ -76,7 +79,10 @@
     if (written.changesPool) this.setPool({ row: written.pool, version })
   }
 
-  /** The rows of a refused transaction's conditions; a row not among them is not there. */
+  /**
+   * Applies the current rows from the conditions of a rejected transaction; a row that is missing
+   * from them does not exist.
+   */
   applyConflict(updates: readonly RowUpdate[], includesPool: boolean): void {
     const keys = [holderKey(this.instance), ...(includesPool ? [POOL_KEY] : [])]
     for (const key of keys) {
@@ -87,7 +93,7 @@
     }
   }
 
-  /** What the given instances hold; those without a row count with zeros. */
+  /** Returns what the given instances hold; instances without a row count as zeros. */
   othersOf(
     instances: readonly string[],
   ): readonly { unspent: TokenCount; demandPerSecond: number }[] {
@@ -103,7 +109,7 @@
     return this.othersOf(instances).reduce((sum, other) => sum + other.unspent, 0)
   }
 
-  /** Tokens a second that callers of all holders ask for, as their rows tell. */
+  /** Tokens per second that callers of all holders request, according to their rows. */
   get totalDemandPerSecond(): number {
     let demand = 0
     for (const { row } of this.holders.values()) demand += row?.demandPerSecond ?? 0
@@ -111,21 +117,22 @@
   }
 
   /**
-   * Other holders whose callers ask for tokens, by rows written at or after `since` (time of the
-   * store). Membership learns seconds later that callers come to an instance that stands by.
+   * Returns other holders whose callers request tokens, judged by rows written at or after `since`
+   * (store time). Membership reports only seconds later that a standby instance receives callers.
    */
   requestersSince(since: Milliseconds): readonly string[] {
-    const askers: string[] = []
+    const requesters: string[] = []
     for (const [instance, { row }] of this.holders) {
       if (instance === this.instance || row === undefined) continue
-      if (row.demandPerSecond > 0 && row.base >= since) askers.push(instance)
+      if (row.demandPerSecond > 0 && row.base >= since) requesters.push(instance)
     }
-    return askers
+    return requesters
   }
 
   /**
-   * Other instances that hold unspent tokens, the most first. Whether they take callers does not matter:
-   * what an instance held that has begun to stand by is back in the pool only with its next record.
+   * Other instances that hold unspent tokens, the largest holding first. Whether they receive
+   * callers does not matter: the holding of an instance that has become standby returns to the pool
+   * only with its next record.
    */
   get lenders(): readonly string[] {
     return [...this.holders]
@@ -135,7 +142,7 @@
       .map(({ instance }) => instance)
   }
 
-  /** Tokens that other holders lack for requests at hand. */
+  /** Tokens that other holders lack for requests in progress. */
   wantedByOthers(instance: string): TokenCount {
     let wanted = 0
     for (const [holder, { row }] of this.holders) {
@@ -144,7 +151,10 @@
     return wanted
   }
 
-  /** After a whole read: what is not among its rows, and is not newer, is not there. */
+  /**
+   * After a read of the whole partition, drops rows that are neither part of the result nor newer
+   * than it.
+   */
   private forgetAbsent(updates: readonly RowUpdate[]): void {
     const present = new Set(updates.map(update => update.key))
     const newest = Math.max(0, ...updates.map(update => update.version))
@@ -154,7 +164,7 @@
     }
   }
 
-  /** False where the row is not of its form. */
+  /** Returns false if the row is malformed or its key is unknown. */
   private set({ key, value, version }: RowUpdate): boolean {
     if (key === POOL_KEY) {
       const row = value === undefined ? undefined : poolRowCodec.decode(value)
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -1,7 +1,8 @@
 /**
- * One budget on one instance: reserves, settles and keeps the rows in the store true. Owns the requests
- * that wait for a write and the write in progress; relies on HoldingState for what may be spent, on
- * PartitionView for what the others hold, and on writePlan for what the next write says.
+ * One budget on one instance: reserves and settles tokens and keeps the rows in the store accurate.
+ * Owns the requests that wait for a write, and the write in progress. Uses HoldingState for what
+ * may be spent, PartitionView for what the other instances hold, and writePlan for the content of
+ * the next write.
  */
 
 import { demandValidSince, budgetLenders, budgetSharers } from '@rackwalk/decisions'
@@ -34,7 +35,7 @@
 import { WaitingRequests } from './waitingRequests.js'
 import type { WaitingRequest } from './waitingRequests.js'
 
-/** What an account works with. */
+/** Dependencies of a `PrepaidAccount`. */
 export interface PrepaidAccountParts {
   readonly budget: string
   readonly instance: string
@@ -42,44 +43,54 @@
   readonly store: RowStore
   readonly storeClock: StoreClock
   readonly clock: Clock
-  /** Monotonic time at which this process started; its predecessor was dead by then. */
+  /** Monotonic time at which this process started; its predecessor had terminated by then. */
   readonly startedAt: Milliseconds
   readonly policy: HoldingPolicy
-  /** Whether the directory sends callers here; a standby instance holds for observed demand only. */
+  /**
+   * Whether the directory sends callers here; a standby instance holds tokens for observed demand
+   * only.
+   */
   readonly isActive: () => boolean
   /** Other instances to which callers are sent. */
   readonly otherInstances: () => readonly string[]
-  /** Longest time between two writes while tokens are spent. */
+  /** Maximum time between two writes while tokens are being spent. */
   readonly recordMilliseconds: () => Milliseconds
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
-  /** The holding of a dead incarnation was ended. */
+  /** Called when the holding of a terminated incarnation was ended. */
   readonly onTakeover?: (budget: string, takeover: Takeover) => void
-  /** A row of the budget that is not of its form; it is left out. */
+  /** Called for a malformed row of the budget; the row is ignored. */
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
-/** Time between two tries to give everything back at a planned stop. */
+/** Time between two attempts to give back the whole holding at a planned stop. */
 const LEAVE_RETRY_MILLISECONDS = 120
-/** Budgets from which nothing was spent are recorded this many times less often. */
+/** Budgets without spending are recorded this many times less often. */
 const IDLE_FACTOR = 4
-/** Share of the time between two records after which holdings may be moved. */
+/** Share of the time between two records after which a holding may be adjusted. */
 const ADJUST_SHARE = 0.25
-/** Factor by which the largest request seen fades with each request. */
+/** Factor by which the largest request seen decays with each request. */
 const LARGEST_DECAY = 0.98
 /**
- * Age of the rows at which an instance that stands by reads them again: what others hold and ask for
- * decides how much it holds; whether the pool has enough each write finds out by itself.
+ * Age of the rows at which a standby instance reads them again before a write. The holdings and
+ * demand of others decide how much it holds; whether the pool has enough tokens is verified by each
+ * write itself.
  */
 const STANDBY_STALENESS_MILLISECONDS = 1_000
-/** Tokens a second below which an instance that stands by asks for no holding: as rows round. */
+/**
+ * Demand in tokens per second below which a standby instance requests no holding, since rows round
+ * demand to integers.
+ */
 const LEAST_DEMAND_PER_SECOND = 1
-/** Tries to give everything back at a planned stop; the grace time ends them earlier. */
+/**
+ * Maximum number of attempts to give back the whole holding at a planned stop; the grace period may
+ * end them earlier.
+ */
 const LEAVE_ATTEMPTS = 12
 
 /** One budget on one instance. */
 export class PrepaidAccount implements LendingAccount {
   private readonly holding: HoldingState
-  /** Tokens that callers ask for, refused ones included. */
+  /** Tokens that callers request, including refused ones. */
   private readonly demand: DemandMeter
   /** Tokens that are committed. */
   private readonly spending: DemandMeter
@@ -105,7 +116,7 @@
     })
   }
 
-  /** The budget as the configuration of this version sets it. */
+  /** Sets the limit of the budget as given by this version of the configuration. */
   setLimit(limit: TokenCount, configurationVersion: number): void {
     if (configurationVersion < this.configurationVersion) return
     this.configurationVersion = configurationVersion
@@ -114,19 +125,19 @@
     if (this.parts.isActive()) this.startWrite()
   }
 
-  /** Takes in rows of this partition; with `isWhole` they are all that there are. */
+  /** Applies rows of this partition; with `isWhole`, they are all rows of the partition. */
   observe(rows: readonly RowUpdate[], isWhole: boolean): void {
     this.applyRows(rows, isWhole)
     this.noteOwnRow()
   }
 
-  /** Sets tokens aside, waiting at most `patience` for the store. */
+  /** Reserves tokens, waiting at most `patience` for the store. */
   reserve(tokens: TokenCount, patience: Milliseconds): Promise<PrepaidOutcome> {
     this.recordDemand(tokens)
     return this.reserveLocally(tokens, patience)
   }
 
-  /** A caller here asks for tokens, whoever may hold them. */
+  /** Records that a caller of this instance requests tokens, whichever instance holds them. */
   recordDemand(tokens: TokenCount): void {
     this.demand.add(tokens)
     this.largest = Math.max(tokens, this.largest * LARGEST_DECAY)
@@ -137,7 +148,10 @@
     return this.view.pool === undefined || tokens <= this.reachable
   }
 
-  /** Commits what may be committed at once, at most the tokens asked for. */
+  /**
+   * Commits the tokens that may be committed without a write, at most `tokens`, and returns how
+   * many.
+   */
   takeAvailable(tokens: TokenCount): TokenCount {
     if (this.isClosed) return 0
     const taken = Math.min(tokens, this.holding.allowance)
@@ -153,12 +167,14 @@
     return outcome.kind === 'reserved' ? within : this.takeAvailable(tokens)
   }
 
-  /** Instances to ask for tokens of this budget, the likeliest first. */
+  /** Instances to ask for tokens of this budget, the most likely lenders first. */
   get lenders(): readonly string[] {
     return budgetLenders(this.view.lenders, this.others, this.report.rowsAge)
   }
 
-  /** Sets tokens aside in this holding, for whoever asks. */
+  /**
+   * Reserves tokens out of this holding without counting them as demand of this instance's callers.
+   */
   reserveLocally(tokens: TokenCount, patience: Milliseconds): Promise<PrepaidOutcome> {
     if (!this.isClosed && tokens <= this.holding.allowance) {
       this.holding.commit(tokens)
@@ -167,67 +183,73 @@
     if (this.storeHealth.isUnavailable || this.isClosed)
       return Promise.resolve(this.refused(tokens))
     if (this.storeHealth.isSlowerThan(patience)) {
-      // The write that would cover it raises what later ones find.
+      // The write that would cover this request raises the holding for later requests.
       this.startWrite()
       return Promise.resolve(this.refused(tokens))
     }
-    // A request is answered in its time, also while a write that covers it hangs.
+    // The request is answered within its patience even if the write that covers it hangs.
     const outcome = this.waiting.add(tokens, patience, request => this.finishFromHolding(request))
     this.startWrite()
     return outcome
   }
 
-  /** Ends a reservation: of the tokens committed here what was not handed out is free again. */
+  /** Ends a reservation: tokens that were committed here but not handed out become free again. */
   settle(committed: TokenCount, spent: TokenCount): void {
     const handedOut = Math.min(spent, committed)
     this.holding.settle(committed, handedOut)
     this.spending.add(handedOut - committed)
   }
 
-  /** A caller asked for more tokens than it needed: the difference is no demand. */
+  /** Subtracts tokens that a caller requested but did not need from the demand. */
   subtractDemand(tokens: TokenCount): void {
     this.demand.add(-tokens)
   }
 
-  /** Called a few times a second: records, takes and gives back. */
+  /** Records, takes and gives back tokens when due; called a few times per second. */
   maintain(): void {
     if (this.isWriteDue()) this.startWrite()
     this.report.reportEndedShortage()
   }
 
-  /** The number of instances that share the budget, this one included. */
+  /** The number of instances that share the budget, including this one. */
   get sharers(): number {
     return this.others.length + 1
   }
 
-  /** Whether callers here are being refused tokens that exist. */
+  /** Whether callers of this instance are being refused tokens that exist. */
   get isShort(): boolean {
     return this.report.isShort
   }
 
-  /** A caller was refused tokens that other instances hold, or that are out of reach. */
+  /**
+   * Records that a caller was refused tokens that other instances hold or that cannot be reached.
+   */
   recordRefusal(): void {
     this.report.recordRefusal()
   }
 
-  /** Whether the store last failed to answer; nothing is written until it answers a probe. */
+  /**
+   * Whether the last call to the store failed; nothing is written until the store answers a probe.
+   */
   get isStoreFailing(): boolean {
     return this.storeHealth.isFailing && !this.isClosed
   }
 
-  /** Asks a store that was out of reach by a read; true once it answered. */
+  /** Probes an unreachable store with a read; returns true if it answered. */
   async probe(): Promise<boolean> {
     const isReached = await this.read()
     if (isReached) this.startWrite()
     return isReached
   }
 
-  /** Settles what was spent and gives the rest back; true once the store has it. */
+  /**
+   * Settles what was spent and gives back the rest; returns true once the store has recorded it.
+   */
   async leave(): Promise<boolean> {
     this.isClosed = true
     await this.writing
-    // Found by exploration: a request whose write had met a conflict was served from the
-    // holding after that had been given back.
+    // Without this step, a request whose write met a conflict would be served from the holding
+    // after the holding was given back.
     for (const request of this.waiting.removeAll()) request.finish(this.refused(request.tokens))
     for (let attempt = 0; attempt < LEAVE_ATTEMPTS; attempt += 1) {
       if (await this.leaveOnce()) return true
@@ -236,7 +258,7 @@
     return false
   }
 
-  /** What is known here, for decision records and logs. */
+  /** Returns the state of the budget as this instance knows it, for decision records and logs. */
   describe(): Readonly<Record<string, unknown>> {
     return this.report.describe()
   }
@@ -260,7 +282,7 @@
     if (this.view.apply(rows, isWhole)) this.report.recordRowsSeen()
   }
 
-  /** Tokens that this holding can come to commit, with a transaction where the store answers. */
+  /** Tokens that this holding could commit, including by a transaction if the store answers. */
   private get reachable(): TokenCount {
     const free = this.storeHealth.isUnavailable ? 0 : freeInPool(this.view.pool ?? NO_POOL)
     return this.holding.unspent + Math.max(0, free)
@@ -283,23 +305,27 @@
     if (isIdle && this.holding.unspent === 0 && !this.parts.isActive()) return false
     const age = this.holding.recordAge
     if (age > (isIdle ? period * IDLE_FACTOR : period)) return true
-    // Where many instances share a budget, moving holdings at each look would only contend.
+    // If many instances share a budget, adjusting holdings at every check would only cause write
+    // conflicts.
     return age > period * ADJUST_SHARE && wouldChangePool(this.writeInputs([]))
   }
 
-  /** Whether callers ask here; others learn of it by the row alone, also while loans pay for them. */
+  /**
+   * Whether callers request tokens here. Other instances learn of this demand only through the
+   * holder row, also while loans cover it.
+   */
   private get hasCallers(): boolean {
     return this.demand.perSecond >= LEAST_DEMAND_PER_SECOND
   }
 
-  /** Whether an earlier incarnation left a holding, which only this one can free. */
+  /** Whether an earlier incarnation left a holding, which only this incarnation can free. */
   private get hasPredecessor(): boolean {
     const row = this.view.ownHolder
     return row !== undefined && row.incarnation !== this.parts.incarnation
   }
 
   private startWrite(): void {
-    // A row on its way bounds what may be spent, so a store out of reach is tried by reads.
+    // A row in flight limits what may be spent, so an unreachable store is probed with reads.
     if (this.writing !== undefined || this.isClosed || this.isStoreFailing) return
     if (this.storeHealth.isThrottled) return
     this.writing = this.writeWhileDue().finally(() => {
@@ -307,7 +333,10 @@
     })
   }
 
-  /** An instance that stands by follows no budgets: it looks at the rows before it writes. */
+  /**
+   * Whether the rows are too old to plan a write: a standby instance does not follow budgets, so it
+   * reads the rows first.
+   */
   private get hasStaleRows(): boolean {
     return !this.parts.isActive() && (this.report.rowsAge ?? 0) > STANDBY_STALENESS_MILLISECONDS
   }
@@ -319,7 +348,10 @@
     } while (!this.waiting.isEmpty && !this.isClosed)
   }
 
-  /** One write, or the read that has to come before it; false where it should be put off. */
+  /**
+   * Does one write, including the read that may have to precede it; returns false if the write
+   * should be postponed.
+   */
   private async writeOnce(): Promise<boolean> {
     if (this.limit === undefined) return false
     if (!this.view.isLoaded || this.holding.hasUnresolved || this.hasStaleRows) {
@@ -334,7 +366,7 @@
     if (outcome.kind === 'done') {
       for (const request of admitted) this.finishWritten(request)
       this.refuseUncoverable()
-      // Who came while the write was on its way need not wait for another one.
+      // Requests that arrived while the write was in flight need not wait for another one.
       this.waiting.finishCovered(this.holding, request => this.finishFromHolding(request))
       return true
     }
@@ -364,7 +396,7 @@
     }
     if (outcome.kind === 'not-done') this.holding.withdraw(sequence)
     if (outcome.kind === 'not-done' && outcome.reason === 'throttled') {
-      // The store answers: it needs fewer calls, not a question whether it is back.
+      // The store is reachable: it needs fewer calls, so it is not probed.
       this.storeHealth.recordThrottling()
       return
     }
@@ -383,7 +415,7 @@
     return isReached
   }
 
-  /** Reads all rows of the budget; false where the store did not give them. */
+  /** Reads all rows of the budget; returns false if the read failed. */
   private async read(): Promise<boolean> {
     const sentAt = this.parts.clock.monotonic()
     const outcome = await this.parts.store.readPartition(PREPAID_TABLE, this.parts.budget)
@@ -398,7 +430,7 @@
     return true
   }
 
-  /** The own row shows which of the unresolved writes took effect. */
+  /** Reads from the own row which of the unresolved writes took effect. */
   private noteOwnRow(): void {
     const row = this.view.ownHolder
     if (row === undefined) return
@@ -411,7 +443,7 @@
     this.report.emitEvent('prepaid_holding_lost', {})
   }
 
-  /** What the row that the next write replaces grants to this incarnation. */
+  /** Tokens that the row which the next write replaces grants to this incarnation. */
   private get grantedInStore(): TokenCount {
     const row = this.view.ownHolder
     return row?.incarnation === this.parts.incarnation ? row.granted : 0
@@ -441,7 +473,10 @@
     }
   }
 
-  /** Tokens in the pool as far as known here; before there is a pool row all of them. */
+  /**
+   * Free tokens in the pool as far as this instance knows; the whole limit before a pool row
+   * exists.
+   */
   private get free(): TokenCount {
     const { pool } = this.view
     return pool === undefined ? Math.max(this.limit ?? 0, 0) : freeInPool(pool)
@@ -458,14 +493,17 @@
     }
   }
 
-  /** Takes the requests that the plan covers out of the queue and commits their tokens. */
+  /** Removes the requests that the plan covers from the queue and commits their tokens. */
   private takeAdmitted(plan: WritePlan): readonly WaitingRequest[] {
     const admitted = this.waiting.removeAt(plan.admitted)
     for (const request of admitted) this.holding.commit(request.tokens)
     return admitted
   }
 
-  /** After a write nothing more can be found in the pool: requests that still wait are refused. */
+  /**
+   * Refuses the waiting requests that exceed both the holding and the pool: right after a write,
+   * the pool contains no further tokens.
+   */
   private refuseUncoverable(): void {
     const reachable = this.holding.unspent + Math.max(0, freeInPool(this.view.pool ?? NO_POOL))
     const hopeless = this.waiting.removeWhere(request => request.tokens > reachable)
@@ -503,12 +541,15 @@
     return { table: PREPAID_TABLE, partition: this.parts.budget, key }
   }
 
-  /** Until the store answers again, requests can be given no more than is held. */
+  /** Until the store answers again, requests can be granted only tokens that are already held. */
   private serveFromHolding(): void {
     for (const request of this.waiting.removeAll()) this.finishFromHolding(request)
   }
 
-  /** A request that has gone meanwhile gives its tokens back. */
+  /**
+   * Completes a request that a write covered; if it was answered in the meantime, its tokens become
+   * free again.
+   */
   private finishWritten(request: WaitingRequest): void {
     if (request.isAnswered) this.holding.settle(request.tokens, 0)
     else request.finish(this.reserved(request.tokens, 'written'))
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -1,6 +1,7 @@
 /**
- * All prepaid budgets on one instance. Owns an account for each, and decides whether a request is covered
- * by the own holding, a write or loans; relies on accounts, borrower and lender to do it.
+ * All prepaid budgets on one instance. Owns an account per budget, and decides whether a request is
+ * covered by this instance's holding, by a write or by loans, which the accounts, the borrower and
+ * the lender carry out.
  */
 
 import { recordInterval } from '@rackwalk/decisions'
@@ -22,7 +23,7 @@
   ReservedOutcome,
 } from './prepaidOutcome.js'
 
-/** What a ledger works with. */
+/** Dependencies of a `PrepaidLedger`. */
 export interface PrepaidLedgerParts {
   readonly instance: string
   readonly incarnation: string
@@ -33,42 +34,45 @@
   readonly policy: HoldingPolicy
   /** Whether callers are sent to this instance. */
   readonly isActive: () => boolean
-  /** Others to which callers are sent; who else draws on a budget is seen from its rows. */
+  /**
+   * Other instances to which callers are sent; further instances that use a budget are known from
+   * its rows.
+   */
   readonly otherInstances: () => readonly string[]
   readonly limits: LedgerLimits
-  /** Reaches other instances; without it nobody borrows. */
+  /** Reaches other instances; without it, this instance does not borrow. */
   readonly loanChannel?: LoanChannel
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
-  /** The holding of a dead incarnation was ended. */
+  /** Called when the holding of a terminated incarnation was ended. */
   readonly onTakeover?: (budget: string, takeover: Takeover) => void
-  /** A row that is not of its form; it is left out, and what was known before stays. */
+  /** Called for a malformed row; the row is ignored and the last valid version is kept. */
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
-/** The writes that the store takes; from them follows how often holdings are recorded. */
+/** Write rates that the store can take; they determine how often holdings are recorded. */
 export interface LedgerLimits {
   readonly writesPerSecond: number
   readonly partitionWritesPerSecond: number
-  /** Part of a prepaid limit that is never handed out: the margin for counting errors. */
+  /** Share of a prepaid limit that is never handed out, as a margin for counting errors. */
   readonly reserveShare: number
 }
 
-/** A budget as the configuration gives it. */
+/** A budget as given by the configuration. */
 export interface PrepaidLimit {
   readonly budget: string
   readonly limit: TokenCount
 }
 
-/** Time between two looks at what is due. */
+/** Time between two maintenance checks. */
 const MAINTENANCE_PERIOD_MILLISECONDS = 125
-/** Looks at what is due between two reckonings of how often holdings are recorded. */
+/** Maintenance checks between two updates of the record interval. */
 const TICKS_PER_UPDATE = 4
-/** Longest time in which other instances are asked for tokens, for one request. */
+/** Maximum time spent on asking other instances for tokens, per request. */
 const BORROW_MILLISECONDS = 60
 
-/** What came of asking other instances. */
+/** The result of asking other instances. */
 interface BorrowingOutcome {
-  /** Undefined where they do not cover the request. */
+  /** Undefined if the other instances do not cover the request. */
   readonly reserved?: ReservedOutcome
   readonly answers: readonly LenderAnswer[]
 }
@@ -81,12 +85,12 @@
 export class PrepaidLedger {
   private readonly accounts = new Map<string, PrepaidAccount>()
   private readonly borrower: Borrower | undefined
-  /** Lends to other instances out of the holdings of this one. */
+  /** Lends to other instances out of this instance's holdings. */
   readonly lender = new Lender(budget => this.accounts.get(budget))
   private timer: Timer | undefined
   private probeTurn = 0
   private recordPeriod: Milliseconds = 0
-  /** Looks at what is due until the time between two records is reckoned anew. */
+  /** Maintenance checks until the next update of the record interval. */
   private ticksUntilUpdate = 0
 
   constructor(private readonly parts: PrepaidLedgerParts) {
@@ -95,7 +99,10 @@
     this.updateRecordInterval()
   }
 
-  /** Budgets in force; one that is no longer named is kept, since its rows still count. */
+  /**
+   * Sets the budgets in force. A budget that is no longer configured is kept, since its rows still
+   * count.
+   */
   configure(limits: readonly PrepaidLimit[], configurationVersion: number): void {
     for (const { budget, limit } of limits) {
       const usable = Math.floor(limit * (1 - this.parts.limits.reserveShare))
@@ -115,8 +122,9 @@
   }
 
   /**
-   * Sets tokens aside: from the own holding, by a transaction, or from other instances. These are asked after `patience`;
-   * where none of them lends, a transaction is awaited until `lastPatience` has passed.
+   * Reserves tokens from this instance's holding, by a transaction, or from other instances. Other
+   * instances are asked after `patience`; if none of them lends, the request waits for a
+   * transaction until `lastPatience` has passed.
    */
   async reserve(
     budget: string,
@@ -142,12 +150,14 @@
     return outcome.kind === 'reserved' ? outcome : this.refuse(account, outcome, answers)
   }
 
-  /** Budgets whose callers are being refused tokens that exist. */
+  /** Number of budgets whose callers are being refused tokens that exist. */
   get shortBudgets(): number {
     return [...this.accounts.values()].filter(account => account.isShort).length
   }
 
-  /** Ends a reservation; what was not handed out is free again, here and at the lenders. */
+  /**
+   * Ends a reservation; tokens that were not handed out become free again, here and at the lenders.
+   */
   settle(reservation: PrepaidReservation, spent: TokenCount): void {
     const { budget, tokens, loans } = reservation
     const account = this.accounts.get(budget)
@@ -179,14 +189,17 @@
     this.timer?.cancel()
   }
 
-  /** Settles and gives back everything; false where the store did not take all of it. */
+  /**
+   * Settles all holdings and gives back the rest; returns false if the store did not accept all of
+   * it.
+   */
   async leave(): Promise<boolean> {
     this.stop()
     const results = await Promise.all([...this.accounts.values()].map(account => account.leave()))
     return results.every(Boolean)
   }
 
-  /** What the own holding lacks, from other instances. */
+  /** Borrows from other instances the tokens that this instance's holding lacks. */
   private async borrow(
     account: PrepaidAccount,
     budget: string,
@@ -206,7 +219,9 @@
     return reservedBy({ budget, tokens, loans }, 'borrowed')
   }
 
-  /** Nobody lends: a write may still cover the tokens, where the pool has them. */
+  /**
+   * After no instance lent: waits for a write that may still cover the tokens if the pool has them.
+   */
   private async awaitPoolWrite(
     account: PrepaidAccount,
     tokens: TokenCount,
@@ -228,8 +243,9 @@
   }
 
   /**
-   * One budget in turn asks a store that is out of reach; when it answers, all others do at
-   * once: until they have recorded what they spent, a death would count the most they may have.
+   * Probes an unreachable store for one budget per check, in rotation; once it answers, all other
+   * budgets probe it immediately. Until they have recorded what they spent, a crash would count the
+   * most that their rows allow.
    */
   private probeFailing(): void {
     const lost = [...this.accounts.values()].filter(account => account.isStoreFailing)
@@ -246,7 +262,10 @@
     return this.recordPeriod
   }
 
-  /** Who shares a budget changes within seconds, and there may be very many of them. */
+  /**
+   * Updates the record interval. Not done at every check: the sharers of a budget change within
+   * seconds, and there may be very many budgets.
+   */
   private updateRecordInterval(): void {
     this.ticksUntilUpdate -= 1
     if (this.ticksUntilUpdate > 0) return
--- a/packages/coordination/src/prepaid/prepaidOutcome.ts
+++ b/packages/coordination/src/prepaid/prepaidOutcome.ts
@@ -1,10 +1,10 @@
-/** What comes of asking a budget for tokens. */
+/** Outcomes of requesting tokens from a budget. */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { LenderAnswer } from './borrower.js'
 import type { Loan } from './loan.js'
 
-/** Tokens set aside for one request. */
+/** Tokens reserved for one request. */
 export interface PrepaidReservation {
   readonly budget: string
   readonly tokens: TokenCount
@@ -12,25 +12,28 @@
   readonly loans: readonly Loan[]
 }
 
-/** `exhausted`: nobody has enough left; `unavailable`: others hold it, or it is not known. */
+/**
+ * `exhausted`: no instance has enough tokens left; `unavailable`: others hold the tokens, or that
+ * is unknown.
+ */
 export type PrepaidRefusal = 'exhausted' | 'unavailable'
 
-/** Tokens that are set aside, and how: `held`, `written` or `borrowed`. */
+/** Tokens were reserved; `path` tells how: `held`, `written` or `borrowed`. */
 export interface ReservedOutcome {
   readonly kind: 'reserved'
   readonly reservation: PrepaidReservation
   readonly path: string
 }
 
-/** Why no tokens are set aside. */
+/** No tokens were reserved, with the reason. */
 export interface RefusedOutcome {
   readonly kind: 'refused'
   readonly reason: PrepaidRefusal
-  /** After this time, where given, this instance could serve the request. */
+  /** Time after which this instance could serve the request; undefined if unknown. */
   readonly waitMilliseconds: Milliseconds | undefined
-  /** Who was asked for a loan in vain, and what they answered. */
+  /** Answers of the lenders that were asked for a loan in vain. */
   readonly lenders: readonly LenderAnswer[]
 }
 
-/** Tokens that are set aside, or why they are not. */
+/** Either reserved tokens or the reason for refusing them. */
 export type PrepaidOutcome = ReservedOutcome | RefusedOutcome
--- a/packages/coordination/src/prepaid/prepaidRows.ts
+++ b/packages/coordination/src/prepaid/prepaidRows.ts
@@ -1,7 +1,7 @@
 /**
- * Rows of the prepaid ledger and their stored forms. A budget is one partition: a pool row, and a holder
- * row for each instance that drew on it. What an instance may hand out is bounded by its holder row alone,
- * so that a death at any moment loses at most what that row allowed.
+ * Rows of the prepaid ledger and their stored forms. A budget is one partition: a pool row, and a
+ * holder row for each instance that has used it. What an instance may hand out is bounded by its
+ * holder row alone, so a crash at any moment loses at most what that row allowed.
  */
 
 import * as z from 'zod'
@@ -15,67 +15,85 @@
 /** `settled + allocated` never exceeds `limit`, except after the limit was lowered. */
 export interface PoolRow {
   readonly limit: TokenCount
-  /** Version of the configuration that set the limit; older ones do not change it. */
+  /** Version of the configuration that set the limit; older versions do not change it. */
   readonly configurationVersion: number
-  /** Handed out by holders that are gone. */
+  /** Tokens handed out by holders that no longer exist. */
   readonly settled: TokenCount
   /** Sum of `granted` over all holder rows. */
   readonly allocated: TokenCount
   /**
-   * Part of `settled` that dead holders may have handed out, or not. For operators only: an earlier version
-   * that writes the row leaves it out.
+   * The part of `settled` that terminated holders may or may not have handed out. For operators
+   * only: an earlier software version that writes the row omits the field.
    */
   readonly assumedSpent?: TokenCount
 }
 
-/** What one incarnation holds, and may spend before its next write. */
+/** What one incarnation holds, and how much it may spend before its next write. */
 export interface HolderRow {
   readonly incarnation: string
-  /** Counts the writes of this incarnation; tells a lost answer from a lost write. */
+  /** Counts the writes of this incarnation; distinguishes a lost answer from a lost write. */
   readonly sequence: number
-  /** Tokens ever given to this incarnation, less those it gave back. */
+  /** Tokens ever granted to this incarnation, minus those it gave back. */
   readonly granted: TokenCount
-  /** Handed out or reserved when the row was written. */
+  /** Tokens handed out or reserved when the row was written. */
   readonly committed: TokenCount
-  /** Part of `committed` that requests and loans in progress reserve; absent in rows of earlier versions. */
+  /**
+   * Part of `committed` that requests and loans in progress reserve; absent in rows of earlier
+   * software versions.
+   */
   readonly reserved?: TokenCount
-  /** Part of `committed` that nobody has asked for yet; absent in rows of earlier versions. */
+  /**
+   * Part of `committed` that no request has asked for yet; absent in rows of earlier software
+   * versions.
+   */
   readonly ahead?: TokenCount
-  /** Steady time of the store, not later than the moment of writing. */
+  /** Steady time of the store, not later than the time of the write. */
   readonly base: Milliseconds
-  /** Beyond `committed`, tokens a second that may be committed before the next write, */
+  /**
+   * Tokens per second, beyond `committed`, that may be committed before the next write during the
+   * strict window.
+   */
   readonly strictRate: number
-  /** while no more than this time has passed since `base`; */
+  /** Length of the strict window, counted from `base`. */
   readonly strictMilliseconds: Milliseconds
-  /** after this time, when the store is evidently out of reach, so many at once, */
+  /**
+   * Time after `base` at which the store evidently cannot be reached; from then on, `cutBurst`
+   * tokens may be committed at once.
+   */
   readonly cutAfterMilliseconds: Milliseconds
   readonly cutBurst: TokenCount
-  /** and so many a second, */
+  /** Tokens per second that may be committed in addition after `cutAfterMilliseconds`. */
   readonly cutRate: number
-  /** all together fewer than this. Rows of earlier versions have none, and earlier versions assume more. */
+  /**
+   * Exclusive upper bound of the tokens committed by `cutBurst` and `cutRate` together. Absent in
+   * rows of earlier software versions; earlier versions assume more.
+   */
   readonly cutTokens?: TokenCount | undefined
-  /** Tokens a second that its callers ask for; others size their holdings by it. */
+  /**
+   * Tokens per second that callers of this instance request; other instances size their holdings by
+   * it.
+   */
   readonly demandPerSecond: number
-  /** Tokens that it lacks for a request at hand. */
+  /** Tokens that this instance lacks for a request in progress. */
   readonly wanted: TokenCount
 }
 
-/** The key of an instance's holder row. */
+/** Returns the key of an instance's holder row. */
 export function holderKey(instance: string): string {
   return `${HOLDER_PREFIX}${instance}`
 }
 
-/** The instance of a holder row's key; undefined for other keys. */
+/** Returns the instance that a holder row's key names; undefined for other keys. */
 export function instanceOfKey(key: string): string | undefined {
   return key.startsWith(HOLDER_PREFIX) ? key.slice(HOLDER_PREFIX.length) : undefined
 }
 
-/** Tokens of the pool that nobody holds; negative after the limit was lowered. */
+/** Tokens of the pool that no instance holds; negative after the limit was lowered. */
 export function freeInPool(pool: PoolRow): TokenCount {
   return pool.limit - pool.settled - pool.allocated
 }
 
-/** Ends a holding: what it may have committed counts as handed out, the rest is free again. */
+/** Ends a holding: `committed` tokens count as handed out, and the rest becomes free again. */
 export function endHolding(pool: PoolRow, holder: HolderRow, committed: TokenCount): PoolRow {
   return {
     ...pool,
@@ -104,7 +122,7 @@
     allocated,
     assumedSpent,
   }),
-  // The names in the store are those of the type at present.
+  // The stored fields currently have the same names as those of the type.
   fromWire: wire => wire,
 })
 
@@ -118,7 +136,8 @@
   base: z.number(),
   strictRate: z.number(),
   strictMilliseconds: z.number(),
-  // Rows of earlier versions have none: for them a cut is evident when the first time is over.
+  // Rows of earlier software versions lack this field: for them, the store counts as unreachable at
+  // the end of the strict window.
   cutAfterMilliseconds: z.number().optional(),
   cutBurst: z.number(),
   cutRate: z.number(),
@@ -153,7 +172,7 @@
 export const holderRowCodec = new JsonCodec<HolderWire, HolderRow>({
   schema: holderSchema,
   toWire: holderToWire,
-  // The names in the store are those of the type at present.
+  // The stored fields currently have the same names as those of the type.
   fromWire: wire => ({
     ...wire,
     cutAfterMilliseconds: wire.cutAfterMilliseconds ?? wire.strictMilliseconds,
--- a/packages/coordination/src/prepaid/storeHealth.ts
+++ b/packages/coordination/src/prepaid/storeHealth.ts
@@ -1,66 +1,68 @@
 /**
- * How the store answers one budget's calls: whether it is lost, throttles or is slow. Owns the failures in a
- * row, the call on its way and the pause that a throttled write asks for.
+ * State of the store as seen by one budget's calls: unreachable, throttling or slow. Owns the
+ * number of consecutive failures, the call in progress and the pause after a throttled write.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** A store that has not answered a call for this long counts as out of reach. */
+/** A store that has not answered a call for this long counts as unreachable. */
 const SLOW_CALL_MILLISECONDS: Milliseconds = 250
-/** After a write that the store throttled, the next one comes this much later. */
+/** Delay of the next write after the store throttled one. */
 const THROTTLED_MILLISECONDS: Milliseconds = 400
 
 /**
- * A store that failed is told of again only after no call failed for this long: one that turns away every other call is
- * one episode, and not a line for each loss.
+ * A new failure is reported only after no call failed for this long: a store that rejects every
+ * other call is one episode, not one log line per failure.
  */
 const RECOVERY_MILLISECONDS: Milliseconds = 5_000
 
-/** The store as the calls of one budget find it. */
+/** State of the store as seen by the calls of one budget. */
 export class StoreHealth {
   private failures = 0
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
   private throttledUntil: Milliseconds = 0
   private callStartedAt: Milliseconds | undefined
-  /** How long the last two calls took. */
+  /** Durations of the last two calls. */
   private lastCalls: readonly [Milliseconds, Milliseconds] = [0, 0]
 
   constructor(
     private readonly clock: Clock,
-    /** The first failure after the store answered for a while. */
+    /** Called at the first failure after a period without failures. */
     private readonly onLost: (reason: string) => void,
   ) {}
 
-  /** Whether the store last failed to answer; it is asked by reads until it does. */
+  /**
+   * Whether the last call to the store failed; the store is probed with reads until one succeeds.
+   */
   get isFailing(): boolean {
     return this.failures > 0
   }
 
-  /** Whether the store asked for fewer calls a moment ago. */
+  /** Whether the store throttled a write recently. */
   get isThrottled(): boolean {
     return this.clock.monotonic() < this.throttledUntil
   }
 
-  /** Whether nothing can be had from the store within the patience of a request. */
+  /** Whether the store cannot answer within the patience of a request. */
   get isUnavailable(): boolean {
     return this.isThrottled || this.isFailing || (this.callAge ?? 0) > SLOW_CALL_MILLISECONDS
   }
 
   /**
-   * Whether a call is likely to take longer than this, as the last two did. Waiting for it in vain takes the
-   * time in which other instances can be asked.
+   * Whether a call is likely to take longer than `patience`, as the last two did. Waiting for such
+   * a call would use up the time in which other instances can be asked.
    */
   isSlowerThan(patience: Milliseconds): boolean {
     return Math.min(...this.lastCalls) > patience
   }
 
-  /** How long a call has been on its way; undefined where none is. */
+  /** Age of the call in progress; undefined if there is none. */
   get callAge(): Milliseconds | undefined {
     if (this.callStartedAt === undefined) return undefined
     return this.clock.monotonic() - this.callStartedAt
   }
 
-  /** Passes a call through and notes how long it has been on its way. */
+  /** Awaits a call and records its duration. */
   async timed<Outcome>(call: Promise<Outcome>): Promise<Outcome> {
     this.callStartedAt = this.clock.monotonic()
     const startedAt = this.clock.monotonic()
@@ -81,8 +83,8 @@
   recordFailure(reason: string): void {
     this.failures += 1
     const now = this.clock.monotonic()
-    const isNews = now - this.failedAt > RECOVERY_MILLISECONDS
+    const isNewEpisode = now - this.failedAt > RECOVERY_MILLISECONDS
     this.failedAt = now
-    if (isNews) this.onLost(reason)
+    if (isNewEpisode) this.onLost(reason)
   }
 }
--- a/packages/coordination/src/prepaid/takeover.ts
+++ b/packages/coordination/src/prepaid/takeover.ts
@@ -1,6 +1,6 @@
 /**
- * What becomes of a dead incarnation's holding: how much of it counts as spent, and why. Pure functions of
- * its last row and of the time by which it was dead.
+ * How a terminated incarnation's holding is ended: how much of it counts as spent, and why. Pure
+ * functions of its last row and of the time by which it had terminated.
  */
 
 import { committedBound } from '@rackwalk/decisions'
@@ -8,30 +8,35 @@
 import { endHolding } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
 
-/** An earlier incarnation's holding, and what of it counts as handed out. */
+/** An earlier incarnation's holding, and how much of it counts as handed out. */
 export interface Takeover {
   readonly incarnation: string
   readonly granted: TokenCount
-  /** Committed as the dead incarnation last recorded. */
+  /** Tokens committed according to the incarnation's last row. */
   readonly recorded: TokenCount
   /** Part of `recorded` that requests and loans in progress reserved. */
   readonly reserved: TokenCount
-  /** Part of `recorded` that nobody had asked for yet. */
+  /** Part of `recorded` that no request had asked for yet. */
   readonly ahead: TokenCount
-  /** What the row allowed beyond `recorded` until the incarnation was dead. */
+  /** Tokens that the row allowed beyond `recorded` until the incarnation terminated. */
   readonly allowed: TokenCount
-  /** The most that it can have committed; the rest of the holding is free again. */
+  /**
+   * The most that the incarnation can have committed; the rest of the holding becomes free again.
+   */
   readonly assumed: TokenCount
 }
 
-/** Who takes over, and by when its predecessor was dead. */
+/** The incarnation that takes over, and the time by which its predecessor had terminated. */
 interface Successor {
   readonly incarnation: string
-  /** A time of the store at which an earlier incarnation was dead. */
+  /** A store time by which the earlier incarnation had terminated. */
   readonly diedBefore: Milliseconds | undefined
 }
 
-/** The takeover of the row by its successor; undefined where the row is its own. */
+/**
+ * Returns the takeover of a row by its successor; undefined if the row belongs to the successor
+ * itself.
+ */
 export function takeoverOf(
   row: HolderRow | undefined,
   { incarnation, diedBefore }: Successor,
@@ -49,7 +54,7 @@
   }
 }
 
-/** The pool after a dead incarnation's holding was ended. */
+/** Returns the pool after the holding of a terminated incarnation was ended. */
 export function endDeadHolding(pool: PoolRow, row: HolderRow, takeover: Takeover): PoolRow {
   const { reserved, ahead, allowed, assumed } = takeover
   const assumedSpent = (pool.assumedSpent ?? 0) + reserved + ahead + allowed
@@ -57,7 +62,7 @@
 }
 
 function boundAtDeath(row: HolderRow, diedBefore: Milliseconds | undefined): TokenCount {
-  // Without a time of the store the whole holding may be spent.
+  // Without a store time, the whole holding may have been spent.
   if (diedBefore === undefined) return row.granted
   return committedBound(row, diedBefore - row.base)
 }
--- a/packages/coordination/src/prepaid/waitingRequests.ts
+++ b/packages/coordination/src/prepaid/waitingRequests.ts
@@ -1,11 +1,12 @@
 /**
- * The requests of one budget that wait for a write which covers them, first come first. Owns their timers.
+ * The requests of one budget that wait for a write that covers them, in order of arrival. Owns
+ * their timers.
  */
 
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
 import type { PrepaidOutcome } from './prepaidOutcome.js'
 
-/** One request that waits for a write which covers it. */
+/** A request that waits for a write that covers it. */
 export class WaitingRequest {
   private answered = false
   private timer: Timer | undefined
@@ -15,7 +16,7 @@
     private readonly resolve: (outcome: PrepaidOutcome) => void,
   ) {}
 
-  /** Answered while a write that covers it was still on its way. */
+  /** Whether the request was answered while the write that covers it was still in flight. */
   get isAnswered(): boolean {
     return this.answered
   }
@@ -31,7 +32,7 @@
   }
 }
 
-/** The requests of one budget that wait, first come first. */
+/** The waiting requests of one budget, in order of arrival. */
 export class WaitingRequests {
   private requests: readonly WaitingRequest[] = []
 
@@ -45,7 +46,7 @@
     return this.requests.map(request => request.tokens)
   }
 
-  /** Queues a request; after `patience` it is taken out and handed to `onExpired`. */
+  /** Queues a request; after `patience`, the request is removed and passed to `onExpired`. */
   add(
     tokens: TokenCount,
     patience: Milliseconds,
@@ -61,7 +62,7 @@
     })
   }
 
-  /** Takes out the requests at these positions. */
+  /** Removes and returns the requests at these positions. */
   removeAt(positions: readonly number[]): readonly WaitingRequest[] {
     const wanted = new Set(positions.map(position => this.requests[position]))
     return this.removeWhere(request => wanted.has(request))
@@ -73,7 +74,10 @@
     return taken
   }
 
-  /** Takes out and finishes, first come first, those that may be given tokens; each changes what the next may have. */
+  /**
+   * Removes and finishes, in order of arrival, the requests that the allowance covers; each one
+   * reduces the allowance for the next.
+   */
   finishCovered(
     holding: { readonly allowance: TokenCount },
     finish: (request: WaitingRequest) => void,
@@ -89,7 +93,9 @@
     return this.removeWhere(() => true)
   }
 
-  /** Requests whose write did not come about wait on, but for those answered meanwhile. */
+  /**
+   * Queues the requests of a failed write again, except those that were answered in the meantime.
+   */
   requeue(requests: readonly WaitingRequest[]): void {
     this.requests = [...requests.filter(request => !request.isAnswered), ...this.requests]
   }
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -1,6 +1,6 @@
 /**
- * What does the next write of one holder say? A pure function of what is known: which requests it admits,
- * how the holding changes, and how much may be spent before the write after it.
+ * Plans the next write of one holder. A pure function of its inputs: decides which requests the
+ * write admits, how the holding changes, and how much may be spent before the following write.
  */
 
 import {
@@ -18,10 +18,10 @@
 import { endDeadHolding, takeoverOf } from './takeover.js'
 import type { Takeover } from './takeover.js'
 
-/** What the plan rests on. */
+/** Inputs of a write plan. */
 export interface WriteInputs {
   readonly pool: PoolRow | undefined
-  /** The row under this instance's key; another incarnation's at the first write. */
+  /** The row under this instance's key; at the first write, that of an earlier incarnation. */
   readonly previous: HolderRow | undefined
   readonly instance: string
   readonly incarnation: string
@@ -32,16 +32,16 @@
   /** Part of `committed` that requests and loans in progress reserve. */
   readonly reserved: TokenCount
   readonly sequence: number
-  /** Requests that wait, first come first. */
+  /** Waiting requests, in order of arrival. */
   readonly requests: readonly TokenCount[]
   /** A time that the store's clock has reached. */
   readonly storeTime: Milliseconds
-  /** A time of the store at which an earlier incarnation was dead. */
+  /** A store time by which the earlier incarnation had terminated. */
   readonly diedBefore: Milliseconds | undefined
   readonly policy: HoldingPolicy
-  /** Longest time between two writes while tokens are spent. */
+  /** Maximum time between two writes while tokens are being spent. */
   readonly recordMilliseconds: Milliseconds
-  /** Tokens a second that this instance commits. */
+  /** Tokens per second that this instance commits. */
   readonly spendingPerSecond: number
   readonly budgetView: BudgetView
   readonly othersWant: TokenCount
@@ -51,30 +51,32 @@
 export interface WritePlan {
   readonly pool: PoolRow
   readonly holder: HolderRow
-  /** Tokens that `holder.committed` counts before anybody asked for them. */
+  /** Tokens that `holder.committed` counts before any request asked for them. */
   readonly ahead: TokenCount
   readonly changesPool: boolean
   /**
-   * Whether the plan is right only for the pool that it knows: it changes the pool, or finds too
-   * little there. A write that rests on no version of the pool never learns that it has filled.
+   * Whether the plan is valid only for the known pool: it changes the pool, or finds too few tokens
+   * in it. A write that is not conditional on the pool's version would never detect that the pool
+   * was refilled.
    */
   readonly dependsOnPool: boolean
-  /** Set where the write ends an earlier incarnation's holding. */
+  /** Set if the write ends an earlier incarnation's holding. */
   readonly takeover: Takeover | undefined
   /** Positions in `requests` that the write covers. */
   readonly admitted: readonly number[]
 }
 
-/** Times the present spending that the first time allows: the demand once. */
+/** Factor on the strict demand that sets `strictRate`; 1 allows the demand itself. */
 const STRICT_DEMAND_FACTOR = 1
 /**
- * A holding that lasts this long at its own demand lets callers take what they ask for in the first time, and
- * one that lasts `SHORT_HOLDING_SECONDS` only what they took before.
+ * A holding that lasts at least this long at its own demand allows the full requested rate in the
+ * strict window; one that lasts `SHORT_HOLDING_SECONDS` or less allows only the rate of previous
+ * spending.
  */
 const LONG_HOLDING_SECONDS = 10
 const SHORT_HOLDING_SECONDS = 2
 
-/** The next write, and the requests that it covers. */
+/** Returns the next write, and the requests that it covers. */
 export function planWrite(inputs: WriteInputs): WritePlan {
   const { takeover, admission, pool, granted, changesPool } = planPool(inputs)
   const committed = inputs.committed + admission.tokens
@@ -96,7 +98,10 @@
   }
 }
 
-/** Whether the next write takes from the pool, gives back or sets its limit: a part of the whole plan. */
+/**
+ * Whether the next write takes tokens from the pool, gives some back or sets the pool's limit;
+ * computes only the pool part of the plan.
+ */
 export function wouldChangePool(inputs: WriteInputs): boolean {
   return planPool(inputs).changesPool
 }
@@ -112,7 +117,7 @@
   return { takeover, admission, pool, granted: inputs.granted + change, changesPool }
 }
 
-/** The pool with the newest limit, and with an earlier incarnation's holding ended. */
+/** Returns the pool with the newest limit, and with an earlier incarnation's holding ended. */
 function poolBefore(inputs: WriteInputs, takeover: Takeover | undefined): PoolRow {
   const { pool, previous, limit, configurationVersion } = inputs
   const known = pool ?? { limit, configurationVersion, settled: 0, allocated: 0 }
@@ -135,7 +140,7 @@
   return { positions, tokens, missing }
 }
 
-/** Tokens to take from the pool, or to give back where negative. */
+/** Returns the tokens to take from the pool, negative if tokens are given back. */
 function holdingChange(inputs: WriteInputs, pool: PoolRow, rest: TokenCount): TokenCount {
   const { policy, budgetView } = inputs
   const free = freeInPool(pool)
@@ -159,7 +164,7 @@
   return needed
 }
 
-/** Whether the holding stays below its target, since the pool has no more. */
+/** Whether the holding stays below its target because the pool has no more tokens. */
 function isBelowTarget(
   { policy, budgetView }: WriteInputs,
   pool: PoolRow,
@@ -170,7 +175,10 @@
   return unspent < target * (1 - tolerance)
 }
 
-/** Another instance lacks tokens for a request at hand: half of what is unspent may go. */
+/**
+ * Tokens to give back because another instance lacks them for a request in progress; at most half
+ * of the unspent ones.
+ */
 function tokensToRelease(inputs: WriteInputs, after: TokenCount, free: TokenCount): TokenCount {
   const holders = inputs.budgetView.others.length
   const missing = inputs.othersWant - free
@@ -208,8 +216,9 @@
 }
 
 /**
- * Tokens a second that callers will take before the next write. Refused callers spend nothing, so while the
- * holding lasts what they ask for counts; towards its end what is spent, since a death loses the bound.
+ * Tokens per second that callers are expected to take before the next write. Refused callers spend
+ * nothing, so the requested rate counts while the holding lasts. Towards the end of the holding,
+ * the spending rate counts, since a crash loses the whole bound.
  */
 function strictDemand({ spendingPerSecond, budgetView }: WriteInputs, unspent: TokenCount): number {
   const refused = Math.max(0, budgetView.ownDemandPerSecond - spendingPerSecond)
