--- a/packages/coordination/src/budget/allocation.ts
+++ b/packages/coordination/src/budget/allocation.ts
@@ -1,6 +1,6 @@
 /**
- * One incarnation's allocation of one budget, in memory: what is available, reserved, spent and lent. Owns
- * these counts and the open exchange; decides nothing.
+ * One incarnation's allocation of one budget, in memory: available, reserved, spent and lent
+ * tokens. Owns these counts and the open exchange; makes no decisions.
  */
 
 import type {
@@ -12,10 +12,10 @@
 } from '@rackwalk/shared'
 import type { ExchangeRequest, FoldedTransfer, Holding } from './budgetRow.js'
 
-/** Tokens set aside for one request until it settles. */
+/** Tokens reserved for one request until it settles. */
 export interface Reservation {
   readonly budgetId: BudgetId
-  /** Upper bound of what the request can cost; shrinks when more is known. */
+  /** Upper bound of the request's cost; lowered when more is known. */
   tokens: TokenCount
   state: 'open' | 'closed'
 }
@@ -23,16 +23,17 @@
 interface JournalledSpending {
   readonly index: number
   readonly tokens: TokenCount
-  /** Present when the tokens were lent rather than spent. */
+  /** Set if the tokens were lent rather than spent. */
   readonly borrower?: IncarnationId
 }
 
-/** Time over which the rate of spending is averaged. */
+/** Time constant of the average spending rate. */
 const RATE_WINDOW_MILLISECONDS = 30_000
 
 /**
- * What this incarnation holds of one budget. Tokens are in exactly one place: available,
- * reserved, spent or lent but not folded into the row yet, or on their way back.
+ * The tokens that this incarnation holds of one budget. Each token is in exactly one place:
+ * available, reserved, spent or lent but not yet folded into the row, or on its way back to the
+ * row.
  */
 export class Allocation {
   private availableTokens: TokenCount = 0
@@ -45,7 +46,7 @@
   private readonly pendingTransfers = new Set<TransferId>()
   private rate = 0
   private rateAt: Milliseconds = 0
-  /** Tokens that were ever granted here, for policies that share a budget out once. */
+  /** Tokens ever granted here; used by policies that divide a budget only once. */
   grantedTotal: TokenCount = 0
   /** Monotonic time of the last reservation. */
   lastUsedAt: Milliseconds = 0
@@ -64,12 +65,12 @@
     return this.reservedTokens
   }
 
-  /** Tokens spent or lent that the row does not show yet. */
+  /** Spent or lent tokens that the row does not include yet. */
   get unfoldedTokens(): TokenCount {
     return this.unfolded.reduce((sum, spending) => sum + spending.tokens, 0)
   }
 
-  /** Everything that this incarnation could still spend. */
+  /** All tokens that this incarnation could still spend. */
   get spendable(): TokenCount {
     return this.availableTokens + this.reservedTokens
   }
@@ -79,12 +80,14 @@
     return this.exchangeNumber > 0 && !(this.exchangeNumber === 1 && this.open !== undefined)
   }
 
-  /** An exchange whose outcome is not known; it must be resolved before another begins. */
+  /**
+   * The exchange whose outcome is unknown, if any; it must be resolved before the next one begins.
+   */
   get openExchange(): ExchangeRequest | undefined {
     return this.open
   }
 
-  /** Sets tokens aside, or nothing when there are too few. */
+  /** Reserves tokens; returns undefined if too few are available. */
   reserve(tokens: TokenCount, now: Milliseconds): Reservation | undefined {
     if (tokens > this.availableTokens) return undefined
     this.availableTokens -= tokens
@@ -93,7 +96,7 @@
     return { budgetId: this.budgetId, tokens, state: 'open' }
   }
 
-  /** Gives back the part of a reservation that is now known not to be needed. */
+  /** Frees the part of a reservation that turned out not to be needed. */
   shrink(reservation: Reservation, tokens: TokenCount): void {
     if (reservation.state !== 'open' || tokens >= reservation.tokens) return
     const freed = reservation.tokens - tokens
@@ -107,29 +110,32 @@
     this.close(reservation, 0)
   }
 
-  /** Ends a reservation with what was spent, journalled under `index`. */
+  /** Ends a reservation of which `tokens` were spent, as recorded in the journal at `index`. */
   settle(reservation: Reservation, tokens: TokenCount, index: number, now: Milliseconds): void {
     this.close(reservation, tokens)
     if (tokens > 0) this.unfolded.push({ index, tokens })
     this.noteSpending(tokens, now)
   }
 
-  /** Takes tokens out for a borrower; the caller journals it under the index it gives. */
+  /** Removes tokens for a borrower; the caller then passes their journal index to `noteLent`. */
   lend(tokens: TokenCount): void {
     this.availableTokens -= tokens
   }
 
-  /** Records the journal entry of tokens that `lend` took out. */
+  /** Records the journal index of tokens that `lend` removed. */
   noteLent(tokens: TokenCount, borrower: IncarnationId, index: number): void {
     this.unfolded.push({ index, tokens, borrower })
   }
 
-  /** A transfer was asked for; until it ends, the row cannot be reconciled. */
+  /** Records that a transfer was requested; until it finishes, the row cannot be reconciled. */
   beginBorrowing(transfer: TransferId): void {
     this.pendingTransfers.add(transfer)
   }
 
-  /** Credits a transfer once; a repeat or a late answer after giving up adds nothing. */
+  /**
+   * Credits a transfer once; a duplicate answer, or one that arrives after the transfer was
+   * abandoned, adds nothing.
+   */
   finishBorrowing(transfer: TransferId, tokens: TokenCount): void {
     if (!this.pendingTransfers.delete(transfer)) return
     this.availableTokens += tokens
@@ -137,14 +143,16 @@
   }
 
   /**
-   * Stops waiting for a transfer. If its tokens left the lender, they show up in the row
-   * when the lender folds, and `finishExchange` picks them up.
+   * Stops waiting for a transfer. If its tokens left the lender, they appear in the row when the
+   * lender folds its lending, and `finishExchange` credits them then.
    */
   abandonBorrowing(transfer: TransferId): void {
     this.pendingTransfers.delete(transfer)
   }
 
-  /** Fixes the content of the next exchange; tokens to give back leave `available` now. */
+  /**
+   * Fixes the content of the next exchange; tokens to be given back leave `available` immediately.
+   */
   beginExchange(durableIndex: number, wanted: TokenCount, returned: TokenCount): ExchangeRequest {
     if (this.open !== undefined) return this.open
     const folded = this.unfolded.filter(spending => spending.index <= durableIndex)
@@ -167,7 +175,7 @@
     return this.open
   }
 
-  /** The exchange took effect and left this holding in the row. */
+  /** Applies an exchange that took effect and left this holding in the row. */
   finishExchange(holding: Holding): void {
     const request = this.open
     if (request === undefined) return
@@ -180,7 +188,7 @@
     this.reconcile(holding)
   }
 
-  /** Nothing was sent, so nothing can have taken effect. */
+  /** Cancels an exchange that was not sent, so it cannot have taken effect. */
   cancelExchange(): void {
     if (this.open === undefined) return
     this.availableTokens += this.open.returned
@@ -188,15 +196,16 @@
     this.open = undefined
   }
 
-  /** Tokens spent per second, averaged and decaying since the last use. */
+  /** Tokens spent per second: an average that decays while nothing is spent. */
   ratePerSecond(now: Milliseconds): number {
     return this.rate * Math.exp(-(now - this.rateAt) / RATE_WINDOW_MILLISECONDS)
   }
 
   /**
-   * The row shows more than this incarnation put there when lenders folded transfers to it.
-   * What exceeds all credits received was lent in an answer that got lost. Only while no
-   * exchange is open does the row say what this incarnation expects of it.
+   * Credits lent tokens whose answer was lost. The row contains more than this incarnation put
+   * there once lenders have folded transfers to it; whatever exceeds the credits received was lent
+   * in a lost answer. The row is comparable with this incarnation's expectation only while no
+   * exchange is open.
    */
   reconcile(holding: Holding): void {
     if (this.open !== undefined || this.pendingTransfers.size > 0) return
--- a/packages/coordination/src/budget/allocationPolicy.ts
+++ b/packages/coordination/src/budget/allocationPolicy.ts
@@ -1,48 +1,49 @@
 /**
- * How large are allocations, when do they go back, and how much is lent? Policies of the OpenAI-style kind;
- * the setting `budgetPolicy` chooses one, and decision records keep what they looked at.
+ * Allocation policies for budgets of the OpenAI-style kind: size of an allocation, when it is given
+ * back, and how much is lent. The setting `budgetPolicy` selects one, and decision records keep the
+ * policy's inputs.
  */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** What an allocation decision may look at; all of it is kept in decision records. */
+/** Inputs of an allocation decision; all of them are kept in decision records. */
 export interface AllocationView {
   readonly limit: TokenCount
-  /** Settled in the row when it was last read. */
+  /** Tokens settled in the row when it was last read. */
   readonly settled: TokenCount
-  /** Free in the row when it was last read. */
+  /** Tokens free in the row when it was last read. */
   readonly free: TokenCount
   readonly available: TokenCount
   readonly reserved: TokenCount
-  /** Granted here since this incarnation began. */
+  /** Tokens granted here since this incarnation started. */
   readonly grantedTotal: TokenCount
-  /** Tokens spent here per second, averaged. */
+  /** Average number of tokens spent here per second. */
   readonly ratePerSecond: number
   readonly idleMilliseconds: Milliseconds
-  /** Live instances that may draw on the budget, this one included. */
+  /** Live instances that may use the budget, including this one. */
   readonly instances: number
 }
 
-/** How large allocations are, when they go back, and how much is lent. */
+/** Decides how large allocations are, when they are given back, and how much is lent. */
 export interface AllocationPolicy {
   readonly name: string
-  /** Tokens that should be available here at present. */
+  /** Tokens that should be available here now. */
   target(view: AllocationView): TokenCount
-  /** Tokens to ask for when requests wait for `needed` more than is available. */
+  /** Tokens to request from the row when waiting requests need `needed` more than is available. */
   tokensToRequest(view: AllocationView, needed: TokenCount): TokenCount
-  /** Tokens to ask a peer for when `needed` are missing. */
+  /** Tokens to request from a peer when `needed` are missing. */
   tokensToBorrow(view: AllocationView, needed: TokenCount): TokenCount
   /** Tokens to give back to the row now. */
   tokensToReturn(view: AllocationView): TokenCount
-  /** Tokens to lend to a peer that asks for `asked`. */
+  /** Tokens to lend to a peer that requests `asked`. */
   tokensToLend(view: AllocationView, asked: TokenCount): TokenCount
-  /** How long a request may wait for tokens of requests that are about to end. */
+  /** How long a request may wait for tokens to be freed by requests that are about to finish. */
   readonly patienceMilliseconds: Milliseconds
 }
 
 /**
- * The baseline: each instance takes an equal share once and neither gives back nor lends.
- * What one instance does not use is lost to the others.
+ * The baseline: each instance takes an equal share once and neither gives back nor lends tokens.
+ * Tokens that one instance does not use are lost to the others.
  */
 export class EqualSplitPolicy implements AllocationPolicy {
   readonly name = 'equal-split'
@@ -77,7 +78,9 @@
 /** Seconds of spending that the rate-proportional policy holds. */
 const RATE_HORIZON_SECONDS = 60
 
-/** Holds what the recent rate needs for a minute, within a fair part of what is left. */
+/**
+ * Holds one minute of spending at the recent rate, limited to a fair share of the remaining tokens.
+ */
 export class RateProportionalPolicy implements AllocationPolicy {
   readonly name = 'rate-proportional'
   readonly patienceMilliseconds = 0
@@ -104,29 +107,35 @@
   }
 }
 
-/** An allocation unused for this long goes back whole. */
+/** An allocation that was not used for this long is given back entirely. */
 const IDLE_MILLISECONDS = 10 * 60_000
-/** Below this share of the limit unspent, a budget counts as nearing its end. */
+/** A budget whose unspent share of the limit is below this counts as near exhaustion. */
 const NEAR_END_SHARE = 0.1
-/** Share of the unspent tokens that all instances together hold while there is plenty. */
+/**
+ * Share of the unspent tokens that all instances together hold while the budget is not near
+ * exhaustion.
+ */
 const HELD_SHARE = 0.95
-/** Seconds of its own spending that an instance keeps from lending. */
+/** Seconds of its own spending that an instance does not lend. */
 const KEPT_SECONDS = 5
-/** Seconds of spending that a borrower asks for at once, so that it need not ask soon again. */
+/**
+ * Seconds of spending that a borrower requests at once, so that it does not have to ask again soon.
+ */
 const BORROWED_SECONDS = 10
 
-/** How much one kind of mistake costs against the other. */
+/** Relative costs of the two kinds of error. */
 export interface ErrorCostWeights {
   readonly overspend: number
   readonly falseRefusal: number
 }
 
 /**
- * Weighs what the users weigh. Overspend is impossible by construction, so the weight on it
- * decides only how soon an unclear case is refused. While there is plenty, nearly all of a
- * budget is held by the instances, since what lies in the row is out of reach in an outage,
- * and what a peer holds can be lent without the store. Near the end, each holds what it
- * needs at once, and whoever has a request waiting gets what others do not use.
+ * Weighs the costs of the two kinds of error as configured. Overspending is impossible by
+ * construction, so its weight determines only how soon a doubtful request is refused. While a
+ * budget is not near exhaustion, nearly all of it is held by the instances: tokens in the row
+ * cannot be reached in an outage, whereas tokens that a peer holds can be lent without the store.
+ * Near exhaustion, each instance holds what it needs immediately, and instances with waiting
+ * requests get what others do not use.
  */
 export class CostWeightedPolicy implements AllocationPolicy {
   readonly name = 'weighed'
@@ -159,7 +168,7 @@
     return Math.max(0, Math.floor(view.available - tolerated))
   }
 
-  /** Near the end everything unreserved goes to whoever has a request waiting for it. */
+  /** Near exhaustion, lends all unreserved tokens to an instance with a waiting request. */
   tokensToLend(view: AllocationView, asked: TokenCount): TokenCount {
     if (isNearExhaustion(view)) return Math.min(asked, view.available)
     const kept = Math.ceil(view.ratePerSecond * KEPT_SECONDS)
@@ -167,7 +176,7 @@
   }
 }
 
-/** No instance takes more than half of its equal part of what is left. */
+/** Limits an allocation to half of the instance's equal share of the remaining tokens. */
 function capToFairShare(view: AllocationView, tokens: TokenCount): TokenCount {
   const left = view.free + view.available
   return Math.min(tokens, Math.floor(left / (2 * Math.max(1, view.instances))))
--- a/packages/coordination/src/budget/budgetLedger.ts
+++ b/packages/coordination/src/budget/budgetLedger.ts
@@ -1,7 +1,7 @@
 /**
- * The budgets of the OpenAI-style kind as one incarnation holds them: reserves, settles, exchanges with the
- * row, borrows and lends. Owns the allocations and the requests that wait for tokens; relies on the policy
- * for amounts, on BudgetStore for the row and on the journal for bills.
+ * Budgets of the OpenAI-style kind as one incarnation holds them: reserves and settles tokens,
+ * exchanges with the row, borrows and lends. Owns the allocations and the requests that wait for
+ * tokens. Uses the policy for amounts, BudgetStore for the row and the journal for bills.
  */
 
 import { RackwalkError, ResultCode, asId, deferred } from '@rackwalk/shared'
@@ -29,14 +29,14 @@
 import { freeTokens } from './budgetRow.js'
 import type { BudgetStore } from './budgetStore.js'
 
-/** Codes with which a reservation is refused. */
+/** Result codes with which a reservation is refused. */
 export type ReservationRefusal =
   | ResultCode.BudgetExhausted
   | ResultCode.BudgetUnavailable
   | ResultCode.NoBudget
   | ResultCode.LargerThanBudget
 
-/** A reservation, or why there is none, with what was known when it was decided. */
+/** A reservation or the reason for refusing it, with the inputs of the decision. */
 export type ReservationResult =
   | { readonly kind: 'reserved'; readonly reservation: Reservation; readonly view: AllocationView }
   | {
@@ -45,7 +45,7 @@
       readonly view: AllocationView
     }
 
-/** Parts that a ledger works with. */
+/** Dependencies of a `BudgetLedger`. */
 export interface BudgetLedgerParts {
   readonly incarnation: IncarnationId
   readonly region: RegionId
@@ -56,7 +56,7 @@
   readonly random: RandomSource
   readonly counters: Counters
   readonly policy: AllocationPolicy
-  /** Live incarnations, this one included. */
+  /** Live incarnations, including this one. */
   readonly liveIncarnations: () => readonly IncarnationId[]
   /** Called once when the row shows that this incarnation was sealed. */
   readonly onSealed: () => void
@@ -70,34 +70,33 @@
 interface BudgetState {
   readonly allocation: Allocation
   row: BudgetRow | undefined
-  /** Whether the table has said that there is no such budget. */
+  /** Whether the table reported that the budget does not exist. */
   isAbsent: boolean
   /** Whether an attempt of the open exchange may still take effect. */
   isExchangeUnresolved: boolean
   exchanging: Promise<void> | undefined
   isAcquiring: boolean
   waiters: Waiter[]
-  /** Until then a request larger than what is available is refused without asking anew. */
+  /** Until this time, a request larger than what is available is refused without another search. */
   refuseUntil: Milliseconds
   lastFoldAt: Milliseconds
 }
 
-/** How long a fruitless search for tokens answers for the next requests too. */
+/** How long the result of an unsuccessful search for tokens also applies to later requests. */
 const REFUSAL_CACHE_MILLISECONDS = 250
-/** Time between looks for tokens while a request waits. */
+/** Time between searches for tokens while a request waits. */
 const SEARCH_INTERVAL_MILLISECONDS = 100
-/** Spending goes to the row at least this often while there is any. */
+/** Maximum time between two exchanges that fold spending into the row while there is any. */
 const FOLD_INTERVAL_MILLISECONDS = 30_000
-/** Peers asked in one search. */
+/** Maximum number of peers asked in one search. */
 const MAXIMUM_LENDERS = 8
-/** Replies of lends that are kept for a repeat of the same transfer. */
+/** Maximum number of lend replies kept for a repeated request of the same transfer. */
 const REMEMBERED_LENDS = 10_000
 
 /**
- * The budgets as one incarnation holds them. Tokens are spent only from an allocation that
- * was moved out of the budget's row beforehand (escrow: O'Neil 1986; bounded counters:
- * Balegas et al. 2015), so no other instance need be asked and no partition can lead to
- * overspending.
+ * The budgets as one incarnation holds them. Tokens are spent only from an allocation that was
+ * moved out of the budget's row beforehand (escrow: O'Neil 1986; bounded counters: Balegas et al.
+ * 2015), so no other instance has to be asked and no network partition can lead to overspending.
  */
 export class BudgetLedger {
   private readonly budgets = new Map<BudgetId, BudgetState>()
@@ -105,7 +104,10 @@
 
   constructor(private readonly parts: BudgetLedgerParts) {}
 
-  /** Reserves an upper bound before dispatch, or says why not. */
+  /**
+   * Reserves an upper bound of the request's cost before dispatch, or returns the reason for
+   * refusing it.
+   */
   async reserve(budgetId: BudgetId, tokens: TokenCount): Promise<ReservationResult> {
     const state = this.stateOf(budgetId)
     const reservation = this.reserveNow(state, tokens)
@@ -117,34 +119,37 @@
     return waiter.done.promise
   }
 
-  /** Lowers a reservation's upper bound once more is known of the request. */
+  /** Lowers a reservation's upper bound once more is known about the request. */
   shrink(reservation: Reservation, tokens: TokenCount): void {
     const state = this.stateOf(reservation.budgetId)
     state.allocation.shrink(reservation, tokens)
     this.serveWaiters(state)
   }
 
-  /** Gives a reservation back unspent: its request was not dispatched. */
+  /** Frees the reservation of a request that was not dispatched. */
   release(reservation: Reservation): void {
     const state = this.stateOf(reservation.budgetId)
     state.allocation.release(reservation)
     this.serveWaiters(state)
   }
 
-  /** Journals a bill and takes it out of the reservation, in one step. */
+  /** Writes a bill to the journal and settles the reservation, in one step. */
   settle(reservation: Reservation, entry: SettleEntry, attachment?: RowWrite): JournalTicket {
     const state = this.stateOf(reservation.budgetId)
     const billedTokens = Math.min(entry.billedTokens, reservation.tokens)
     if (billedTokens < entry.billedTokens) this.parts.counters.increment('budget_bound_exceeded')
     const ticket = this.parts.journal.append({ entry: { ...entry, billedTokens }, attachment })
-    // No await in between: an exchange that folds through this index must see the spending.
+    // No `await` in between: an exchange that folds through this index must include the spending.
     const now = this.parts.clock.monotonic()
     state.allocation.settle(reservation, billedTokens, ticket.index, now)
     this.serveWaiters(state)
     return ticket
   }
 
-  /** Answers a peer that asks for tokens; a repeat of a transfer gets the same answer. */
+  /**
+   * Answers a peer's request for tokens; a repeated request of the same transfer gets the same
+   * answer.
+   */
   lend(request: PeerRequest<'lend'>): Promise<PeerReply<'lend'>> {
     const known = this.lends.get(request.transferId)
     if (known !== undefined) return known
@@ -154,14 +159,17 @@
     return reply
   }
 
-  /** Refills, gives back and folds what the policy asks for; called about once a second. */
+  /** Refills, gives back and folds as the policy requires; called about once per second. */
   async maintain(): Promise<void> {
     for (const state of [...this.budgets.values()]) {
       if (this.needsExchange(state)) await this.exchange(state, this.wantedInBackground(state))
     }
   }
 
-  /** Takes a first allocation of each budget ahead of need, so that an outage finds it here. */
+  /**
+   * Requests a first allocation of each budget before it is needed, so that it is available in an
+   * outage.
+   */
   async preallocate(budgetIds: readonly BudgetId[]): Promise<void> {
     for (const budgetId of budgetIds) {
       const state = this.stateOf(budgetId)
@@ -171,24 +179,24 @@
     }
   }
 
-  /** Folds everything durable and gives back all that is available, for a planned stop. */
+  /** Folds all durable spending and gives back all available tokens, for a planned stop. */
   async returnAll(): Promise<void> {
     for (const state of this.budgets.values()) {
       await this.exchange(state, 0, state.allocation.available)
     }
   }
 
-  /** The team to which a budget belongs, once its row was read. */
+  /** Returns the team that owns a budget; undefined until the budget's row was read. */
   teamOf(budgetId: BudgetId): TeamId | undefined {
     return this.stateOf(budgetId).row?.teamId
   }
 
-  /** What is known of a budget here. */
+  /** Returns this instance's view of a budget. */
   inspect(budgetId: BudgetId): AllocationView {
     return this.viewOf(this.stateOf(budgetId))
   }
 
-  /** The budgets of which this incarnation holds something. */
+  /** The budgets of which this incarnation has an allocation. */
   get heldBudgets(): readonly BudgetId[] {
     return [...this.budgets.keys()]
   }
@@ -204,7 +212,9 @@
     return reservation && { kind: 'reserved', reservation, view }
   }
 
-  /** Looks for tokens until every waiter is served or the policy's patience ends. */
+  /**
+   * Searches for tokens until every waiting request is served or the policy's patience has passed.
+   */
   private async acquire(state: BudgetState): Promise<void> {
     state.isAcquiring = true
     const giveUpAt = this.parts.clock.monotonic() + this.parts.policy.patienceMilliseconds
@@ -223,7 +233,7 @@
     this.refuseWaiters(state)
   }
 
-  /** Asks the row first, then those that hold the rest. */
+  /** Requests tokens from the row first, then from the peers that hold the rest. */
   private async search(state: BudgetState): Promise<void> {
     if (state.row === undefined) await this.readRow(state)
     await this.exchange(
@@ -231,7 +241,7 @@
       this.parts.policy.tokensToRequest(this.viewOf(state), this.missing(state)),
     )
     this.serveWaiters(state)
-    // Tokens that could not suffice must not be drawn away from where they can be used.
+    // If the remaining tokens cannot cover any waiting request, they stay where they can be used.
     if (this.isUncoverable(state)) return
     for (const lender of this.lendersOf(state)) {
       const missing = this.missing(state)
@@ -245,7 +255,7 @@
     }
   }
 
-  /** The policy can only size an allocation when it knows the budget. */
+  /** Reads the row, which the policy needs in order to size an allocation. */
   private async readRow(state: BudgetState): Promise<void> {
     try {
       state.row = await this.parts.store.read(state.allocation.budgetId)
@@ -255,7 +265,7 @@
     }
   }
 
-  /** Live holders, those with the most first. */
+  /** Returns the live holders, the largest allocation first. */
   private lendersOf(state: BudgetState): readonly IncarnationId[] {
     if (!state.allocation.isHolder) return []
     const allocatedTo = (peer: IncarnationId) => state.row?.holders[peer]?.allocated ?? 0
@@ -278,7 +288,8 @@
         this.parts.counters.increment('budget_tokens_borrowed', reply.tokens)
         return
       } catch {
-        // The answer may be lost after the lender's debit; the same id is asked once more.
+        // The answer may have been lost after the lender's debit, so the request is repeated once
+        // with the same id.
       }
     }
     state.allocation.abandonBorrowing(transferId)
@@ -287,11 +298,11 @@
   private async lendOnce(request: PeerRequest<'lend'>): Promise<PeerReply<'lend'>> {
     const state = this.budgets.get(request.budgetId)
     if (state === undefined || !this.parts.journal.hasRoom) return { tokens: 0 }
-    const wished = this.parts.policy.tokensToLend(this.viewOf(state), request.tokens)
-    const tokens = Math.max(0, Math.min(wished, state.allocation.available))
+    const permitted = this.parts.policy.tokensToLend(this.viewOf(state), request.tokens)
+    const tokens = Math.max(0, Math.min(permitted, state.allocation.available))
     if (tokens === 0) return { tokens: 0 }
     const ticket = this.journalLend(state, request, tokens)
-    // Only once the debit outlives this incarnation may the borrower spend the tokens.
+    // The borrower may spend the tokens only once the debit survives this incarnation.
     await ticket.durableOrHeld
     this.parts.counters.increment('budget_tokens_lent', tokens)
     return { tokens }
@@ -316,7 +327,10 @@
     return isFoldDue && state.allocation.unfoldedTokens > 0
   }
 
-  /** A refill is asked for at half the target, so that it arrives before it is needed. */
+  /**
+   * Tokens to request in the background: refills at half the target, so that the tokens arrive
+   * before they are needed.
+   */
   private wantedInBackground(state: BudgetState): TokenCount {
     const view = this.viewOf(state)
     const target = this.parts.policy.target(view)
@@ -324,7 +338,7 @@
     return isLow ? target - view.available : 0
   }
 
-  /** One exchange at a time for each budget; others wait for it, then do their own. */
+  /** Runs one exchange at a time per budget; other callers wait for it, then run their own. */
   private async exchange(state: BudgetState, wanted: TokenCount, returned?: TokenCount) {
     while (state.exchanging !== undefined) await state.exchanging
     state.exchanging = this.exchangeInTurn(state, wanted, returned).finally(() => {
@@ -333,7 +347,9 @@
     await state.exchanging
   }
 
-  /** An exchange whose answer was lost is resolved first: it may still take effect. */
+  /**
+   * Resolves an exchange whose answer was lost before the next one, since it may still take effect.
+   */
   private async exchangeInTurn(state: BudgetState, wanted: TokenCount, returned?: TokenCount) {
     if (state.allocation.openExchange !== undefined) await this.exchangeOnce(state, 0, 0)
     if (state.allocation.openExchange !== undefined) return
@@ -377,7 +393,7 @@
   private applyNoOpExchange(state: BudgetState, row: BudgetRow): void {
     state.allocation.cancelExchange()
     state.row = row
-    // Found by exploration: a lent answer that got lost showed in the row and stayed there.
+    // Without this step, lent tokens whose answer was lost would stay in the row unused.
     const holding = row.holders[this.parts.incarnation]
     if (holding !== undefined) state.allocation.reconcile(holding)
   }
@@ -398,7 +414,10 @@
     return Math.max(0, waiting - state.allocation.available)
   }
 
-  /** First come first served, but a large request does not stop smaller ones that fit. */
+  /**
+   * Serves waiting requests in order of arrival, but a large request does not block smaller ones
+   * that fit.
+   */
   private serveWaiters(state: BudgetState): void {
     state.waiters = state.waiters.filter(waiter => {
       const result = this.tryReserve(state, waiter.tokens)
@@ -407,7 +426,10 @@
     })
   }
 
-  /** Whether even an end of all other requests could not free enough for any waiter. */
+  /**
+   * Whether the remaining tokens could not cover any waiting request even if all other requests
+   * finished.
+   */
   private isUncoverable(state: BudgetState): boolean {
     const left = this.leftInBudget(state)
     return state.waiters.every(waiter => waiter.tokens > left)
--- a/packages/coordination/src/budget/budgetRow.ts
+++ b/packages/coordination/src/budget/budgetRow.ts
@@ -1,6 +1,6 @@
 /**
- * The row of one budget of the OpenAI-style kind: its stored form, and pure functions that apply exchanges,
- * loans and the end of a holder.
+ * The row of one budget of the OpenAI-style kind: its stored form, and pure functions that apply
+ * exchanges, transfers and the reclaiming of a holder.
  */
 
 import * as z from 'zod'
@@ -8,27 +8,32 @@
 import { idSchema, identityMapping } from '../rowCodecs.js'
 import type { BudgetId, IncarnationId, RegionId, TeamId, TokenCount } from '@rackwalk/shared'
 
-/** What one incarnation holds of a budget. */
+/** One incarnation's holding of a budget. */
 export interface Holding {
   readonly region: RegionId
   /**
-   * Tokens moved out of the budget for this incarnation and not yet settled. Negative while
-   * tokens that it borrowed and spent are still counted with their lender.
+   * Tokens moved out of the budget for this incarnation and not yet settled. Negative while tokens
+   * that it borrowed and spent still count as the lender's.
    */
   readonly allocated: TokenCount
-  /** Number of the last exchange that took effect; tells a lost answer from a lost write. */
+  /**
+   * Number of the last exchange that took effect; distinguishes a lost answer from a lost write.
+   */
   readonly exchange: number
-  /** What that exchange granted. */
+  /** Tokens that this exchange granted. */
   readonly lastGranted: TokenCount
-  /** Journal entries up to this index are already in `settled` or with their borrower. */
+  /**
+   * Journal entries up to this index are already included in `settled` or credited to their
+   * borrower.
+   */
   readonly foldedIndex: number
-  /** Set when the incarnation was sealed while others still owe it folded transfers. */
+  /** Set if the incarnation was sealed before its lenders had folded all transfers to it. */
   readonly sealed?: boolean
 }
 
 /**
- * The row of one budget. `settled` plus everything allocated never exceeds `limit`, except
- * after an operator lowered the limit below it; then nothing more is granted until it fits.
+ * The row of one budget. `settled` plus all allocated tokens never exceeds `limit`, except after an
+ * operator lowered the limit below that sum; then nothing is granted until the sum fits.
  */
 export interface BudgetRow {
   readonly budgetId: BudgetId
@@ -36,21 +41,21 @@
   readonly limit: TokenCount
   readonly settled: TokenCount
   readonly holders: Readonly<Record<IncarnationId, Holding>>
-  /** A deleted budget keeps its row, so that its versions never begin anew. */
+  /** The row of a deleted budget is kept, so that its versions never restart. */
   readonly deleted?: boolean
 }
 
-/** Tokens that moved to another incarnation, as they are folded into the row. */
+/** Tokens transferred to another incarnation, as folded into the row. */
 export interface FoldedTransfer {
   readonly borrower: IncarnationId
   readonly tokens: TokenCount
 }
 
-/** One holder's update of the row: what it spent, lent and gives back, and what it wants. */
+/** One holder's update of the row: what it spent, lent and gives back, and what it requests. */
 export interface ExchangeRequest {
   readonly incarnation: IncarnationId
   readonly region: RegionId
-  /** Grows by one with each exchange of this holder on this budget. */
+  /** Increases by one with each exchange of this holder on this budget. */
   readonly exchange: number
   readonly foldThrough: number
   readonly spent: TokenCount
@@ -59,12 +64,12 @@
   readonly wanted: TokenCount
 }
 
-/** A row that never had a holder. */
+/** Creates a row without holders. */
 export function createBudgetRow(budgetId: BudgetId, teamId: TeamId, limit: TokenCount): BudgetRow {
   return { budgetId, teamId, limit, settled: 0, holders: {} }
 }
 
-/** Tokens that all holders together have. */
+/** Tokens that all holders have together. */
 export function allocatedTokens(row: BudgetRow): TokenCount {
   return Object.values(row.holders).reduce((sum, holding) => sum + holding.allocated, 0)
 }
@@ -75,20 +80,22 @@
   return Math.max(0, row.limit - row.settled - allocatedTokens(row))
 }
 
-/** Whether a holder that made exchanges before is no longer in the row: it was sealed. */
+/**
+ * Whether a holder that has made exchanges is no longer in the row, which means that it was sealed.
+ */
 export function wasReclaimed(row: BudgetRow, request: ExchangeRequest): boolean {
   const holding = row.holders[request.incarnation]
   if (holding === undefined) return request.exchange > 1
   return holding.sealed === true
 }
 
-/** Whether this exchange already took effect. */
+/** Whether this exchange has already taken effect. */
 export function wasApplied(row: BudgetRow, request: ExchangeRequest): boolean {
   const holding = row.holders[request.incarnation]
   return holding !== undefined && holding.exchange >= request.exchange
 }
 
-/** Applies an exchange; `granted` is what the row could give. */
+/** Applies an exchange; `granted` is what the row could provide. */
 export function applyExchange(
   row: BudgetRow,
   request: ExchangeRequest,
@@ -96,14 +103,16 @@
   const folded = foldTransfers(foldSpending(row, request), request.transfers)
   const granted = Math.min(request.wanted, freeTokens(folded))
   const holding = folded.holders[request.incarnation]
-  if (holding === undefined) throw new Error('folding keeps the holder')
+  if (holding === undefined)
+    throw new Error('folding removed the holding of the exchanging incarnation')
   const updated = { ...holding, allocated: holding.allocated + granted, lastGranted: granted }
   return { row: withHolding(folded, request.incarnation, updated), granted }
 }
 
 /**
- * Removes a sealed holder: its rest is spent, with its borrowers, or free again. A holder
- * in debt, whose lenders have not folded yet, stays as a negative remainder until they do.
+ * Removes a sealed holder: its tokens are spent, credited to their borrowers, or free again. A
+ * holder whose lenders have not folded all transfers yet has a negative remainder, and stays in the
+ * row until they do.
  */
 export function reclaimHolding(
   row: BudgetRow,
@@ -120,7 +129,7 @@
   return withHolding(moved, incarnation, { ...holding, allocated: rest, sealed: true })
 }
 
-/** A new limit. What is allocated stays allocated; a lower limit only stops grants. */
+/** Sets a new limit. Allocated tokens stay allocated; a lower limit only stops further grants. */
 export function withLimit(row: BudgetRow, limit: TokenCount): BudgetRow {
   return { ...row, limit, deleted: undefined }
 }
@@ -140,7 +149,7 @@
 
 function foldTransfers(row: BudgetRow, transfers: readonly FoldedTransfer[]): BudgetRow {
   return transfers.reduce((current, transfer) => {
-    // Only holders borrow, so a borrower without a holding was reclaimed: its part is free.
+    // Only holders borrow, so a borrower without a holding was reclaimed, and its part is free.
     const holding = current.holders[transfer.borrower]
     if (holding === undefined) return current
     const allocated = holding.allocated + transfer.tokens
--- a/packages/coordination/src/budget/budgetStore.ts
+++ b/packages/coordination/src/budget/budgetStore.ts
@@ -1,6 +1,6 @@
 /**
- * Reads budget rows and carries exchanges into them, each exactly once although answers may be lost. Owns
- * nothing; relies on conditions of the table.
+ * Reads budget rows and applies exchanges to them, each exactly once although answers may be lost.
+ * Keeps no state; relies on conditional writes of the table.
  */
 
 import { RackwalkError, ResultCode, asId } from '@rackwalk/shared'
@@ -13,8 +13,8 @@
 import { applyExchange, budgetRowCodec, freeTokens, wasApplied, wasReclaimed } from './budgetRow.js'
 
 /**
- * `lost`: no answer, the exchange may take effect later; `unsent`: it cannot; `needless`:
- * it would have changed nothing, so it was not written.
+ * `lost`: no answer, the exchange may still take effect; `unsent`: it cannot take effect;
+ * `needless`: it would have changed nothing, so it was not written.
  */
 export type ExchangeOutcome =
   | { readonly kind: 'applied'; readonly row: BudgetRow }
@@ -24,10 +24,13 @@
   | { readonly kind: 'gone' }
   | { readonly kind: 'sealed' }
 
-/** Attempts against other writers of the same row before the caller tries again later. */
+/**
+ * Maximum number of attempts against concurrent writers of the same row before the caller has to
+ * retry later.
+ */
 const MAXIMUM_CONFLICTS = 8
 
-/** Reads budget rows and carries exchanges into them. */
+/** Reads budget rows and applies exchanges to them. */
 export class BudgetStore {
   constructor(
     private readonly table: TableService,
@@ -41,9 +44,9 @@
   }
 
   /**
-   * Applies an exchange exactly once. Each attempt is conditional on the version it read,
-   * and the holder's exchange number in the row tells whether an earlier attempt whose
-   * answer was lost took effect.
+   * Applies an exchange exactly once. Each attempt is conditional on the version it read, and the
+   * holder's exchange number in the row shows whether an earlier attempt whose answer was lost took
+   * effect.
    */
   async exchange(
     budgetId: BudgetId,
@@ -64,7 +67,7 @@
     return { kind: ambiguous ? 'lost' : 'unsent' }
   }
 
-  /** Undefined when another writer was faster. */
+  /** Returns undefined if another writer changed the row first. */
   private async attempt(
     budgetId: BudgetId,
     request: ExchangeRequest,
@@ -83,7 +86,7 @@
     return result.conflicts.includes(2) ? { kind: 'sealed' } : undefined
   }
 
-  /** A read changes nothing, so a read without an answer is a definite failure. */
+  /** Reads the row. A read changes nothing, so a read without an answer is a definite failure. */
   private async readForWrite(budgetId: BudgetId) {
     try {
       return await this.table.get(budgetKey(budgetId))
@@ -113,7 +116,10 @@
   }
 }
 
-/** An exhausted budget is asked for often; only a change is worth one of the few writes. */
+/**
+ * Whether an exchange would change nothing. An exhausted budget is requested often, and writes are
+ * limited, so only changes are written.
+ */
 function isNoOpExchange(row: BudgetRow, request: ExchangeRequest): boolean {
   const isFirst = request.exchange === 1
   const changesNothing = request.spent === 0 && request.transfers.length === 0
@@ -122,8 +128,9 @@
 }
 
 /**
- * The first exchange leaves a marker by which a reclaimer finds the holding, and takes
- * effect only while nobody seals the incarnation: a marker written later would be missed.
+ * Writes that accompany a holder's first exchange: a marker by which a reclaimer finds the holding,
+ * and a check that the incarnation is not being sealed. A marker written later would be missed by
+ * the reclaimer.
  */
 function firstHoldingWrites(budgetId: BudgetId, request: ExchangeRequest): readonly RowWrite[] {
   return [
--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -1,6 +1,6 @@
 /**
- * Returns to their budgets what a sealed incarnation still held. Owns nothing; safe to run on several
- * instances at once.
+ * Returns the tokens that a sealed incarnation still held to their budgets. Keeps no state; may run
+ * on several instances at once.
  */
 
 import { RackwalkError, asId } from '@rackwalk/shared'
@@ -19,8 +19,9 @@
 export type ReclaimOutcome = 'reclaimed' | 'unsealed' | 'retry'
 
 /**
- * Returns what a sealed incarnation still held to its budgets. The journal, complete since
- * the seal, says what it spent and lent beyond what the rows show already.
+ * Returns the tokens that a sealed incarnation still held to their budgets. The journal, which is
+ * complete after sealing, tells what the incarnation spent and lent beyond what the rows already
+ * include.
  */
 export class Reclaimer {
   constructor(
@@ -29,7 +30,10 @@
     private readonly counters: Counters,
   ) {}
 
-  /** Safe to repeat and to run on several instances at once. */
+  /**
+   * Reclaims all holdings of an incarnation. May be repeated, and may run on several instances at
+   * once.
+   */
   async reclaim(incarnation: IncarnationId): Promise<ReclaimOutcome> {
     try {
       const journal = await readJournal(this.table, incarnation)
@@ -75,7 +79,10 @@
     }
   }
 
-  /** Moves the record aside, so that the list of incarnations stays as short as the fleet. */
+  /**
+   * Moves the incarnation's record to the retired ones, so that the list of incarnations is only as
+   * long as the fleet.
+   */
   private async retire(incarnation: IncarnationId): Promise<void> {
     const record = await this.table.get(incarnationKey(incarnation))
     if (record === undefined) return
