--- a/packages/coordination/src/journal/batchCommitter.ts
+++ b/packages/coordination/src/journal/batchCommitter.ts
@@ -1,19 +1,20 @@
 /**
- * Who carries a journal's batch to the table: the interface, and the committer that writes by itself.
+ * Commits a journal's batch to the table: the interface, and an implementation that writes each
+ * batch directly.
  */
 
 import type { TransactionId } from '@rackwalk/shared'
 import type { RowWrite, TableService, TransactResult } from '@rackwalk/stores'
 
 /**
- * Carries a journal's transaction to the table. Who carries it is a matter of efficiency:
- * the conditions in the writes keep it safe, whoever commits.
+ * Commits a journal's transaction to the table. Which instance commits it matters only for
+ * efficiency: the conditions of the writes make it safe in either case.
  */
 export interface BatchCommitter {
   commit(id: TransactionId, writes: readonly RowWrite[]): Promise<TransactResult>
 }
 
-/** Writes each batch by itself; right for small fleets. */
+/** Writes each batch in its own transaction; suits small fleets. */
 export class DirectCommitter implements BatchCommitter {
   constructor(private readonly table: TableService) {}
 
--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -1,5 +1,5 @@
 /**
- * Batches of the journals of one failure domain, joined into one transaction in a large fleet. Owns the
+ * Combines journal batches of one failure domain into one transaction in a large fleet. Owns the
  * batches that wait at the domain's committer.
  */
 
@@ -17,13 +17,13 @@
   reject(error: Error): void
 }
 
-/** Instances below which each writes its own batches. */
+/** With fewer instances than this, each writes its own batches. */
 const SHARED_COMMIT_THRESHOLD = 16
 
 /**
- * Joins the batches of a failure domain into one transaction, so that the platform's writes
- * grow with the number of domains, not of instances. When a joined transaction fails its
- * conditions, each batch is written by itself, so that a sealed writer fails alone.
+ * Combines the batches of a failure domain into one transaction, so that the platform's writes grow
+ * with the number of domains, not of instances. If a condition of a combined transaction fails,
+ * each batch is written separately, so that only the batch of a sealed writer fails.
  */
 export class BatchCoalescer {
   private queue: QueuedBatch[] = []
@@ -31,7 +31,7 @@
 
   constructor(private readonly table: TableService) {}
 
-  /** Queues a batch; settles with the outcome for that batch alone. */
+  /** Queues a batch; the promise settles with the outcome of this batch alone. */
   commit(request: PeerRequest<'commitBatch'>): Promise<TransactResult> {
     return new Promise((resolve, reject) => {
       this.queue.push({ request, resolve, reject })
@@ -54,8 +54,8 @@
     for (const batch of this.queue) {
       const names = batch.request.writes.map(write => encodeRowKey(write.key))
       const isTooLarge = rows.size + names.length > MAXIMUM_TRANSACTION_WRITES
-      const isClashing = names.some(name => rows.has(name))
-      if (joined.length > 0 && (isTooLarge || isClashing)) break
+      const hasConflict = names.some(name => rows.has(name))
+      if (joined.length > 0 && (isTooLarge || hasConflict)) break
       for (const name of names) rows.add(name)
       joined.push(batch)
     }
@@ -68,7 +68,7 @@
     if (first === undefined) return
     if (joined.length === 1) return this.commitAlone(first)
     try {
-      // The rows of each batch keep the id under which its writer will recognise them.
+      // The rows of each batch keep the transaction id by which its writer recognizes them.
       const result = await this.table.transactMany(joined.map(batch => batch.request))
       if (result.committed) for (const batch of joined) batch.resolve(result)
       else await Promise.all(joined.map(batch => this.commitAlone(batch)))
@@ -86,7 +86,7 @@
   }
 }
 
-/** Parts that the committer works with. */
+/** Dependencies of a `DomainCommitter`. */
 export interface DomainCommitterParts {
   readonly incarnation: IncarnationId
   readonly failureDomain: FailureDomainId
@@ -96,7 +96,7 @@
   readonly liveMembers: () => readonly MemberInfo[]
 }
 
-/** Sends batches to the domain's committer, or writes them itself in a small fleet. */
+/** Sends batches to the domain's committer; in a small fleet, writes them directly. */
 export class DomainCommitter implements BatchCommitter {
   constructor(private readonly parts: DomainCommitterParts) {}
 
@@ -108,7 +108,7 @@
     try {
       return await this.parts.peers.call(committer, 'commitBatch', request)
     } catch (thrown) {
-      // The committer may have written before its answer was lost.
+      // The committer may have written the batch before its answer was lost.
       const cause = thrown instanceof Error ? thrown : undefined
       throw new RackwalkError(ResultCode.PlatformAmbiguous, 'domain committer', cause)
     }
--- a/packages/coordination/src/journal/heldEntryArchive.ts
+++ b/packages/coordination/src/journal/heldEntryArchive.ts
@@ -1,6 +1,7 @@
 /**
- * Journal entries that wait for the table, kept in the object store: what peers hold dies with them where all
- * instances lose power in an outage of the table. Owns whether the object store lately failed.
+ * Archive in the object store for journal entries that wait for the table: copies held by peers are
+ * lost if all instances lose power during an outage of the table. Owns the time of the object
+ * store's last failure.
  */
 
 import * as z from 'zod'
@@ -13,7 +14,7 @@
 import { heldEntrySchema } from './journalEntry.js'
 import type { HeldEntry } from './journalEntry.js'
 
-/** What an archive of held entries works with. */
+/** Dependencies of a `HeldEntryArchive`. */
 export interface HeldEntryArchiveParts {
   readonly objects: ObjectStore
   readonly clock: Clock
@@ -29,19 +30,25 @@
 )
 
 const PREFIX = 'held'
-/** Digits of an entry's index in a key, so that keys sort as the entries do. */
+/** Number of digits of an entry's index in a key, so that keys sort in the order of the entries. */
 const INDEX_DIGITS = 12
 const KEYS_PER_LIST = 1_000
-/** Ends of answers wait for the object store, so one that failed is left alone for so long. */
+/**
+ * The end of an answer waits for the object store, so after a failure no write is attempted for
+ * this long.
+ */
 const RETRY_MILLISECONDS: Milliseconds = 5_000
 
-/** Writes held entries of one instance, and reads those of any. */
+/** Writes held entries of one instance, and reads those of any instance. */
 export class HeldEntryArchive {
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: HeldEntryArchiveParts) {}
 
-  /** Writes the entries as one object; gives up where the store fails, since peers hold them too. */
+  /**
+   * Writes the entries as one object. A failure of the store is not reported, since peers hold the
+   * entries too.
+   */
   async write(writer: IncarnationId, items: readonly HeldEntry[]): Promise<void> {
     const { objects, clock, counters } = this.parts
     const first = items[0]?.index
@@ -56,7 +63,9 @@
     }
   }
 
-  /** All entries that were written for this writer; throws where the store does not give them. */
+  /**
+   * Returns all entries that were written for this writer; throws if the store cannot provide them.
+   */
   async read(writer: IncarnationId): Promise<readonly HeldEntry[]> {
     const items: HeldEntry[] = []
     for (const key of await this.keysOf(writer)) {
--- a/packages/coordination/src/journal/heldEntryStore.ts
+++ b/packages/coordination/src/journal/heldEntryStore.ts
@@ -1,22 +1,22 @@
 /**
- * Journal entries that this instance keeps in memory for peers whose journal cannot be written at present.
- * Owns the entries and the writers for whom it holds nothing more.
+ * Journal entries that this instance holds in memory for peers whose journal currently cannot be
+ * written. Owns the entries, and the set of writers from which no further entries are accepted.
  */
 
 import type { IncarnationId } from '@rackwalk/shared'
 import type { HeldEntry } from './journalEntry.js'
 
 /**
- * Entries that this instance keeps in memory for peers whose journal cannot be written at
- * present. Once asked to hand over what it holds for a writer, it holds nothing more for
- * it: from then on that writer cannot get an entry accepted by anybody, so the set that
- * the sealer collects is complete.
+ * Holds entries in memory for peers whose journal currently cannot be written. Once asked to hand
+ * over the entries of a writer, the store accepts no more from that writer: if every holder does
+ * so, no entry of the writer can be accepted by any instance, so the set that the sealer collects
+ * is complete.
  */
 export class HeldEntryStore {
   private readonly items = new Map<IncarnationId, Map<number, HeldEntry>>()
   private readonly refused = new Set<IncarnationId>()
 
-  /** Keeps entries; false once the writer is being sealed. */
+  /** Holds entries; returns false once the writer is being sealed. */
   hold(writer: IncarnationId, items: readonly HeldEntry[]): boolean {
     if (this.refused.has(writer)) return false
     const kept = this.items.get(writer) ?? new Map<number, HeldEntry>()
@@ -25,7 +25,7 @@
     return true
   }
 
-  /** Forgets what the writer has since written itself. */
+  /** Drops the entries that the writer has since written to the table itself. */
   release(writer: IncarnationId, throughIndex: number): void {
     const kept = this.items.get(writer)
     if (kept === undefined) return
@@ -35,14 +35,14 @@
     if (kept.size === 0) this.items.delete(writer)
   }
 
-  /** Hands over everything held for a writer and refuses more. */
+  /** Returns all entries held for a writer and accepts no more from it. */
   collect(writer: IncarnationId): readonly HeldEntry[] {
     this.refuse(writer)
     const kept = [...(this.items.get(writer)?.values() ?? [])]
     return kept.sort((left, right) => left.index - right.index)
   }
 
-  /** Holds nothing more for this writer. */
+  /** Accepts no more entries from this writer. */
   refuse(writer: IncarnationId): void {
     this.refused.add(writer)
   }
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -1,6 +1,7 @@
 /**
- * The ordered journal of one incarnation, written in group commits. Owns the entries that are not yet in
- * the table; relies on a committer to write, and on the table's conditions for order and fencing.
+ * The ordered journal of one incarnation, written in group commits. Owns the entries that are not
+ * yet in the table. Relies on a committer for writing, and on the table's conditions for order and
+ * fencing.
  */
 
 import { RackwalkError, ResultCode, asId, deferred } from '@rackwalk/shared'
@@ -19,17 +20,19 @@
 import { journalSlotCodec } from './journalEntry.js'
 import type { HeldEntry, JournalEntry, JournalSlot } from './journalEntry.js'
 
-/** How an entry outlives its writer: in the table, or in the memory of peers. */
+/**
+ * Where an entry survives its writer: in the table (`durable`) or in the memory of peers (`held`).
+ */
 export type Durability = 'durable' | 'held'
 
-/** What is appended: an entry, a row that changes with it, or both. */
+/** A record to append: an entry, a row that changes with it, or both. */
 export interface JournalRecord {
   readonly entry?: JournalEntry
-  /** Changes in the same transaction; if its condition fails, the record is rejected. */
+  /** Written in the same transaction; if its condition fails, the record is rejected. */
   readonly attachment?: RowWrite
 }
 
-/** Follows one appended record. */
+/** Outcome of one appended record. */
 export interface JournalTicket {
   readonly index: number
   /** Settles when the record is in the table. */
@@ -38,12 +41,12 @@
   readonly durableOrHeld: Promise<Durability>
 }
 
-/** Bounds of a journal. */
+/** Size limits of a journal. */
 export interface JournalLimits {
-  /** Records that may wait unwritten; past it new work is refused. */
+  /** Maximum number of unwritten records; beyond it, new work is refused. */
   readonly maximumBacklog: number
   readonly maximumBatchEntries: number
-  /** Rows beside the slot in one transaction; the table takes 100 in all. */
+  /** Maximum number of rows besides the slot in one transaction; the table allows 100 in total. */
   readonly maximumBatchAttachments: number
 }
 
@@ -57,7 +60,7 @@
 export type FlushOutcome = 'idle' | 'committed' | 'retry' | 'sealed'
 
 interface PendingRecord extends HeldEntry {
-  /** Peers or the table have it, or it was rejected: no copy is needed any more. */
+  /** Whether no further copy is needed: the record is in the table, held by peers, or rejected. */
   isResolved: boolean
   readonly appendedAt: Milliseconds
   resolveDurable(): void
@@ -67,11 +70,11 @@
 
 interface OpenBatch {
   records: readonly PendingRecord[]
-  /** What each attempt carried whose outcome is not known. */
+  /** The records of each attempt whose outcome is unknown. */
   readonly attempts: Map<TransactionId, readonly PendingRecord[]>
 }
 
-/** Parts that a journal works with. */
+/** Dependencies of a `Journal`. */
 export interface JournalParts {
   readonly incarnation: IncarnationId
   readonly table: TableService
@@ -83,16 +86,16 @@
 }
 
 /**
- * The ordered journal of one incarnation, written in group commits. Each batch fills the
- * next numbered slot on condition that the slot is empty. Whoever seals the incarnation
- * fills that slot with a seal instead, so a writer that was paused and does not know finds
- * its slot taken and can never write again (compare Kineograph, EuroSys 2012, 6.1). The
- * same condition makes a repeat after a lost answer recognisable.
+ * The ordered journal of one incarnation, written in group commits. Each batch fills the next
+ * numbered slot on the condition that the slot is empty. An instance that seals the incarnation
+ * fills that slot with a seal instead. A writer that was paused and does not know about the seal
+ * therefore finds its slot taken and can never write again (compare Kineograph, EuroSys 2012, 6.1).
+ * The same condition makes a retry after a lost answer recognizable.
  */
 export class Journal {
   private readonly limits: JournalLimits
   private pending: PendingRecord[] = []
-  /** Entries in order of which some may still need a copy with peers. */
+  /** Entries in index order, of which some may still need copies on peers. */
   private unreplicated: PendingRecord[] = []
   private batch: OpenBatch | undefined
   private flushing: Promise<FlushOutcome> | undefined
@@ -105,7 +108,7 @@
     this.limits = parts.limits ?? DEFAULT_JOURNAL_LIMITS
   }
 
-  /** Records not yet in the table. */
+  /** Number of records that are not yet in the table. */
   get backlog(): number {
     return this.pending.length + (this.batch?.records.length ?? 0)
   }
@@ -119,12 +122,15 @@
     return this.isSealed
   }
 
-  /** Whether new work may begin that will need this journal when it ends. */
+  /** Whether new work may start that needs this journal when it finishes. */
   get hasRoom(): boolean {
     return !this.isSealed && this.backlog < this.limits.maximumBacklog
   }
 
-  /** Queues a record. Throws `Sealed`; a full backlog is the caller's to check beforehand. */
+  /**
+   * Queues a record. Throws `Sealed` if this incarnation was sealed; the caller has to check
+   * `hasRoom` beforehand.
+   */
   append(record: JournalRecord): JournalTicket {
     if (this.isSealed) throw new RackwalkError(ResultCode.Sealed)
     const { pending, ticket } = this.createRecord(record)
@@ -151,14 +157,14 @@
       .map(({ index, entry, attachment }) => ({ index, entry, attachment }))
   }
 
-  /** How long the oldest entry has waited that neither the table nor peers have. */
+  /** Age of the oldest entry that neither the table nor peers have. */
   get oldestUnreplicatedAge(): Milliseconds {
     this.dropResolved()
     const [oldest] = this.unreplicated
     return oldest === undefined ? 0 : this.parts.clock.monotonic() - oldest.appendedAt
   }
 
-  /** Notes that enough peers hold the records with these indexes. */
+  /** Records that enough peers hold the records with these indexes. */
   markReplicated(indexes: ReadonlySet<number>): void {
     let left = indexes.size
     for (const record of this.unreplicated) {
@@ -173,14 +179,17 @@
     this.dropResolved()
   }
 
-  /** A long backlog is mostly held, so only its unheld end may be looked at each time. */
+  /**
+   * Drops resolved entries from the start of the list. In a long backlog most entries are already
+   * held by peers, so callers must not have to scan all of them each time.
+   */
   private dropResolved(): void {
     const firstNeeded = this.unreplicated.findIndex(record => !record.isResolved)
     if (firstNeeded === 0) return
     this.unreplicated = firstNeeded < 0 ? [] : this.unreplicated.slice(firstNeeded)
   }
 
-  /** Stops this incarnation: what is not in the table will not get there. */
+  /** Stops this incarnation: records that are not in the table are rejected and never written. */
   markSealed(): void {
     if (this.isSealed) return
     this.isSealed = true
@@ -196,7 +205,7 @@
     const index = this.nextIndex++
     const durable = deferred<void>()
     const safe = deferred<Durability>()
-    // A record whose ticket nobody awaits must not take the process down when sealed.
+    // Sealing must not crash the process because of a rejected record whose ticket is not awaited.
     durable.promise.catch(ignore)
     safe.promise.catch(ignore)
     const pending: PendingRecord = {
@@ -243,8 +252,9 @@
   }
 
   /**
-   * A transaction may write a row once only. Found by exploration: the release of a claim
-   * and its next taking shared a batch, both conditions held, and both took effect.
+   * Whether a record fits into the batch. A transaction may write each row only once: if the
+   * release of a claim and the next claim of the same key shared a batch, both conditions would
+   * hold and both writes would take effect.
    */
   private fits({ attachment }: PendingRecord, taken: number, attached: ReadonlySet<string>) {
     if (taken >= this.limits.maximumBatchEntries) return false
@@ -259,7 +269,7 @@
     const result = await this.commit(batch, id)
     if (this.isSealed) return 'sealed'
     if (result.committed) return this.finish(batch.records)
-    // A failed condition is a definite answer: this attempt will not land later.
+    // A failed condition is a definite answer: this attempt will not take effect later.
     batch.attempts.delete(id)
     return this.resolveConflict(batch, result.conflicts)
   }
@@ -291,8 +301,9 @@
   }
 
   /**
-   * A condition failed. The slot tells which: taken by an earlier attempt of ours whose
-   * answer was lost, taken by a seal, or empty, in which case attachments lost.
+   * Resolves a failed condition. The slot shows the cause: an earlier attempt of this journal took
+   * it and its answer was lost, a seal took it, or it is empty, which means that conditions of
+   * attachments failed.
    */
   private async resolveConflict(
     batch: OpenBatch,
@@ -329,7 +340,8 @@
       record.resolveDurable()
       record.resolveDurableOrHeld('durable')
     }
-    // Here too, or a journal whose owner never copies to peers would keep every entry.
+    // Also done here, since otherwise a journal that is never replicated to peers would keep every
+    // entry.
     this.dropResolved()
     this.parts.counters.increment('journal_flushes')
     return 'committed'
@@ -337,5 +349,5 @@
 }
 
 function ignore(): void {
-  // Deliberately empty: the rejection is seen by whoever awaits the ticket.
+  // Intentionally empty: the rejection is handled by the code that awaits the ticket.
 }
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -1,6 +1,6 @@
 /**
- * What a journal holds: entries, slots and entries held by peers, with their forms in the table and in
- * messages.
+ * Contents of a journal: entries, slots and entries held by peers, with their forms in the table
+ * and in messages.
  */
 
 import * as z from 'zod'
@@ -20,26 +20,26 @@
 } from '@rackwalk/shared'
 import type { RowWrite } from '@rackwalk/stores'
 
-/** A request that ended: its bill and what is told of it afterwards. */
+/** A finished request: its bill, and the data that later reports contain. */
 export interface SettleEntry {
   readonly kind: 'settle'
   readonly budgetId: BudgetId
   readonly teamId: TeamId
-  /** With the team, the identity of the bill: folding bills it once. */
+  /** Identifies the bill together with the team; folding bills it once. */
   readonly billKey: IdempotencyKey
   readonly requestId: RequestId
   readonly modelId?: ModelId
   readonly promptTokens: TokenCount
   readonly generatedTokens: TokenCount
   readonly billedTokens: TokenCount
-  /** Billed by earlier attempts at the same key, and so not billed again here. */
+  /** Tokens billed by earlier attempts with the same key, and therefore not billed again here. */
   readonly creditedTokens: TokenCount
   readonly code: ResultCode
-  /** Wall time of the end, in milliseconds. */
+  /** Wall-clock time of the end, in milliseconds. */
   readonly endedAt: Milliseconds
 }
 
-/** Tokens that left this incarnation's allocation for another's. */
+/** Tokens transferred from this incarnation's allocation to another's. */
 export interface LendEntry {
   readonly kind: 'lend'
   readonly budgetId: BudgetId
@@ -48,22 +48,25 @@
   readonly tokens: TokenCount
 }
 
-/** What an entry of a journal tells. */
+/** The content of a journal entry. */
 export type JournalEntry = SettleEntry | LendEntry
 
-/** Entries are numbered by their writer; the numbers grow, with gaps where a write lost. */
+/**
+ * An entry with the number its writer gave it; the numbers increase, with gaps where a write was
+ * rejected.
+ */
 export interface IndexedEntry {
   readonly index: number
   readonly entry?: JournalEntry
 }
 
-/** An entry as peers keep it while the table is out of reach. */
+/** An entry as held by peers while the table cannot be reached. */
 export interface HeldEntry extends IndexedEntry {
   /** A row that must change in the same transaction as the entry. */
   readonly attachment?: RowWrite
 }
 
-/** What one slot of a journal holds. The seal is the last slot: nothing follows it. */
+/** The content of one slot of a journal. The seal is the last slot. */
 export type JournalSlot =
   | { readonly kind: 'batch'; readonly entries: readonly IndexedEntry[] }
   | {
@@ -72,7 +75,7 @@
       readonly entries: readonly IndexedEntry[]
     }
 
-/** Entries of a journal for one budget after an index, in order. */
+/** Returns the entries of a journal for one budget after an index, in order. */
 export function entriesAfter(
   slots: readonly JournalSlot[],
   index: number,
@@ -84,7 +87,7 @@
     .flatMap(({ entry }) => (entry === undefined ? [] : [entry]))
 }
 
-/** The greatest index that a journal holds, 0 for an empty one. */
+/** Returns the greatest index that a journal contains, 0 for an empty one. */
 export function lastIndexOf(slots: readonly JournalSlot[]): number {
   return slots.flatMap(slot => slot.entries).reduce((last, { index }) => Math.max(last, index), 0)
 }
@@ -124,7 +127,7 @@
   z.object({ kind: z.literal('seal'), sealedBy: idSchema<IncarnationId>(), entries }),
 ])
 
-/** The stored form of a slot of a journal. */
+/** The stored form of a journal slot. */
 export const journalSlotCodec = new JsonCodec(identityMapping<JournalSlot>(slotSchema))
 
 const keySchema = z.object({ partition: z.string(), sort: z.string() })
@@ -134,7 +137,7 @@
   z.object({ kind: z.literal('version'), version: z.number() }),
 ])
 
-/** A write of a row, as messages between instances carry it. */
+/** A row write, as carried in messages between instances. */
 export const rowWriteSchema: z.ZodType<RowWrite> = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('put'),
@@ -146,7 +149,7 @@
   z.object({ kind: z.literal('check'), key: keySchema, condition: conditionSchema }),
 ])
 
-/** An entry as peers hold it, with the row that changes with it. */
+/** An entry as held by peers, with the row that changes with it. */
 export const heldEntrySchema: z.ZodType<HeldEntry> = indexedEntrySchema.extend({
   attachment: rowWriteSchema.optional(),
 })
--- a/packages/coordination/src/journal/journalReader.ts
+++ b/packages/coordination/src/journal/journalReader.ts
@@ -7,7 +7,7 @@
 import { journalSlotCodec } from './journalEntry.js'
 import type { JournalSlot } from './journalEntry.js'
 
-/** A journal as the table has it. */
+/** A journal as stored in the table. */
 export interface JournalContents {
   readonly slots: readonly JournalSlot[]
   readonly isSealed: boolean
@@ -23,7 +23,7 @@
   return { slots, isSealed: slots.at(-1)?.kind === 'seal' }
 }
 
-/** Decodes the slot that a row holds. */
+/** Decodes the slot stored in a row. */
 function slotOf(row: Row): JournalSlot {
   return decodeRowValue(journalSlotCodec, row)
 }
--- a/packages/coordination/src/journal/journalReplicator.ts
+++ b/packages/coordination/src/journal/journalReplicator.ts
@@ -1,6 +1,6 @@
 /**
- * Copies entries to peers while the table is out of reach, and tells them when to forget. Owns which peers
- * hold something.
+ * Copies entries to peers while the table cannot be reached, and releases the copies afterwards.
+ * Owns the set of peers that may hold entries.
  */
 
 import type { FailureDomainId, IncarnationId } from '@rackwalk/shared'
@@ -9,26 +9,27 @@
 import type { Journal } from './journal.js'
 import type { HeldEntry } from './journalEntry.js'
 
-/** Entries carried by one hold message. */
+/** Maximum number of entries per hold message. */
 const ITEMS_PER_MESSAGE = 500
 
-/** Who may hold entries for this instance, and how many of them must. */
+/** Dependencies of a `JournalReplicator`. */
 export interface JournalReplicatorParts {
   readonly incarnation: IncarnationId
   readonly failureDomain: FailureDomainId
   readonly journal: Journal
   readonly peers: PeerChannel
-  /** Registered live members of this region, this instance excluded. */
+  /** Registered live members of this region, except this instance. */
   readonly candidates: () => readonly MemberInfo[]
   readonly requiredReplicas: number
-  /** Keeps the entries for the case that all holders die as well. */
+  /** Archives the entries in case all holders crash as well. */
   readonly archive?: HeldEntryArchive
 }
 
 /**
- * Keeps entries alive while the table is out of reach, by copies in the memory of peers of
- * the region. An entry counts as held when `copies` peers have it; it is lost only if this
- * instance and all of them die before the table is back, and the object store was away too.
+ * Keeps entries safe while the table cannot be reached, by copies in the memory of peers of the
+ * region. An entry counts as held when `requiredReplicas` peers have it. It is lost only if this
+ * instance and all of those peers crash before the table recovers, and the object store was
+ * unavailable too.
  */
 export class JournalReplicator {
   private lastReleased = 0
@@ -36,7 +37,7 @@
 
   constructor(private readonly parts: JournalReplicatorParts) {}
 
-  /** Copies what is waiting to peers; true when something became held. */
+  /** Copies waiting entries to peers; returns true if entries became held. */
   async replicate(): Promise<boolean> {
     const items = this.parts.journal.unreplicatedEntries(ITEMS_PER_MESSAGE)
     if (items.length === 0) return false
@@ -54,7 +55,7 @@
     return true
   }
 
-  /** Tells peers to forget what reached the table meanwhile. */
+  /** Tells peers to drop the entries that have reached the table. */
   async release(): Promise<void> {
     const throughIndex = this.parts.journal.durableIndex
     if (this.possibleHolders.size === 0 || throughIndex === this.lastReleased) return
@@ -67,12 +68,12 @@
     if (this.parts.journal.backlog === 0) this.possibleHolders.clear()
   }
 
-  /** Other failure domains come first, since a whole domain may go at once. */
+  /** Returns candidates of other failure domains first, since a whole domain may fail at once. */
   private targets(): readonly MemberInfo[] {
-    const isElsewhere = (member: MemberInfo) =>
+    const domainRank = (member: MemberInfo) =>
       member.failureDomain === this.parts.failureDomain ? 1 : 0
     return [...this.parts.candidates()].sort(
-      (left, right) => isElsewhere(left) - isElsewhere(right),
+      (left, right) => domainRank(left) - domainRank(right),
     )
   }
 
