--- a/packages/coordination/src/membership/callerAddresses.ts
+++ b/packages/coordination/src/membership/callerAddresses.ts
@@ -1,27 +1,28 @@
 /**
- * At which addresses should a caller connect? The choice of the OpenAI-style kind: a less busy instance
- * first, others in other failure domains after it. Pure, but for the random source it is given.
+ * Chooses the addresses at which a caller should connect, for the OpenAI-style kind: a less busy
+ * instance first, followed by instances in other failure domains. Pure except for the given random
+ * source.
  */
 
 import { randomBelow } from '@rackwalk/shared'
 import type { RandomSource } from '@rackwalk/shared'
 import type { MemberInfo } from '../peerMessages.js'
 
-/** What a caller is told: where to connect, in order, and how long to keep it. */
+/** Answer to a caller: the addresses to connect to, in order, and how long to cache them. */
 export interface CallerAddresses {
   readonly addresses: readonly string[]
   readonly timeToLiveSeconds: number
 }
 
-/** Addresses in one answer: a first choice and others to turn to when it fails. */
+/** Number of addresses in one answer: a first choice, and alternatives in case it fails. */
 const ADDRESSES_PER_ANSWER = 3
-/** Upper bound of how long a caller may go on using an instance that is draining. */
+/** Upper bound of how long a caller may keep using a draining instance. */
 const TIME_TO_LIVE_SECONDS = 15
 
 /**
- * Chooses addresses for a caller. The first is the less busy of two at random, so that
- * callers that ask together do not all go to the same one; the others lie in other failure
- * domains where there are any. Draining instances are left out.
+ * Chooses addresses for a caller. The first is the less busy of two random instances, so that
+ * callers that ask at the same time do not all connect to the same one. The others are in other
+ * failure domains if there are any. Draining instances are excluded.
  */
 export function chooseAddresses(
   members: readonly MemberInfo[],
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * The incarnations that run, as the table has them: registering this one and listing the others. Owns
- * nothing.
+ * Registry of running incarnations in the table: registers this one and lists the others. Keeps no
+ * state.
  */
 
 import * as z from 'zod'
@@ -18,7 +18,7 @@
 import { idSchema, identityMapping, decodeRowValue } from '../rowCodecs.js'
 import { INCARNATIONS_PARTITION, SEALING_PARTITION, incarnationKey } from '../tableKeys.js'
 
-/** What the table keeps of a running incarnation. */
+/** The table's record of a running incarnation. */
 export interface IncarnationRecord {
   readonly instanceId: InstanceId
   readonly incarnation: IncarnationId
@@ -40,7 +40,7 @@
   identityMapping<IncarnationRecord>(incarnationSchema),
 )
 
-/** Registers this run of an instance and lists the others. */
+/** Registers this incarnation of an instance and lists the others. */
 export class IncarnationRegistry {
   constructor(
     private readonly table: TableService,
@@ -48,9 +48,9 @@
   ) {}
 
   /**
-   * Registers an incarnation, then lists those being sealed. In this order a sealer either
-   * sees this registration and asks it for held entries, or is seen here and no entries of
-   * its target are accepted.
+   * Registers an incarnation, then returns the incarnations that are being sealed. With this order,
+   * a sealer either sees this registration and asks this incarnation for held entries, or its
+   * announcement is seen here and no entries of its target are accepted.
    */
   async register(record: IncarnationRecord): Promise<readonly IncarnationId[]> {
     await this.put(record)
@@ -58,7 +58,7 @@
     return rows.map(row => asId<IncarnationId>(row.key.sort))
   }
 
-  /** Every incarnation that was registered and not yet reclaimed. */
+  /** Returns every incarnation that is registered and not yet reclaimed. */
   async list(): Promise<readonly IncarnationRecord[]> {
     const rows = await this.table.query(INCARNATIONS_PARTITION)
     return rows.map(recordOf)
@@ -72,7 +72,8 @@
       { kind: 'put', key, condition: { kind: 'absent' }, value },
     ])
     if (result.committed) return
-    // An earlier attempt whose answer was lost did it; incarnation ids are never reused.
+    // If the row exists, an earlier attempt whose answer was lost has written it: incarnation ids
+    // are never reused.
     const row = await this.table.get(key)
     if (row === undefined) throw new RackwalkError(ResultCode.PlatformAmbiguous, 'registration')
   }
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -1,6 +1,6 @@
 /**
- * A lease in the table, with an epoch that fences its holder's orders. Owns when this instance last held
- * it, on its own clock.
+ * A lease in the table, with an epoch that fences its holder's orders. Owns the time until which
+ * this instance holds the lease, on its own clock.
  */
 
 import * as z from 'zod'
@@ -19,7 +19,7 @@
 
 interface LeaseRow {
   readonly holder: IncarnationId
-  /** Grows whenever the holder changes; orders given under an older one are refused. */
+  /** Increases whenever the holder changes; orders given under an older epoch are refused. */
   readonly epoch: number
 }
 
@@ -33,7 +33,7 @@
   readonly since: Milliseconds
 }
 
-/** Parts that a lease works with. */
+/** Dependencies of a `Lease`. */
 export interface LeaseParts {
   readonly name: string
   readonly incarnation: IncarnationId
@@ -44,9 +44,9 @@
 }
 
 /**
- * A lease in the table. It chooses one holder for efficiency; what makes the holder's
- * orders safe is the epoch, which whoever obeys them compares. A holder that was paused may
- * believe in a lapsed lease, so nothing may rest on the lease alone.
+ * A lease in the table. The lease selects one holder for efficiency; the holder's orders are safe
+ * because every recipient compares the epoch. A holder that was paused may still believe that it
+ * has an expired lease, so nothing may rely on the lease alone.
  */
 export class Lease {
   private observed: Observation | undefined
@@ -55,12 +55,15 @@
 
   constructor(private readonly parts: LeaseParts) {}
 
-  /** The epoch under which this instance may act now, if it holds the lease. */
+  /** The epoch under which this instance may act now; undefined if it does not hold the lease. */
   get epoch(): number | undefined {
     return this.parts.clock.sinceStart() < this.heldUntil ? this.heldEpoch : undefined
   }
 
-  /** Renews the lease, or takes it when its holder has not renewed it for its duration. */
+  /**
+   * Renews the lease, or acquires it if its holder has not renewed it for the lease's duration.
+   * Returns the epoch if this instance holds the lease.
+   */
   async acquireOrRenew(): Promise<number | undefined> {
     try {
       const row = await this.parts.table.get(leaseKey(this.parts.name))
@@ -73,7 +76,10 @@
     return this.epoch
   }
 
-  /** Lapsed means: seen unchanged for the whole duration on this instance's own clock. */
+  /**
+   * Whether the lease has expired: its row was seen unchanged for the whole duration on this
+   * instance's own clock.
+   */
   private isLapsed(row: Row | undefined): boolean {
     if (row === undefined) return true
     const now = this.parts.clock.sinceStart()
@@ -98,7 +104,8 @@
     ])
     if (!result.committed) return
     this.heldEpoch = epoch
-    // Counted from before the write was sent, since that is when others may start to count.
+    // Counted from before the write was sent, since that is when other instances may start to
+    // count.
     this.heldUntil = asked + this.parts.durationMilliseconds
   }
 }
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -1,7 +1,7 @@
 /**
- * The instances of the gateway kind's fleet, as their rows in the store tell. Owns this instance's
- * own row and the times at which it saw the others change; relies on the mirror of the table for
- * the rows, and on the store to write its own.
+ * Directory of the instances of a gateway fleet, based on their rows in the store. Owns this
+ * instance's row and the times at which the other rows were seen to change. Relies on the mirror of
+ * the table for reading the rows, and on the store for writing its own.
  */
 
 import type { RecordedInstance } from '@rackwalk/decisions'
@@ -11,65 +11,80 @@
 import { MEMBER_PARTITION, MEMBER_TABLE, memberRowCodec } from './memberRow.js'
 import type { MemberRow, MemberState } from './memberRow.js'
 
-/** What a directory of members works with. */
+/** Dependencies of a `MemberDirectory`. */
 export interface MemberDirectoryParts {
   readonly self: Omit<
     MemberRow,
     'state' | 'heartbeat' | 'requestsPerSecond' | 'renewalMilliseconds'
   >
-  /** Requests a second that this instance takes at present. */
+  /** Requests per second that this instance currently receives. */
   readonly requestsPerSecond: () => number
-  /** Whether callers are sent here; otherwise the row is renewed more rarely. */
+  /** Whether callers are sent here; if not, the row is renewed less often. */
   readonly isActive: () => boolean
   readonly store: RowStore
   readonly storeClock: StoreClock
   readonly clock: Clock
   readonly random: RandomSource
-  /** Time between two heartbeats of a small fleet. */
+  /** Time between two heartbeats in a small fleet. */
   readonly heartbeatMilliseconds: Milliseconds
-  /** An active instance whose row did not change for this long does not serve, in a small fleet. */
+  /**
+   * In a small fleet, an active instance whose row has not changed for this long counts as not
+   * serving.
+   */
   readonly silenceMilliseconds: Milliseconds
-  /** Writes a second that the partition of all rows takes. */
+  /** Write rate that the partition of all rows can take, per second. */
   readonly partitionWritesPerSecond: number
-  /** An instance appeared, or began to drain. */
+  /** Called when an instance appears or starts to drain. */
   readonly onStateChange: (instance: string, state: MemberState) => void
-  /** The row of a life of an instance stands that did not stand before: this one's, or another's that was read. */
+  /**
+   * Called when the row of a new incarnation was seen for the first time: this instance's own, once
+   * written, or another instance's, once read.
+   */
   readonly onRegistered?: (isSelf: boolean) => void
-  /** A row that is no member's; it is left out, and what was known before stays. */
+  /** Called for a malformed row; the row is ignored and the last valid version is kept. */
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
 interface KnownMember {
   row: MemberRow
   version: number
-  /** Contact time at which the row was last seen to change. */
+  /** Observed time at which the row was last seen to change. */
   changedAt: Milliseconds
 }
 
-/** A longer gap between two reads says nothing about the others. */
+/**
+ * A gap between two reads counts as at most this long, since a longer one gives no evidence about
+ * other instances.
+ */
 const LONGEST_COUNTED_GAP_MILLISECONDS = 1_500
-/** Part of what the partition takes that heartbeats may use; with more instances they slow down. */
+/**
+ * Share of the partition's write rate that heartbeats may use; in larger fleets, heartbeats slow
+ * down.
+ */
 const HEARTBEAT_SHARE = 0.4
-/** How many times more rarely the row of an instance that stands by is renewed. */
+/** Factor by which a standby instance renews its row less often. */
 const STANDBY_FACTOR = 3
-/** Rows of instances that have not been renewed for this many silences are removed. */
+/** Rows that were not renewed for this many silence timeouts are removed. */
 const REMOVE_AFTER_SILENCES = 20
 
 /**
- * The others know of an instance this long after its row was there: rows are read every second and a half at the
- * latest while the store answers, and one such read may be missed.
+ * Delay after which other instances know this one, counted from when its row was seen. While the
+ * store answers, rows are read at least every 1.5 seconds, and one such read may fail.
  */
 const VISIBILITY_DELAY_MILLISECONDS = 3_000
-/** A stray request, as a check of the configuration sends, does not make an instance one to which callers come. */
+/**
+ * Rate below which an instance does not count as working, so that single requests, such as a
+ * configuration check, do not make it one that receives callers.
+ */
 const WORKING_REQUESTS_PER_SECOND = 1
 
 /**
- * An instance waits this long for the rows before it takes itself for the only one: a store or a peer
- * that answers gives them in a tenth of it.
+ * Time that an instance waits for the rows before it assumes that it is the only one; a store or
+ * peer that answers delivers them in a tenth of this time.
  */
 const FIRST_READ_TIMEOUT_MILLISECONDS = 1_500
 
-/** The members of the fleet, on one instance. */
+/** The members of the fleet, as seen by one instance. */
 export class MemberDirectory {
   private readonly members = new Map<string, KnownMember>()
   private heartbeat = 0
@@ -80,12 +95,16 @@
   private timer: Timer | undefined
   private wasWritten = false
   /**
-   * Time during which this instance read the rows without a gap. Silence is counted in it: an
-   * instance that was cut off itself must not take everybody else for gone when it is back.
+   * Total time during which this instance read the rows without a gap. Silence is measured in it:
+   * an instance that was disconnected itself must not treat all others as terminated when it
+   * reconnects.
    */
   private observedTime: Milliseconds = 0
   private lastReadAt: Milliseconds | undefined
-  /** Monotonic time from which the others know of this instance; undefined while its row was not seen. */
+  /**
+   * Monotonic time since when this instance's row has been seen; undefined while it has not been
+   * seen.
+   */
   private recordedSince: Milliseconds | undefined
 
   constructor(private readonly parts: MemberDirectoryParts) {
@@ -102,13 +121,13 @@
     this.timer = undefined
   }
 
-  /** Tells the others that this instance takes no new callers. */
+  /** Announces that this instance accepts no new callers. */
   async drain(): Promise<void> {
     this.draining = true
     await this.write()
   }
 
-  /** Removes the own row. */
+  /** Removes this instance's row. */
   async leave(): Promise<void> {
     this.stop()
     await this.parts.store.write({ conditions: [], puts: [], removals: [this.address()] })
@@ -123,7 +142,7 @@
     for (const key of this.members.keys()) if (!present.has(key)) this.members.delete(key)
   }
 
-  /** Called after each read of the table that succeeded. */
+  /** Records a successful read of the table. */
   noteRead(): void {
     const now = this.parts.clock.monotonic()
     const gap = now - (this.lastReadAt ?? now)
@@ -132,8 +151,9 @@
   }
 
   /**
-   * Whether it is known who else is there: all rows were told once, or nobody told them for a while. Callers who
-   * ask before that are told nothing: each of a fleet that starts as one would name itself.
+   * Whether the other instances are known: all rows were received once, or none arrived within the
+   * timeout. Callers that ask earlier get no addresses: in a fleet whose instances all start at
+   * once, each would name only itself.
    */
   get isInitialized(): boolean {
     if (this.loaded) return true
@@ -145,8 +165,8 @@
   }
 
   /**
-   * All instances that are recorded, whether or not they are heard, this one included; undefined while the others
-   * may not know of this one yet.
+   * All instances with a row, including this one, whether or not they are silent; undefined while
+   * other instances may not know this one yet.
    */
   get recordedInstances(): readonly RecordedInstance[] | undefined {
     const since = this.recordedSince
@@ -158,12 +178,12 @@
     }))
   }
 
-  /** Whether there is a row of this life of an instance, whatever its state. */
+  /** Whether a row of this incarnation of an instance exists, in any state. */
   hasIncarnation(instance: string, incarnation: string): boolean {
     return this.members.get(instance)?.row.incarnation === incarnation
   }
 
-  /** What this instance tells the others. */
+  /** This instance's current row. */
   get self(): MemberRow {
     const state: MemberState = this.draining ? 'draining' : 'serving'
     const requestsPerSecond = Math.round(this.parts.requestsPerSecond() * 10) / 10
@@ -171,7 +191,7 @@
     return { ...this.parts.self, requestsPerSecond, state, heartbeat, renewalMilliseconds }
   }
 
-  /** Other instances that serve, as far as this one can know. */
+  /** Other instances that are serving, as far as this instance knows. */
   get others(): readonly MemberRow[] {
     const { instance } = this.parts.self
     return [...this.members.values()]
@@ -179,7 +199,10 @@
       .map(member => member.row)
   }
 
-  /** How many times slower than in a small fleet heartbeats are, so that the store bears them. */
+  /**
+   * Factor by which heartbeats are slower than in a small fleet, to stay within the store's write
+   * rate.
+   */
   private get heartbeatSlowdown(): number {
     const { heartbeatMilliseconds, partitionWritesPerSecond } = this.parts
     const perSecond = (this.members.size * 1000) / heartbeatMilliseconds
@@ -210,7 +233,8 @@
   private noteOwnRow(rows: readonly ChangedRow[]): void {
     const { instance } = this.parts.self
     if (this.recordedSince !== undefined || !rows.some(({ key }) => key === instance)) return
-    // A row that was there before this instance read anything is known to all: it is an earlier life's.
+    // A row that existed before this instance's first read is an earlier incarnation's, so all
+    // instances know it.
     const isOlder = !this.loaded
     this.recordedSince = isOlder ? Number.NEGATIVE_INFINITY : this.parts.clock.monotonic()
   }
@@ -220,7 +244,7 @@
     return this.observedTime - member.changedAt < this.silenceTimeoutOf(member)
   }
 
-  /** After this time without a change a member counts as gone. */
+  /** A member whose row has not changed for this long counts as terminated. */
   private silenceTimeoutOf({ row }: KnownMember): Milliseconds {
     const { silenceMilliseconds, heartbeatMilliseconds } = this.parts
     return (silenceMilliseconds / heartbeatMilliseconds) * row.renewalMilliseconds
@@ -250,7 +274,7 @@
     this.parts.onRegistered?.(true)
   }
 
-  /** One instance in turn removes rows that nobody renews, so that they do not pile up. */
+  /** Removes one row that is no longer renewed, so that such rows do not accumulate. */
   private async removeStaleRow(): Promise<void> {
     const abandoned = [...this.members].find(
       ([, member]) =>
--- a/packages/coordination/src/membership/memberRow.ts
+++ b/packages/coordination/src/membership/memberRow.ts
@@ -1,6 +1,6 @@
 /**
- * The row in which an instance of the gateway kind tells the others of itself, and its stored
- * form. Each instance writes its own row alone; all lie in one partition.
+ * The row with which an instance of a gateway fleet announces itself, and its stored form. Each
+ * instance writes only its own row; all rows are in one partition.
  */
 
 import * as z from 'zod'
@@ -9,13 +9,13 @@
 
 /** Table of the rows. */
 export const MEMBER_TABLE = 'members'
-/** Partition of the rows; one for all, so that one read gives the fleet. */
+/** Partition of the rows; a single one, so that one read returns the whole fleet. */
 export const MEMBER_PARTITION = ''
 
-/** Whether an instance takes callers or is about to end. */
+/** Whether an instance accepts callers or is about to terminate. */
 export type MemberState = 'serving' | 'draining'
 
-/** What an instance tells the others; it is written anew with each heartbeat. */
+/** An instance's announcement, rewritten with each heartbeat. */
 export interface MemberRow {
   readonly instance: string
   readonly incarnation: string
@@ -23,20 +23,22 @@
   readonly failureDomain: string
   /** IP:PORT for callers. */
   readonly callerAddress: string
-  /** IP:PORT for peers; empty where the instance takes no calls from peers. */
+  /** IP:PORT for peers; empty if the instance accepts no calls from peers. */
   readonly peerAddress: string
-  /** IP:PORT for datagrams about load; empty where the instance takes none. */
+  /** IP:PORT for load datagrams; empty if the instance accepts none. */
   readonly loadAddress: string
-  /** Requests a second that the instance can serve, by its settings. */
+  /** Requests per second that the instance can serve according to its settings. */
   readonly capacity: number
-  /** Requests a second that it took when the row was written. */
+  /** Requests per second that it received when the row was written. */
   readonly requestsPerSecond: number
   readonly state: MemberState
   /** Counts the writes of this incarnation. */
   readonly heartbeat: number
-  /** Time until the next write; silence means nothing before it has passed. */
+  /** Time until the next write; only a longer time without a change counts as silence. */
   readonly renewalMilliseconds: Milliseconds
-  /** Whether it serves requests that other instances hand to its address for peers; earlier versions do not say. */
+  /**
+   * Whether it serves requests relayed to its peer address; earlier software versions omit this.
+   */
   readonly takesRelays?: boolean | undefined
 }
 
@@ -80,6 +82,6 @@
 export const memberRowCodec = new JsonCodec<MemberWire, MemberRow>({
   schema: memberSchema,
   toWire,
-  // The names in the store are those of the type at present.
+  // The stored fields currently have the same names as those of the type.
   fromWire: wire => wire,
 })
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * The live instances of the OpenAI-style kind, by heartbeats within groups and digests between them. Owns
- * what was last heard of each; sends nothing itself.
+ * Live instances of the OpenAI-style kind, tracked by heartbeats within groups and digests between
+ * groups. Owns the last report of each member; sends nothing itself.
  */
 
 import { createHash } from 'node:crypto'
@@ -15,20 +15,20 @@
 } from '@rackwalk/shared'
 import type { GroupDigest, MemberInfo } from '../peerMessages.js'
 
-/** Instances up to which a whole region beats in one mesh. */
+/** Up to this many instances, all instances of a region exchange heartbeats with each other. */
 const REGION_MESH_LIMIT = 24
-/** In-group heartbeats that carry no digests, between two that do. */
+/** Every this many rounds, heartbeats within the group carry digests. */
 const DIGEST_PERIOD = 5
 
-/** Times after which silence means something. */
+/** Timeouts of membership. */
 export interface MembershipTimings {
-  /** A member not heard of for this long is not live. */
+  /** A member without a heartbeat for this long is not live. */
   readonly silenceMilliseconds: Milliseconds
 }
 
 const DEFAULT_MEMBERSHIP_TIMINGS: MembershipTimings = { silenceMilliseconds: 5_000 }
 
-/** Where a member is; that never changes. */
+/** Location of a member; never changes. */
 export type MemberLocation = Pick<MemberInfo, 'incarnation' | 'region' | 'failureDomain'>
 
 interface KnownMember {
@@ -47,26 +47,29 @@
   readonly incarnations: readonly IncarnationId[]
 }
 
-/** A member that was silent for longer than so many silences shares no bound any more. */
+/**
+ * A member that was silent for more than this many silence timeouts no longer shares fleet-wide
+ * limits.
+ */
 const RETENTION_SILENCES = 12
-/** Age up to which a view of the live members is used again. */
+/** Maximum age of a cached view of the live members. */
 const VIEW_CACHE_MILLISECONDS = 50
 
-/** One heartbeat to send. */
+/** A heartbeat to send. */
 export interface PlannedHeartbeat {
   readonly target: IncarnationId
   readonly digests: readonly GroupDigest[]
 }
 
 /**
- * Who is alive, as far as this instance hears. Members of a group (a small region, or else
- * a failure domain) beat to each other; groups exchange digests of constant size, so that
- * the traffic of an instance does not grow with the fleet.
+ * Tracks which members are live, as far as this instance hears from them. Members of a group (a
+ * small region, otherwise a failure domain) send heartbeats to each other. Groups exchange digests
+ * of constant size, so that the traffic of an instance does not grow with the fleet.
  */
 export class Membership {
   private readonly members = new Map<IncarnationId, KnownMember>()
   private readonly groups = new Map<string, KnownGroup>()
-  /** Known members of each region, so that a group is found without looking at them all. */
+  /** Number of known members per region, so that a group is found without scanning all members. */
   private readonly regionSizes = new Map<RegionId, number>()
   private roundNumber = 0
   private cached: LiveView | undefined
@@ -83,7 +86,10 @@
     return this.describeSelf()
   }
 
-  /** Takes in what a member says of itself; older news than known is ignored. */
+  /**
+   * Merges a member's report about itself; a report that is not newer than the known one is
+   * ignored.
+   */
   mergeMember(info: MemberInfo): void {
     if (info.incarnation === this.place.incarnation) return
     const known = this.members.get(info.incarnation)
@@ -92,12 +98,12 @@
     this.forgetPredecessors(info)
   }
 
-  /** Takes in digests; gives the groups whose members have to be asked for. */
+  /** Merges digests and returns the groups whose member lists have to be requested. */
   mergeDigests(digests: readonly GroupDigest[]): readonly string[] {
     return digests.filter(digest => this.mergeDigest(digest)).map(digest => digest.group)
   }
 
-  /** Replaces what is known of a group by what one of its members lists. */
+  /** Replaces the known members of a group by the list that one of its members sent. */
   replaceGroupMembers(group: string, infos: readonly MemberInfo[]): void {
     const listed = new Set(infos.map(info => info.incarnation))
     for (const [incarnation, known] of this.members) {
@@ -108,7 +114,7 @@
     for (const info of infos) this.mergeMember(info)
   }
 
-  /** Live members, this instance included, in a stable order. */
+  /** Live members, including this instance, in a stable order. */
   liveMembers(): readonly MemberInfo[] {
     return this.view().members
   }
@@ -127,7 +133,7 @@
     return known !== undefined && this.isRecentlyHeard(known)
   }
 
-  /** What was last heard of a member, live or not. */
+  /** The last report of a member, live or not. */
   find(incarnation: IncarnationId): MemberInfo | undefined {
     if (incarnation === this.place.incarnation) return this.self
     return this.members.get(incarnation)?.info
@@ -139,8 +145,8 @@
   }
 
   /**
-   * Instances that may be there though nothing was heard of them lately, this one included: those that share bounds of the
-   * whole fleet, whichever parts of it hear each other.
+   * Instances that may exist although they have been silent lately, including this one. They share
+   * the limits of the whole fleet, whichever parts of it can reach each other.
    */
   get recentInstances(): readonly InstanceId[] {
     const oldest = this.clock.monotonic() - RETENTION_SILENCES * this.timings.silenceMilliseconds
@@ -152,14 +158,17 @@
     return this.liveMembers().filter(member => member.region === region)
   }
 
-  /** Newest configuration revision that anybody is known to have in force. */
+  /** The newest configuration revision known to be in force on any instance. */
   newestRevision(): number {
     const fromMembers = this.liveMembers().map(member => member.configurationRevision)
     const fromGroups = [...this.groups.values()].map(known => known.digest.configurationRevision)
     return Math.max(0, ...fromMembers, ...fromGroups)
   }
 
-  /** The heartbeats of this round: all of the own group, one of another group. */
+  /**
+   * Returns the heartbeats of this round: one to each live member of the own group and one to a
+   * member of another group.
+   */
   planHeartbeats(): readonly PlannedHeartbeat[] {
     this.roundNumber += 1
     const others = this.liveMembers().filter(
@@ -176,7 +185,7 @@
     return [...planned, { target: chosen.incarnation, digests }]
   }
 
-  /** What this instance tells others of all groups, its own first. */
+  /** Digests of all known groups, this instance's own group first. */
   digests(): readonly GroupDigest[] {
     const ownGroup = this.ownGroup
     const others = [...this.groups.values()].map(known => known.digest)
@@ -188,7 +197,10 @@
     return this.liveMembers().filter(member => this.groupOf(member) === group)
   }
 
-  /** Decisions ask for this often; liveness changes over seconds. */
+  /**
+   * Returns the live members, cached for a short time: decisions request them often, and liveness
+   * changes over seconds.
+   */
   private view(): LiveView {
     const now = this.clock.monotonic()
     if (this.cached !== undefined && now - this.cached.at < VIEW_CACHE_MILLISECONDS)
@@ -227,7 +239,7 @@
     }
   }
 
-  /** True when the group's members are not the ones known here. */
+  /** Returns true if the group's members differ from those known here. */
   private mergeDigest(digest: GroupDigest): boolean {
     if (digest.group === this.ownGroup) return false
     const known = this.groups.get(digest.group)
@@ -243,11 +255,11 @@
     const group = this.groups.get(this.groupOf(known.info))
     const isGroupMate = this.groupOf(known.info) === this.ownGroup
     if (isGroupMate || group === undefined) return known.heardAt >= oldest
-    // News of other groups pass through several hands, so they may be older.
+    // Reports about other groups pass through several instances, so they may be older.
     return group.heardAt >= oldest - this.timings.silenceMilliseconds
   }
 
-  /** A new incarnation of an instance ends what was heard of the one before. */
+  /** Removes the earlier incarnations of an instance when a new one reports. */
   private forgetPredecessors(info: MemberInfo): void {
     for (const [incarnation, known] of this.members) {
       const isPredecessor =
--- a/packages/coordination/src/membership/reaper.ts
+++ b/packages/coordination/src/membership/reaper.ts
@@ -1,6 +1,6 @@
 /**
- * Finds incarnations that are gone for good, has them sealed and their allocations returned. Owns since
- * when each has been missing.
+ * Finds terminated incarnations, has them sealed and their allocations returned. Owns the time
+ * since which each has been missing.
  */
 
 import type { Clock, IncarnationId, Milliseconds } from '@rackwalk/shared'
@@ -10,7 +10,7 @@
 import type { Membership } from './membership.js'
 import type { Sealer } from './sealer.js'
 
-/** Parts that a reaper works with. */
+/** Dependencies of a `Reaper`. */
 export interface ReaperParts {
   readonly incarnation: IncarnationId
   readonly clock: Clock
@@ -22,16 +22,17 @@
 }
 
 /**
- * Finds incarnations that are gone, seals them and returns their allocations. Nothing that a
- * sealed incarnation still does can become a bill, so there is no need to wait until its
- * requests would have ended (docs/design/budgets.md). Silence alone never suffices: the platform's list has
- * to miss the instance, or a newer incarnation has to stand in its place, for longer than
- * the list lags. A process whose address another incarnation serves is no more, which needs no wait: after all
- * instances lost power at once, nearly all tokens of every budget are held by such processes.
+ * Finds terminated incarnations, seals them and returns their allocations. Nothing that a sealed
+ * incarnation still does can become a bill, so there is no need to wait until its requests would
+ * have ended (docs/design/budgets.md). Silence alone is never sufficient: the platform's list must
+ * lack the instance, or a newer incarnation must have replaced it, for longer than the list's lag.
+ * A process whose address is served by another incarnation has terminated, which needs no wait:
+ * after a simultaneous power loss of all instances, such processes hold nearly all tokens of every
+ * budget.
  */
 export class Reaper {
   private readonly missingSince = new Map<IncarnationId, Milliseconds>()
-  /** Incarnations whose addresses other incarnations of their instances serve. */
+  /** Incarnations whose addresses are now served by other incarnations of their instances. */
   private superseded: ReadonlySet<IncarnationId> = new Set()
   private readonly sealer: Sealer
 
@@ -39,7 +40,7 @@
     this.sealer = parts.createSealer(incarnation => this.isConfirmedDead(incarnation))
   }
 
-  /** One look at all registered incarnations. */
+  /** Checks all registered incarnations once. */
   async reapOnce(listed: readonly ListedInstance[]): Promise<void> {
     const records = await this.parts.registry.list()
     this.updateMissing(records, listed)
@@ -49,7 +50,10 @@
     }
   }
 
-  /** Whether the platform has long enough said that this incarnation is no more. */
+  /**
+   * Whether the platform has reported this incarnation as terminated for long enough, or its
+   * address is served by another one.
+   */
   isConfirmedDead(incarnation: IncarnationId): boolean {
     if (this.parts.membership.isLive(incarnation)) return false
     if (this.superseded.has(incarnation)) return true
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -1,6 +1,6 @@
 /**
- * Ends an incarnation for good, by a seal in its journal after its held entries. Owns nothing; safe to run
- * on several instances at once.
+ * Ends an incarnation permanently, by writing its held entries and a seal to its journal. Keeps no
+ * state; may run on several instances at once.
  */
 
 import { RackwalkError, asId } from '@rackwalk/shared'
@@ -15,18 +15,21 @@
 import { journalSlotKey, sealingKey } from '../tableKeys.js'
 import type { IncarnationRecord, IncarnationRegistry } from './incarnationRegistry.js'
 
-/** Entries written for a dead writer in one slot, so that a slot stays under the row limit. */
+/**
+ * Maximum number of entries written for a terminated writer per slot, so that a slot stays under
+ * the row size limit.
+ */
 const ENTRIES_PER_SLOT = 500
-/** Rows beside the slot that one transaction takes. */
+/** Maximum number of rows besides the slot in one transaction. */
 const ATTACHMENTS_PER_SLOT = 90
 
 /**
- * `waiting`: a peer that may hold entries of the target has not handed them over.
- * `retry`: the table did not answer; the same call may be made again.
+ * `waiting`: a peer that may hold entries of the target has not handed them over. `retry`: the
+ * table did not answer; the same call may be repeated.
  */
 export type SealOutcome = 'sealed' | 'waiting' | 'retry'
 
-/** Parts that sealing works with. */
+/** Dependencies of a `Sealer`. */
 export interface SealerParts {
   readonly incarnation: IncarnationId
   readonly table: TableService
@@ -34,18 +37,18 @@
   readonly peers: PeerChannel
   readonly random: RandomSource
   readonly counters: Counters
-  /** Whether the platform has said that this incarnation's machine no longer exists. */
+  /** Whether the platform has reported that this incarnation's machine no longer exists. */
   readonly isConfirmedDead: (incarnation: IncarnationId) => boolean
-  /** Has entries of writers whose holders may be gone. */
+  /** Contains entries of writers whose holders may have terminated. */
   readonly archive?: HeldEntryArchive
 }
 
 /**
- * Ends an incarnation for good. First every registered peer of its region hands over what
- * it holds for the target and refuses more; then those entries and the seal are written
- * into the target's own journal. From then on the target can neither write nor have
- * entries held, whether it is dead, paused or cut off, so nothing that it does afterwards
- * can become a bill.
+ * Ends an incarnation permanently. First, every registered peer of its region hands over the
+ * entries it holds for the target and accepts no more; then those entries and the seal are written
+ * to the target's own journal. From then on the target can neither write nor have entries held,
+ * whether it has crashed, is paused or is disconnected, so nothing it does afterwards can become a
+ * bill.
  */
 export class Sealer {
   constructor(private readonly parts: SealerParts) {}
@@ -73,10 +76,12 @@
         value: { by: this.parts.incarnation },
       },
     ])
-    // A conflict means that somebody announced it before, which serves as well.
+    // A conflict means that another instance announced it earlier, which has the same effect.
   }
 
-  /** Undefined when a peer that may hold something did not answer. */
+  /**
+   * Collects the held entries of the target; undefined if a peer that may hold some did not answer.
+   */
   private async collect(target: IncarnationRecord): Promise<readonly HeldEntry[] | undefined> {
     const registered = await this.parts.registry.list()
     const holders = registered.filter(
@@ -91,7 +96,8 @@
       if (items === undefined) return undefined
       for (const item of items) collected.set(item.index, item)
     }
-    // Holders refuse more by now, so nothing that is written later can have been released.
+    // By now the holders accept no more entries, so no entry archived after this read can count as
+    // held.
     const archived = (await this.parts.archive?.read(target.incarnation)) ?? []
     for (const item of archived) collected.set(item.index, item)
     return [...collected.values()].sort((left, right) => left.index - right.index)
@@ -106,7 +112,7 @@
     }
   }
 
-  /** Writes held entries and the seal; ends when the journal's last slot is a seal. */
+  /** Writes held entries and the seal; returns when the journal's last slot is a seal. */
   private async write(target: IncarnationId, held: readonly HeldEntry[]): Promise<void> {
     const outdated = new Set<number>()
     for (;;) {
@@ -120,7 +126,7 @@
       const writes = slotWrites(target, journal.slots.length + 1, slot, attached)
       const result = await this.parts.table.transact(this.newId(), writes)
       if (result.committed) continue
-      // An attached row that changed meanwhile keeps its newer state; the entry still counts.
+      // An attached row that changed in the meantime keeps its newer state; the entry still counts.
       for (const position of result.conflicts) {
         const loser = attached[position - 1]
         if (loser !== undefined) outdated.add(loser.index)
@@ -154,7 +160,7 @@
   return [put, ...attached.flatMap(item => item.attachment ?? [])]
 }
 
-/** As many items as one slot and one transaction take. */
+/** Returns as many items as fit into one slot and one transaction. */
 function takePart(items: readonly HeldEntry[]): readonly HeldEntry[] {
   let attachments = 0
   const part: HeldEntry[] = []
