--- a/packages/coordination/src/claims/claimRow.ts
+++ b/packages/coordination/src/claims/claimRow.ts
@@ -7,8 +7,8 @@
 import type { IncarnationId, Milliseconds, RequestId } from '@rackwalk/shared'
 
 /**
- * `claimed`: it may be running. `released`: it was refused before dispatch, so it may be
- * claimed again. `done`: it ran, and `code` says how it ended.
+ * `claimed`: the request may be running. `released`: it was refused before dispatch, so its key may
+ * be claimed again. `done`: it ran, and `code` is its result.
  */
 export type ClaimState = 'claimed' | 'released' | 'done'
 
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -1,6 +1,7 @@
 /**
- * Claims of requests that may run at most once. Owns the attempts of this incarnation and their states;
- * relies on the journal to make a claim durable and on peers to tell what became of theirs.
+ * Claims of requests that may run at most once. Owns the attempts of this incarnation and their
+ * states. Relies on the journal to make a claim durable, and on peers to report the state of their
+ * claims.
  */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
@@ -23,7 +24,7 @@
 import { claimRowCodec } from './claimRow.js'
 import type { ClaimRow, ClaimState } from './claimRow.js'
 
-/** A claim that this incarnation holds; only its holder may dispatch. */
+/** A claim that this incarnation holds; only its holder may dispatch the request. */
 export interface Claim {
   readonly teamId: TeamId
   readonly key: IdempotencyKey
@@ -32,8 +33,8 @@
 }
 
 /**
- * What came of a claim. `running`, `ran` and `unknown` concern an earlier request with the
- * same key; `unconfirmed` means that nobody may dispatch on this claim.
+ * Outcome of a claim. `running`, `ran` and `unknown` refer to an earlier request with the same key;
+ * `unconfirmed` means that no request may be dispatched on this claim.
  */
 export type ClaimResult =
   | { readonly kind: 'claimed'; readonly claim: Claim }
@@ -42,7 +43,7 @@
   | { readonly kind: 'unknown'; readonly requestId: RequestId }
   | { readonly kind: 'unconfirmed' }
 
-/** Parts that claims work with. */
+/** Dependencies of `Claims`. */
 export interface ClaimsParts {
   readonly incarnation: IncarnationId
   readonly table: TableService
@@ -55,25 +56,28 @@
   readonly timeoutMilliseconds: Milliseconds
 }
 
-/** Times a released claim is taken over before the caller is told to come back. */
+/** Maximum number of attempts to claim a key before the caller is told to retry later. */
 const MAXIMUM_TAKEOVERS = 3
-/** Ended claims whose state is kept for peers; older ones are read from the table. */
+/**
+ * Maximum number of claims whose state is kept for peers; the states of older finished claims are
+ * read from the table.
+ */
 const REMEMBERED_CLAIMS = 50_000
 
 /**
  * Claims of requests that may run at most once. A claim is durable before its request is
- * dispatched; it rides in the group commit of the journal. Whoever finds a claim of another
- * tells what became of it and never runs the request again.
+ * dispatched; it is written with the journal's group commit. An instance that finds another
+ * request's claim reports its state and never runs the request again.
  */
 export class Claims {
-  /** Every attempt of this incarnation; its state is final once it is not `claimed`. */
+  /** States of all attempts of this incarnation; a state other than `claimed` is final. */
   private readonly states = new Map<RequestId, ClaimState>()
   /** The attempt in progress for each key. */
   private readonly running = new Map<string, RequestId>()
 
   constructor(private readonly parts: ClaimsParts) {}
 
-  /** Claims a key, or says what the claim before it came to. */
+  /** Claims a key, or returns the state of the existing claim. */
   async claim(teamId: TeamId, key: IdempotencyKey, requestId: RequestId): Promise<ClaimResult> {
     const name = nameOf(teamId, key)
     const earlier = this.running.get(name)
@@ -85,17 +89,23 @@
     return result
   }
 
-  /** The row write that ends a claim; it goes into the journal with the request's bill. */
+  /**
+   * Returns the row write that completes a claim; the caller appends it to the journal with the
+   * request's bill.
+   */
   completion(claim: Claim, code: ResultCode): RowWrite {
     return this.update(claim, { state: 'done', code })
   }
 
-  /** Notes the end, so that a peer that asks gets it before the row is written. */
+  /**
+   * Records that the request has finished, so that peers that ask learn of it before the row is
+   * written.
+   */
   noteDone(claim: Claim): void {
     this.end(claim.teamId, claim.key, claim.requestId, 'done')
   }
 
-  /** Frees a claim whose request was refused before dispatch. */
+  /** Releases a claim whose request was refused before dispatch. */
   release(claim: Claim): JournalTicket | undefined {
     this.end(claim.teamId, claim.key, claim.requestId, 'released')
     return this.journalRelease(claim)
@@ -165,8 +175,8 @@
   }
 
   /**
-   * The table did not confirm in time. The request is refused and will never be dispatched
-   * on this claim; should the claim land later, it is released again.
+   * Gives up a claim that the table did not confirm in time. The request is refused and never
+   * dispatched on this claim; if the claim takes effect later, it is released again.
    */
   private giveUp(claim: Claim, ticket: JournalTicket | undefined): ClaimResult {
     this.parts.counters.increment('claims_abandoned')
@@ -193,7 +203,7 @@
     }
   }
 
-  /** What an existing claim means for a new request with its key. */
+  /** Determines what an existing claim means for a new request with the same key. */
   private async classifyClaim(row: ClaimRow): Promise<ClaimResult | 'released'> {
     const { requestId } = row
     if (row.state === 'released') return 'released'
--- a/packages/coordination/src/claims/keyRegistrar.ts
+++ b/packages/coordination/src/claims/keyRegistrar.ts
@@ -1,6 +1,7 @@
 /**
- * Which instance runs the request with this idempotency key? A hint that keeps a caller's retry from
- * running beside its first attempt. Owns the keys that hashing gives to this instance.
+ * Registers which instance runs the request with a given idempotency key, as a hint that keeps a
+ * caller's retry from running alongside its first attempt. Owns the keys that hashing assigns to
+ * this instance.
  */
 
 import type {
@@ -23,15 +24,16 @@
   readonly updatedAt: Milliseconds
 }
 
-/** How long the end of a key is remembered, for callers that retry. */
+/** How long a finished key is remembered, for callers that retry. */
 const KEY_RETENTION_MILLISECONDS = 10 * 60_000
-/** Keys remembered at most; the oldest are forgotten first. */
+/** Maximum number of keys remembered; the oldest are dropped first. */
 const MAXIMUM_KEYS = 100_000
 
 /**
- * Knows who runs the requests whose keys rendezvous hashing gives to this instance, so that
- * a caller's retry at another instance is not run beside the first. It is a hint: when it
- * is lost, a repeatable request may run twice, yet it is billed once, by its key.
+ * Registers which incarnations run the requests whose keys rendezvous hashing assigns to this
+ * instance, so that a caller's retry at another instance does not run alongside the first attempt.
+ * This is a hint: if it is lost, a repeatable request may run twice, but it is billed once, by its
+ * key.
  */
 export class KeyRegistrar {
   private readonly keys = new Map<string, RegisteredKey>()
@@ -48,7 +50,8 @@
     const answer =
       known === undefined ? { state: 'first' as const } : this.classifyKey(known, request)
     if (answer.state === 'running' || answer.state === 'mismatch') return answer
-    // It will be refused, so it must not count as running: nobody would report its end.
+    // This request will be refused, so it is not registered as running: its end would never be
+    // reported.
     if (answer.state === 'ended' && answer.complete && !request.repeatable) return answer
     const { incarnation, requestId, fingerprint } = request
     const creditedTokens = known?.creditedTokens ?? 0
@@ -74,7 +77,8 @@
     const { requestId, creditedTokens } = known
     if (known.fingerprint !== request.fingerprint) return { state: 'mismatch', requestId }
     const isRunning = known.state === 'running' && requestId !== request.requestId
-    // A run whose instance died will never report its end.
+    // If the instance that runs a request has terminated, the end of the request will never be
+    // reported.
     if (isRunning && this.isLive(known.incarnation)) {
       return { state: 'running', incarnation: known.incarnation, requestId }
     }
@@ -98,7 +102,7 @@
   }
 }
 
-/** Reaches the registrar of a key, wherever it is. */
+/** Calls the registrar of a key, on this instance or on a peer. */
 export class KeyRegistrarClient {
   constructor(
     private readonly local: KeyRegistrar,
@@ -107,7 +111,10 @@
     private readonly liveIncarnations: () => readonly IncarnationId[],
   ) {}
 
-  /** `first` also when the registrar cannot be reached: it is only a hint. */
+  /**
+   * Registers a key; also returns `first` if the registrar cannot be reached, since it is only a
+   * hint.
+   */
   async register(request: PeerRequest<'registerKey'>): Promise<KeyRegistration> {
     const registrar = this.registrarOf(request.teamId, request.key)
     if (registrar === this.incarnation) return this.local.register(request)
