--- a/packages/coordination/src/crashes/crashRecordStore.ts
+++ b/packages/coordination/src/crashes/crashRecordStore.ts
@@ -1,8 +1,10 @@
 /**
- * Keeps in the store which requests ended endpoints, so that instances learn of it that hear no others, and those that
- * start after all have died. Owns what is still to be written, and the rows as last seen.
+ * Stores which requests crashed endpoints, so that this information reaches instances that cannot
+ * hear others, and those that start after all others have terminated. Owns the marks and removals
+ * to be written, and the rows as last seen.
  *
- * A row is only added to, so two writers that meet lose nothing. A row that goes clears its request.
+ * Marks are only added to a row, so two concurrent writers lose nothing. Removing a row clears its
+ * request.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
@@ -20,13 +22,13 @@
 } from './crashRow.js'
 import type { CrashRow } from './crashRow.js'
 
-/** What the records work with. */
+/** Dependencies of a `CrashRecordStore`. */
 export interface CrashRecordStoreParts {
   readonly store: RowStore
   readonly clock: Clock
-  /** Rows say so. */
+  /** Called with the crash marks of rows that were read. */
   readonly onMarks: (marks: readonly CrashMark[]) => void
-  /** The row of a request has gone. */
+  /** Called when the row of a request was removed. */
   readonly onCleared: (fingerprint: RequestFingerprint) => void
   readonly onMalformedRow: (row: RowAddress) => void
 }
@@ -34,16 +36,22 @@
 interface KnownRow {
   readonly row: CrashRow
   readonly version: number
-  /** Whether the store told of it; a read that was on its way may not have what was written since. */
+  /**
+   * Whether the row was received from the store. A read that was in flight may not contain rows
+   * written since.
+   */
   readonly isSeen: boolean
 }
 
-/** Rows in one transaction; a platform takes 100 entries. */
+/**
+ * Maximum number of rows put, and of rows removed, in one transaction; a platform allows 100
+ * entries.
+ */
 const ROWS_PER_WRITE = 50
-/** A write that the store did not take is tried again after this time. */
+/** Delay before a failed write is retried. */
 const RETRY_MILLISECONDS: Milliseconds = 1_000
 
-/** The records of ends, on one instance. */
+/** The crash records, on one instance. */
 export class CrashRecordStore implements MirrorListener {
   private readonly rows = new Map<RequestFingerprint, KnownRow>()
   private readonly unwritten = new Map<RequestFingerprint, readonly CrashMark[]>()
@@ -57,7 +65,9 @@
     this.retry?.cancel()
   }
 
-  /** Ends that this instance saw; they are written as soon as the store takes them. */
+  /**
+   * Queues crashes that this instance observed; they are written as soon as the store accepts them.
+   */
   record(marks: readonly CrashMark[]): void {
     for (const [fingerprint, own] of groupBy(marks, mark => mark.fingerprint)) {
       this.removals.delete(fingerprint)
@@ -66,7 +76,7 @@
     this.writeSoon()
   }
 
-  /** A request is cleared: its row goes. */
+  /** Removes the row of a request that was cleared. */
   remove(fingerprint: RequestFingerprint): void {
     this.unwritten.delete(fingerprint)
     if (!this.rows.has(fingerprint)) return
@@ -117,7 +127,7 @@
     })
   }
 
-  /** One transaction; what it could not do stays to be done. */
+  /** Runs one transaction; whatever it could not write stays queued. */
   private async write(): Promise<void> {
     const puts = [...this.unwritten].slice(0, ROWS_PER_WRITE)
     const removals = [...this.removals].slice(0, ROWS_PER_WRITE)
@@ -149,14 +159,20 @@
     }
   }
 
-  /** Ends that were noted while the write was on its way are still to be written. */
+  /**
+   * Removes written marks from the queue; marks that were recorded while the write was in flight
+   * stay queued.
+   */
   private noteWritten(fingerprint: RequestFingerprint, marks: readonly CrashMark[]): void {
     const rest = (this.unwritten.get(fingerprint) ?? []).filter(mark => !marks.includes(mark))
     if (rest.length > 0) this.unwritten.set(fingerprint, rest)
     else this.unwritten.delete(fingerprint)
   }
 
-  /** Another instance wrote first: the next try rests on what is there. */
+  /**
+   * Applies the current rows after another instance's write, so that the next attempt is based on
+   * them.
+   */
   private noteConflict(rows: readonly StoredRow[], asked: readonly RequestFingerprint[]): void {
     const present = new Set(rows.map(({ key }) => key))
     for (const row of rows) this.observeRow(row)
--- a/packages/coordination/src/crashes/crashRow.ts
+++ b/packages/coordination/src/crashes/crashRow.ts
@@ -1,4 +1,7 @@
-/** The row that tells of ends of endpoints under one request, and its stored form. It lies under the request's fingerprint. */
+/**
+ * The row that records crashes of endpoints caused by one request, and its stored form. Its key is
+ * the request's fingerprint.
+ */
 
 import * as z from 'zod'
 import type { CrashMark } from '@rackwalk/decisions'
@@ -8,26 +11,30 @@
 
 /** Table of the rows. */
 export const CRASH_TABLE = 'crashes'
-/** Partition of the rows; one for all, so that one read gives them. */
+/** Partition of the rows; a single one, so that one read returns all rows. */
 export const CRASH_PARTITION = ''
 
 /**
- * A record is kept for this long after the newest end: a request that comes daily is recognised; one that
- * outlasts it costs two endpoints a week until an operator acts.
+ * A record is kept for this long after the newest crash. A request that arrives daily stays
+ * recognized; one that is still sent after its record expired costs two endpoints per week until an
+ * operator acts.
  */
 export const CRASH_RETENTION_MILLISECONDS: Milliseconds = 7 * 24 * 3_600_000
 
-/** One end of an endpoint under the request. */
+/** One crash of an endpoint caused by the request. */
 interface RecordedCrash {
   readonly start: EndpointStart
-  /** Whether the request was sent there as suspected. */
+  /** Whether the request was sent there in isolation, as a suspect. */
   readonly wasIsolated: boolean
 }
 
-/** What is kept of one request. */
+/** The record of one request. */
 export interface CrashRow {
   readonly ends: readonly RecordedCrash[]
-  /** Time of day of the newest end, by the clock of who saw it; milliseconds since 1970. */
+  /**
+   * Time of day of the newest crash, by the clock of the instance that observed it; milliseconds
+   * since 1970.
+   */
   readonly at: Milliseconds
 }
 
@@ -38,7 +45,7 @@
 
 type CrashWire = z.infer<typeof crashSchema>
 
-/** The stored form. */
+/** The stored form of a crash row. */
 export const crashRowCodec = new JsonCodec<CrashWire, CrashRow>({
   schema: crashSchema,
   toWire: ({ ends, at }) => ({
@@ -51,7 +58,7 @@
   }),
 })
 
-/** What a row says, as marks. */
+/** Returns the crash marks that a row contains. */
 export function crashMarksOf(
   fingerprint: RequestFingerprint,
   { ends }: CrashRow,
@@ -59,7 +66,7 @@
   return ends.map(({ start, wasIsolated }) => ({ fingerprint, start, wasIsolated }))
 }
 
-/** The row with further ends in it. */
+/** Returns the row with further crash marks added. */
 export function addCrashMarks(
   row: CrashRow | undefined,
   marks: readonly CrashMark[],
--- a/packages/coordination/src/crashes/crashTableSync.ts
+++ b/packages/coordination/src/crashes/crashTableSync.ts
@@ -1,6 +1,7 @@
 /**
- * The records of requests that end endpoints, for the OpenAI-style kind: rows of its table, read now and then, since peers
- * tell each other at once. Owns what is still to be written and which rows were seen.
+ * Records of requests that crash endpoints, for the OpenAI-style kind: rows of its table. They are
+ * read only periodically, since peers report crashes to each other immediately. Owns the marks and
+ * removals to be written, and the rows seen.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
@@ -16,18 +17,18 @@
   addCrashMarks,
 } from './crashRow.js'
 
-/** What the records work with. */
+/** Dependencies of a `CrashTableSync`. */
 export interface CrashTableSyncParts {
   readonly table: TableService
   readonly clock: Clock
   readonly random: RandomSource
-  /** Rows say so. */
+  /** Called with the crash marks of rows that were read. */
   readonly onMarks: (marks: readonly CrashMark[]) => void
-  /** The row of a request has gone. */
+  /** Called when the row of a request was removed. */
   readonly onCleared: (fingerprint: RequestFingerprint) => void
 }
 
-/** The records, on one instance of the OpenAI-style kind. */
+/** The crash records, on one instance of the OpenAI-style kind. */
 export class CrashTableSync {
   private seen: ReadonlySet<RequestFingerprint> = new Set()
   private unwritten: readonly CrashMark[] = []
@@ -35,18 +36,21 @@
 
   constructor(private readonly parts: CrashTableSyncParts) {}
 
-  /** Ends that this instance saw, for the next round. */
+  /** Queues crashes that this instance observed for the next synchronization. */
   record(marks: readonly CrashMark[]): void {
     this.unwritten = [...this.unwritten, ...marks]
   }
 
-  /** A request is cleared: its row goes with the next round. */
+  /** Queues the removal of a cleared request's row for the next synchronization. */
   remove(fingerprint: RequestFingerprint): void {
     this.unwritten = this.unwritten.filter(mark => mark.fingerprint !== fingerprint)
     this.removals = [...this.removals, fingerprint]
   }
 
-  /** Writes what is to be written and reads what others wrote; throws where the table does not answer. */
+  /**
+   * Writes queued changes and reads what other instances wrote; throws if the table does not
+   * answer.
+   */
   async synchronize(): Promise<void> {
     await this.writeAll()
     await this.read()
@@ -66,7 +70,10 @@
     }
   }
 
-  /** False where another instance wrote at the same time: the next round rests on what it wrote. */
+  /**
+   * Returns false if another instance wrote the row concurrently; the next synchronization is based
+   * on that row.
+   */
   private async write(
     fingerprint: RequestFingerprint,
     marks: readonly CrashMark[],
