--- a/packages/coordination/src/configuration/configurationChange.ts
+++ b/packages/coordination/src/configuration/configurationChange.ts
@@ -1,4 +1,4 @@
-/** The form in which a change of the configuration lies in the table and travels between instances. */
+/** The form of a configuration change in the table and in messages between instances. */
 
 import * as z from 'zod'
 import type { TransactionId } from '@rackwalk/shared'
@@ -7,10 +7,13 @@
 import type { ConfigurationChange } from '../peerMessages.js'
 import { resourceCodec } from './resource.js'
 
-/** A resource as JSON; what is none must not pass, since an absent one stands for a deletion. */
+/**
+ * A resource as JSON. A malformed one must be rejected, since an absent resource stands for a
+ * deletion.
+ */
 export const resourceJson = jsonSchema.refine(json => resourceCodec.fromJson(json) !== undefined)
 
-/** A change, whose resource is absent where it was deleted. */
+/** A configuration change; its resource is absent if the change was a deletion. */
 export const changeSchema: z.ZodType<ConfigurationChange> = z.object({
   revision: z.number(),
   kind: z.string(),
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -1,6 +1,7 @@
 /**
- * The configuration of the OpenAI-style kind in force on this instance. Owns the resources and the recent
- * changes; takes changes in order from the table, or from peers while the table does not answer.
+ * The configuration of the OpenAI-style kind in force on this instance. Owns the resources and the
+ * recent changes. Applies changes in order, from the table, or from peers while the table does not
+ * answer.
  */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
@@ -21,31 +22,31 @@
 import type { Resource } from './resource.js'
 import { resourceCodec, resourceId, resourcePartition } from './resource.js'
 
-/** Changes kept in memory for peers and watchers. */
+/** Number of changes kept in memory for peers and watchers. */
 const KEPT_CHANGES = 10_000
-/** Changes before the start that are read for watchers. */
+/** Number of changes from before the start that are read for watchers. */
 const HISTORY_AT_START = 1_000
-/** Changes read from the table at once. */
+/** Maximum number of changes per read from the table. */
 const CHANGES_PER_READ = 500
 
-/** Parts that a follower works with. */
+/** Dependencies of a `ConfigurationFollower`. */
 export interface ConfigurationFollowerParts {
   readonly table: TableService
   readonly peers: PeerChannel
   readonly counters: Counters
-  /** Kinds kept in memory; changes of others only move the revision on. */
+  /** Kinds kept in memory; changes of other kinds only advance the revision. */
   readonly kinds: readonly string[]
   /** Peers that may be asked when the table does not answer. */
   readonly peersToAsk: () => readonly IncarnationId[]
 }
 
-/** Told after each change that came into force here; must not throw. */
+/** Called after each change that took effect here; must not throw. */
 export type ConfigurationListener = (change: ConfigurationChange | 'snapshot') => void
 
 /**
- * The configuration in force on this instance. It only ever moves to a greater revision,
- * through every change in order or by a whole snapshot, from the table or, when that does
- * not answer, from whichever peer knows more.
+ * The configuration in force on this instance. Its revision only increases, by applying every
+ * change in order or a whole snapshot, from the table or, if the table does not answer, from a peer
+ * that has a newer revision.
  */
 export class ConfigurationFollower {
   private readonly resources = new Map<string, Resource>()
@@ -60,7 +61,7 @@
     return this.currentRevision
   }
 
-  /** Whether any configuration was read since the start, an empty one included. */
+  /** Whether any configuration, even an empty one, was read since the start. */
   get isLoaded(): boolean {
     return this.loaded
   }
@@ -78,7 +79,7 @@
     return () => this.listeners.delete(listener)
   }
 
-  /** Moves to the newest revision that the table, or else a peer, has. */
+  /** Advances to the newest revision of the table or, if the table does not answer, of a peer. */
   async catchUp(): Promise<void> {
     try {
       await this.catchUpFromTable()
@@ -88,7 +89,9 @@
     }
   }
 
-  /** Changes after a revision, or undefined when they are no longer all in memory. */
+  /**
+   * Returns the changes after a revision, or undefined if not all of them are in memory any more.
+   */
   changesSince(revision: Version): readonly ConfigurationChange[] | undefined {
     if (revision >= this.currentRevision) return []
     const oldest = this.changes[0]
@@ -96,7 +99,7 @@
     return this.changes.filter(change => change.revision > revision)
   }
 
-  /** Answers a peer that is behind. */
+  /** Answers a peer whose revision is older. */
   answerPeer(request: PeerRequest<'configurationSince'>): PeerReply<'configurationSince'> {
     const changes = this.changesSince(request.revision)
     return changes === undefined ? { snapshot: this.snapshot() } : { changes }
@@ -120,8 +123,8 @@
   }
 
   /**
-   * Reads the head first, then the resources: what changed in between is applied again from
-   * the log, and `applyOne` keeps the newer of two states.
+   * Reads the newest revision first, then the resources. Changes made in between are applied again
+   * from the log, and `applyOne` keeps the newer of two states.
    */
   private async loadFromTable(): Promise<void> {
     const [head] = await this.parts.table.query(CHANGES_PARTITION, { reverse: true, limit: 1 })
@@ -135,7 +138,10 @@
     this.loaded = true
   }
 
-  /** Watchers may go on here from a revision that they reached at another instance. */
+  /**
+   * Reads recent changes, so that watchers can continue here from a revision that they reached at
+   * another instance.
+   */
   private async loadHistory(revision: Version): Promise<void> {
     const rows = await this.parts.table.query(CHANGES_PARTITION, {
       after: encodeSortKey(Math.max(0, revision - HISTORY_AT_START)),
@@ -154,7 +160,7 @@
         this.parts.counters.increment('configuration_from_peer')
         this.loaded ||= this.currentRevision > 0
       } catch {
-        // Unreachable like the table; the next peer may know.
+        // This peer cannot be reached either; the next one may have newer changes.
       }
     }
   }
@@ -162,7 +168,8 @@
   private applySnapshot(snapshot: ConfigurationSnapshot): void {
     if (snapshot.revision < this.currentRevision) return
     if (snapshot.revision === this.currentRevision && this.loaded) return
-    // Decoded before anything is cleared: a malformed snapshot leaves what is in force as it is.
+    // Decoded before anything is cleared, so that a malformed snapshot leaves the current
+    // configuration in force.
     const resources = snapshot.resources.map(resourceOf)
     this.resources.clear()
     for (const resource of resources) {
@@ -176,7 +183,7 @@
 
   private applyChanges(changes: readonly ConfigurationChange[]): void {
     for (const change of changes) {
-      // Anything but the next revision is old news or follows a gap.
+      // Any other revision was already applied or follows a gap.
       if (change.revision === this.currentRevision + 1) this.applyOne(change)
     }
   }
@@ -195,7 +202,7 @@
     const id = resourceId(change.kind, change.name)
     const resource = change.resource === undefined ? undefined : resourceOf(change.resource)
     const known = this.resources.get(id)
-    // A snapshot may hold a state from after this change.
+    // A snapshot may contain a state from after this change.
     if (known !== undefined && known.metadata.version >= change.revision) return
     if (resource === undefined) this.resources.delete(id)
     else this.resources.set(id, resource)
@@ -210,7 +217,7 @@
   return decodeRowValue(changeCodec, row)
 }
 
-/** Throws where the JSON is no resource: it must not be taken for a deletion. */
+/** Decodes a resource; throws if it is malformed, since it must not be taken for a deletion. */
 function resourceOf(json: JsonValue): Resource {
   const resource = resourceCodec.fromJson(json)
   if (resource !== undefined) return resource
--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -1,6 +1,6 @@
 /**
- * The write side of the configuration: every change takes the next revision in one ordered log. Owns
- * nothing; relies on conditions of the table.
+ * The write side of the configuration: every change takes the next revision in one ordered log.
+ * Keeps no state; relies on conditional writes of the table.
  */
 
 import * as z from 'zod'
@@ -15,22 +15,25 @@
 import type { Resource } from './resource.js'
 import { resourceCodec, resourceKey } from './resource.js'
 
-/** What an operator asks to change. */
+/** A change requested by an operator. */
 export interface ResourceWrite {
   readonly writeId: TransactionId
   readonly operator: string
   readonly kind: string
   readonly name: string
-  /** The version that the operator saw; `absent` for a creation; undefined for any. */
+  /**
+   * The version that the operator has seen; `absent` for a creation; undefined if any version may
+   * be replaced.
+   */
   readonly expected: Version | 'absent' | undefined
-  /** The new content, or undefined to delete. */
+  /** The new content, or undefined to delete the resource. */
   readonly content:
     (Pick<Resource, 'spec'> & { readonly labels: Record<string, string> }) | undefined
-  /** Rows that must change together with the resource, made anew for each attempt. */
+  /** Rows that must change together with the resource; computed again for each attempt. */
   readonly companionWrites?: () => Promise<readonly RowWrite[]>
 }
 
-/** A conflict carries the state that the operator did not know of. */
+/** A conflict contains the current state, which the operator had not seen. */
 export type ResourceWriteResult =
   | {
       readonly kind: 'accepted'
@@ -39,10 +42,13 @@
     }
   | { readonly kind: 'conflict'; readonly current: Resource | undefined }
 
-/** Attempts against racing operators before the write is given up unapplied. */
+/**
+ * Maximum number of attempts against concurrent writes by other operators before the write is
+ * abandoned without effect.
+ */
 const MAXIMUM_ATTEMPTS = 12
 
-/** The record of one accepted write, by its id. */
+/** The record of one accepted write, stored under its id. */
 export interface WriteRecord {
   readonly revision: Version
 }
@@ -57,9 +63,10 @@
 }
 
 /**
- * The write side of the configuration. Every change takes the next revision in one ordered
- * log, on condition that the revision is still free, together with the resource's row. So
- * revisions have no gaps, and a repeat after a lost answer finds its own change in the log.
+ * The write side of the configuration. Every change takes the next revision in one ordered log, on
+ * the condition that the revision is still free, in one transaction with the resource's row.
+ * Therefore revisions have no gaps, and a retry after a lost answer finds its own change in the
+ * log.
  */
 export class ResourceStore {
   constructor(
@@ -69,8 +76,8 @@
   ) {}
 
   /**
-   * Writes a resource. Throws `OutcomeOfWriteUnknown` when the table did not confirm; the
-   * same write may then be repeated with the same id, or asked about with `findWrite`.
+   * Writes a resource. Throws `OutcomeOfWriteUnknown` if the table did not confirm the write; the
+   * same write may then be retried with the same id, or looked up with `findWrite`.
    */
   async write(write: ResourceWrite): Promise<ResourceWriteResult> {
     let ambiguous = false
@@ -81,9 +88,9 @@
       } catch (thrown) {
         if (!(thrown instanceof RackwalkError) || !isPlatformCode(thrown.code)) throw thrown
         ambiguous ||= thrown.code === ResultCode.PlatformAmbiguous
-        const isLastTry = attempt >= 1
-        if (isLastTry && ambiguous) throw new RackwalkError(ResultCode.OutcomeOfWriteUnknown)
-        if (isLastTry) throw thrown
+        const isLastAttempt = attempt >= 1
+        if (isLastAttempt && ambiguous) throw new RackwalkError(ResultCode.OutcomeOfWriteUnknown)
+        if (isLastAttempt) throw thrown
       }
     }
     throw new RackwalkError(ResultCode.PlatformThrottled, 'too many racing writes')
@@ -94,13 +101,15 @@
     return row && decodeRowValue(resourceCodec, row)
   }
 
-  /** What became of a write whose answer was lost; undefined while it is not in force. */
+  /**
+   * Looks up a write whose answer was lost; returns undefined as long as it has not taken effect.
+   */
   async findWrite(writeId: TransactionId): Promise<WriteRecord | undefined> {
     const row = await this.table.get(writeRecordKey(writeId))
     return row && decodeRowValue(writeRecordCodec, row)
   }
 
-  /** Undefined when another operator's change took the revision first. */
+  /** Returns undefined if another operator's change took the revision first. */
   private async attempt(write: ResourceWrite): Promise<ResourceWriteResult | undefined> {
     const done = await this.findWrite(write.writeId)
     if (done !== undefined) return this.acceptedAt(write, done.revision)
