--- a/packages/coordination/src/rows/storeClock.ts
+++ b/packages/coordination/src/rows/storeClock.ts
@@ -1,12 +1,13 @@
 /**
- * Bounds on the store's steady clock, drawn from the times that its answers name. Owns the newest bounds.
+ * Bounds of the store's steady clock, derived from the times in its answers. Owns the newest
+ * bounds.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
 /**
- * Bounds on the store's steady clock, drawn from the times that its answers name. An answer
- * was made after its call was sent and before it was received.
+ * Bounds of the store's steady clock, derived from the times in its answers: an answer was produced
+ * after its call was sent and before it was received.
  */
 export class StoreClock {
   private earliest: Milliseconds | undefined
@@ -14,19 +15,22 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Notes an answer that has just been received. */
+  /** Records an answer that has just been received. */
   recordAnswer(storeTime: Milliseconds, sentAt: Milliseconds): void {
     if (storeTime <= 0) return
     this.earliest = storeTime - this.clock.monotonic()
     this.latest = storeTime - sentAt
   }
 
-  /** The store's time is at least this now; undefined until an answer came. */
+  /** Lower bound of the store's current time; undefined before the first answer. */
   get lowerBound(): Milliseconds | undefined {
     return this.earliest === undefined ? undefined : this.earliest + this.clock.monotonic()
   }
 
-  /** The store's time was at most this at the given moment of the own monotonic clock. */
+  /**
+   * Upper bound of the store's time at the given time of this process's monotonic clock; undefined
+   * before the first answer.
+   */
   upperBoundAt(monotonic: Milliseconds): Milliseconds | undefined {
     return this.latest === undefined ? undefined : this.latest + monotonic
   }
--- a/packages/coordination/src/rows/tableMirror.ts
+++ b/packages/coordination/src/rows/tableMirror.ts
@@ -1,39 +1,45 @@
 /**
- * A copy of one table of the row store, kept up to date by the store's feed, or by peers while the store
- * does not answer. Owns the position in the feed and the rows seen; tells its listener of changes.
+ * A copy of one table of the row store, kept up to date from the store's change feed, or from peers
+ * while the store does not answer. Owns the position in the feed and the rows seen; notifies its
+ * listener of changes.
  */
 
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { ChangedRow, ChangeFeedOutcome, RowStore } from '@rackwalk/stores'
 
-/** What a mirror tells its owner. */
+/** Receives the notifications of a mirror. */
 export interface MirrorListener {
   /**
-   * Rows as they now are. With `isWhole` these are all rows of the partitions read: what is
-   * not among them is not there.
+   * Called with current rows. With `isWhole`, these are all rows of the partitions read: rows that
+   * are missing from them do not exist.
    */
   onRows(rows: readonly ChangedRow[], isWhole: boolean): void
-  /** The table was read without a failure, whether or not anything had changed. */
+  /** Called when the table was read successfully, whether or not anything had changed. */
   onRead?(): void
-  /** The listener itself failed on rows; the mirror goes on with the next ones. */
+  /**
+   * Called when the listener threw while handling rows; the mirror continues with the next ones.
+   */
   onFault?(error: unknown): void
-  /** The store began or ceased to answer this mirror. */
+  /** Called when the store starts or stops answering this mirror. */
   onReachabilityChange?(isReachable: boolean): void
 }
 
-/** Rows that one mirror gives another. */
+/** Rows that one mirror sends to another. */
 export interface MirrorPage {
   readonly rows: readonly ChangedRow[]
-  /** Whether these are all rows, or those that changed after the version asked for. */
+  /** Whether these are all rows, or only those that changed after the requested version. */
   readonly isWhole: boolean
-  /** Everything up to this version is covered. */
+  /** All changes up to this version are covered. */
   readonly version: number
-  /** How old what it covers may be, when it was given; undefined where the giver does not say. */
+  /** Staleness of the page when it was sent; undefined if the sender does not report it. */
   readonly age?: Milliseconds
 }
 
-/** Asks a peer for the rows of a table that are newer than a version; waits the usual time unless one is named. */
+/**
+ * Asks a peer for the rows of a table that are newer than a version; uses the default timeout
+ * unless one is given.
+ */
 type AskPeer = (
   table: string,
   after: number,
@@ -41,69 +47,82 @@
 ) => Promise<MirrorPage | undefined>
 
 /**
- * A peer that follows the table at the store and is asked before it. Hundreds of instances that read each
- * change themselves cost the store bytes that grow with the square of their number.
+ * A peer that follows the table at the store and is asked before the store. If hundreds of
+ * instances each read every change themselves, the number of bytes read from the store grows with
+ * the square of their number.
  */
 export interface UpstreamPeer {
-  /** Whether it is asked at present. */
+  /** Whether the peer should be asked at present. */
   readonly isPreferred: () => boolean
   readonly ask: AskPeer
-  /** What it tells counts only where it is no older than this. */
+  /** Pages that are staler than this are ignored. */
   readonly maximumAgeMilliseconds: Milliseconds
 }
 
-/** What a mirror works with. */
+/** Dependencies of a `TableMirror`. */
 export interface TableMirrorParts {
   readonly store: RowStore
   readonly table: string
-  /** Partitions to read whole at the start and after history was lost. */
+  /** Partitions to read completely at the start and after the store dropped part of its history. */
   readonly partitions: () => readonly string[]
   readonly clock: Clock
   readonly listener: MirrorListener
-  /** Asked for newer rows while the store does not answer. */
+  /** Asks peers for newer rows while the store does not answer. */
   readonly askPeers?: AskPeer
-  /** Absent where the store alone is asked. */
+  /** Omitted if only the store is asked. */
   readonly upstreamPeer?: UpstreamPeer
-  /** How long one call may wait for a change at the store. */
+  /** Maximum time that one call may wait for a change at the store. */
   readonly waitMilliseconds: Milliseconds
-  /** Least time between two calls; bounds the calls on a table that changes all the time. */
+  /** Minimum time between two calls; limits the calls for a table that changes constantly. */
   readonly pauseMilliseconds: () => Milliseconds
   /**
-   * Whether the changes are wanted at present; always where absent. A mirror that was not wanted for a
-   * while reads the table whole when it is again: that is less than all the changes in between.
+   * Whether changes are needed at present; if omitted, they always are. A mirror that was unused
+   * for a while reads the whole table when it is needed again: that is less data than all the
+   * changes in between.
    */
   readonly isWanted?: () => boolean
 }
 
 const FIRST_RETRY_MILLISECONDS = 100
 const LONGEST_RETRY_MILLISECONDS = 800
-/** A near peer that did not tell anything new enough is not asked again for this long. */
+/** A peer that did not provide a recent enough page is not asked again for this long. */
 const UPSTREAM_BACKOFF_MILLISECONDS = 2_000
-/** Time between two looks whether changes are wanted again: no call is made. */
+/** Time between two checks whether changes are needed again; such a check makes no call. */
 const UNWANTED_POLL_MILLISECONDS = 200
 
-/** Follows a table: one whole read, then changes; again whole when the store forgot some. */
+/**
+ * Follows a table: reads it completely once, then reads changes; reads it completely again when the
+ * store dropped changes.
+ */
 export class TableMirror {
   private position: number | undefined
   private stopped = false
   private failures = 0
   private reachable: boolean | undefined
-  /** How long the store found nothing new in the last call, after that was sent. */
+  /** Time for which the last call found nothing new at the store, counted from when it was sent. */
   private quietMilliseconds: Milliseconds = 0
-  /** Time, suspensions included, at which the store had nothing newer than what is known here. */
+  /**
+   * Time on the clock that includes suspensions at which the store had nothing newer than this
+   * mirror.
+   */
   private confirmedAt: Milliseconds = Number.NEGATIVE_INFINITY
   private readPartitions = new Set<string>()
-  /** Partitions that were read whole at least once. */
+  /** Partitions that were read completely at least once. */
   private readonly everRead = new Set<string>()
   /** Rows and removals by partition and key, for peers that cannot reach the store. */
   private readonly rows = new Map<string, ChangedRow>()
-  /** Changes after this version are all among `rows`. */
+  /** All changes after this version are contained in `rows`. */
   private completeAfter = 0
-  /** Ends the pause between two calls; undefined during a call, and while the store does not answer. */
+  /**
+   * Ends the pause between two calls; undefined during a call, and while the store does not answer.
+   */
   private endPause: (() => void) | undefined
-  /** The table is read again at once after the call on its way: that may have missed what is wanted. */
+  /**
+   * Requests another read immediately after the call in flight, which may have missed the wanted
+   * change.
+   */
   private isReadRequested = false
-  /** Until then the near peer is left alone. */
+  /** The upstream peer is not asked before this time. */
   private upstreamBackoffUntil: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: TableMirrorParts) {}
@@ -116,12 +135,15 @@
     this.stopped = true
   }
 
-  /** How old what is known here may be. */
+  /** Maximum staleness of this mirror's rows. */
   get age(): Milliseconds {
     return this.parts.clock.sinceStart() - this.confirmedAt
   }
 
-  /** Reads the table now and not after the pause; while the store does not answer it is asked as before. */
+  /**
+   * Reads the table immediately instead of after the pause; while the store does not answer,
+   * retries continue unchanged.
+   */
   requestRead(): void {
     this.isReadRequested = true
     this.endPause?.()
@@ -131,7 +153,10 @@
     return this.position !== undefined
   }
 
-  /** What a peer that knows everything up to `after` lacks; undefined where nothing is known. */
+  /**
+   * Returns what a peer that has all changes up to `after` lacks; undefined if nothing has been
+   * read yet.
+   */
   since(after: number): MirrorPage | undefined {
     if (this.position === undefined) return undefined
     const isWhole = after < this.completeAfter
@@ -142,8 +167,8 @@
   }
 
   /**
-   * Asks a peer for what it knows beyond this mirror, also while a call to the store is on its way;
-   * whether one answered.
+   * Asks a peer for changes that this mirror lacks, even while a call to the store is in flight;
+   * returns whether a peer answered.
    */
   async askPeers(patienceMilliseconds?: Milliseconds): Promise<boolean> {
     const { table, clock, askPeers } = this.parts
@@ -155,7 +180,10 @@
     return true
   }
 
-  /** A peer's sight counts where it covers all that is known here. */
+  /**
+   * Updates the staleness from a peer's page, but only if the page covers everything that this
+   * mirror has.
+   */
   private noteConfirmed({ version, age }: MirrorPage, sentAt: Milliseconds): void {
     if (age === undefined || version < (this.position ?? 0)) return
     this.confirmedAt = Math.max(this.confirmedAt, sentAt - age)
@@ -200,7 +228,10 @@
     this.endPause = undefined
   }
 
-  /** Each partition is read once in any case: it shows what an earlier incarnation left behind. */
+  /**
+   * Whether changes are not needed at present. Each partition is read once in any case, to find
+   * rows that an earlier incarnation left behind.
+   */
   private get isUnwanted(): boolean {
     if (this.parts.isWanted?.() !== false) return false
     const partitions = this.parts.partitions()
@@ -222,7 +253,7 @@
     return this.apply(outcome, this.parts.clock.sinceStart() - sentAt)
   }
 
-  /** Takes in what the store answered after so long. */
+  /** Applies an answer of the change feed that took `took` milliseconds. */
   private apply(outcome: ChangeFeedOutcome, took: Milliseconds): boolean {
     const { waitMilliseconds } = this.parts
     if (outcome.kind === 'failed') return false
@@ -230,14 +261,14 @@
       this.forgetPosition()
       return true
     }
-    // The store answers before the wait has passed only where something changed.
+    // The store answers before the wait has passed only if something changed.
     if (outcome.rows.length === 0) this.quietMilliseconds = Math.min(waitMilliseconds, took)
     this.position = outcome.version
     this.applyRows(outcome.rows, false)
     return true
   }
 
-  /** Takes what a near peer has read of the store lately; false where the store is to be asked. */
+  /** Applies the upstream peer's recent rows; returns false if the store has to be asked. */
   private async readFromUpstream(): Promise<boolean> {
     const sentAt = this.parts.clock.sinceStart()
     const page = await this.queryUpstream()
@@ -250,7 +281,7 @@
     return true
   }
 
-  /** What a near peer tells, where it is asked and its sight of the store is new enough. */
+  /** Returns the upstream peer's page if the peer is to be asked and its page is recent enough. */
   private async queryUpstream(): Promise<MirrorPage | undefined> {
     const { upstreamPeer, clock, table } = this.parts
     if (upstreamPeer === undefined || this.position === undefined) return undefined
@@ -280,7 +311,7 @@
     }
   }
 
-  /** Reads partitions whole; the feed continues at the oldest of their versions. */
+  /** Reads partitions completely; the feed continues at the oldest of their versions. */
   private async readWhole(partitions: readonly string[]): Promise<boolean> {
     const outcomes = await Promise.all(
       partitions.map(name => this.parts.store.readPartition(this.parts.table, name)),
