--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -56,7 +56,7 @@
   readonly timeoutMilliseconds: Milliseconds
 }
 
-/** Maximum number of attempts to claim a key before the caller is told to retry later. */
+/** Maximum number of attempts to claim a key before the caller is asked to retry later. */
 const MAXIMUM_TAKEOVERS = 3
 /**
  * Maximum number of claims whose state is kept for peers; the states of older finished claims are
--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -93,7 +93,10 @@
         if (isLastAttempt) throw thrown
       }
     }
-    throw new RackwalkError(ResultCode.PlatformThrottled, 'too many racing writes')
+    throw new RackwalkError(
+      ResultCode.PlatformThrottled,
+      'too many concurrent configuration writes',
+    )
   }
 
   async read(kind: string, name: string): Promise<Resource | undefined> {
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -1,6 +1,6 @@
 /**
- * All coordination parts of one instance of the OpenAI-style kind, wired together, with their background
- * work. Owns the timers and the state of the instance's life; each part owns the rest.
+ * Wires together all coordination components of one instance of the OpenAI-style kind and runs
+ * their background work. Owns the timers and the serving state; the components own everything else.
  */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
@@ -44,7 +44,7 @@
 import { rendezvousOrder } from '@rackwalk/decisions'
 import { DecisionArchive } from './segmentArchive.js'
 
-/** Who this instance is; an instance learns it from its settings. */
+/** Identity of this instance, as given by its settings. */
 export interface NodeIdentity {
   readonly instanceId: InstanceId
   readonly incarnation: IncarnationId
@@ -55,7 +55,7 @@
   readonly operatorAddress: string
 }
 
-/** What an embedder gives. */
+/** Dependencies provided by the embedder. */
 export interface CoordinationNodeParts {
   readonly identity: NodeIdentity
   readonly table: TableService
@@ -68,36 +68,38 @@
   readonly policy: AllocationPolicy
   readonly timings?: Partial<NodeTimings>
   readonly journalLimits?: JournalLimits
-  /** Peers that must hold an entry before it counts as held. */
+  /** Number of peers that must hold an entry before it counts as held. */
   readonly requiredReplicas?: number
   readonly resourceKinds: readonly string[]
-  /** Requests in progress, told to peers. */
+  /** Number of requests in progress, reported to peers. */
   readonly inFlight?: () => number
-  /** A peer told what endpoints say of themselves. */
+  /** Called when a peer reports the advice of endpoints. */
   readonly onAdviceNews?: (news: readonly AdviceGossip[]) => void
-  /** Endpoints seen leaving here, told to peers. */
+  /** Endpoints seen leaving by this instance, reported to peers. */
   readonly leavingEndpoints?: () => readonly string[]
-  /** A peer told of requests that end endpoints. */
+  /** Called when a peer reports requests that crash endpoints. */
   readonly onCrashNews?: (news: CrashGossip) => void
-  /** Learns peers' addresses from the platform's list, so that the channel can reach them. */
+  /**
+   * Receives the platform's list of instances, so that the channel can reach the peers' addresses.
+   */
   readonly onInstancesListed?: (listed: readonly ListedInstance[]) => Promise<void> | void
-  /** Called after each round of heartbeats. */
+  /** Called after each heartbeat round. */
   readonly onHeartbeat?: () => void
   /** Called once when this incarnation was sealed and must stop. */
   readonly onSealed: () => void
-  /** Told of errors that background work met; these are faults of the program. */
+  /** Called with unexpected errors of background work, which indicate programming errors. */
   readonly onFault: (error: unknown) => void
 }
 
 const DEFAULT_REQUIRED_REPLICAS = 2
 const REAPERS_PER_REGION = 2
-/** Time between looks at entries that wait for the table. */
+/** Time between checks for entries that wait for the table. */
 const REPLICATION_PERIOD_MILLISECONDS = 50
 
 /**
- * All coordination parts of one instance, wired together. It knows neither HTTP nor any
- * model engine: embedders give the platform and a channel to peers, and hand `handlers` to
- * whatever receives the peers' messages.
+ * Wires together all coordination components of one instance. It depends neither on HTTP nor on any
+ * model engine: embedders provide the platform and a channel to peers, and connect `handlers` to
+ * the component that receives the peers' messages.
  */
 export class CoordinationNode {
   readonly journal: Journal
@@ -111,7 +113,7 @@
   readonly handlers: PeerHandlers
   private readonly timings: NodeTimings
   private readonly held = new HeldEntryStore()
-  private readonly peerHold: JournalReplicator
+  private readonly replicator: JournalReplicator
   private readonly reaper: Reaper
   private readonly timers = new Set<Timer>()
   private state: ServingState = 'starting'
@@ -147,7 +149,7 @@
       limits: parts.journalLimits,
     })
     const archive = new HeldEntryArchive({ objects, clock, counters })
-    this.peerHold = new JournalReplicator({
+    this.replicator = new JournalReplicator({
       archive,
       incarnation,
       failureDomain,
@@ -233,7 +235,7 @@
     return this.parts.identity.incarnation
   }
 
-  /** This instance as peers see it. */
+  /** Describes this instance for peers. */
   describe(): MemberInfo {
     return {
       ...this.parts.identity,
@@ -245,7 +247,7 @@
     }
   }
 
-  /** Whether new requests may begin here. */
+  /** Whether this instance accepts new requests. */
   get isServing(): boolean {
     return this.state === 'serving' && this.registered && !this.journal.sealed
   }
@@ -254,7 +256,7 @@
     return this.state
   }
 
-  /** Begins the background work; serving begins once the table took the registration. */
+  /** Starts the background work; serving starts once the registration is in the table. */
   start(): void {
     const { heartbeatMilliseconds, maintenanceMilliseconds } = this.timings
     const { configurationMilliseconds, reapMilliseconds } = this.timings
@@ -287,13 +289,13 @@
     )
   }
 
-  /** Takes no new requests; peers learn it with the next heartbeat, sent at once. */
+  /** Stops accepting new requests and sends a heartbeat immediately, so that peers learn of it. */
   async drain(): Promise<void> {
     this.state = 'draining'
     await this.heartbeatRound()
   }
 
-  /** Writes the rest of the journal and gives back what is left, then stops. */
+  /** Writes the remaining journal records, gives back unused tokens, then stops. */
   async leave(): Promise<void> {
     await this.flushAll()
     await this.ledger.returnAll()
@@ -301,19 +303,21 @@
     this.stop()
   }
 
-  /** Stops at once, as a death would. */
+  /** Stops immediately, as a crash would. */
   stop(): void {
     this.stopped = true
     for (const timer of this.timers) timer.cancel()
     this.timers.clear()
   }
 
-  /** Takes first allocations of budgets ahead of need. */
+  /** Requests first allocations of budgets before they are needed. */
   warm(budgets: readonly BudgetId[]): Promise<void> {
     return this.registered ? this.ledger.preallocate(budgets) : Promise.resolve()
   }
 
-  /** One heartbeat to everybody who is due, and the digests that came back looked into. */
+  /**
+   * Sends the heartbeats of one round, and catches up if a newer configuration revision is known.
+   */
   async heartbeatRound(): Promise<void> {
     this.heartbeat += 1
     const sender = this.describe()
@@ -337,16 +341,16 @@
     const outcome = await this.journal.flush()
     if (outcome === 'sealed') return this.stopSealed()
     if (outcome !== 'idle') this.isTableAnswering = outcome === 'committed'
-    if (outcome === 'committed') await this.peerHold.release()
+    if (outcome === 'committed') await this.replicator.release()
   }
 
   /**
-   * Copies what waits too long to peers, beside the flush: waiting for the table's time
-   * limit first held the end of each answer back by seconds in an outage.
+   * Copies entries that have waited too long to peers, concurrently with the flush. If this waited
+   * for the table's timeout first, the end of each answer would be delayed by seconds in an outage.
    */
   private async replicationRound(): Promise<void> {
     const tolerated = this.isTableAnswering ? this.timings.holdAfterMilliseconds : 0
-    if (this.journal.oldestUnreplicatedAge > tolerated) await this.peerHold.replicate()
+    if (this.journal.oldestUnreplicatedAge > tolerated) await this.replicator.replicate()
   }
 
   private async flushAll(): Promise<void> {
@@ -358,7 +362,10 @@
     }
   }
 
-  /** All instances together stay below the writes that the platform takes. */
+  /**
+   * Period between flushes; keeps all instances together below the write rate that the platform
+   * allows.
+   */
   private flushPeriod(): Milliseconds {
     const instances = this.membership.liveCount
     const fairShare = (instances * 1000) / this.timings.fleetJournalWritesPerSecond
@@ -401,7 +408,10 @@
     }
   }
 
-  /** Two of each region look after its dead, so that the reads do not grow with the fleet. */
+  /**
+   * Whether this instance seals terminated incarnations. Two instances per region do, so that the
+   * number of reads does not grow with the fleet.
+   */
   private isReaper(): boolean {
     const region = this.membership.liveInRegion(this.parts.identity.region)
     const order = rendezvousOrder(
@@ -427,7 +437,10 @@
     return this.otherMembers().filter(member => member.region === this.parts.identity.region)
   }
 
-  /** Only registered instances hold, since only those are asked when a writer is sealed. */
+  /**
+   * Whether this instance may hold entries. Only registered instances may, since only those are
+   * asked when a writer is sealed.
+   */
   private canHoldEntries(): boolean {
     return this.registered && !this.journal.sealed && !this.stopped
   }
@@ -437,16 +450,16 @@
       const reply = await this.parts.peers.call(target, 'members', { group })
       this.membership.replaceGroupMembers(group, reply.members)
     } catch {
-      // The next digest brings the same question up again.
+      // The next digest leads to the same request again.
     }
   }
 
   private every(
     period: () => Milliseconds,
     run: () => Promise<void>,
-    first: Milliseconds = period(),
+    initialDelay: Milliseconds = period(),
   ): void {
-    const timer = this.parts.clock.after(first, () => {
+    const timer = this.parts.clock.after(initialDelay, () => {
       this.timers.delete(timer)
       run()
         .catch(error => this.parts.onFault(error))
@@ -462,7 +475,7 @@
   }
 }
 
-/** The refusal of whoever needs an instance that serves. */
+/** Returns the result code for a request that needs a serving instance. */
 export function notServingCode(state: ServingState) {
   return state === 'draining' ? ResultCode.InstanceDraining : ResultCode.InstanceNotReady
 }
--- a/packages/coordination/src/counters.ts
+++ b/packages/coordination/src/counters.ts
@@ -1,4 +1,7 @@
-/** What the coordination parts count; an embedder maps the names to its metrics. */
+/**
+ * Names of the counts that the coordination components report; an embedder maps them to its
+ * metrics.
+ */
 export type CounterName =
   | 'journal_flushes'
   | 'journal_flush_retries'
@@ -37,7 +40,7 @@
   increment(name: CounterName, amount?: number): void
 }
 
-/** Keeps counts in memory, for tests and embedders without a metrics library. */
+/** Keeps counts in memory, for tests and for embedders without a metrics library. */
 export class MemoryCounters implements Counters {
   private readonly counts = new Map<CounterName, number>()
 
--- a/packages/coordination/src/countingTable.ts
+++ b/packages/coordination/src/countingTable.ts
@@ -1,4 +1,4 @@
-/** The table with its calls counted: the platform takes few of them. Owns nothing. */
+/** A table that counts its calls, since the platform allows few of them. Keeps no other state. */
 
 import type { TransactionId } from '@rackwalk/shared'
 import type {
@@ -12,7 +12,7 @@
 } from '@rackwalk/stores'
 import type { Counters } from './counters.js'
 
-/** Counts what an instance asks of the table, since the platform takes little of it. */
+/** Counts an instance's calls to the table, since the platform allows few of them. */
 export class CountingTable implements TableService {
   constructor(
     private readonly table: TableService,
--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The embeddable coordination library: budgets that cannot be overspent, a fenced journal
- * with exactly-once bills, claims for at-most-once requests, membership and configuration.
- * It takes the platform and a channel to peers as interfaces.
+ * The embeddable coordination library: budgets that cannot be overspent, a fenced journal with
+ * exactly-once bills, claims for at-most-once requests, membership and configuration. The platform
+ * and the channel to peers are passed in as interfaces.
  */
 export { SEALED_EXIT_CODE, createBill, createBudget, standaloneParts } from './standalone.js'
 export type { NewBudget, ServedRequest, StandaloneOptions } from './standalone.js'
--- a/packages/coordination/src/membership/reaper.ts
+++ b/packages/coordination/src/membership/reaper.ts
@@ -17,7 +17,7 @@
   readonly registry: IncarnationRegistry
   readonly membership: Membership
   readonly reclaimer: Reclaimer
-  readonly createSealer: (isKnownGone: (incarnation: IncarnationId) => boolean) => Sealer
+  readonly createSealer: (isConfirmedDead: (incarnation: IncarnationId) => boolean) => Sealer
   readonly listLagMilliseconds: Milliseconds
 }
 
--- a/packages/coordination/src/nodeTimings.ts
+++ b/packages/coordination/src/nodeTimings.ts
@@ -4,16 +4,16 @@
 
 /** Periods of the background work. */
 export interface NodeTimings {
-  /** Journal writes a second that the whole fleet may spend. */
+  /** Journal writes per second allowed to the whole fleet. */
   readonly fleetJournalWritesPerSecond: number
   readonly minimumFlushMilliseconds: Milliseconds
-  /** An entry that waits this long for the table is copied to peers. */
+  /** An entry that has waited this long for the table is copied to peers. */
   readonly holdAfterMilliseconds: Milliseconds
   readonly heartbeatMilliseconds: Milliseconds
   readonly maintenanceMilliseconds: Milliseconds
   readonly configurationMilliseconds: Milliseconds
   readonly reapMilliseconds: Milliseconds
-  /** Longest time for which the platform's list may lag behind. */
+  /** Maximum lag of the platform's list of instances. */
   readonly listLagMilliseconds: Milliseconds
   readonly claimTimeoutMilliseconds: Milliseconds
 }
--- a/packages/coordination/src/peerHandlers.ts
+++ b/packages/coordination/src/peerHandlers.ts
@@ -1,4 +1,4 @@
-/** One handler for each kind of message between instances of the OpenAI-style kind. */
+/** Handlers of all kinds of messages between instances of the OpenAI-style kind. */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
 import type { IncarnationId } from '@rackwalk/shared'
@@ -12,7 +12,7 @@
 import type { MemberInfo, PeerHandlers } from './peerMessages.js'
 import type { DecisionArchive } from './segmentArchive.js'
 
-/** What the messages of peers reach. */
+/** Components that peers' messages are passed to. */
 export interface NodeHandlerParts {
   readonly membership: Membership
   readonly ledger: BudgetLedger
@@ -30,7 +30,7 @@
   readonly askForMembers: (target: IncarnationId, group: string) => Promise<void>
 }
 
-/** One handler for each kind of message between instances. */
+/** Creates one handler for each kind of message between instances. */
 export function createPeerHandlers(parts: NodeHandlerParts): PeerHandlers {
   const { membership, ledger, claims, configuration, archive, held, registrar, coalescer } = parts
   return {
--- a/packages/coordination/src/peerMessageCodecs.ts
+++ b/packages/coordination/src/peerMessageCodecs.ts
@@ -1,7 +1,7 @@
 /**
- * The forms of the messages between instances of the OpenAI-style kind, a pair for each kind of
- * message. Senders and receivers of two versions meet in every rolling restart, so a name here
- * changes only together with a mapping that keeps the name on the wire.
+ * Codecs of the messages between instances of the OpenAI-style kind, a pair for each kind of
+ * message. In every rolling restart, senders and receivers have different versions, so a name here
+ * may change only together with a mapping that keeps the name on the wire.
  */
 
 import * as z from 'zod'
@@ -34,7 +34,7 @@
   PeerRequest,
 } from './peerMessages.js'
 
-/** How the request and the reply of one kind of message are written. */
+/** Codecs of the request and the reply of one kind of message. */
 export interface PeerMessageCodecs<Kind extends PeerMessageKind> {
   readonly request: JsonCodec<PeerRequest<Kind>, PeerRequest<Kind>>
   readonly reply: JsonCodec<PeerReply<Kind>, PeerReply<Kind>>
@@ -101,7 +101,7 @@
 
 const snapshotSchema = z.object({ revision: z.number(), resources: z.array(resourceJson) })
 
-/** The forms of all messages, by kind. */
+/** The codecs of all messages, by kind. */
 export const PEER_MESSAGE_CODECS: { readonly [Kind in PeerMessageKind]: PeerMessageCodecs<Kind> } =
   {
     heartbeat: createCodecs<'heartbeat'>(
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between instances of the OpenAI-style kind, by kind: request, reply, and who carries and handles
- * them. Their forms on the wire stand in peerForms.ts.
+ * Messages between instances of the OpenAI-style kind: request and reply by kind, the channel and
+ * the handlers. Their forms on the wire are in peerMessageCodecs.ts.
  */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
@@ -22,10 +22,10 @@
 import type { HeldEntry } from './journal/journalEntry.js'
 import type { ClaimState } from './claims/claimRow.js'
 
-/** What an instance does with new requests. */
+/** Whether an instance accepts new requests. */
 export type ServingState = 'starting' | 'serving' | 'draining'
 
-/** One instance as it describes itself. */
+/** An instance's description of itself. */
 export interface MemberInfo {
   readonly instanceId: InstanceId
   readonly incarnation: IncarnationId
@@ -35,32 +35,38 @@
   readonly callerAddress: string
   readonly operatorAddress: string
   readonly state: ServingState
-  /** Grows with each heartbeat; a copy with a greater count is newer. */
+  /** Increases with each heartbeat; the description with the greater number is newer. */
   readonly heartbeat: number
-  /** Requests in progress, by which callers are spread. */
+  /** Number of requests in progress, used to distribute callers. */
   readonly inFlight: number
-  /** Newest configuration revision in force there. */
+  /** Newest configuration revision in force on the instance. */
   readonly configurationRevision: number
-  /** Endpoints that this instance saw leaving, so that peers need not wait for the list. */
+  /**
+   * Endpoints that this instance saw leaving, so that peers need not wait for the list of
+   * endpoints.
+   */
   readonly leavingEndpoints: readonly string[]
 }
 
-/** What other groups need to know of a group whose members beat to each other. */
+/** Summary for other groups of a group whose members exchange heartbeats. */
 export interface GroupDigest {
   readonly group: string
-  /** Advances while anybody of the group is heard of; a group that stands still is cut off. */
+  /**
+   * Increases as long as any member of the group is heard from; a group whose value does not change
+   * is disconnected.
+   */
   readonly beat: number
-  /** Changes when the group's live members or their states do. */
+  /** Changes when the group's live members or their states change. */
   readonly membersHash: string
   readonly configurationRevision: number
 }
 
-/** One change of the configuration, as the table and peers carry it. */
+/** One configuration change, as stored in the table and sent by peers. */
 export interface ConfigurationChange {
   readonly revision: number
   readonly kind: string
   readonly name: string
-  /** Absent when the resource was deleted. */
+  /** Absent if the resource was deleted. */
   readonly resource?: JsonValue
   readonly writeId: TransactionId
   readonly operator: string
@@ -73,7 +79,7 @@
   readonly resources: readonly JsonValue[]
 }
 
-/** Request and reply of each message between instances. */
+/** Request and reply of each kind of message between instances. */
 export interface PeerMessages {
   heartbeat: {
     request: { readonly sender: MemberInfo; readonly digests: readonly GroupDigest[] }
@@ -114,7 +120,7 @@
       readonly key: IdempotencyKey
       readonly incarnation: IncarnationId
       readonly requestId: RequestId
-      /** Tells a retry from another request under the same key. */
+      /** Distinguishes a retry from a different request with the same key. */
       readonly fingerprint: string
       readonly repeatable: boolean
     }
@@ -126,7 +132,7 @@
       readonly key: IdempotencyKey
       readonly requestId: RequestId
       readonly complete: boolean
-      /** What this attempt was billed. */
+      /** Tokens billed for this attempt. */
       readonly billedTokens: TokenCount
     }
     reply: Record<string, never>
@@ -142,17 +148,17 @@
       readonly snapshot?: ConfigurationSnapshot
     }
   }
-  /** Tells of requests that end endpoints, at once; heartbeats would be too late. */
+  /** Reports requests that crash endpoints immediately; heartbeats would be too late. */
   crashNews: {
     request: CrashGossip
     reply: Record<string, never>
   }
-  /** Tells what endpoints say of themselves, at once. */
+  /** Reports the advice of endpoints immediately. */
   adviceNews: {
     request: { readonly news: readonly AdviceGossip[] }
     reply: Record<string, never>
   }
-  /** Asks an instance to take no new requests. */
+  /** Asks an instance to stop accepting new requests. */
   drain: {
     request: Record<string, never>
     reply: Record<string, never>
@@ -163,7 +169,7 @@
   }
 }
 
-/** What the registrar of an idempotency key knows of it. */
+/** What the registrar of an idempotency key knows about it. */
 export type KeyRegistration =
   | { readonly state: 'first' }
   | {
@@ -171,26 +177,26 @@
       readonly incarnation: IncarnationId
       readonly requestId: RequestId
     }
-  /** Another request used the key. */
+  /** A different request has used the key. */
   | { readonly state: 'mismatch'; readonly requestId: RequestId }
   | {
       readonly state: 'ended'
       readonly requestId: RequestId
       readonly complete: boolean
-      /** Billed for the key so far, which a further attempt is not billed again. */
+      /** Tokens billed for the key so far, which are not billed again for a further attempt. */
       readonly creditedTokens: TokenCount
     }
 
-/** Names of the kinds. */
+/** Names of the message kinds. */
 export type PeerMessageKind = keyof PeerMessages
-/** The request of a kind. */
+/** The request of a message kind. */
 export type PeerRequest<Kind extends PeerMessageKind> = PeerMessages[Kind]['request']
-/** The reply to a kind. */
+/** The reply of a message kind. */
 export type PeerReply<Kind extends PeerMessageKind> = PeerMessages[Kind]['reply']
 
 /**
- * Calls other instances. A call that fails throws; the message may have been handled all
- * the same, so every message is safe to repeat.
+ * Calls other instances. A failed call throws; the message may have been handled nevertheless, so
+ * every message is safe to repeat.
  */
 export interface PeerChannel {
   call<Kind extends PeerMessageKind>(
@@ -205,5 +211,5 @@
   request: PeerRequest<Kind>,
 ) => Promise<PeerReply<Kind>> | PeerReply<Kind>
 
-/** The handlers of one instance; a kind without a handler is refused. */
+/** The handlers of one instance; messages of a kind without a handler are rejected. */
 export type PeerHandlers = { [Kind in PeerMessageKind]?: PeerHandler<Kind> }
--- a/packages/coordination/src/segmentArchive.ts
+++ b/packages/coordination/src/segmentArchive.ts
@@ -1,6 +1,6 @@
 /**
- * Decision records: recent ones in memory, all of them in segments of the object store. Owns the records
- * that are not yet written.
+ * Decision records: recent ones in memory, all of them in segments of the object store. Owns the
+ * records that are not yet written.
  */
 
 import * as z from 'zod'
@@ -18,12 +18,12 @@
 
 const archivedSchema = z.object({ requestId: idSchema<RequestId>(), record: jsonSchema })
 
-/** The form of one line of a segment. */
+/** Codec of one line of a segment. */
 const archivedRecordCodec = new JsonCodec(identityMapping<ArchivedRecord>(archivedSchema))
 
-/** Bounds of the archive. */
+/** Limits of the archive. */
 export interface ArchiveLimits {
-  /** Records kept in memory, written ones included. */
+  /** Records kept in memory, including written ones. */
   readonly memoryRecords: number
   /** A segment is written when it has this many records or is this old. */
   readonly segmentRecords: number
@@ -36,15 +36,15 @@
   segmentAgeMilliseconds: 10_000,
 }
 
-/** Segments looked at for one question. */
+/** Maximum number of segments read for one search. */
 const SEGMENTS_PER_SEARCH = 200
 const PREFIX = 'decisions'
 
 /**
- * Decision records: recent ones in memory, all of them in object-store segments of many
- * records each. The key of a segment says who decided and when, and a request id begins
- * with the same two, so that a search reads few segments. Records not yet written die with
- * the instance; the journal still has the bill.
+ * Decision records: recent ones in memory, all of them in object-store segments of many records
+ * each. The key of a segment contains the incarnation that decided and the time, and a request id
+ * starts with the same two, so that a search reads few segments. Unwritten records are lost if the
+ * instance crashes; the journal still contains the bill.
  */
 export class DecisionArchive {
   private readonly recent = new Map<RequestId, JsonValue>()
@@ -67,12 +67,12 @@
     this.forgetOldest()
   }
 
-  /** A record that this instance still has in memory. */
+  /** Returns a record that this instance still has in memory. */
   findRecent(requestId: RequestId): JsonValue | undefined {
     return this.recent.get(requestId)
   }
 
-  /** Searches the segments of whoever decided, from the request's time on. */
+  /** Searches the segments of the incarnation that decided, starting at the request's time. */
   async findWritten(requestId: RequestId): Promise<JsonValue | undefined> {
     const { incarnation, at } = parseRequestId(requestId)
     const prefix = `${PREFIX}/${incarnation}/`
@@ -86,7 +86,7 @@
     return undefined
   }
 
-  /** Writes a segment when one is due; false when the store did not take it. */
+  /** Writes a segment if one is due; returns false if the store did not accept it. */
   async writeDue(force = false): Promise<boolean> {
     if (this.writing || this.unwritten.length === 0) return true
     const age = this.clock.monotonic() - this.firstUnwrittenAt
@@ -124,14 +124,18 @@
       if (this.recent.size <= this.limits.memoryRecords) break
       this.recent.delete(requestId)
     }
-    // In a long outage of the store the oldest records go, never the memory bound.
-    // A whole segment at a time: cutting at each record copied the rest each time.
+    // In a long outage of the store, the oldest records are dropped, so that the memory limit
+    // holds. A whole segment is dropped at a time, since cutting at each record would copy the rest
+    // each time.
     const excess = this.unwritten.length - this.limits.memoryRecords
     if (excess >= this.limits.segmentRecords) this.unwritten = this.unwritten.slice(excess)
   }
 }
 
-/** A request id that says who decided and when (wall time, milliseconds). */
+/**
+ * Creates a request id that contains the deciding incarnation and the time (wall clock,
+ * milliseconds).
+ */
 export function createRequestId(
   incarnation: IncarnationId,
   at: Milliseconds,
@@ -140,7 +144,7 @@
   return `${incarnation}.${at.toString(36)}.${count.toString(36)}` as RequestId
 }
 
-/** What a request id says; a malformed one gives an incarnation that never was. */
+/** Parses a request id; a malformed one yields an incarnation that never existed. */
 export function parseRequestId(requestId: RequestId): {
   readonly incarnation: IncarnationId
   readonly at: Milliseconds
@@ -164,7 +168,7 @@
   return parsed.requestId === requestId ? parsed.record : undefined
 }
 
-/** Digits of a wall time in milliseconds, with room for some centuries. */
+/** Number of digits of a wall-clock time in milliseconds, sufficient for several centuries. */
 const TIME_DIGITS = 14
 
 function paddedTime(at: Milliseconds): string {
--- a/packages/coordination/src/standalone.ts
+++ b/packages/coordination/src/standalone.ts
@@ -1,6 +1,6 @@
 /**
- * What a program needs that embeds the OpenAI-style kind's coordination alone: the parts of a node without
- * peers, a budget's first row and the bill of a request. Owns nothing.
+ * Helpers for a program that embeds only the coordination of the OpenAI-style kind: the parts of a
+ * node without peers, a budget's initial row and the bill of a request. Keeps no state.
  */
 
 import { ResultCode, SystemClock, SystemRandom, asId } from '@rackwalk/shared'
@@ -24,12 +24,12 @@
 import type { SettleEntry } from './journal/journalEntry.js'
 import { budgetKey } from './tableKeys.js'
 
-/** Exit code of a process whose incarnation was sealed; its supervisor starts it anew. */
+/** Exit code of a process whose incarnation was sealed; its supervisor restarts it. */
 export const SEALED_EXIT_CODE = 75
 const ONLY_REGION = asId<RegionId>('only')
 const ONLY_DOMAIN = asId<FailureDomainId>('only')
 
-/** What the program itself has to choose. */
+/** Options that the program has to provide. */
 export interface StandaloneOptions {
   readonly instanceId: InstanceId
   readonly table: TableService
@@ -37,7 +37,9 @@
   readonly policy: AllocationPolicy
 }
 
-/** Parts of a node that has no peers: the table alone keeps what outlives it. */
+/**
+ * Returns the parts of a node without peers; only the table keeps data beyond the node's process.
+ */
 export function standaloneParts(options: StandaloneOptions): CoordinationNodeParts {
   const random = new SystemRandom()
   const { instanceId, ...chosen } = options
@@ -63,7 +65,7 @@
   }
 }
 
-/** A budget as it is created. */
+/** A budget to be created. */
 export interface NewBudget {
   readonly budgetId: BudgetId
   readonly teamId: TeamId
@@ -71,8 +73,8 @@
 }
 
 /**
- * Writes the row of a budget that is not there yet; throws as the table does, and where the row exists
- * changes nothing.
+ * Creates the row of a budget; changes nothing if the row already exists. Throws the errors of the
+ * table.
  */
 export async function createBudget(table: TableService, budget: NewBudget): Promise<void> {
   const row = createBudgetRow(budget.budgetId, budget.teamId, budget.limit)
@@ -82,7 +84,7 @@
   await table.transact(id, [{ kind: 'put', key, condition: { kind: 'absent' }, value }])
 }
 
-/** A request that ran well. */
+/** A request that was served successfully. */
 export interface ServedRequest {
   readonly budgetId: BudgetId
   readonly teamId: TeamId
@@ -90,7 +92,7 @@
   readonly tokens: TokenCount
 }
 
-/** The bill of a request that ran well; the request's id is the identity of the bill. */
+/** Returns the bill of a successful request; the request's id identifies the bill. */
 export function createBill({ budgetId, teamId, requestId, tokens }: ServedRequest): SettleEntry {
   return {
     kind: 'settle',
--- a/packages/coordination/src/tableKeys.ts
+++ b/packages/coordination/src/tableKeys.ts
@@ -1,4 +1,4 @@
-/** Every row that the OpenAI-style kind keeps in the table, by the key under which it lies. */
+/** Keys of all rows that the OpenAI-style kind stores in the table. */
 
 import type {
   BudgetId,
@@ -10,11 +10,11 @@
 import type { RowKey } from '@rackwalk/stores'
 import { encodeSortKey } from '@rackwalk/stores'
 
-/** Partition of the incarnations that are open or not yet reclaimed. */
+/** Partition of the incarnations that are running or not yet reclaimed. */
 export const INCARNATIONS_PARTITION = 'incarnations'
-/** Partition of incarnations whose allocations went back to their budgets. */
+/** Partition of incarnations whose allocations were returned to their budgets. */
 export const RETIRED_PARTITION = 'retired'
-/** Partition of the incarnations that somebody has begun to seal. */
+/** Partition of the incarnations whose sealing has been announced. */
 export const SEALING_PARTITION = 'sealing'
 /** Partition of all budget rows. */
 export const BUDGETS_PARTITION = 'budgets'
@@ -23,65 +23,65 @@
 /** Partition of the leases. */
 export const LEASES_PARTITION = 'leases'
 
-/** Partition of the records of requests that end endpoints. */
+/** Partition of the records of requests that crash endpoints. */
 export const CRASHES_PARTITION = 'crashes'
 
-/** The key of the record of one such request. */
+/** Returns the key of the crash record of a request. */
 export function crashKey(fingerprint: RequestFingerprint): RowKey {
   return { partition: CRASHES_PARTITION, sort: fingerprint }
 }
 
-/** The partition of an incarnation's journal. */
+/** Returns the partition of an incarnation's journal. */
 export function journalPartition(incarnation: IncarnationId): string {
   return `journal/${incarnation}`
 }
 
-/** The key of one slot of a journal; slots count from 1. */
+/** Returns the key of a journal slot; slots are numbered from 1. */
 export function journalSlotKey(incarnation: IncarnationId, slot: number): RowKey {
   return { partition: journalPartition(incarnation), sort: encodeSortKey(slot) }
 }
 
-/** The key of the record of a running incarnation. */
+/** Returns the key of the record of a running incarnation. */
 export function incarnationKey(incarnation: IncarnationId): RowKey {
   return { partition: INCARNATIONS_PARTITION, sort: incarnation }
 }
 
-/** The key of the marker of an incarnation that was reclaimed. */
+/** Returns the key of the record of a reclaimed incarnation. */
 export function retiredKey(incarnation: IncarnationId): RowKey {
   return { partition: RETIRED_PARTITION, sort: incarnation }
 }
 
-/** The key of the marker of an incarnation that is being sealed. */
+/** Returns the key of the marker of an incarnation that is being sealed. */
 export function sealingKey(incarnation: IncarnationId): RowKey {
   return { partition: SEALING_PARTITION, sort: incarnation }
 }
 
-/** The key of a budget's row. */
+/** Returns the key of a budget's row. */
 export function budgetKey(budget: BudgetId): RowKey {
   return { partition: BUDGETS_PARTITION, sort: budget }
 }
 
-/** Partition that lists the budgets in which an incarnation holds an allocation. */
+/** Returns the partition that lists the budgets of which an incarnation has a holding. */
 export function holdingPartition(incarnation: IncarnationId): string {
   return `holding/${incarnation}`
 }
 
-/** The key of the marker that an incarnation holds something of a budget. */
+/** Returns the key of the marker that an incarnation has a holding of a budget. */
 export function holdingKey(incarnation: IncarnationId, budget: BudgetId): RowKey {
   return { partition: holdingPartition(incarnation), sort: budget }
 }
 
-/** The key of a claim. */
+/** Returns the key of a claim. */
 export function claimKey(team: TeamId, key: IdempotencyKey): RowKey {
   return { partition: `claim/${team}`, sort: key }
 }
 
-/** The key of a change; revisions count from 1. */
+/** Returns the key of a configuration change; revisions are numbered from 1. */
 export function changeKey(revision: number): RowKey {
   return { partition: CHANGES_PARTITION, sort: encodeSortKey(revision) }
 }
 
-/** The key of a lease. */
+/** Returns the key of a lease. */
 export function leaseKey(name: string): RowKey {
   return { partition: LEASES_PARTITION, sort: name }
 }
--- a/packages/coordination/src/usage.ts
+++ b/packages/coordination/src/usage.ts
@@ -1,6 +1,6 @@
 /**
- * Usage by team and model, added up from all journals: bills are folded by their key, so that each counts
- * once.
+ * Usage by team and model, summed over all journals: bills are folded by their key, so that each
+ * counts once.
  */
 
 import { ResultCode, asId } from '@rackwalk/shared'
@@ -10,7 +10,7 @@
 import { readJournal } from './journal/journalReader.js'
 import { INCARNATIONS_PARTITION, RETIRED_PARTITION } from './tableKeys.js'
 
-/** What a team used of one model in a period. */
+/** Usage of one model by one team in a period. */
 export interface UsageLine {
   readonly teamId: TeamId
   readonly modelId: ModelId | undefined
@@ -20,16 +20,18 @@
   readonly billedTokens: TokenCount
 }
 
-/** Usage with how far into each journal it looked: two reports with equal progress agree. */
+/**
+ * Usage, with the progress in each journal: two reports with equal progress contain the same data.
+ */
 export interface UsageReport {
   readonly lines: readonly UsageLine[]
-  /** Slots folded for each incarnation (a progress vector; compare Kineograph, 4). */
+  /** Number of slots folded per incarnation (a progress vector; compare Kineograph, 4). */
   readonly progress: Readonly<Record<IncarnationId, number>>
   /** Tokens taken from budgets beyond the bills (see FoldedBills). */
   readonly excessTokens: TokenCount
 }
 
-/** A period of wall time, its end excluded. */
+/** A period of wall-clock time; `to` is exclusive. */
 export interface UsagePeriod {
   readonly from: Milliseconds
   readonly to: Milliseconds
@@ -37,15 +39,15 @@
 
 /** The bills of a set of journals. */
 export interface FoldedBills {
-  /** One for each team and key, with the whole cost of the key. */
+  /** One bill per team and key, with the whole cost of the key. */
   readonly bills: readonly SettleEntry[]
-  /** Tokens that attempts unknown to each other took from a budget beyond the bill. */
+  /** Tokens that attempts unaware of each other took from a budget beyond the bill. */
   readonly excessTokens: TokenCount
 }
 
 /**
- * Folds entries into one bill for each team and key. An attempt that knew of earlier bills
- * took only the difference; of attempts that did not know of each other, the dearest counts.
+ * Folds entries into one bill per team and key. An attempt that knew of earlier bills took only the
+ * difference; among attempts that did not know of each other, the most expensive counts.
  */
 export function foldBills(journals: readonly (readonly JournalSlot[])[]): FoldedBills {
   const bills = new Map<string, SettleEntry>()
@@ -61,7 +63,7 @@
   return { bills: [...bills.values()], excessTokens: taken - billed }
 }
 
-/** Reads every journal and adds up the bills of a period. */
+/** Reads every journal and sums the bills of a period. */
 export async function readUsage(table: TableService, period: UsagePeriod): Promise<UsageReport> {
   const incarnations = await listIncarnations(table)
   const journals = await Promise.all(incarnations.map(id => readJournal(table, id)))
@@ -73,7 +75,7 @@
   return { lines: summarizeUsage(inPeriod), progress, excessTokens }
 }
 
-/** Adds bills up for each team and model, in a stable order. */
+/** Sums bills per team and model, in a stable order. */
 export function summarizeUsage(bills: readonly SettleEntry[]): readonly UsageLine[] {
   const lines = new Map<string, UsageLine>()
   for (const bill of bills) {
--- a/packages/coordination/src/validatingTable.ts
+++ b/packages/coordination/src/validatingTable.ts
@@ -1,7 +1,7 @@
 /**
- * The table with every row that is read held against its form. It stands between an instance and
- * the client of the table, so that a malformed row is counted in one place, whoever reads it.
- * Relies on the codecs, which stand beside the types that rows carry.
+ * A table that validates every row it reads against the row's codec. Placed between an instance and
+ * the table's client, it counts malformed rows in one place, whichever component reads them. The
+ * codecs are defined next to the types of the rows.
  */
 
 import type { TransactionId } from '@rackwalk/shared'
@@ -32,12 +32,12 @@
   LEASES_PARTITION,
 } from './tableKeys.js'
 
-/** What a form says of a row's value. */
+/** Decodes a row's value; returns undefined if the value is malformed. */
 interface RowDecoder {
   fromJson(json: unknown): unknown
 }
 
-/** The form of each partition, by the part of its name before a slash. */
+/** Codec per partition, by the part of the partition's name before the first slash. */
 const ROW_CODECS: Readonly<Record<string, RowDecoder>> = {
   [BUDGETS_PARTITION]: budgetRowCodec,
   [CHANGES_PARTITION]: changeCodec,
@@ -50,22 +50,24 @@
   writes: writeRecordCodec,
 }
 
-/** Counts and refuses rows that are not of their form; all other calls pass through. */
+/** Reports and rejects malformed rows; passes all other calls through. */
 export class ValidatingTable implements TableService {
   constructor(
     private readonly table: TableService,
-    /** Told of each malformed row; must not throw. */
+    /** Called for each malformed row; must not throw. */
     private readonly onMalformedRow: (key: RowKey) => void,
   ) {}
 
-  /** Throws `PlatformUnavailable` for a malformed row: it is as good as not given. */
+  /**
+   * Throws `PlatformUnavailable` for a malformed row, which is treated as if it had not been read.
+   */
   async get(key: RowKey): Promise<Row | undefined> {
     const row = await this.table.get(key)
     if (row !== undefined) this.check(row)
     return row
   }
 
-  /** Throws `PlatformUnavailable` where one of the rows is malformed. */
+  /** Throws `PlatformUnavailable` if one of the rows is malformed. */
   async query(partition: string, range?: QueryRange): Promise<readonly Row[]> {
     const rows = await this.table.query(partition, range)
     for (const row of rows) this.check(row)
@@ -81,9 +83,9 @@
   }
 
   private check(row: Row): void {
-    const form = ROW_CODECS[row.key.partition.split('/')[0] ?? '']
-    // Rows without a form are markers: only their keys say something.
-    if (form === undefined || form.fromJson(row.value) !== undefined) return
+    const codec = ROW_CODECS[row.key.partition.split('/')[0] ?? '']
+    // Rows without a codec are markers: only their keys carry information.
+    if (codec === undefined || codec.fromJson(row.value) !== undefined) return
     this.onMalformedRow(row.key)
     throw malformedRowError(row)
   }
