--- a/packages/coordination/__tests__/books.spec.ts
+++ b/packages/coordination/__tests__/books.spec.ts
@@ -134,7 +134,7 @@
     complete,
   })
 
-  it('follows a key from its first run over a partial bill to the whole one', () => {
+  it('tracks a key from its first run through a partial bill to the complete one', () => {
     const registrar = new KeyRegistrar(new VirtualClock(), () => true)
     expect(registrar.register(request('a'))).toEqual({ state: 'first' })
     expect(registrar.register(request('b'))).toMatchObject({ state: 'running', requestId: 'a' })
--- a/packages/coordination/__tests__/budgetShortage.spec.ts
+++ b/packages/coordination/__tests__/budgetShortage.spec.ts
@@ -3,18 +3,18 @@
 import { BudgetShortage } from '../src/prepaid/budgetShortage.js'
 
 describe('BudgetShortage', () => {
-  it('is one episode from the first refusal to the last, and ends two seconds after it', async () => {
+  it('reports one episode from the first refusal to the last, which ends two seconds later', async () => {
     const clock = new VirtualClock()
     const shortage = new BudgetShortage(clock)
-    const told: unknown[] = []
+    const reported: unknown[] = []
     for (let round = 0; round < 5; round += 1) {
-      told.push(shortage.recordRefusal(), shortage.takeEnded())
+      reported.push(shortage.recordRefusal(), shortage.takeEnded())
       await clock.advance(1_500)
     }
-    told.push(shortage.isShort, shortage.takeEnded())
+    reported.push(shortage.isShort, shortage.takeEnded())
     await clock.advance(500)
-    told.push(shortage.takeEnded(), shortage.isShort, shortage.takeEnded())
-    expect(told).toMatchInlineSnapshot(`
+    reported.push(shortage.takeEnded(), shortage.isShort, shortage.takeEnded())
+    expect(reported).toMatchInlineSnapshot(`
       [
         true,
         undefined,
@@ -38,7 +38,7 @@
     `)
   })
 
-  it('begins anew after its end', async () => {
+  it('starts a new episode after the last one ended', async () => {
     const clock = new VirtualClock()
     const shortage = new BudgetShortage(clock)
     shortage.recordRefusal()
--- a/packages/coordination/__tests__/configuration.spec.ts
+++ b/packages/coordination/__tests__/configuration.spec.ts
@@ -10,7 +10,7 @@
 const KINDS = ['teams']
 const PEER = asId<IncarnationId>('peer')
 
-/** A table whose operations happen when the scheduler says so, some of them unanswered. */
+/** A table whose operations run when the scheduler decides, and of which some get no answer. */
 function scheduledTable(table: MemoryTable, scheduler: fc.Scheduler, lost: () => boolean) {
   const step = () => scheduler.schedule(Promise.resolve())
   const scheduled: TableService = {
@@ -81,7 +81,7 @@
         await scheduler.waitFor(Promise.all(operators))
         const outcomes = await Promise.all(operators)
         const changes = await table.query('changes')
-        // Exactly one of them saw version 1; whoever was told "accepted" is in the log.
+        // Exactly one of them saw version 1; a write that was reported as accepted is in the log.
         expect(changes).toHaveLength(2)
         expect(outcomes.filter(outcome => outcome === 'accepted').length).toBeLessThanOrEqual(1)
         expect(outcomes.every(outcome => outcome !== 'failed')).toBe(true)
@@ -90,7 +90,7 @@
     )
   })
 
-  it('tells what became of a write whose answer was lost, and accepts it once', async () => {
+  it('finds a write whose answer was lost, and accepts it once', async () => {
     const table = new MemoryTable()
     const store = createStore(table)
     const first = await store.write(write('again', 'a', undefined))
@@ -124,27 +124,27 @@
     expect(started.list('teams').map(({ metadata }) => metadata.name)).toEqual(['a', 'b', 'c'])
   })
 
-  it('never goes back, whatever a peer that is behind says', async () => {
+  it('never returns to an older revision, whatever an outdated peer sends', async () => {
     const table = new MemoryTable()
     const store = createStore(table)
-    const behind = createFollower(table)
+    const outdated = createFollower(table)
     await store.write(write('a', 'a', 'absent'))
-    await behind.catchUp()
+    await outdated.catchUp()
     await store.write(write('b', 'a', 1))
-    const ahead = createFollower(table)
-    await ahead.catchUp()
+    const current = createFollower(table)
+    await current.catchUp()
     const seen: number[] = []
-    ahead.subscribe(() => seen.push(ahead.revision))
-    const old = behind.answerPeer({ revision: 0 })
+    current.subscribe(() => seen.push(current.revision))
+    const old = outdated.answerPeer({ revision: 0 })
     const channel = { call: async () => ({ snapshot: { revision: 1, resources: [] }, ...old }) }
-    const misled = createFollower(brokenTable, channel as unknown as PeerChannel)
-    await misled.catchUp()
-    expect(misled.revision).toBe(1)
-    expect(ahead.revision).toBe(2)
+    const cutOff = createFollower(brokenTable, channel as unknown as PeerChannel)
+    await cutOff.catchUp()
+    expect(cutOff.revision).toBe(1)
+    expect(current.revision).toBe(2)
     expect(seen).toEqual([])
   })
 
-  it('brings every change in order and once to whoever watches from a revision on', async () => {
+  it('delivers every change once and in order to a watcher that starts at a revision', async () => {
     const table = new MemoryTable()
     const store = createStore(table)
     const follower = createFollower(table)
@@ -153,7 +153,7 @@
     for (let round = 0; round < 20; round += 1) {
       await store.write(write(`write-${round}`, `name-${round % 3}`, undefined))
       await follower.catchUp()
-      // A watcher that reconnects now and then goes on from its last revision.
+      // A watcher that reconnects from time to time continues from its last revision.
       if (round % 3 !== 0) continue
       const changes = follower.changesSince(from) ?? []
       seen.push(...changes.map(change => change.revision))
@@ -174,7 +174,7 @@
   }
 }
 
-describe('a configuration that a peer spoils', () => {
+describe('a configuration that receives a malformed resource from a peer', () => {
   const TEAM = { kind: 'teams', metadata: { name: 'team', version: 1, labels: {}, createdAt: 0 } }
   const MALFORMED = { kind: 'teams' }
   const CHANGE = { revision: 2, kind: 'teams', name: 'team', operator: 'operator', at: 0 }
@@ -185,14 +185,19 @@
       'a change',
       { changes: [{ ...CHANGE, writeId: asId<TransactionId>('w'), resource: MALFORMED }] },
     ],
-  ])('by %s with what is no resource stays as it was', async (_, spoiled) => {
+  ])('in %s stays unchanged', async (_, malformedReply) => {
     const replies: object[] = [{ snapshot: { revision: 1, resources: [{ ...TEAM, spec: {} }] } }]
     const peers: PeerChannel = { call: async () => (replies.shift() ?? {}) as never }
-    const away = () => Promise.reject(new RackwalkError(ResultCode.PlatformUnavailable))
-    const table: TableService = { get: away, query: away, transact: away, transactMany: away }
+    const unavailable = () => Promise.reject(new RackwalkError(ResultCode.PlatformUnavailable))
+    const table: TableService = {
+      get: unavailable,
+      query: unavailable,
+      transact: unavailable,
+      transactMany: unavailable,
+    }
     const follower = createFollower(table, peers)
     await follower.catchUp()
-    replies.push(spoiled)
+    replies.push(malformedReply)
     await follower.catchUp()
     expect(follower.find('teams', 'team')?.metadata.version).toBe(1)
     expect(follower.revision).toBe(1)
--- a/packages/coordination/__tests__/crashRecords.spec.ts
+++ b/packages/coordination/__tests__/crashRecords.spec.ts
@@ -4,7 +4,10 @@
 import type { EndpointStart, RequestFingerprint } from '@rackwalk/shared'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
-/** Records of ends of endpoints under a request: written by several, read by all, and gone when they are cleared. */
+/**
+ * Crash records of a request are written by several instances, read by all, and removed when the
+ * request is cleared.
+ */
 
 const REQUEST = asId<RequestFingerprint>('request')
 const DAY_MILLISECONDS = 24 * 3_600_000
@@ -13,7 +16,7 @@
   return { fingerprint: REQUEST, start: asId<EndpointStart>(start), wasIsolated }
 }
 
-/** Days pass on the calendar without each second of them being played. */
+/** A clock on which days can pass without simulating each second of them. */
 class CalendarClock extends VirtualClock {
   daysLater = 0
 
@@ -27,14 +30,14 @@
   const store = new MemoryRowStore(clock)
   const startInstance = () => {
     const client = store.connect()
-    const told: string[] = []
+    const reported: string[] = []
     const records = new CrashRecordStore({
       store: client.store,
       clock,
       onMarks: marks =>
-        told.push(...marks.map(({ start, wasIsolated }) => `${start} ${wasIsolated}`)),
-      onCleared: fingerprint => told.push(`${fingerprint} cleared`),
-      onMalformedRow: ({ key }) => told.push(`${key} malformed`),
+        reported.push(...marks.map(({ start, wasIsolated }) => `${start} ${wasIsolated}`)),
+      onCleared: fingerprint => reported.push(`${fingerprint} cleared`),
+      onMalformedRow: ({ key }) => reported.push(`${key} malformed`),
     })
     const mirror = new TableMirror({
       store: client.store,
@@ -46,7 +49,7 @@
       pauseMilliseconds: () => 20,
     })
     mirror.start()
-    return { records, told, faults: client.faults }
+    return { records, reported, faults: client.faults }
   }
   const rows = () => {
     const outcome = store.read(CRASH_TABLE, CRASH_PARTITION)
@@ -55,8 +58,8 @@
   return { clock, store, startInstance, rows }
 }
 
-describe('records of ends', () => {
-  it('of two instances that write at once are joined, and reach a third', async () => {
+describe('crash records', () => {
+  it('of two instances that write concurrently are merged, and reach a third', async () => {
     const { clock, startInstance, rows } = setUp()
     const [first, second, third] = [startInstance(), startInstance(), startInstance()]
     await clock.advance(1_000)
@@ -64,11 +67,11 @@
     second.records.record([mark('b', true)])
     await clock.advance(3_000)
     expect(rows()).toHaveLength(1)
-    expect(third.told).toContain('a false')
-    expect(third.told).toContain('b true')
+    expect(third.reported).toContain('a false')
+    expect(third.reported).toContain('b true')
   })
 
-  it('are written as soon as a store that was away takes them', async () => {
+  it('are written as soon as an unavailable store accepts writes again', async () => {
     const { clock, startInstance, rows } = setUp()
     const { records, faults } = startInstance()
     await clock.advance(1_000)
@@ -81,7 +84,7 @@
     expect(rows()).toHaveLength(1)
   })
 
-  it('that go clear the request at every instance', async () => {
+  it('clear the request at every instance when they are removed', async () => {
     const { clock, store, startInstance } = setUp()
     const [first, second] = [startInstance(), startInstance()]
     await clock.advance(1_000)
@@ -89,8 +92,8 @@
     await clock.advance(1_000)
     store.remove(CRASH_TABLE, REQUEST)
     await clock.advance(1_000)
-    expect(first.told).toContain('request cleared')
-    expect(second.told).toContain('request cleared')
+    expect(first.reported).toContain('request cleared')
+    expect(second.reported).toContain('request cleared')
   })
 
   it('are removed by the instance that saw the request answered', async () => {
@@ -102,10 +105,10 @@
     second.records.remove(REQUEST)
     await clock.advance(1_000)
     expect(rows()).toEqual([])
-    expect(first.told).toContain('request cleared')
+    expect(first.reported).toContain('request cleared')
   })
 
-  it('are kept for a week, and removed by whoever reads them after it', async () => {
+  it('are kept for a week, and removed by the first instance that reads them later', async () => {
     const { clock, startInstance, rows } = setUp()
     const { records } = startInstance()
     await clock.advance(1_000)
@@ -126,11 +129,11 @@
     expect(rows()).toHaveLength(0)
   })
 
-  it('of another form are told of and left out', async () => {
+  it('that are malformed are reported and ignored', async () => {
     const { clock, store, startInstance } = setUp()
     store.put(CRASH_TABLE, 'strange', '{"ends":3}')
-    const { told } = startInstance()
+    const { reported } = startInstance()
     await clock.advance(1_000)
-    expect(told).toEqual(['strange malformed'])
+    expect(reported).toEqual(['strange malformed'])
   })
 })
--- a/packages/coordination/__tests__/demandMeter.spec.ts
+++ b/packages/coordination/__tests__/demandMeter.spec.ts
@@ -2,7 +2,7 @@
 import { VirtualClock } from '@rackwalk/shared'
 import { DEMAND_WINDOW_MILLISECONDS, DemandMeter } from '@rackwalk/coordination'
 
-/** Asks for 100 tokens ten times a second; the readings at the end of each second. */
+/** Requests 100 tokens ten times per second and returns the readings at the end of each second. */
 async function readings(meter: DemandMeter, clock: VirtualClock, seconds: number) {
   const read: number[] = []
   for (let second = 0; second < seconds; second += 1) {
@@ -37,7 +37,7 @@
     `)
   })
 
-  it('takes a single request for little where it is told to', async () => {
+  it('gives a single request little weight with the full averaging window', async () => {
     const clock = new VirtualClock()
     const meter = new DemandMeter(clock, DEMAND_WINDOW_MILLISECONDS)
     await clock.advance(60_000)
--- a/packages/coordination/__tests__/domainCommitter.spec.ts
+++ b/packages/coordination/__tests__/domainCommitter.spec.ts
@@ -28,7 +28,7 @@
   readonly journals: Journal[]
   isCommitterReachable = true
   private readonly ids = Array.from({ length: MEMBERS }, (_, n) => asId<IncarnationId>(`m-${n}`))
-  private readonly joiners = new Map(this.ids.map(id => [id, new BatchCoalescer(this.table)]))
+  private readonly coalescers = new Map(this.ids.map(id => [id, new BatchCoalescer(this.table)]))
 
   constructor() {
     this.journals = this.ids.map((id, number) => this.createJournal(id, number))
@@ -39,14 +39,14 @@
     const peers = {
       call: async (target: IncarnationId, _: string, request: PeerRequest<'commitBatch'>) => {
         if (!this.isCommitterReachable) throw new Error('unreachable')
-        return this.joiners.get(target)?.commit(request)
+        return this.coalescers.get(target)?.commit(request)
       },
     } as unknown as PeerChannel
     const committer = new DomainCommitter({
       incarnation,
       failureDomain: DOMAIN,
       table: this.table,
-      coalescer: this.joiners.get(incarnation) as BatchCoalescer,
+      coalescer: this.coalescers.get(incarnation) as BatchCoalescer,
       peers,
       liveMembers: () => members,
     })
--- a/packages/coordination/__tests__/exploration.spec.ts
+++ b/packages/coordination/__tests__/exploration.spec.ts
@@ -10,7 +10,7 @@
     const result = await explore({ runs: RUNS, seed, variant: SOUND })
     expect(result.failure).toBeUndefined()
     expect(result.runs).toBe(RUNS)
-    // Runs in which nothing of this happened would prove nothing.
+    // Runs in which none of these events occurred would prove nothing.
     for (const event of ['delivered', 'refused', 'held', 'lent', 'reclaimed', 'unresolved']) {
       expect(result.coverage[event], event).toBeGreaterThan(RUNS / 4)
     }
--- a/packages/coordination/__tests__/firstHolding.spec.ts
+++ b/packages/coordination/__tests__/firstHolding.spec.ts
@@ -12,7 +12,7 @@
 const DEADLINE_MILLISECONDS = 4_000
 const REQUESTS = 50
 const PAUSE_MILLISECONDS = 20
-/** All hold their parts by then. */
+/** All instances have their holdings by then. */
 const SETTLED_MILLISECONDS = 1_000
 const NAMES = ['instance-0', 'instance-1', 'instance-2']
 const LOAN_TIMES = { oneWayMilliseconds: 4, timeoutMilliseconds: 45 }
@@ -20,13 +20,13 @@
 const PATIENCE = budgetWaitLimit(GOAL_MILLISECONDS)
 const LAST_PATIENCE = extendedBudgetWaitLimit(GOAL_MILLISECONDS, DEADLINE_MILLISECONDS)
 
-interface Order {
-  /** Time that each call to the store takes longer. */
+interface Scenario {
+  /** Additional duration of each call to the store. */
   readonly slow: Milliseconds
-  /** Whether instances know each other as those that take callers. */
+  /** Whether instances know each other as instances that receive callers. */
   readonly isActive: boolean
-  /** Whether no instance hears another one's question for a loan. */
-  readonly isMute: boolean
+  /** Whether loan requests reach no other instance. */
+  readonly areLoanRequestsLost: boolean
 }
 
 interface Answer {
@@ -40,12 +40,12 @@
   readonly members: readonly PrepaidMember[]
   private readonly rows = new MemoryRowStore(this.clock)
 
-  constructor(private readonly order: Order) {
+  constructor(private readonly scenario: Scenario) {
     this.members = NAMES.map(name => this.start(name))
-    for (const { faults } of this.members) faults.slowMilliseconds = order.slow
+    for (const { faults } of this.members) faults.slowMilliseconds = scenario.slow
   }
 
-  /** Requests of the first second, at the instances in turn. */
+  /** Sends the requests of the first second to the instances in turn. */
   async askInTurn(): Promise<readonly Answer[]> {
     for (let count = 0; count < REQUESTS; count += 1) {
       void this.ask(count % NAMES.length)
@@ -66,9 +66,9 @@
   }
 
   private start(instance: string): PrepaidMember {
-    const { clock, rows, order } = this
+    const { clock, rows, scenario } = this
     const find = (lender: string) =>
-      order.isMute ? undefined : this.members[NAMES.indexOf(lender)]?.ledger
+      scenario.areLoanRequestsLost ? undefined : this.members[NAMES.indexOf(lender)]?.ledger
     return startPrepaidMember({
       instance,
       incarnation: 'start-1',
@@ -77,32 +77,36 @@
       budget: BUDGET,
       limit: LIMIT,
       limits: LIMITS,
-      isActive: order.isActive,
-      others: () => (order.isActive ? NAMES.filter(other => other !== instance) : []),
+      isActive: scenario.isActive,
+      others: () => (scenario.isActive ? NAMES.filter(other => other !== instance) : []),
       loanChannel: loanChannelTo(clock, LOAN_TIMES, find),
     })
   }
 }
 
-/** An instance that has just started holds nothing; its first write meets those of the others, and is made again. */
-const ORDERS: readonly Order[] = [20, 40, 60].flatMap(slow => [
-  { slow, isActive: false, isMute: false },
-  { slow, isActive: true, isMute: false },
-  { slow, isActive: true, isMute: true },
+/**
+ * An instance that has just started holds nothing; its first write conflicts with those of the
+ * others and is repeated.
+ */
+const SCENARIOS: readonly Scenario[] = [20, 40, 60].flatMap(slow => [
+  { slow, isActive: false, areLoanRequestsLost: false },
+  { slow, isActive: true, areLoanRequestsLost: false },
+  { slow, isActive: true, areLoanRequestsLost: true },
 ])
 
-describe('an ample budget of which no instance holds anything yet', () => {
-  // Guards against callers of the first second who are refused tokens that nobody has taken.
-  it.each(ORDERS)('is served from in the first second: %o', async order => {
-    const answers = await new Fleet(order).askInTurn()
+describe('an ample budget of which no instance holds tokens yet', () => {
+  // Guards against refusing callers in the first second although no instance has taken the tokens.
+  it.each(SCENARIOS)('serves all requests of the first second: %o', async scenario => {
+    const answers = await new Fleet(scenario).askInTurn()
     expect(answers).toHaveLength(REQUESTS)
     expect(answers.filter(({ isServed }) => !isServed)).toEqual([])
     expect(Math.max(...answers.map(({ waited }) => waited))).toBeLessThan(GOAL_MILLISECONDS)
   })
 
-  // Guards against a wait for one more write by requests that the row just written allows.
-  it('serves who came while a write was on its way as soon as its row allows it', async () => {
-    const fleet = new Fleet({ slow: 0, isActive: true, isMute: false })
+  // Guards against making requests wait for another write although the row just written covers
+  // them.
+  it('serves requests that arrive during a write as soon as its row covers them', async () => {
+    const fleet = new Fleet({ slow: 0, isActive: true, areLoanRequestsLost: false })
     await fleet.clock.advance(SETTLED_MILLISECONDS)
     for (const { faults } of fleet.members) faults.slowMilliseconds = 45
     void fleet.ask(0)
@@ -115,9 +119,9 @@
     ])
   })
 
-  // Guards against callers who are told only after their goal that a store does not answer.
-  it('refuses within the goal where the store is silent', async () => {
-    const fleet = new Fleet({ slow: 0, isActive: true, isMute: true })
+  // Guards against reporting an unresponsive store to callers only after their latency goal.
+  it('refuses within the goal if the store does not answer', async () => {
+    const fleet = new Fleet({ slow: 0, isActive: true, areLoanRequestsLost: true })
     for (const { faults } of fleet.members) faults.isCut = true
     const answers = await fleet.askInTurn()
     expect(answers).toHaveLength(REQUESTS)
--- a/packages/coordination/__tests__/heldEntryArchive.spec.ts
+++ b/packages/coordination/__tests__/heldEntryArchive.spec.ts
@@ -11,7 +11,7 @@
 import type { BudgetId, IncarnationId, TransferId } from '@rackwalk/shared'
 import { MemoryObjects, MemoryTable } from '@rackwalk/stand-ins'
 
-/** Entries that wait for the table and whose holders all die. */
+/** Entries that wait for the table and whose holders all crash. */
 
 const WRITER = asId<IncarnationId>('writer')
 const SEALER = asId<IncarnationId>('sealer')
@@ -19,7 +19,7 @@
   call: () => Promise.reject(new RackwalkError(ResultCode.PlatformUnavailable)),
 }
 
-/** An object store that can be out of reach. */
+/** An object store that can be made unavailable. */
 class FailingObjects extends MemoryObjects {
   isLost = false
 
@@ -64,7 +64,7 @@
     expect(await archive.read(WRITER)).toEqual(items(9, 3))
   })
 
-  it('keep nobody waiting for an object store that failed', async () => {
+  it('do not wait for an object store that has just failed', async () => {
     const { archive, objects, counters, clock } = setUp()
     objects.isLost = true
     await archive.write(WRITER, items(1, 1))
@@ -76,7 +76,7 @@
     expect([objects.writes, counters.get('held_objects_written')]).toEqual([1, 1])
   })
 
-  it('are in the journal of the dead, once the object store tells of them', async () => {
+  it("are written to a terminated writer's journal once the object store returns them", async () => {
     const { archive, objects, counters } = setUp()
     const table = new MemoryTable()
     const random = new SeededRandom(1)
--- a/packages/coordination/__tests__/journal.spec.ts
+++ b/packages/coordination/__tests__/journal.spec.ts
@@ -8,24 +8,24 @@
 
 const WRITER = asId<IncarnationId>('writer')
 
-/** Commits to a table, with an accident prepared for the next commit. */
-class AccidentalCommitter implements BatchCommitter {
-  accident: 'none' | 'answer lost' | 'question lost' | 'arrives late' = 'none'
-  private late: (() => Promise<TransactResult>) | undefined
+/** Commits to a table, with an optional fault in the next commit. */
+class FaultyCommitter implements BatchCommitter {
+  nextFault: 'none' | 'answer lost' | 'request lost' | 'arrives late' = 'none'
+  private lateCommit: (() => Promise<TransactResult>) | undefined
 
   constructor(private readonly table: MemoryTable) {}
 
   async commit(...args: Parameters<BatchCommitter['commit']>): Promise<TransactResult> {
-    const { accident } = this
-    this.accident = 'none'
-    if (accident === 'none') return this.table.transact(...args)
-    if (accident === 'answer lost') await this.table.transact(...args)
-    if (accident === 'arrives late') this.late = () => this.table.transact(...args)
+    const { nextFault } = this
+    this.nextFault = 'none'
+    if (nextFault === 'none') return this.table.transact(...args)
+    if (nextFault === 'answer lost') await this.table.transact(...args)
+    if (nextFault === 'arrives late') this.lateCommit = () => this.table.transact(...args)
     throw new RackwalkError(ResultCode.PlatformAmbiguous)
   }
 
   async arriveLate(): Promise<TransactResult | undefined> {
-    return this.late?.()
+    return this.lateCommit?.()
   }
 }
 
@@ -56,12 +56,12 @@
 
 describe('Journal', () => {
   let table: MemoryTable
-  let committer: AccidentalCommitter
+  let committer: FaultyCommitter
   let journal: Journal
 
   beforeEach(() => {
     table = new MemoryTable()
-    committer = new AccidentalCommitter(table)
+    committer = new FaultyCommitter(table)
     const random = new SeededRandom(1)
     const clock = new VirtualClock()
     const counters = new MemoryCounters()
@@ -76,7 +76,7 @@
 
   it('recognises its own batch after a lost answer and does not write it again', async () => {
     const ticket = journal.append({ entry: settle('a') })
-    committer.accident = 'answer lost'
+    committer.nextFault = 'answer lost'
     expect(await journal.flush()).toBe('retry')
     expect(await journal.flush()).toBe('committed')
     await ticket.durable
@@ -85,7 +85,7 @@
 
   it('writes an entry once when its first attempt arrives after the second', async () => {
     journal.append({ entry: settle('a') })
-    committer.accident = 'arrives late'
+    committer.nextFault = 'arrives late'
     expect(await journal.flush()).toBe('retry')
     expect(await journal.flush()).toBe('committed')
     expect(await committer.arriveLate()).toEqual({ committed: false, conflicts: [0] })
@@ -110,12 +110,12 @@
 
   it('rejects a record whose row was taken, and writes the others of the batch', async () => {
     await table.transact(asId('other'), [attachment('taken')])
-    const loser = journal.append({ attachment: attachment('taken') })
-    const winner = journal.append({ entry: settle('a'), attachment: attachment('free') })
+    const rejected = journal.append({ attachment: attachment('taken') })
+    const accepted = journal.append({ entry: settle('a'), attachment: attachment('free') })
     expect(await journal.flush()).toBe('retry')
     expect(await journal.flush()).toBe('committed')
-    await expect(loser.durable).rejects.toMatchObject({ code: ResultCode.VersionConflict })
-    await expect(winner.durable).resolves.toBeUndefined()
+    await expect(rejected.durable).rejects.toMatchObject({ code: ResultCode.VersionConflict })
+    await expect(accepted.durable).resolves.toBeUndefined()
   })
 
   it('never puts two changes of one row into the same transaction', async () => {
@@ -129,7 +129,7 @@
 
   it('counts an entry as safe when peers hold it, and as durable only later', async () => {
     const ticket = journal.append({ entry: settle('a') })
-    committer.accident = 'question lost'
+    committer.nextFault = 'request lost'
     await journal.flush()
     journal.markReplicated(new Set(journal.unreplicatedEntries(10).map(item => item.index)))
     await expect(ticket.durableOrHeld).resolves.toBe('held')
--- a/packages/coordination/__tests__/loans.spec.ts
+++ b/packages/coordination/__tests__/loans.spec.ts
@@ -12,7 +12,7 @@
 const BUDGET = 'team'
 const PATIENCE = 60
 
-/** A holding of so many tokens. */
+/** A holding of a given number of tokens. */
 class Holding implements LendingAccount {
   constructor(public tokens: TokenCount) {}
 
@@ -49,16 +49,17 @@
     expect(holding.tokens).toBe(400)
   })
 
-  it('gives nothing to a request that comes after its end', async () => {
+  it('grants nothing to a request that arrives after its own repayment', async () => {
     const holding = new Holding(1_000)
     const lender = new Lender(() => holding)
-    // The borrower took the loan for lost and called it back; then the request arrived.
+    // The borrower considered the loan lost and repaid it; the loan request arrives only
+    // afterwards.
     lender.repay({ id: 'a/1', budget: BUDGET, spent: 0 })
     expect(await lender.lend(request('a/1', 600))).toBe(0)
     expect(holding.tokens).toBe(1_000)
   })
 
-  it('knows no loan of an earlier life', () => {
+  it('ignores the repayment of a loan of an earlier incarnation', () => {
     const holding = new Holding(1_000)
     new Lender(() => holding).repay({ id: 'a/1', budget: BUDGET, spent: 0 })
     expect(holding.tokens).toBe(1_000)
@@ -76,7 +77,7 @@
     isSilent,
     requestLoan: async (lender, { tokens }) => {
       asked.push(lender)
-      // As long as the call to an instance that is gone lasts.
+      // Duration of a call to an instance that has terminated.
       if (held[lender] === 'silent' && isSilent !== undefined) await sleep(clock, 2 * PATIENCE)
       const available = held[lender] ?? 0
       return available === 'silent' ? undefined : Math.min(tokens, available)
@@ -101,7 +102,7 @@
     ])
   })
 
-  it('repays all of them where they do not suffice', async () => {
+  it('repays all of them if they do not suffice', async () => {
     const { borrow, repaid } = setUp({ first: 300, second: 500 })
     expect(await borrow(900)).toBeUndefined()
     expect(repaid).toEqual([
@@ -110,7 +111,7 @@
     ])
   })
 
-  it('calls back a loan whose answer did not come, and leaves the lender alone for a second', async () => {
+  it('repays a loan whose answer was lost, and does not ask its lender for a second', async () => {
     const { clock, borrow, asked, repaid } = setUp({ first: 'silent', second: 500 })
     expect(await borrow(400)).toHaveLength(1)
     expect(repaid).toEqual([{ id: 'self/1', budget: BUDGET, spent: 0 }])
@@ -120,8 +121,9 @@
     expect(asked).toEqual(['first', 'second', 'second', 'first', 'second'])
   })
 
-  // An instance without power stays a holder by its row for seconds, and the wait for it used all of the patience.
-  it('asks one that gives no sign of life last', async () => {
+  // The row of an instance that lost power shows a holding for seconds, and waiting for that
+  // instance used up all of the patience.
+  it('asks a silent lender last', async () => {
     const { borrow, asked, clock } = setUp(
       { first: 'silent', second: 500 },
       lender => lender === 'first',
@@ -132,20 +134,21 @@
     expect(asked).toEqual(['second'])
   })
 
-  it('asks it all the same where nobody else has enough', async () => {
+  it('asks a silent lender if no other lender has enough', async () => {
     const { borrow, asked } = setUp({ first: 300, second: 500 }, lender => lender === 'first')
     expect(await borrow(700)).toHaveLength(2)
     expect(asked).toEqual(['second', 'first'])
   })
 
-  it('asks each lender in turn for requests that come together', async () => {
+  it('asks different lenders for simultaneous requests', async () => {
     const { borrow, asked } = setUp({ first: 900, second: 500, third: 300 })
-    // One connection to the first lender would make the others wait until they gave up.
+    // If all requests asked the first lender over its one connection, the others would wait until
+    // they gave up.
     await Promise.all([borrow(100), borrow(100), borrow(100), borrow(100)])
     expect(asked).toEqual(['first', 'second', 'third', 'first'])
   })
 
-  it('does not ask a lender again at once that had too little', async () => {
+  it('does not immediately repeat a request to a lender that had too few tokens', async () => {
     const { clock, borrow, asked } = setUp({ first: 100 })
     await borrow(400)
     await borrow(400)
--- a/packages/coordination/__tests__/malformedRows.spec.ts
+++ b/packages/coordination/__tests__/malformedRows.spec.ts
@@ -13,7 +13,7 @@
 import type { MemberRow } from '@rackwalk/coordination'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
-/** Rows that are not of their form are told of and left out; nothing is read as zero. */
+/** Malformed rows are reported and ignored; none of their fields is read as zero. */
 
 const MEMBER: MemberRow = {
   instance: 'instance-2',
@@ -39,7 +39,7 @@
 ]
 
 describe('a malformed row', () => {
-  it.each(MALFORMED)('of a member leaves what was known of it: %s', text => {
+  it.each(MALFORMED)('of a member keeps its last valid row in force: %s', text => {
     const clock = new VirtualClock()
     const malformed: string[] = []
     const directory = new MemberDirectory({
@@ -64,7 +64,7 @@
     expect(malformed).toEqual(['instance-2'])
   })
 
-  it.each(['pool', 'holder/instance-2'])('of a budget, %s, is not counted with', async key => {
+  it.each(['pool', 'holder/instance-2'])('of a budget, %s, is ignored', async key => {
     const clock = new VirtualClock()
     const rows = new MemoryRowStore(clock)
     const malformed: string[] = []
@@ -86,8 +86,8 @@
     ledger.start()
     await clock.advance(1_000)
     const before = ledger.describe('team')
-    const spoiled = { table: PREPAID_TABLE, partition: 'team', key, value: '{"limit":0}' }
-    ledger.observe([{ ...spoiled, version: 1_000 }], false)
+    const malformedRow = { table: PREPAID_TABLE, partition: 'team', key, value: '{"limit":0}' }
+    ledger.observe([{ ...malformedRow, version: 1_000 }], false)
     expect(ledger.describe('team')).toEqual(before)
     expect(malformed).toEqual([key])
   })
--- a/packages/coordination/__tests__/memberDirectory.spec.ts
+++ b/packages/coordination/__tests__/memberDirectory.spec.ts
@@ -56,7 +56,7 @@
 }
 
 describe('MemberDirectory', () => {
-  it('tells the others what an instance bears and takes', async () => {
+  it("announces an instance's capacity and request rate", async () => {
     const { clock, start } = setUp()
     const first = start('first', true)
     start('second', true)
@@ -66,7 +66,7 @@
     ])
   })
 
-  it('counts an active instance as gone after the silence, one that stands by later', async () => {
+  it('counts a silent active instance as terminated, and a standby instance later', async () => {
     const { clock, start } = setUp()
     const observer = start('observer', true)
     const active = start('active', true)
@@ -81,7 +81,7 @@
     expect(names(observer.directory)).toEqual([])
   })
 
-  it('takes nobody for gone because it was cut off itself', async () => {
+  it('counts no instance as terminated because it was disconnected itself', async () => {
     const { clock, start } = setUp()
     const observer = start('observer', true)
     start('other', true)
@@ -94,7 +94,7 @@
     expect(names(observer.directory)).toEqual(['other'])
   })
 
-  it('knows the fleet once the rows were read, or nobody gave them for a while', async () => {
+  it('is initialized once the rows were read, or after a timeout', async () => {
     const { clock, start } = setUp()
     const reached = start('reached', true)
     const cut = start('cut', true, true)
--- a/packages/coordination/__tests__/membership.spec.ts
+++ b/packages/coordination/__tests__/membership.spec.ts
@@ -28,7 +28,7 @@
 }
 
 describe('Membership', () => {
-  it('drops a silent member and takes it back when it is heard again', async () => {
+  it('drops a silent member and adds it again after a new heartbeat', async () => {
     const clock = new VirtualClock()
     const membership = createMembership(member(0), clock)
     membership.mergeMember(member(1))
@@ -36,12 +36,12 @@
     await clock.advance(6_000)
     expect(membership.liveCount).toBe(1)
     membership.mergeMember(member(1))
-    expect(membership.liveCount, 'old news').toBe(1)
+    expect(membership.liveCount, 'a repeated report').toBe(1)
     membership.mergeMember(member(1, { heartbeat: 2 }))
     expect(membership.liveCount).toBe(2)
   })
 
-  it('spends a bounded number of messages a round, however large the fleet', async () => {
+  it('sends a bounded number of messages per round, however large the fleet', async () => {
     const messages = (regions: number) => {
       const clock = new VirtualClock()
       const membership = createMembership(member(0), clock)
@@ -105,7 +105,7 @@
 })
 
 describe('Lease', () => {
-  it('passes on only after it was seen unchanged, with a greater epoch', async () => {
+  it('changes its holder only after it was seen unchanged, with a greater epoch', async () => {
     const clock = new VirtualClock()
     const table = new MemoryTable()
     const create = (name: string) =>
--- a/packages/coordination/__tests__/peerMessages.spec.ts
+++ b/packages/coordination/__tests__/peerMessages.spec.ts
@@ -24,8 +24,8 @@
 
 /**
  * Messages between instances of the OpenAI-style kind, as JSON. Two versions run side by side
- * in a rolling restart, so the texts must not change: what the senders write is snapshot, and
- * the texts of `READ`, kept from commit 86ceb67, must get the same answers.
+ * during a rolling restart, so the texts must not change: what the senders write is compared with
+ * snapshots, and the texts of `READ`, kept from commit 86ceb67, must get the same answers.
  */
 
 const TEAM = asId<TeamId>('team')
@@ -39,13 +39,13 @@
   readonly replies: Map<PeerMessageKind, string>
 }
 
-/** Nodes that reach each other through JSON text, with the first message of each kind noted. */
+/** Nodes that communicate through JSON text; the first message of each kind is recorded. */
 class Fleet {
   readonly clock = new VirtualClock()
   readonly table = new MemoryTable()
   readonly tap: Wiretap = { requests: new Map(), replies: new Map() }
   readonly nodes = new Map<IncarnationId, CoordinationNode>()
-  isTableAway = false
+  isTableUnavailable = false
 
   add(number: number, domain: string): CoordinationNode {
     const incarnation = asId<IncarnationId>(`instance-${number}-first`)
@@ -80,7 +80,7 @@
     return node
   }
 
-  /** Nodes that have heard of each other and are registered. */
+  /** Starts nodes that know each other and are registered. */
   async start(count: number): Promise<readonly CoordinationNode[]> {
     const nodes = Array.from({ length: count }, (_, index) =>
       this.add(index + 1, `domain-${index % 2}`),
@@ -111,7 +111,7 @@
   private failingTable(): TableService {
     const { table } = this
     const check = () => {
-      if (this.isTableAway) throw new RackwalkError(ResultCode.PlatformUnavailable)
+      if (this.isTableUnavailable) throw new RackwalkError(ResultCode.PlatformUnavailable)
     }
     return {
       get: async key => (check(), table.get(key)),
@@ -124,7 +124,7 @@
 
 async function answer(node: CoordinationNode | undefined, kind: PeerMessageKind, text: string) {
   const handler = node?.handlers[kind] as ((request: unknown) => unknown) | undefined
-  if (handler === undefined) throw new Error(`nobody answers ${kind}`)
+  if (handler === undefined) throw new Error(`no handler for ${kind}`)
   return handler(JSON.parse(text))
 }
 
@@ -153,7 +153,7 @@
   return { teamId: TEAM, key: KEY, incarnation, requestId, fingerprint: 'print', repeatable: true }
 }
 
-/** Lets the clock run until a call has come to its end. */
+/** Advances the clock until a call has settled. */
 async function run<Outcome>(fleet: Fleet, call: Promise<Outcome>): Promise<Outcome> {
   let isOver = false
   const watched = call.finally(() => (isOver = true))
@@ -183,10 +183,10 @@
     await run(fleet, first.claims.claim(TEAM, claimKey, REQUEST))
     await run(fleet, second.claims.claim(TEAM, claimKey, asId<RequestId>('instance-2-first.0.2')))
 
-    fleet.isTableAway = true
+    fleet.isTableUnavailable = true
     first.journal.append({ entry: SETTLE })
     await fleet.clock.advance(5_000)
-    fleet.isTableAway = false
+    fleet.isTableUnavailable = false
     await fleet.clock.advance(3_000)
     fleet.stop()
     const { requests, replies } = fleet.tap
--- a/packages/coordination/__tests__/prepaidEvents.spec.ts
+++ b/packages/coordination/__tests__/prepaidEvents.spec.ts
@@ -13,7 +13,7 @@
 import type { HolderRow, LoanChannel, PoolRow } from '@rackwalk/coordination'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
-/** Events that a prepaid ledger tells its owner, which become lines of the log as they are. */
+/** Events that a prepaid ledger emits, which become log lines unchanged. */
 
 const BUDGET = 'team'
 
@@ -46,7 +46,7 @@
 }
 
 describe('events of a prepaid ledger', () => {
-  it('tell once of a store that turns away every other call', async () => {
+  it('report only once a store that rejects every other call', async () => {
     const { clock, events, start } = setUp()
     const { ledger, faults } = start('first', 0)
     await clock.advance(1_000)
@@ -65,7 +65,7 @@
     expect(events.filter(([event]) => event === 'prepaid_store_lost')).toHaveLength(2)
   })
 
-  it('tell that the store does not answer', async () => {
+  it('report that the store does not answer', async () => {
     const { clock, events, start } = setUp()
     const { ledger, faults } = start('first', 0)
     await clock.advance(1_000)
@@ -79,7 +79,7 @@
     ])
   })
 
-  it("tell that a dead predecessor's holding was ended, and what of it counts as spent", async () => {
+  it("report that a terminated predecessor's holding was ended, and how much of it counts as spent", async () => {
     const { clock, events, start } = setUp()
     const first = start('first', 0)
     await clock.advance(1_000)
@@ -105,7 +105,7 @@
     `)
   })
 
-  it('tell which parts of an ended holding may not have been handed out', async () => {
+  it('report which parts of an ended holding may not have been handed out', async () => {
     const { clock, events, start } = setUp()
     const first = start('first', 0)
     await clock.advance(1_000)
@@ -134,7 +134,7 @@
     expect(second.describe(BUDGET)).toMatchObject({ assumedSpent: 1_554 })
   })
 
-  it('tell that another process took the row of this one', async () => {
+  it("report that another process replaced this one's row", async () => {
     const { clock, rows, events, start } = setUp()
     const { ledger } = start('first', 0)
     await clock.advance(1_000)
@@ -147,7 +147,7 @@
     expect(events[0]).toEqual(['prepaid_holding_lost', { budget: BUDGET }])
   })
 
-  it('tell when refusals for tokens that exist begin and end, and who was asked in vain', async () => {
+  it('report when refusals for tokens that exist start and end, and the lenders asked in vain', async () => {
     const { clock, rows, events, start } = setUp()
     const other = { granted: 100_000, committed: 0, demandPerSecond: 0, wanted: 0 }
     rows.put(PREPAID_TABLE, holderKey('instance-2'), holderText(other), BUDGET)
--- a/packages/coordination/__tests__/prepaidExploration.spec.ts
+++ b/packages/coordination/__tests__/prepaidExploration.spec.ts
@@ -5,11 +5,11 @@
 const RUNS = 400
 const CONTROL_RUNS = 600
 
-describe('a prepaid budget under deaths, cuts, lost and late answers', () => {
+describe('a prepaid budget under crashes, disconnections, lost and late answers', () => {
   it.each(SEEDS)('is never overspent in any run from seed %i', async seed => {
     const result = await explorePrepaid({ runs: RUNS, seed, variant: SOUND_LEDGER })
     expect(result.failure).toBeUndefined()
-    // Runs in which nothing of this happened would prove nothing.
+    // Runs in which none of these events occurred would prove nothing.
     const events = [
       'reserved',
       'refused',
@@ -25,13 +25,13 @@
     }
   })
 
-  it('is seen to be out of reach with a ledger that tells nobody that callers ask', async () => {
+  it('is found to be out of reach with a ledger that does not announce its demand', async () => {
     const variant = SECRETIVE_LEDGER
     const result = await explorePrepaid({ runs: CONTROL_RUNS, seed: 1, variant })
     expect(result.failure).toContain('reach')
   })
 
-  it.each(BROKEN_LEDGERS)('is seen to be overspent by a ledger that $name', async variant => {
+  it.each(BROKEN_LEDGERS)('is found to be overspent by a ledger that $name', async variant => {
     const result = await explorePrepaid({ runs: CONTROL_RUNS, seed: 1, variant })
     expect(result.failure).toContain('prepaid')
   })
--- a/packages/coordination/__tests__/prepaidLedger.spec.ts
+++ b/packages/coordination/__tests__/prepaidLedger.spec.ts
@@ -93,8 +93,8 @@
   return asked
 }
 
-describe('PrepaidLedger in a cut from the store', () => {
-  it('allows more as the cut goes on', async () => {
+describe('PrepaidLedger while disconnected from the store', () => {
+  it('allows more as the disconnection lasts', async () => {
     const { clock, start } = setUp()
     const node = start('first', 0)
     await clock.advance(1_000)
@@ -109,11 +109,11 @@
       if ((await ask(clock, node, 4_000)).kind === 'reserved') served.push(second)
       await clock.advance(1_000)
     }
-    // Found on a played day: tries to write began the bound anew, so that it never grew.
+    // Guards against write attempts that restart the bound, so that it never grows.
     expect(served.length).toBeGreaterThan(5)
   })
 
-  it('says when to come back where the holding covers a request but the bound does not yet', async () => {
+  it('returns a wait time if the holding covers a request but the bound does not yet', async () => {
     const { clock, start } = setUp()
     const node = start('first', 0)
     await clock.advance(1_000)
@@ -127,7 +127,7 @@
   })
 })
 
-describe('PrepaidLedger when the store is back', () => {
+describe('PrepaidLedger when the store is reachable again', () => {
   it('records what all budgets spent as soon as one of them is answered', async () => {
     const { clock, start, holder } = setUp()
     const node = start('first', 0)
@@ -145,16 +145,16 @@
       expect((await asked).kind).toBe('reserved')
     }
     node.faults.isUnreachable = false
-    // Found on a played day: each budget waited for a read of its own, up to a second.
+    // Guards against each budget waiting for a read of its own, for up to a second.
     await clock.advance(300)
-    // What was spent, and one more request of that size ahead.
+    // The spent tokens, and one more request of that size ahead.
     const recorded = 2_000 + 2_000
     expect(budgets.map(budget => holder(budget).committed)).toEqual(budgets.map(() => recorded))
   })
 })
 
-describe('PrepaidLedger after a death', () => {
-  it('settles what the dead incarnation can have spent and frees the rest', async () => {
+describe('PrepaidLedger after a termination', () => {
+  it('settles what the crashed incarnation can have spent and frees the rest', async () => {
     const { clock, start, pool, events } = setUp()
     const node = start('first', 0)
     await clock.advance(1_000)
@@ -170,7 +170,7 @@
     expect((await ask(clock, successor, 30_000)).kind).toBe('reserved')
   })
 
-  it('leaves nothing behind when it left in order', async () => {
+  it('keeps no holding after a planned stop', async () => {
     const { clock, start, pool } = setUp()
     const node = start('first', 0)
     await clock.advance(1_000)
@@ -183,8 +183,8 @@
   })
 })
 
-describe('PrepaidLedger on an instance that stands by', () => {
-  it('writes nothing and holds nothing until a caller comes', async () => {
+describe('PrepaidLedger on a standby instance', () => {
+  it('writes nothing and holds nothing until a caller arrives', async () => {
     const { clock, start, state, rowKeys, pool } = setUp()
     state.isActive = false
     const node = start('first', 0)
@@ -194,14 +194,14 @@
     expect(pool().allocated).toBeGreaterThanOrEqual(5_000)
   })
 
-  it('gives back what it held as an active one, but for what is reserved', async () => {
+  it('gives back what it held while active, except for reserved tokens', async () => {
     const { clock, start, state, pool, holder } = setUp()
     const node = start('first', 0)
     await clock.advance(1_000)
     const asked = await ask(clock, node, 5_000)
     expect(pool().allocated).toBeGreaterThan(LIMIT / 2)
     state.isActive = false
-    // What callers asked for lately may be asked for again; that fades.
+    // Recent demand may return, so tokens are held for it; this demand decays.
     await clock.advance(90_000)
     expect(pool().allocated).toBe(5_000)
     if (asked.kind === 'reserved') node.ledger.settle(asked.reservation, 1_000)
@@ -209,7 +209,7 @@
     expect(holder(BUDGET)).toMatchObject({ granted: 1_000, committed: 1_000 })
   })
 
-  it('holds for callers that come all the same, so that a cut does not refuse them', async () => {
+  it('holds tokens for callers that arrive nevertheless, so that a disconnection does not refuse them', async () => {
     const { clock, start, state } = setUp()
     state.isActive = false
     const node = start('first', 0)
@@ -220,7 +220,8 @@
     }
     node.faults.isUnreachable = true
     await clock.advance(3_000)
-    // Found on a played day: a weak instance with all callers of one tenant held next to nothing.
+    // Guards against an instance of small capacity holding next to nothing although it receives all
+    // callers of a tenant.
     let served = 0
     for (let round = 0; round < 10; round += 1) {
       if ((await ask(clock, node, 500)).kind === 'reserved') served += 1
@@ -229,7 +230,7 @@
     expect(served).toBeGreaterThan(7)
   })
 
-  it('asks for a holding of its own though the pool is empty and loans pay for each request', async () => {
+  it('requests a holding of its own although the pool is empty and loans cover each request', async () => {
     const { clock, rows, start, state, rowKeys } = setUp()
     state.isActive = false
     const other = { ...EMPTY_HOLDER, granted: LIMIT }
@@ -245,11 +246,12 @@
     for (let round = 0; round < 20; round += 1) {
       expect((await ask(clock, node, 500)).kind).toBe('reserved')
     }
-    // Others give back for demand that rows tell; without a row nobody learns of it.
+    // Other instances give back tokens for demand that rows show; without a row, none of them
+    // learns of the demand.
     expect(rowKeys()).toContain(holderKey('node-1'))
   })
 
-  it('frees what its own dead predecessor held', async () => {
+  it('frees what its own crashed predecessor held', async () => {
     const { clock, start, state, pool, events } = setUp()
     const node = start('first', 0)
     await clock.advance(1_000)
@@ -266,7 +268,7 @@
   })
 })
 
-/** Shows an instance the rows of the budget, as its mirror of the table does. */
+/** Passes the rows of the budget to an instance, as its mirror of the table does. */
 async function follow({ ledger, store }: Started): Promise<void> {
   const outcome = await store.readPartition(PREPAID_TABLE, BUDGET)
   if (outcome.kind === 'rows') ledger.observe(outcome.rows, true)
--- a/packages/coordination/__tests__/restartAfterCut.spec.ts
+++ b/packages/coordination/__tests__/restartAfterCut.spec.ts
@@ -7,35 +7,41 @@
 const SCARCE_SECONDS = 20
 const PLENTY_SECONDS = 60
 
-/** Of what was unspent when all died, a quarter is the least that can be spent again, whoever asks for it. */
+/**
+ * At least a quarter of the tokens that were unspent when all instances crashed must be spendable
+ * again, whoever requests them.
+ */
 const LEAST_REGAINED = 0.25
-/** Of a plentiful budget whose callers ask on, half is the least. */
+/** At least half, if the budget is plentiful and its callers continue to request tokens. */
 const LEAST_REGAINED_OF_PLENTY = 0.5
-/** Of a plentiful budget, callers get nearly all that they ask for, in a cut and after a restart. */
+/**
+ * Of a plentiful budget, callers get nearly all requested tokens, during a disconnection and after
+ * a restart.
+ */
 const LEAST_SERVED = 0.9
 
-/** All cuts, with and without peers within reach, and all seeds. */
-async function replayAll(secondsLeft: number, demandInCut: number): Promise<Played[]> {
-  const played: Played[] = []
+/** Replays all durations of the disconnection, with and without reachable peers, for all seeds. */
+async function replayAll(secondsLeft: number, demandInCut: number): Promise<Replay[]> {
+  const replays: Replay[] = []
   for (const cutMilliseconds of CUTS) {
     for (const hasPeers of [true, false]) {
       for (const seed of SEEDS) {
         const scenario = { seed, cutMilliseconds, hasPeers, secondsLeft, demandInCut }
         const outcome = await replayRestart(scenario)
-        played.push({ name: JSON.stringify(scenario), outcome })
+        replays.push({ name: JSON.stringify(scenario), outcome })
       }
     }
   }
-  return played
+  return replays
 }
 
-interface Played {
+interface Replay {
   readonly name: string
   readonly outcome: RestartOutcome
 }
 
-describe('a budget whose instances all die in a cut from the store', () => {
-  it('is not lost to its callers, who find its tokens when the instances are back', async () => {
+describe('a budget whose instances all crash while disconnected from the store', () => {
+  it('is available to its callers again after the instances restart', async () => {
     for (const secondsLeft of [SCARCE_SECONDS, PLENTY_SECONDS]) {
       for (const demandInCut of [0, 0.3, 1]) {
         for (const { name, outcome } of await replayAll(secondsLeft, demandInCut)) {
@@ -49,9 +55,9 @@
     }
   })
 
-  it('serves its callers during the cut while there is plenty', async () => {
-    const played = await replayAll(PLENTY_SECONDS, 1)
-    const shares = played.map(({ outcome }) => outcome.servedInCut)
+  it('serves its callers during the disconnection while it is plentiful', async () => {
+    const replays = await replayAll(PLENTY_SECONDS, 1)
+    const shares = replays.map(({ outcome }) => outcome.servedInCut)
     const mean = shares.reduce((sum, share) => sum + share, 0) / shares.length
     expect(mean).toBeGreaterThan(LEAST_SERVED)
   })
--- a/packages/coordination/__tests__/slowStore.spec.ts
+++ b/packages/coordination/__tests__/slowStore.spec.ts
@@ -5,10 +5,10 @@
 import type { PrepaidMember } from '@rackwalk/stand-ins'
 
 /**
- * Symptom: while calls to the store take 250 to 1,000 ms, callers are refused though 95 in 100 of these
- * requests are held unspent by the instance that they ask (trouble-2 of a large site, seconds 5 to 7).
- * Sequence: twelve instances share a budget that lasts half a minute, so that each gets one large request
- * in two seconds; then the store becomes slow for four seconds.
+ * Guards against refusing callers while calls to the store take 250 to 1,000 ms, although for 95 of
+ * 100 of these requests, the instance that receives them holds enough unspent tokens. Twelve
+ * instances share a budget that lasts half a minute, so that each receives one large request every
+ * two seconds; then the store becomes slow for four seconds.
  */
 
 const BUDGET = 'team'
@@ -17,10 +17,10 @@
 const REQUEST_TOKENS = 8_000
 const REQUEST_MILLISECONDS = 300
 const PATIENCE_MILLISECONDS = 100
-/** Six requests a second. */
+/** Six requests per second. */
 const PAUSE_MILLISECONDS = 1_000 / 6
 const SLOW_MILLISECONDS = 700
-/** A question to another instance, one way and back. */
+/** Durations of a loan request to another instance: one way, and the timeout. */
 const LOAN_TIMES = { oneWayMilliseconds: 4, timeoutMilliseconds: 4 }
 const LIMITS = { writesPerSecond: 3_200, partitionWritesPerSecond: 150, reserveShare: 0 }
 const NAMES = Array.from({ length: INSTANCES }, (_, index) => `instance-${index}`)
@@ -31,7 +31,7 @@
   private readonly rows = new MemoryRowStore(this.clock)
   private readonly members: readonly PrepaidMember[] = NAMES.map(name => this.start(name))
 
-  /** Sends requests to instances at random for so long; the share that is served. */
+  /** Sends requests to random instances for the given time and returns the share that is served. */
   async ask(milliseconds: Milliseconds): Promise<number> {
     const asked = Math.floor(milliseconds / PAUSE_MILLISECONDS)
     let served = 0
@@ -79,13 +79,13 @@
 }
 
 describe('a budget that many instances hold', () => {
-  it('is served from while the store answers', async () => {
+  it('serves requests while the store answers', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(2_000)
     expect(await fleet.ask(6_000)).toBeGreaterThan(0.98)
   })
 
-  it('is served from while the store answers slowly', async () => {
+  it('serves requests while the store answers slowly', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(2_000)
     await fleet.ask(6_000)
--- a/packages/coordination/__tests__/standbyDemand.spec.ts
+++ b/packages/coordination/__tests__/standbyDemand.spec.ts
@@ -5,29 +5,33 @@
 import { MemoryRowStore, loanChannelTo, startPrepaidMember } from '@rackwalk/stand-ins'
 
 /**
- * Symptom: of one team's requests far too few were served, though nobody else used its budget.
- * Sequence: all of its callers come to one instance that the directory does not name; it holds nothing
- * ahead of demand; seconds later it is cut off from the store and from all others.
- * Cause: tokens stood where nobody asked. The holders divided the budget among instances that membership
- * calls working, told each 4.4 s, and did not look at the demand in the rows that they read; the instance
- * wrote again and again without noticing that the pool had filled; and its meter took the first second of
- * demand for a sixth of it, since the process was older than the demand.
- * What settled it: `granted` 130,813 from 1.9 to 15 s at a `demand` of 95,018 to 224,387 a second, `free` 0,
- * `othersUnspent` 10.03 million, `recordAge` 18 to 273 ms; 167 of 309 requests refused before the cut.
+ * Guards against refusing most requests of a team although no other team uses its budget. All
+ * callers arrive at one instance that the directory does not name, so it holds nothing ahead of
+ * demand; seconds later, it is disconnected from the store and from all other instances.
+ *
+ * Three faults kept the tokens at instances without demand. The holders divided the budget among
+ * the instances that membership reports as working, which takes 4.4 s, and ignored the demand in
+ * the rows that they read. The standby instance wrote again and again without noticing that the
+ * pool had been refilled. Its demand meter read the first second of demand as a sixth of its rate,
+ * since the process was older than the demand.
+ *
+ * As a result, the instance held 130,813 tokens from 1.9 to 15 s at a demand of 95,018 to 224,387
+ * tokens per second, while the pool was empty and others held 10.03 million unspent (its own record
+ * was 18 to 273 ms old); 167 of 309 requests were refused before the disconnection.
  */
 
 const BUDGET = 'team'
 const LIMIT = 10_000_000
 const ACTIVE = Array.from({ length: 8 }, (_, index) => `active-${index + 1}`)
 const STANDBY = 'standby-1'
-/** After this time the others know that callers come to an instance that stands by. */
+/** Delay after which other instances know that a standby instance receives callers. */
 const MEMBERSHIP_MILLISECONDS = 4_400
 const REQUEST_TOKENS = 6_000
 const REQUEST_MILLISECONDS = 300
 const PATIENCE_MILLISECONDS = 100
 const LOAN_TIMES = { oneWayMilliseconds: 2, timeoutMilliseconds: 90 }
 const LIMITS = { writesPerSecond: 1_500, partitionWritesPerSecond: 150, reserveShare: 0 }
-/** 30 requests a second. */
+/** 30 requests per second. */
 const PAUSE_MILLISECONDS = 1_000 / 30
 
 class Fleet {
@@ -35,7 +39,7 @@
   private readonly rows = new MemoryRowStore(this.clock)
   private readonly ledgers = new Map<string, PrepaidLedger>()
   private readonly faults = new Map<string, { isCut: boolean; isTurnedAway: boolean }>()
-  /** Instances that no other instance reaches. */
+  /** Instances that no other instance can reach. */
   private readonly unreached = new Set<string>()
   private starts = 0
   private knownToWorkAt: Milliseconds = Number.POSITIVE_INFINITY
@@ -44,7 +48,10 @@
     for (const instance of [...ACTIVE, STANDBY]) this.start(instance)
   }
 
-  /** Sends one request after the other to these instances in turn; the share that is served. */
+  /**
+   * Sends requests to these instances in turn, one after the other, and returns the share that is
+   * served.
+   */
   async ask(instances: readonly string[], milliseconds: Milliseconds): Promise<number> {
     if (instances.includes(STANDBY)) {
       this.knownToWorkAt = Math.min(
@@ -63,7 +70,7 @@
     return served / asked
   }
 
-  /** Cuts these instances off from the store and from all others. */
+  /** Disconnects these instances from the store and from all others. */
   cut(instances: readonly string[]): void {
     for (const instance of instances) {
       this.unreached.add(instance)
@@ -71,12 +78,12 @@
     }
   }
 
-  /** The store turns this instance away; others reach it. */
-  turnAway(instance: string): void {
+  /** Makes the store reject this instance's calls; other instances can still reach it. */
+  rejectCalls(instance: string): void {
     Object.assign(this.faults.get(instance) ?? {}, { isTurnedAway: true })
   }
 
-  /** Kills the process of an instance and starts another one later. */
+  /** Kills the process of an instance and starts a new one later. */
   async restart(instance: string, milliseconds: Milliseconds): Promise<void> {
     this.ledgers.get(instance)?.stop()
     this.cut([instance])
@@ -119,7 +126,7 @@
     return isReached ? this.ledgers.get(lender) : undefined
   }
 
-  /** Others that serve callers, as membership has them. */
+  /** Other instances that serve callers according to membership. */
   private workingOthers(instance: string): readonly string[] {
     const isKnownToWork = this.clock.monotonic() >= this.knownToWorkAt
     const working = isKnownToWork ? [...ACTIVE, STANDBY] : ACTIVE
@@ -127,14 +134,14 @@
   }
 }
 
-describe('a team whose callers all come to an instance that stands by', () => {
+describe('a team whose callers all arrive at a standby instance', () => {
   it('is served from the first second on', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(16_000)
     expect(await fleet.ask([STANDBY], 5_000)).toBeGreaterThan(0.95)
   })
 
-  it('is served when its callers move there from other instances, after two seconds', async () => {
+  it('is served two seconds after its callers moved there from other instances', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(2_000)
     await fleet.ask(ACTIVE, 8_000)
@@ -142,7 +149,7 @@
     expect(await fleet.ask([STANDBY], 2_000)).toBeGreaterThan(0.95)
   })
 
-  it('is served while all instances are cut off from the store and from each other', async () => {
+  it('is served while all instances are disconnected from the store and from each other', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(16_000)
     await fleet.ask([STANDBY], 5_000)
@@ -150,14 +157,14 @@
     expect(await fleet.ask([STANDBY], 8_000)).toBeGreaterThan(0.85)
   })
 
-  it('is served by loans where the store turns its instance away from the beginning', async () => {
+  it('is served by loans if the store rejects its instance from the start', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(16_000)
-    fleet.turnAway(STANDBY)
+    fleet.rejectCalls(STANDBY)
     expect(await fleet.ask([STANDBY], 9_000)).toBeGreaterThan(0.9)
   })
 
-  it('is served again within a second after its instance was killed and started anew', async () => {
+  it('is served again within a second after its instance was killed and restarted', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(16_000)
     await fleet.ask([STANDBY], 5_000)
@@ -166,7 +173,7 @@
     expect(await fleet.ask([STANDBY], 4_000)).toBeGreaterThan(0.95)
   })
 
-  it('has what one second of its demand could fetch where all are cut off a second after it began', async () => {
+  it('keeps what one second of its demand fetched if all instances are disconnected a second after its start', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(16_000)
     await fleet.ask([STANDBY], 1_000)
@@ -174,11 +181,11 @@
     expect(await fleet.ask([STANDBY], 8_000)).toBeGreaterThan(0.5)
   })
 
-  it('comes to hold what it asks for, though loans would pay for each request', async () => {
+  it('gets a holding that matches its demand, although loans would cover each request', async () => {
     const fleet = new Fleet()
     await fleet.clock.advance(2_000)
     await fleet.ask(ACTIVE, 8_000)
-    // The new process reads the rows once, at a time when the pool has nothing to spare.
+    // The new process reads the rows once, at a time when the pool has no free tokens.
     await fleet.restart(STANDBY, 1_000)
     await fleet.clock.advance(1_000)
     await fleet.ask([STANDBY], 4_000)
--- a/packages/coordination/__tests__/storedRows.spec.ts
+++ b/packages/coordination/__tests__/storedRows.spec.ts
@@ -45,9 +45,9 @@
 import { MemoryObjects, MemoryRowStore, MemoryTable } from '@rackwalk/stand-ins'
 
 /**
- * Rows as they lie in the store. Instances of different versions share them during a rolling
- * restart, and rows outlive every process, so their text must not change: the snapshots pin
- * what is written, and the `READ` texts, kept from commit 86ceb67, must stay readable.
+ * Rows as stored. Instances of different versions share them during a rolling restart, and rows
+ * outlive every process, so their text must not change: the snapshots fix what is written, and the
+ * `READ` texts, kept from commit 86ceb67, must stay readable.
  */
 
 const TEAM = asId<TeamId>('team')
--- a/packages/coordination/__tests__/suspension.spec.ts
+++ b/packages/coordination/__tests__/suspension.spec.ts
@@ -6,8 +6,8 @@
 import { MemoryTable } from '@rackwalk/stand-ins'
 
 /**
- * What ages on an instance whose machine was suspended. What may not be believed for too long counts that time; what allows
- * more the longer it takes does not.
+ * Ages and durations on an instance whose machine was suspended. Whatever expires counts the
+ * suspension; an allowance that grows with time does not.
  */
 
 const SUSPENDED_MILLISECONDS = 10_000
@@ -30,7 +30,7 @@
     expect(clock.sinceStart()).toBe(1_000 + SUSPENDED_MILLISECONDS)
   })
 
-  it('never goes back where the time of day is set back, nor counts slewing', () => {
+  it('never goes back if the time of day is set back, and does not count slewing', () => {
     const readings = { steady: 1_000, timeOfDay: 1_700_000_000_000, sinceBoot: 50_000 }
     const clock = clockOf(readings)
     readings.timeOfDay -= SUSPENDED_MILLISECONDS
@@ -85,18 +85,19 @@
     expect(holding.allowance).toBe(before)
   })
 
-  it("is counted by bounds on the store's time that a suspension leaves true", async () => {
+  it("is counted by bounds on the store's time that stay valid after a suspension", async () => {
     const clock = new VirtualClock()
     const storeClock = new StoreClock(clock)
     const storeTime = () => 50_000 + clock.sinceStart()
     storeClock.recordAnswer(storeTime(), clock.monotonic())
     clock.suspend(SUSPENDED_MILLISECONDS)
     await clock.advance(100)
-    // What a row says of its time is never later than the store's, so a successor counts no less than has passed.
+    // The time written to a row is never later than the store's, so a successor counts at least the
+    // time that has passed.
     expect(storeClock.lowerBound).toBeLessThanOrEqual(storeTime())
     const startedAtMost = storeClock.upperBoundAt(0)
     storeClock.recordAnswer(storeTime(), clock.monotonic())
-    // When its predecessor was dead is never told earlier than it was.
+    // The time by which a predecessor had terminated is never stated too early.
     expect(storeClock.upperBoundAt(0)).toBeGreaterThanOrEqual(startedAtMost ?? Infinity)
   })
 })
--- a/packages/coordination/__tests__/tableMirror.spec.ts
+++ b/packages/coordination/__tests__/tableMirror.spec.ts
@@ -44,8 +44,9 @@
 }
 
 describe('TableMirror', () => {
-  // Who waits for a row that it has heard of would wait for the pause, or for the next call after the one on its way.
-  it('reads at once where it is hurried, in a pause and during a call, and no more often', async () => {
+  // Without an immediate read, an instance that waits for an announced row would have to wait for
+  // the end of the pause, or for the call after the one in flight.
+  it('reads immediately on request, in a pause and during a call, and no more often', async () => {
     const clock = new VirtualClock()
     const store = new MemoryRowStore(clock)
     const { mirror, seen, client } = setUp(undefined, undefined, clock, store, 0, 700)
@@ -64,8 +65,8 @@
     expect(calls.mock.calls.length).toBe(3)
   })
 
-  // Each newcomer that is heard of would cost a call to a store that is in trouble already.
-  it('is not hurried while the store does not answer', async () => {
+  // Otherwise each announced new instance would cause a call to a store that is already failing.
+  it('ignores read requests while the store does not answer', async () => {
     const callsIn10Seconds = async (isHurried: boolean): Promise<number> => {
       const { clock, mirror, faults, client } = setUp()
       await clock.advance(1_000)
@@ -83,7 +84,7 @@
     expect(await callsIn10Seconds(true)).toBe(usual)
   })
 
-  it('has what was there before it began, and every change since', async () => {
+  it('has the rows from before its start, and every change since', async () => {
     const { clock, store, seen } = setUp()
     store.put(TABLE, 'a', '1')
     await clock.advance(1_000)
@@ -96,7 +97,7 @@
     ])
   })
 
-  it('reads everything anew when the store forgot the changes that it lacks', async () => {
+  it('reads the whole table again when the store dropped the changes that it lacks', async () => {
     const { clock, store, faults, seen } = setUp()
     store.put(TABLE, 'a', '1')
     await clock.advance(1_000)
@@ -110,7 +111,7 @@
     expect([...seen]).toEqual([['b', '2']])
   })
 
-  it('takes from a peer what the store does not tell, and goes on from there', async () => {
+  it('gets rows from a peer while the store does not answer, and continues from there', async () => {
     const peer = setUp()
     peer.store.put(TABLE, 'a', '1')
     await peer.clock.advance(1_000)
@@ -133,7 +134,7 @@
     expect(page?.rows.map(row => [row.key, row.value])).toEqual([['a', undefined]])
   })
 
-  it('goes on after rows that its listener cannot read', async () => {
+  it('continues after rows that its listener cannot read', async () => {
     const { clock, store, seen, listenerFaults } = setUp()
     await clock.advance(1_000)
     store.put(TABLE, 'a', 'poison')
@@ -144,7 +145,7 @@
     expect(seen.get('b')).toBe('2')
   })
 
-  it('reads nothing while changes are not wanted, and the table whole when they are again', async () => {
+  it('reads nothing while changes are not wanted, and the whole table when they are again', async () => {
     const { clock, store, seen, wanted } = setUp()
     store.put(TABLE, 'a', '1')
     await clock.advance(1_000)
@@ -164,7 +165,8 @@
     wanted.isWanted = false
     wanted.partitions = []
     await clock.advance(1_000)
-    // What an earlier incarnation left in a budget is seen only here, and freed by nobody else.
+    // A holding that an earlier incarnation left in a budget is seen only by this read, and no
+    // other instance frees it.
     store.put(TABLE, 'a', '1', 'budget')
     wanted.partitions = ['budget']
     await clock.advance(1_000)
@@ -172,16 +174,18 @@
   })
 })
 
-describe('a mirror with a near peer', () => {
-  /** A mirror that follows the store, and another that asks it first. */
+describe('a mirror with an upstream peer', () => {
+  /**
+   * A mirror that follows the store, and another one that asks the first mirror before the store.
+   */
   async function setUpTwo() {
     const clock = new VirtualClock()
     const store = new MemoryRowStore(clock)
-    // Endpoints and members change all the time, so nobody waits for a change.
+    // Endpoints and members change constantly, so no call waits for a change.
     const source = setUp(undefined, undefined, clock, store, 0)
     let isPreferred = true
     let asked = 0
-    const nearPeer: UpstreamPeer = {
+    const upstreamPeer: UpstreamPeer = {
       isPreferred: () => isPreferred,
       ask: (_, after) => {
         asked += 1
@@ -189,7 +193,7 @@
       },
       maximumAgeMilliseconds: 600,
     }
-    const follower = setUp(undefined, nearPeer, clock, store, 0)
+    const follower = setUp(undefined, upstreamPeer, clock, store, 0)
     source.store.put(TABLE, 'a', '1')
     await source.clock.advance(1_000)
     return { source, follower, asked: () => asked, prefer: (is: boolean) => (isPreferred = is) }
@@ -209,7 +213,7 @@
     expect(follower.mirror.age).toBeLessThan(600)
   })
 
-  it('asks the store where the peer knows nothing new enough', async () => {
+  it('asks the store if the peer has no recent enough page', async () => {
     const { source, follower } = await setUpTwo()
     source.faults.isCut = true
     await source.clock.advance(2_000)
@@ -219,7 +223,7 @@
     expect(follower.seen.get('b')).toBe('2')
   })
 
-  it('is as old as what the peer told, never younger', async () => {
+  it("is as stale as the peer's page, never fresher", async () => {
     const { source, follower } = await setUpTwo()
     follower.faults.isCut = true
     source.faults.isCut = true
@@ -227,7 +231,7 @@
     expect(follower.mirror.age).toBeGreaterThan(2_000)
   })
 
-  it('follows the store itself where it is active', async () => {
+  it('follows the store itself if the peer is not preferred', async () => {
     const { source, follower, asked, prefer } = await setUpTwo()
     prefer(false)
     await source.clock.advance(100)
--- a/packages/coordination/__tests__/validatingTable.spec.ts
+++ b/packages/coordination/__tests__/validatingTable.spec.ts
@@ -5,13 +5,13 @@
 import { ValidatingTable } from '@rackwalk/coordination'
 import { MemoryTable } from '@rackwalk/stand-ins'
 
-/** Whole but for its resource, which must not be taken for a deletion. */
+/** Valid except for its resource, which must not be taken for a deletion. */
 const CHANGE = {
   ...{ revision: 1, kind: 'teams', name: 'team', resource: { kind: 'teams' } },
   ...{ writeId: 'w', operator: 'o', at: 0 },
 }
 
-/** A row and its partition; each is malformed, for the reason that its name gives. */
+/** Malformed rows with their partitions; the first element names the defect. */
 const MALFORMED: readonly (readonly [string, string, JsonValue])[] = [
   ['a budget without a limit', 'budgets', { budgetId: 'b', teamId: 't', settled: 0, holders: {} }],
   ['a claim in no known state', 'claim/team', { state: 'lost', incarnation: 'i', requestId: 'r' }],
@@ -45,15 +45,15 @@
   }
 }
 
-describe('the table with its rows checked', () => {
-  it.each(MALFORMED)('does not give %s', async (_, partition, value) => {
+describe('a validating table', () => {
+  it.each(MALFORMED)('rejects %s', async (_, partition, value) => {
     const { table, key, malformed } = await tableWith(partition, value)
     expect(await codeOf(table.get(key))).toBe(ResultCode.PlatformUnavailable)
     expect(await codeOf(table.query(partition))).toBe(ResultCode.PlatformUnavailable)
     expect(malformed).toEqual([`${partition}/row`, `${partition}/row`])
   })
 
-  it('gives markers, whose keys alone say something', async () => {
+  it('returns markers, of which only the keys carry information', async () => {
     const { table, key, malformed } = await tableWith('holding/first', {})
     expect((await table.get(key))?.value).toEqual({})
     expect(malformed).toEqual([])
