--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -42,38 +42,38 @@
   private async run(): Promise<void> {
     this.running = true
     while (this.queue.length > 0) {
-      const joined = this.takeCoalescible()
-      await this.commitCoalesced(joined)
+      const combined = this.takeCoalescible()
+      await this.commitCoalesced(combined)
     }
     this.running = false
   }
 
   private takeCoalescible(): readonly QueuedBatch[] {
     const rows = new Set<string>()
-    const joined: QueuedBatch[] = []
+    const combined: QueuedBatch[] = []
     for (const batch of this.queue) {
       const names = batch.request.writes.map(write => encodeRowKey(write.key))
       const isTooLarge = rows.size + names.length > MAXIMUM_TRANSACTION_WRITES
       const hasConflict = names.some(name => rows.has(name))
-      if (joined.length > 0 && (isTooLarge || hasConflict)) break
+      if (combined.length > 0 && (isTooLarge || hasConflict)) break
       for (const name of names) rows.add(name)
-      joined.push(batch)
+      combined.push(batch)
     }
-    this.queue = this.queue.slice(joined.length)
-    return joined
+    this.queue = this.queue.slice(combined.length)
+    return combined
   }
 
-  private async commitCoalesced(joined: readonly QueuedBatch[]): Promise<void> {
-    const [first] = joined
+  private async commitCoalesced(combined: readonly QueuedBatch[]): Promise<void> {
+    const [first] = combined
     if (first === undefined) return
-    if (joined.length === 1) return this.commitAlone(first)
+    if (combined.length === 1) return this.commitAlone(first)
     try {
       // The rows of each batch keep the transaction id by which its writer recognizes them.
-      const result = await this.table.transactMany(joined.map(batch => batch.request))
-      if (result.committed) for (const batch of joined) batch.resolve(result)
-      else await Promise.all(joined.map(batch => this.commitAlone(batch)))
+      const result = await this.table.transactMany(combined.map(batch => batch.request))
+      if (result.committed) for (const batch of combined) batch.resolve(result)
+      else await Promise.all(combined.map(batch => this.commitAlone(batch)))
     } catch (thrown) {
-      for (const batch of joined) batch.reject(thrown as Error)
+      for (const batch of combined) batch.reject(thrown as Error)
     }
   }
 
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -69,7 +69,7 @@
       const row = await this.parts.table.get(leaseKey(this.parts.name))
       const lease = row && decodeRowValue(leaseRowCodec, row)
       if (lease?.holder === this.parts.incarnation) await this.write(lease.epoch, row)
-      else if (this.isLapsed(row)) await this.write((lease?.epoch ?? 0) + 1, row)
+      else if (this.isExpired(row)) await this.write((lease?.epoch ?? 0) + 1, row)
     } catch (thrown) {
       if (!(thrown instanceof RackwalkError)) throw thrown
     }
@@ -80,7 +80,7 @@
    * Whether the lease has expired: its row was seen unchanged for the whole duration on this
    * instance's own clock.
    */
-  private isLapsed(row: Row | undefined): boolean {
+  private isExpired(row: Row | undefined): boolean {
     if (row === undefined) return true
     const now = this.parts.clock.sinceStart()
     if (this.observed?.version !== row.version) {
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -276,13 +276,13 @@
 
   /** Removes one row that is no longer renewed, so that such rows do not accumulate. */
   private async removeStaleRow(): Promise<void> {
-    const abandoned = [...this.members].find(
+    const stale = [...this.members].find(
       ([, member]) =>
         this.observedTime - member.changedAt >
         REMOVE_AFTER_SILENCES * this.silenceTimeoutOf(member),
     )
-    if (abandoned === undefined) return
-    const [key, { version }] = abandoned
+    if (stale === undefined) return
+    const [key, { version }] = stale
     const address = { table: MEMBER_TABLE, partition: MEMBER_PARTITION, key }
     const conditions = [{ ...address, version }]
     await this.parts.store.write({ conditions, puts: [], removals: [address] })
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -75,7 +75,7 @@
   private cached: LiveView | undefined
 
   constructor(
-    private readonly place: MemberLocation,
+    private readonly location: MemberLocation,
     private readonly describeSelf: () => MemberInfo,
     private readonly clock: Clock,
     private readonly random: RandomSource,
@@ -91,7 +91,7 @@
    * ignored.
    */
   mergeMember(info: MemberInfo): void {
-    if (info.incarnation === this.place.incarnation) return
+    if (info.incarnation === this.location.incarnation) return
     const known = this.members.get(info.incarnation)
     if (known !== undefined && known.info.heartbeat >= info.heartbeat) return
     this.remember(info)
@@ -128,14 +128,14 @@
   }
 
   isLive(incarnation: IncarnationId): boolean {
-    if (incarnation === this.place.incarnation) return true
+    if (incarnation === this.location.incarnation) return true
     const known = this.members.get(incarnation)
     return known !== undefined && this.isRecentlyHeard(known)
   }
 
   /** The last report of a member, live or not. */
   find(incarnation: IncarnationId): MemberInfo | undefined {
-    if (incarnation === this.place.incarnation) return this.self
+    if (incarnation === this.location.incarnation) return this.self
     return this.members.get(incarnation)?.info
   }
 
@@ -172,15 +172,15 @@
   planHeartbeats(): readonly PlannedHeartbeat[] {
     this.roundNumber += 1
     const others = this.liveMembers().filter(
-      member => member.incarnation !== this.place.incarnation,
+      member => member.incarnation !== this.location.incarnation,
     )
     const ownGroup = this.ownGroup
-    const near = others.filter(member => this.groupOf(member) === ownGroup)
-    const far = others.filter(member => this.groupOf(member) !== ownGroup)
+    const inGroup = others.filter(member => this.groupOf(member) === ownGroup)
+    const outsideGroup = others.filter(member => this.groupOf(member) !== ownGroup)
     const digests = this.digests()
-    const nearDigests = this.roundNumber % DIGEST_PERIOD === 0 ? digests : []
-    const planned = near.map(member => ({ target: member.incarnation, digests: nearDigests }))
-    const chosen = far[randomBelow(this.random, far.length)]
+    const inGroupDigests = this.roundNumber % DIGEST_PERIOD === 0 ? digests : []
+    const planned = inGroup.map(member => ({ target: member.incarnation, digests: inGroupDigests }))
+    const chosen = outsideGroup[randomBelow(this.random, outsideGroup.length)]
     if (chosen === undefined) return planned
     return [...planned, { target: chosen.incarnation, digests }]
   }
@@ -243,18 +243,18 @@
   private mergeDigest(digest: GroupDigest): boolean {
     if (digest.group === this.ownGroup) return false
     const known = this.groups.get(digest.group)
-    const isNews = known === undefined || digest.beat !== known.digest.beat
-    if (isNews) {
+    const hasChanged = known === undefined || digest.beat !== known.digest.beat
+    if (hasChanged) {
       this.groups.set(digest.group, { digest, heardAt: this.clock.monotonic() })
     }
-    return isNews && hashOf(this.membersOf(digest.group)) !== digest.membersHash
+    return hasChanged && hashOf(this.membersOf(digest.group)) !== digest.membersHash
   }
 
   private isRecentlyHeard(known: KnownMember): boolean {
     const oldest = this.clock.monotonic() - this.timings.silenceMilliseconds
     const group = this.groups.get(this.groupOf(known.info))
-    const isGroupMate = this.groupOf(known.info) === this.ownGroup
-    if (isGroupMate || group === undefined) return known.heardAt >= oldest
+    const isInOwnGroup = this.groupOf(known.info) === this.ownGroup
+    if (isInOwnGroup || group === undefined) return known.heardAt >= oldest
     // Reports about other groups pass through several instances, so they may be older.
     return group.heardAt >= oldest - this.timings.silenceMilliseconds
   }
@@ -269,7 +269,7 @@
   }
 
   private get ownGroup(): string {
-    return this.groupOf(this.place)
+    return this.groupOf(this.location)
   }
 
   private groupOf(member: MemberLocation): string {
--- a/packages/coordination/src/prepaid/borrower.ts
+++ b/packages/coordination/src/prepaid/borrower.ts
@@ -102,10 +102,10 @@
    */
   private eligibleLenders(budget: string, lenders: readonly string[]): readonly string[] {
     const now = this.parts.clock.monotonic()
-    const isRested = (time: Milliseconds | undefined) => time === undefined || time <= now
+    const isBackoffOver = (time: Milliseconds | undefined) => time === undefined || time <= now
     return lenders
-      .filter(lender => isRested(this.silentUntil.get(lender)))
-      .filter(lender => isRested(this.shortUntil.get(`${lender}/${budget}`)))
+      .filter(lender => isBackoffOver(this.silentUntil.get(lender)))
+      .filter(lender => isBackoffOver(this.shortUntil.get(`${lender}/${budget}`)))
       .sort((left, right) => this.inFlightTo(left) - this.inFlightTo(right))
       .sort((left, right) => Number(this.isSilent(left)) - Number(this.isSilent(right)))
       .slice(0, LENDERS_ASKED)
--- a/packages/coordination/src/prepaid/demandMeter.ts
+++ b/packages/coordination/src/prepaid/demandMeter.ts
@@ -27,7 +27,7 @@
      * Lower bound of the averaging window. The longer it is, the less weight a single request has;
      * at the full window length, each request counts as one of many.
      */
-    private readonly shortestSeen: Milliseconds = MINIMUM_WINDOW_MILLISECONDS,
+    private readonly minimumWindowMilliseconds: Milliseconds = MINIMUM_WINDOW_MILLISECONDS,
   ) {
     this.startedAt = clock.monotonic()
     this.countedAt = this.startedAt
@@ -43,7 +43,8 @@
   get perSecond(): number {
     this.decay()
     return (
-      (this.decayedTotal * 1000) / Math.max(this.shortestSeen, this.effectiveWindowMilliseconds)
+      (this.decayedTotal * 1000) /
+      Math.max(this.minimumWindowMilliseconds, this.effectiveWindowMilliseconds)
     )
   }
 
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -100,7 +100,7 @@
   private readonly waiting: WaitingRequests
   private writing: Promise<void> | undefined
   private readonly storeHealth: StoreHealth
-  private largest: TokenCount = 0
+  private largestRequest: TokenCount = 0
   private isClosed = false
   private readonly report: AccountReport
 
@@ -140,7 +140,7 @@
   /** Records that a caller of this instance requests tokens, whichever instance holds them. */
   recordDemand(tokens: TokenCount): void {
     this.demand.add(tokens)
-    this.largest = Math.max(tokens, this.largest * LARGEST_DECAY)
+    this.largestRequest = Math.max(tokens, this.largestRequest * LARGEST_DECAY)
   }
 
   /** Whether this holding, or a transaction with the pool, is likely to cover the tokens. */
@@ -489,7 +489,7 @@
       ownDemandPerSecond: this.demand.perSecond,
       others: this.view.othersOf(this.others),
       isStandby: !this.parts.isActive(),
-      largestRequest: this.largest,
+      largestRequest: this.largestRequest,
     }
   }
 
@@ -506,8 +506,8 @@
    */
   private refuseUncoverable(): void {
     const reachable = this.holding.unspent + Math.max(0, freeInPool(this.view.pool ?? NO_POOL))
-    const hopeless = this.waiting.removeWhere(request => request.tokens > reachable)
-    for (const request of hopeless) request.finish(this.refused(request.tokens))
+    const uncoverable = this.waiting.removeWhere(request => request.tokens > reachable)
+    for (const request of uncoverable) request.finish(this.refused(request.tokens))
   }
 
   private transactionOf(plan: WritePlan): RowTransaction {
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -116,8 +116,8 @@
   }
 
   observe(rows: readonly ChangedRow[], isWhole: boolean): void {
-    for (const [budget, ofBudget] of groupBy(rows, row => row.partition)) {
-      this.accounts.get(budget)?.observe(ofBudget, isWhole)
+    for (const [budget, budgetRows] of groupBy(rows, row => row.partition)) {
+      this.accounts.get(budget)?.observe(budgetRows, isWhole)
     }
   }
 
@@ -248,12 +248,12 @@
    * most that their rows allow.
    */
   private probeFailing(): void {
-    const lost = [...this.accounts.values()].filter(account => account.isStoreFailing)
+    const failing = [...this.accounts.values()].filter(account => account.isStoreFailing)
     this.probeTurn += 1
-    const next = lost[this.probeTurn % Math.max(1, lost.length)]
+    const next = failing[this.probeTurn % Math.max(1, failing.length)]
     void next?.probe().then(isReached => {
       if (!isReached) return
-      for (const other of lost) if (other.isStoreFailing) void other.probe()
+      for (const other of failing) if (other.isStoreFailing) void other.probe()
     })
   }
 
