--- a/packages/decisions/src/slidingCount.ts
+++ b/packages/decisions/src/slidingCount.ts
@@ -1,39 +1,39 @@
-/** Counts what happened within the last while. Owns the counts of the parts into which that time is cut. */
+/** Counts events over a sliding window of time. Owns one count for each slice of the window. */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** A count over a sliding window; what is counted leaves with its part of the window. */
+/** A count of events over a sliding window. Events leave the count together with their slice. */
 export class SlidingCount {
-  /** By number of the part. */
+  /** Event counts by slice number. */
   private readonly counts = new Map<number, number>()
 
   constructor(
     private readonly windowMilliseconds: Milliseconds,
-    /** Parts of the window: the more, the less is lost when one leaves. */
-    private readonly parts: number,
+    /** Number of slices. The more slices, the fewer events leave the count at once. */
+    private readonly slices: number,
   ) {}
 
-  /** One more happened; `now` is monotonic. */
+  /** Adds an event; `now` is monotonic. */
   add(now: Milliseconds): void {
-    const part = this.partAt(now)
-    this.counts.set(part, (this.counts.get(part) ?? 0) + 1)
-    for (const old of this.counts.keys()) if (old <= part - this.parts) this.counts.delete(old)
+    const slice = this.sliceAt(now)
+    this.counts.set(slice, (this.counts.get(slice) ?? 0) + 1)
+    for (const old of this.counts.keys()) if (old <= slice - this.slices) this.counts.delete(old)
   }
 
-  /** How many happened within the window that ends now. */
+  /** Returns the number of events in the window that ends at `now`. */
   at(now: Milliseconds): number {
-    const oldest = this.partAt(now) - this.parts
+    const oldest = this.sliceAt(now) - this.slices
     let sum = 0
-    for (const [part, count] of this.counts) if (part > oldest) sum += count
+    for (const [slice, count] of this.counts) if (slice > oldest) sum += count
     return sum
   }
 
-  private partAt(now: Milliseconds): number {
-    return Math.floor((now * this.parts) / this.windowMilliseconds)
+  private sliceAt(now: Milliseconds): number {
+    return Math.floor((now * this.slices) / this.windowMilliseconds)
   }
 }
 
-/** The share of events of one kind among all in a time that goes with the clock. */
+/** The share of events of one kind among all events in a sliding window. */
 export class SlidingShare {
   private readonly all: SlidingCount
   private readonly counted: SlidingCount
@@ -41,26 +41,26 @@
   constructor(
     windowMilliseconds: Milliseconds,
     slices: number,
-    /** Fewer events in that time tell nothing. */
-    private readonly leastEvents: number,
+    /** With fewer events in the window, the share is taken as 0. */
+    private readonly minimumEvents: number,
   ) {
     this.all = new SlidingCount(windowMilliseconds, slices)
     this.counted = new SlidingCount(windowMilliseconds, slices)
   }
 
-  /** An event of any kind. */
+  /** Adds an event of any kind. */
   note(now: Milliseconds): void {
     this.all.add(now)
   }
 
-  /** One of those noted was of the kind that is counted. */
+  /** Marks one of the noted events as being of the counted kind. */
   noteCounted(now: Milliseconds): void {
     this.counted.add(now)
   }
 
-  /** The share, in [0, 1]; 0 where too few events tell. */
+  /** Returns the share, in [0, 1]; 0 if the window has too few events. */
   at(now: Milliseconds): number {
     const all = this.all.at(now)
-    return all < this.leastEvents ? 0 : Math.min(1, this.counted.at(now) / all)
+    return all < this.minimumEvents ? 0 : Math.min(1, this.counted.at(now) / all)
   }
 }
