--- a/bench/src/bounds/bound.ts
+++ b/bench/src/bounds/bound.ts
@@ -1,4 +1,4 @@
-/** One thing that a bench promises about counts or ratios of the same run. */
+/** A bound on a count, or on a ratio of figures of the same run. */
 export interface Bound {
   readonly name: string
   readonly value: number
@@ -6,17 +6,17 @@
   readonly atLeast?: number
 }
 
-/** Prints the bounds and gives those that do not hold. */
+/** Prints the bounds and returns those that are not met. */
 export function checkBounds(bounds: readonly Bound[]): readonly Bound[] {
-  const broken = bounds.filter(bound => !holds(bound))
+  const unmet = bounds.filter(bound => !isMet(bound))
   for (const bound of bounds) {
-    const mark = holds(bound) ? 'ok  ' : 'FAIL'
-    console.log(`${mark} ${bound.name}: ${bound.value} ${describe(bound)}`)
+    const result = isMet(bound) ? 'ok  ' : 'FAIL'
+    console.log(`${result} ${bound.name}: ${bound.value} ${describe(bound)}`)
   }
-  return broken
+  return unmet
 }
 
-function holds({ value, atMost, atLeast }: Bound): boolean {
+function isMet({ value, atMost, atLeast }: Bound): boolean {
   if (Number.isNaN(value)) return false
   return (atMost === undefined || value <= atMost) && (atLeast === undefined || value >= atLeast)
 }
--- a/bench/src/budgets/budgetSimulation.ts
+++ b/bench/src/budgets/budgetSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * Drives the real coordination nodes with a demand on prepaid budgets, on virtual time, and counts false
- * refusals, overspending and calls to the table.
+ * Runs real coordination nodes against a simulated demand on prepaid budgets, on virtual time, and
+ * counts false refusals, overspent tokens and calls to the table.
  */
 
 import { RackwalkError, ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
@@ -42,16 +42,16 @@
 import type { SimulatedRequest } from './demand.js'
 import type { Scenario } from './scenario.js'
 
-/** What one run showed. */
+/** Results of one run. */
 export interface BudgetOutcome {
-  /** Refused for the budget though a single ledger would have had the tokens. */
+  /** Requests refused for their budget although a single ledger would have had the tokens. */
   readonly falseRefusals: number
   readonly overspentTokens: number
   readonly writesPerSecond: number
   readonly readsPerSecond: number
 }
 
-interface Books {
+interface BudgetAccount {
   readonly budgetId: BudgetId
   readonly limit: number
   spent: number
@@ -62,8 +62,8 @@
   readonly node: CoordinationNode
   readonly listed: ListedInstance
   readonly slot: number
-  readonly open: Map<Books, number>
-  isDead: boolean
+  readonly reservedTokens: Map<BudgetAccount, number>
+  hasCrashed: boolean
 }
 
 const LIST_LAG_MILLISECONDS = 10_000
@@ -71,7 +71,7 @@
 const WARM_UP_MILLISECONDS = 5_000
 const REGION = asId<RegionId>('region-a')
 
-/** Drives the real coordination nodes with one user's demand, on virtual time. */
+/** Simulates one user's demand on coordination nodes that share budgets. */
 export class BudgetSimulation {
   private readonly clock = new VirtualClock()
   private readonly table = new MemoryTable()
@@ -79,7 +79,7 @@
   private readonly random: SeededRandom
   private readonly network: SimulatedNetwork
   private readonly list: LaggingList
-  private readonly books: Books[]
+  private readonly accounts: BudgetAccount[]
   private members: Member[] = []
   private incarnations = 0
   private requestCount = 0
@@ -93,22 +93,22 @@
     this.random = new SeededRandom(seed)
     this.network = new SimulatedNetwork(this.clock)
     this.list = new LaggingList(this.clock, LIST_LAG_MILLISECONDS)
-    this.books = Array.from({ length: TEAMS }, (_, team) => this.createBooks(team))
+    this.accounts = Array.from({ length: TEAMS }, (_, team) => this.createAccount(team))
   }
 
   async run(): Promise<BudgetOutcome> {
-    for (const books of this.books) await this.createRow(books)
+    for (const account of this.accounts) await this.createRow(account)
     for (let slot = 0; slot < INSTANCES; slot += 1) this.startMember(slot)
     await this.clock.advance(WARM_UP_MILLISECONDS)
     const writesBefore = this.table.writes
     const readsBefore = this.table.reads
     this.scheduleArrival()
-    if (this.scenario.deathEveryMilliseconds !== undefined) this.scheduleDeath()
+    if (this.scenario.crashPeriodMilliseconds !== undefined) this.scheduleCrash()
     await this.clock.advance(this.scenario.milliseconds)
     const seconds = this.scenario.milliseconds / 1000
     return {
       falseRefusals: this.falseRefusals,
-      overspentTokens: this.books.reduce((sum, b) => sum + Math.max(0, b.spent - b.limit), 0),
+      overspentTokens: this.accounts.reduce((sum, b) => sum + Math.max(0, b.spent - b.limit), 0),
       writesPerSecond: (this.table.writes - writesBefore) / seconds,
       readsPerSecond: (this.table.reads - readsBefore) / seconds,
     }
@@ -119,16 +119,16 @@
     return this.clock.monotonic() - WARM_UP_MILLISECONDS >= tableLostAtMilliseconds
   }
 
-  private createBooks(team: number): Books {
+  private createAccount(team: number): BudgetAccount {
     const seconds = this.scenario.milliseconds / 1000
     const demand = REQUESTS_PER_SECOND * seconds * meanCost() * teamShare(team)
-    // Between nine tenths and eleven tenths of the demand, so that about half come to an end.
+    // Limits range from 0.9 to 1.1 times the demand, so that about half of the budgets run out.
     const limit = Math.round(demand * (0.9 + (0.2 * team) / TEAMS))
     const budgetId = asId<BudgetId>(`budget-${team}`)
     return { budgetId, limit, spent: 0, reserved: 0 }
   }
 
-  private async createRow({ budgetId, limit }: Books): Promise<void> {
+  private async createRow({ budgetId, limit }: BudgetAccount): Promise<void> {
     const row = createBudgetRow(budgetId, asId<TeamId>(budgetId), limit)
     await this.table.transact(asId<TransactionId>(`create ${budgetId}`), [
       {
@@ -172,10 +172,10 @@
       },
     })
     const listed: ListedInstance = { instanceId, peerAddress: incarnation, state: 'live' }
-    const member: Member = { node, listed, slot, open: new Map(), isDead: false }
+    const member: Member = { node, listed, slot, reservedTokens: new Map(), hasCrashed: false }
     this.network.join(incarnation, node.handlers)
     this.list.add(listed)
-    // Found by the platform's list in a fleet; here everybody is introduced at once.
+    // Instances of a fleet find each other by the platform's list; here all are introduced at once.
     for (const other of this.members) {
       other.node.membership.mergeMember(node.describe())
       node.membership.mergeMember(other.node.describe())
@@ -183,7 +183,7 @@
     this.members.push(member)
     node.start()
     this.clock.after(WARM_UP_MILLISECONDS / 2, () => {
-      void node.warm(this.books.map(({ budgetId }) => budgetId))
+      void node.warm(this.accounts.map(({ budgetId }) => budgetId))
     })
   }
 
@@ -199,31 +199,31 @@
   }
 
   private async serve(member: Member, request: SimulatedRequest): Promise<void> {
-    const books = this.books[request.team] as Books
+    const account = this.accounts[request.team] as BudgetAccount
     if (!member.node.isServing || !member.node.journal.hasRoom) return
-    const result = await member.node.ledger.reserve(books.budgetId, request.bound)
-    if (member.isDead) return
-    if (result.kind === 'refused') return this.noteRefusal(books, request)
-    this.hold(member, books, request.bound)
+    const result = await member.node.ledger.reserve(account.budgetId, request.bound)
+    if (member.hasCrashed) return
+    if (result.kind === 'refused') return this.noteRefusal(account, request)
+    this.addReserved(member, account, request.bound)
     this.clock.after(request.milliseconds, () => {
-      if (!member.isDead) this.settle(member, books, result.reservation, request)
+      if (!member.hasCrashed) this.settle(member, account, result.reservation, request)
     })
   }
 
   private settle(
     member: Member,
-    books: Books,
+    account: BudgetAccount,
     reservation: Reservation,
     request: SimulatedRequest,
   ): void {
-    this.hold(member, books, -request.bound)
+    this.addReserved(member, account, -request.bound)
     this.requestCount += 1
     const name = `request-${this.requestCount}`
     try {
       const ticket = member.node.ledger.settle(reservation, {
         kind: 'settle',
-        budgetId: books.budgetId,
-        teamId: asId<TeamId>(books.budgetId),
+        budgetId: account.budgetId,
+        teamId: asId<TeamId>(account.budgetId),
         billKey: asId<IdempotencyKey>(name),
         requestId: asId<RequestId>(name),
         promptTokens: 0,
@@ -233,9 +233,9 @@
         code: ResultCode.Ok,
         endedAt: this.clock.wallTime(),
       })
-      // Counted when the caller may have the end of its answer.
+      // The cost counts as spent once the caller may receive the end of its answer.
       ticket.durableOrHeld.then(
-        () => (books.spent += request.cost),
+        () => (account.spent += request.cost),
         () => undefined,
       )
     } catch (thrown) {
@@ -243,33 +243,33 @@
     }
   }
 
-  private hold(member: Member, books: Books, tokens: number): void {
-    books.reserved += tokens
-    member.open.set(books, (member.open.get(books) ?? 0) + tokens)
+  private addReserved(member: Member, account: BudgetAccount, tokens: number): void {
+    account.reserved += tokens
+    member.reservedTokens.set(account, (member.reservedTokens.get(account) ?? 0) + tokens)
   }
 
-  /** A single ledger that knew everything would have admitted what fits what is left. */
-  private noteRefusal(books: Books, request: SimulatedRequest): void {
-    const left = books.limit - books.spent - books.reserved
-    if (left >= request.bound) this.falseRefusals += 1
+  /** Counts a refusal as false if a single ledger would have had enough tokens left for it. */
+  private noteRefusal(account: BudgetAccount, request: SimulatedRequest): void {
+    const remaining = account.limit - account.spent - account.reserved
+    if (remaining >= request.bound) this.falseRefusals += 1
   }
 
-  private scheduleDeath(): void {
-    this.clock.after(this.scenario.deathEveryMilliseconds ?? 0, () => {
-      const victim = this.members[Math.floor(this.random.next() * this.members.length)]
-      if (victim !== undefined) this.kill(victim)
-      this.scheduleDeath()
+  private scheduleCrash(): void {
+    this.clock.after(this.scenario.crashPeriodMilliseconds ?? 0, () => {
+      const crashing = this.members[Math.floor(this.random.next() * this.members.length)]
+      if (crashing !== undefined) this.crash(crashing)
+      this.scheduleCrash()
     })
   }
 
-  private kill(member: Member): void {
+  private crash(member: Member): void {
     const { incarnation } = member.node
-    member.isDead = true
+    member.hasCrashed = true
     member.node.stop()
     this.network.leave(incarnation)
     this.list.remove(member.listed)
     this.members = this.members.filter(other => other !== member)
-    for (const [books, tokens] of member.open) books.reserved -= tokens
+    for (const [account, tokens] of member.reservedTokens) account.reserved -= tokens
     this.clock.after(REPLACEMENT_MILLISECONDS, () => this.startMember(member.slot))
   }
 }
--- a/bench/src/budgets/index.ts
+++ b/bench/src/budgets/index.ts
@@ -10,9 +10,9 @@
 import { SCENARIOS } from './scenario.js'
 import type { Scenario } from './scenario.js'
 
-/** Bounds on the budgets of the OpenAI-style kind, with the real ledgers of eight instances. */
+/** Bounds on the budgets of the OpenAI-style kind, from the real ledgers of eight instances. */
 
-/** The booking office weighs a false refusal four times as heavily as overspending. */
+/** To the booking office, a false refusal costs four times as much as overspending. */
 const WEIGHTS = { overspend: 1, falseRefusal: 4 }
 
 /** A policy that the setting `budgetPolicy` accepts. */
@@ -27,7 +27,7 @@
   { name: 'weighed', create: () => new CostWeightedPolicy(WEIGHTS) },
 ]
 
-/** Every policy under every scenario. */
+/** Runs every policy in every scenario and returns the bounds on the results. */
 export async function boundBudgets(seed: number): Promise<readonly Bound[]> {
   const bounds: Bound[] = []
   for (const scenario of SCENARIOS) {
@@ -50,7 +50,7 @@
     {
       name: name('false refusals of weighed against equal-split'),
       value: weighed.falseRefusals / Math.max(1, equal.falseRefusals),
-      // Where the budget ends within the outage, what others keep for themselves weighs most.
+      // When a budget runs out in the outage, tokens that others hold cause most false refusals.
       atMost: 0.7,
     },
     { name: name('writes a second'), value: weighed.writesPerSecond, atMost: 100 },
--- a/bench/src/budgets/scenario.ts
+++ b/bench/src/budgets/scenario.ts
@@ -1,10 +1,10 @@
-/** What goes wrong in a run, and for how long it lasts. */
+/** The faults injected into a run, and the length of the run. */
 export interface Scenario {
   readonly name: string
   readonly milliseconds: number
-  /** An instance dies this often and is replaced. */
-  readonly deathEveryMilliseconds?: number
-  /** Time since the demand began from which the table is out of reach to the end. */
+  /** Period at which an instance crashes and is replaced. */
+  readonly crashPeriodMilliseconds?: number
+  /** Time after the start of the demand from which the table is unreachable until the end. */
   readonly tableLostAtMilliseconds?: number
 }
 
@@ -15,7 +15,7 @@
   {
     name: 'a death each minute',
     milliseconds: 10 * MINUTE,
-    deathEveryMilliseconds: MINUTE,
+    crashPeriodMilliseconds: MINUTE,
   },
   {
     name: 'store outage of 30 minutes',
--- a/bench/src/capacity/fleetSize.ts
+++ b/bench/src/capacity/fleetSize.ts
@@ -1,4 +1,4 @@
-/** Numbers of one fleet for which the page is worked out. */
+/** Size and load of a fleet for which the capacity page is computed. */
 export interface FleetSize {
   readonly name: string
   readonly nodes: number
@@ -11,13 +11,13 @@
   readonly requestsPerSecond: number
   readonly tokensPerSecond: number
   readonly changesPerDay: number
-  /** What the platform's store takes from the whole fleet, as the site's sheet says. */
+  /** Rates that the platform's store accepts from the whole fleet, from the site's data sheet. */
   readonly storeWritesPerSecond: number
   readonly storeReadsPerSecond: number
 }
 
-/** The first letter's size. */
-export const LETTER_SIZE: FleetSize = {
+/** The fleet size of the first requirements. */
+export const REQUIREMENT_SIZE: FleetSize = {
   name: 'first letter',
   nodes: 360,
   regions: 7,
@@ -29,7 +29,7 @@
   requestsPerSecond: 14_000,
   tokensPerSecond: 6_300_000,
   changesPerDay: 13_000,
-  // No sheet has this size; these are the largest rates that one states, for 89 nodes.
+  // No data sheet has this size; these are the highest rates that one states, for 89 nodes.
   storeWritesPerSecond: 1_500,
   storeReadsPerSecond: 6_000,
 }
@@ -50,7 +50,7 @@
   storeReadsPerSecond: 2_000,
 }
 
-/** The booking office's larger sheet; most of its nodes stand by. */
+/** The booking office's larger data sheet; most of its nodes are standbys. */
 export const BOOKING_LARGE_SIZE: FleetSize = {
   ...BOOKING_SIZE,
   name: 'booking office, larger',
--- a/bench/src/capacity/gatewayEstimate.ts
+++ b/bench/src/capacity/gatewayEstimate.ts
@@ -1,4 +1,4 @@
-/** Control work of instances of the gateway kind, reckoned from measured slopes. */
+/** Estimates the control work of instances of the gateway kind from measured slopes. */
 
 import type { NodeCost, PlatformCost } from './estimate.js'
 import type { FleetSize } from './fleetSize.js'
@@ -6,61 +6,61 @@
 import type { Slope } from './slope.js'
 
 const MICROSECONDS = 1e6
-/** Datagrams: at most so many bytes a second from one instance (daemon/gateway/loadExchange). */
+/** Limit on the load datagrams that one instance sends (daemon/gateway/loadExchange). */
 const LOAD_BYTES_PER_SECOND = 12_000
 const REPORT_BYTES = 110
 const SHORTEST_REPORT_SECONDS = 0.02
-/** A row of a member, and of a holder, in a feed. */
+/** Bytes of a member's row and of a holder's row in a feed. */
 const MEMBER_ROW_BYTES = 330
 const HOLDER_ROW_BYTES = 420
-/** Row of a server, renewed about each 1.2 s. */
+/** Bytes of a server's row, which is renewed about every 1.2 s. */
 const SERVER_ROW_BYTES = 280
 const SERVER_HEARTBEATS_PER_SECOND = 0.8
-/** Part of the store's writes that records take, and heartbeats of a partition. */
+/** Shares of the write rates: the store's for records, a partition's for heartbeats. */
 const RECORD_SHARE = 0.3
 const HEARTBEAT_SHARE = 0.4
 const PARTITION_WRITES_PER_SECOND = 150
-/** Calls of one instance on its feeds: configuration, servers, members, budgets. */
+/** Calls of an active instance to its feeds: configuration, servers, members, budgets. */
 const FEED_CALLS_PER_SECOND = 0.5 + 4 + 1.4 + 2.5
-/** The same of an instance that stands by: it follows no budgets. */
+/** Calls of a standby instance, which does not follow budgets. */
 const STANDBY_CALLS_PER_SECOND = 0.5 + 1.25 + 0.7
-/** Requests a second that a node of 0.675 cores bears, and how often that covers the load. */
-const NODE_CAPACITY = 40
+/** Rate that a node of 0.675 cores can serve, and the factor by which capacity exceeds the load. */
+const NODE_REQUESTS_PER_SECOND = 40
 const HEADROOM = 2
-const ACTIVE_IN_DOMAIN = 2
-/** A budget without a request for this long is recorded four times less often. */
+const ACTIVE_NODES_PER_DOMAIN = 2
+/** A budget that has had no request for this long is recorded a quarter as often. */
 const ACTIVE_SECONDS = 6
 
-function at(slope: Slope, size: number): number {
+function valueAt(slope: Slope, size: number): number {
   return Math.max(0, slope.fixed + slope.perUnit * size)
 }
 
-/** Nodes that take callers. */
+/** Returns the number of active nodes, which serve callers. */
 function activeNodes(fleet: FleetSize): number {
-  const least = ACTIVE_IN_DOMAIN * fleet.failureDomains
-  const forLoad = Math.ceil((HEADROOM * fleet.requestsPerSecond) / NODE_CAPACITY)
+  const least = ACTIVE_NODES_PER_DOMAIN * fleet.failureDomains
+  const forLoad = Math.ceil((HEADROOM * fleet.requestsPerSecond) / NODE_REQUESTS_PER_SECOND)
   return Math.min(fleet.nodes, Math.max(least, forLoad))
 }
 
-/** Budgets that see a request at one node within the time that keeps them active. */
+/** Returns the number of budgets that get a request at one node within `ACTIVE_SECONDS`. */
 function activeBudgets(fleet: FleetSize): number {
   const requests = fleet.requestsPerSecond / activeNodes(fleet)
   return Math.min(fleet.budgets, requests * ACTIVE_SECONDS)
 }
 
-/** A node that takes callers; every budget of the configuration has an account there. */
+/** Estimates the control work of an active node. It has an account for every configured budget. */
 export function gatewayNodeCosts(fleet: FleetSize, slopes: GatewaySlopes): readonly NodeCost[] {
   const requests = fleet.requestsPerSecond / activeNodes(fleet)
   const peers = activeNodes(fleet) - 1
   const interval = Math.max(SHORTEST_REPORT_SECONDS, (peers * REPORT_BYTES) / LOAD_BYTES_PER_SECOND)
   const reports = peers * Math.min(1 / interval, 4 + requests * 3)
   const heartbeats = Math.min(fleet.nodes, HEARTBEAT_SHARE * PARTITION_WRITES_PER_SECOND)
-  const holders = Math.min(activeNodes(fleet) * activeBudgets(fleet), recordsOf(fleet))
+  const holders = Math.min(activeNodes(fleet) * activeBudgets(fleet), recordWritesPerSecond(fleet))
   const share = (microseconds: number) => microseconds / MICROSECONDS
   return [
     {
       part: 'choice of a server',
-      coreShare: share(at(slopes.choice, fleet.endpoints / fleet.models) * requests),
+      coreShare: share(valueAt(slopes.choice, fleet.endpoints / fleet.models) * requests),
       bytesPerSecond: 0,
       heapBytes: slopes.cacheHeap.perUnit * fleet.endpoints,
       mechanism:
@@ -68,14 +68,14 @@
     },
     {
       part: 'load datagrams, both ways',
-      coreShare: share(at(slopes.reportTaken, 1) * reports),
-      bytesPerSecond: 2 * Math.min(LOAD_BYTES_PER_SECOND, reports * at(slopes.reportBytes, 1)),
+      coreShare: share(valueAt(slopes.reportTaken, 1) * reports),
+      bytesPerSecond: 2 * Math.min(LOAD_BYTES_PER_SECOND, reports * valueAt(slopes.reportBytes, 1)),
       heapBytes: 0,
       mechanism: 'daemon/gateway/loadExchange.ts (rarer with more active nodes)',
     },
     {
       part: 'budgets',
-      coreShare: share(at(slopes.prepaidMaintain, fleet.budgets)),
+      coreShare: share(valueAt(slopes.prepaidMaintain, fleet.budgets)),
       bytesPerSecond: holders * HOLDER_ROW_BYTES,
       heapBytes: slopes.prepaidHeap.perUnit * fleet.budgets,
       mechanism: 'coordination/prepaid (every active node follows every budget)',
@@ -97,7 +97,7 @@
   ]
 }
 
-/** Calls of the whole fleet on the store. */
+/** Estimates the whole fleet's calls to the store. */
 export function gatewayPlatformCosts(fleet: FleetSize): readonly PlatformCost[] {
   return [
     {
@@ -108,13 +108,16 @@
     },
     {
       part: 'records of holdings',
-      writesPerSecond: Math.min(recordsOf(fleet), 2 * activeNodes(fleet) * activeBudgets(fleet)),
+      writesPerSecond: Math.min(
+        recordWritesPerSecond(fleet),
+        2 * activeNodes(fleet) * activeBudgets(fleet),
+      ),
       readsPerSecond: 0,
       mechanism: 'at most 30 in 100 of the store; more budgets are recorded less often',
     },
     {
       part: 'requests beyond a record',
-      writesPerSecond: fleet.requestsPerSecond * WRITTEN_SHARE,
+      writesPerSecond: fleet.requestsPerSecond * TRANSACTION_SHARE,
       readsPerSecond: 0,
       mechanism: 'a transaction where the record allows too little',
     },
@@ -129,9 +132,9 @@
   ]
 }
 
-/** Requests that waited for a write, of all with tokens: booking office trouble-1, 0.55. */
-const WRITTEN_SHARE = 0.55
+/** Share of requests with tokens that wait for a write: 0.55 in the booking office's trouble-1. */
+const TRANSACTION_SHARE = 0.55
 
-function recordsOf(fleet: FleetSize): number {
+function recordWritesPerSecond(fleet: FleetSize): number {
   return RECORD_SHARE * fleet.storeWritesPerSecond
 }
--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of the gateway kind, measured in this process. */
+/** Measures the slopes of the gateway kind in this process. */
 
 import { UNKNOWN_SOFTWARE_VERSION, VirtualClock, endpointStart } from '@rackwalk/shared'
 import { DemandHoldingPolicy, PrepaidLedger, StoreClock } from '@rackwalk/coordination'
@@ -7,7 +7,7 @@
 import { FleetLoad, EndpointDirectory, sharedPartOf, snapshotEndpoint } from '@rackwalk/router'
 import type { PeerLoadReport, PromptPart } from '@rackwalk/router'
 import { MemoryRowStore } from '@rackwalk/stand-ins'
-import { heapBytesOf, microsecondsOf, overSizes } from './slope.js'
+import { heapBytesOf, medianMicroseconds, slopeOverSizes } from './slope.js'
 import type { Slope } from './slope.js'
 
 /** Slopes of an instance that serves generic routes. Times in microseconds, memory in bytes. */
@@ -16,49 +16,51 @@
   readonly reportTaken: Slope
   readonly reportBytes: Slope
   readonly cacheHeap: Slope
-  /** One second of budgets at rest. */
+  /** Time that a second of the ledger takes while its budgets are idle. */
   readonly prepaidMaintain: Slope
   readonly prepaidHeap: Slope
 }
 
 const SERVICE = 'model'
 const INSTANCE = { instance: 'edge-hall-a-1', incarnation: '0a1b2c3d' }
-/** Parts of prompts that a server of 300,000 tokens holds, of 1,000 tokens each. */
+/** Prompt parts of 1,000 tokens each that a server with a cache of 300,000 tokens holds. */
 const PARTS_KEPT = 180
 const PART_TOKENS = 1_000
 const CAPACITY = 300_000
 const LIMIT = 1_000_000
 
-/** Measures all slopes, one after the other. */
+/** Measures all slopes one after another. */
 export async function measureGatewaySlopes(): Promise<GatewaySlopes> {
   return {
-    choice: await overSizes([6, 60, 240], measureChoice),
-    reportTaken: await overSizes([1, 4, 16], servers => {
+    choice: await slopeOverSizes([6, 60, 240], measureChoice),
+    reportTaken: await slopeOverSizes([1, 4, 16], servers => {
       const { fleetLoad } = createServers(16)
       let sequence = 0
-      return microsecondsOf(() => {
+      return medianMicroseconds(() => {
         sequence += 1
         const report = decodeReport(encodeReport(reportOf(servers, sequence)))
         if (report !== undefined) fleetLoad.observe(report)
       }, 200)
     }),
-    reportBytes: await overSizes([1, 4, 16], servers =>
+    reportBytes: await slopeOverSizes([1, 4, 16], servers =>
       Promise.resolve(encodeReport(reportOf(servers, 1_000)).length),
     ),
-    cacheHeap: await overSizes([6, 60, 240], size =>
+    cacheHeap: await slopeOverSizes([6, 60, 240], size =>
       heapBytesOf(() => {
         const { fleetLoad } = createServers(size)
         for (let server = 0; server < size; server += 1) fillCache(fleetLoad, server)
         return fleetLoad
       }),
     ),
-    prepaidMaintain: await overSizes([100, 400, 1_600], async size => {
+    prepaidMaintain: await slopeOverSizes([100, 400, 1_600], async size => {
       const { clock } = await createLedger(size)
-      // Whole rounds of records, so that each size has its share of them.
+      // Whole recording rounds, so that each size is measured with its share of records.
       const rounds = 10
-      return (await microsecondsOf(() => clock.advance(rounds * 1_000), 1, 5)) / rounds
+      return (await medianMicroseconds(() => clock.advance(rounds * 1_000), 1, 5)) / rounds
     }),
-    prepaidHeap: await overSizes([100, 400, 1_600], size => heapBytesOf(() => createLedger(size))),
+    prepaidHeap: await slopeOverSizes([100, 400, 1_600], size =>
+      heapBytesOf(() => createLedger(size)),
+    ),
   }
 }
 
@@ -69,7 +71,7 @@
     tokens: { prompt: 3 * PART_TOKENS, maximumOutput: 0 },
     promptParts: [part(3), part(7), part(10_000)],
   }
-  return microsecondsOf(() => {
+  return medianMicroseconds(() => {
     const available = directory.available(SERVICE)
     return rankEndpoints({
       open: available.map(endpoint => snapshotEndpoint(endpoint, fleetLoad, prompt, 0)),
@@ -140,7 +142,7 @@
   return { ...INSTANCE, sequence, isWhole: false, loads }
 }
 
-/** A ledger that has registered with each of its budgets. */
+/** Creates a ledger that is registered with each of its budgets. */
 async function createLedger(budgets: number) {
   const clock = new VirtualClock()
   const { store } = new MemoryRowStore(clock).connect()
--- a/bench/src/capacity/index.ts
+++ b/bench/src/capacity/index.ts
@@ -4,7 +4,7 @@
 import { measureSlopes } from './measuredSlopes.js'
 import { capacityPage } from './page.js'
 
-/** `npm run capacity`: measures every slope and writes docs/CAPACITY.md anew. */
+/** `npm run capacity`: measures every slope and rewrites docs/CAPACITY.md. */
 
 const PAGE = new URL('../../../docs/CAPACITY.md', import.meta.url)
 
--- a/bench/src/capacity/measuredSlopes.ts
+++ b/bench/src/capacity/measuredSlopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of the OpenAI-style kind, measured in this process. */
+/** Measures the slopes of the OpenAI-style kind in this process. */
 
 import { RackwalkError, ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
 import type {
@@ -32,10 +32,10 @@
 import { EndpointTable, createRoutingPolicy, prefixHashes } from '@rackwalk/router'
 import type { ConfiguredEndpoint } from '@rackwalk/router'
 import { MemoryObjects, MemoryTable } from '@rackwalk/stand-ins'
-import { heapBytesOf, microsecondsOf, overSizes } from './slope.js'
+import { heapBytesOf, medianMicroseconds, slopeOverSizes } from './slope.js'
 import type { Slope } from './slope.js'
 
-/** Every slope that docs/CAPACITY.md rests on. Times in microseconds, memory in bytes. */
+/** Slopes of the OpenAI-style kind for docs/CAPACITY.md. Times in microseconds, memory in bytes. */
 export interface MeasuredSlopes {
   readonly heartbeatRound: Slope
   readonly heartbeatBytes: number
@@ -60,49 +60,49 @@
 const DOMAINS_PER_REGION = 4
 const MODEL = asId<ModelId>('assistant')
 
-/** Measures all slopes, one after the other. */
+/** Measures all slopes one after another. */
 export async function measureSlopes(): Promise<MeasuredSlopes> {
   return {
-    heartbeatRound: await overSizes([8, 90, 180, 360], measureHeartbeatRound),
+    heartbeatRound: await slopeOverSizes([8, 90, 180, 360], measureHeartbeatRound),
     heartbeatBytes: JSON.stringify({ sender: member(0, 1), digests: [] }).length,
-    digestBytes: await overSizes([2, 12, 24], async groups => {
+    digestBytes: await slopeOverSizes([2, 12, 24], async groups => {
       const membership = createMembership(15, 1)
       membership.mergeDigests(Array.from({ length: groups - 1 }, (_, n) => digestOf(n)))
       return JSON.stringify(membership.digests()).length
     }),
-    memberHeap: await overSizes([90, 360, 1_440], size =>
+    memberHeap: await slopeOverSizes([90, 360, 1_440], size =>
       heapBytesOf(() => createMembership(size, 24)),
     ),
-    budgetMaintain: await overSizes([300, 1_000, 3_000], async size => {
+    budgetMaintain: await slopeOverSizes([300, 1_000, 3_000], async size => {
       const ledger = await createLedger(size)
-      return microsecondsOf(() => ledger.maintain(), 5)
+      return medianMicroseconds(() => ledger.maintain(), 5)
     }),
-    budgetHeap: await overSizes([300, 1_000, 3_000], measureBudgetHeap),
-    routingDecision: await overSizes([10, 40, 160], measureRoutingDecision),
-    endpointHeap: await overSizes([10, 40, 160], size =>
+    budgetHeap: await slopeOverSizes([300, 1_000, 3_000], measureBudgetHeap),
+    routingDecision: await slopeOverSizes([10, 40, 160], measureRoutingDecision),
+    endpointHeap: await slopeOverSizes([10, 40, 160], size =>
       heapBytesOf(() => createEndpointTable(size, PREFIXES_KEPT)),
     ),
-    changeApplied: await overSizes([1_000, 2_000, 4_000], measureChanges),
-    resourceHeap: await overSizes([1_000, 2_000, 4_000], size =>
+    changeApplied: await slopeOverSizes([1_000, 2_000, 4_000], measureChanges),
+    resourceHeap: await slopeOverSizes([1_000, 2_000, 4_000], size =>
       heapBytesOf(() => createFollower(size)),
     ),
-    journalEntry: await overSizes([1_000, 4_000, 16_000], measureJournal),
+    journalEntry: await slopeOverSizes([1_000, 4_000, 16_000], measureJournal),
     journalEntryBytes: JSON.stringify({ index: 1_000_000, entry: settleEntry(0) }).length,
-    backlogHeap: await overSizes([1_000, 4_000, 16_000], size =>
+    backlogHeap: await slopeOverSizes([1_000, 4_000, 16_000], size =>
       heapBytesOf(() => createJournal(size)),
     ),
-    recordAdded: await overSizes([1_000, 4_000, 16_000], async size => {
+    recordAdded: await slopeOverSizes([1_000, 4_000, 16_000], async size => {
       const archive = createArchive(0)
-      return (await microsecondsOf(() => fillArchive(archive, size), 1, 5)) as number
+      return (await medianMicroseconds(() => fillArchive(archive, size), 1, 5)) as number
     }),
-    recordHeap: await overSizes([1_000, 4_000, 16_000], size =>
+    recordHeap: await slopeOverSizes([1_000, 4_000, 16_000], size =>
       heapBytesOf(() => createArchive(size)),
     ),
     recordBytes: JSON.stringify(decisionRecord(0)).length,
   }
 }
 
-/** Prompts whose blocks an endpoint's index holds in the measurement. */
+/** Prompts whose blocks an endpoint's prefix index holds in the heap measurement. */
 const PREFIXES_KEPT = 300
 
 function member(number: number, groups: number): MemberInfo {
@@ -135,19 +135,19 @@
   return { group, beat: 1_000_000, membersHash: 'abcdefghijkl', configurationRevision: 1_000_000 }
 }
 
-/** Planning a round, encoding it, and taking in what group mates send. */
+/** Measures planning a round, encoding it, and merging the heartbeats of group members. */
 async function measureHeartbeatRound(size: number): Promise<number> {
   const groups = Math.max(1, Math.round(size / 15))
   const membership = createMembership(size, groups)
-  let beat = 1_000
-  return microsecondsOf(() => {
-    beat += 1
+  let heartbeat = 1_000
+  return medianMicroseconds(() => {
+    heartbeat += 1
     const planned = membership.planHeartbeats()
     for (const { digests } of planned) JSON.stringify({ sender: membership.self, digests })
     for (const { target } of planned) {
       const known = membership.find(target)
       if (known === undefined) continue
-      const sent = JSON.stringify({ ...known, heartbeat: beat })
+      const sent = JSON.stringify({ ...known, heartbeat })
       membership.mergeMember(JSON.parse(sent) as MemberInfo)
     }
   }, 20)
@@ -183,7 +183,7 @@
   return ledger
 }
 
-/** The rows of the table in memory are not the instance's; they are taken off. */
+/** Subtracts the heap of the in-memory table's rows, which an instance does not hold. */
 async function measureBudgetHeap(size: number): Promise<number> {
   const rows = await heapBytesOf(async () => {
     const table = new MemoryTable()
@@ -235,7 +235,7 @@
   const random = new SeededRandom(1)
   const prompt = Buffer.alloc(8_192, 'prompt engine-3 4 ')
   const demand = { promptTokens: 2_048, instances: 360 }
-  return microsecondsOf(() => {
+  return medianMicroseconds(() => {
     const views = table.modelCandidates(MODEL, prefixHashes(prompt))
     policy.choose(views, demand, random)
   }, 200)
@@ -260,10 +260,10 @@
 async function createFollower(size: number): Promise<ConfigurationFollower> {
   const full = await configuredTable(size)
   const changes = (await full.query('changes')).map(row => row.value)
-  // Through the message that peers send, so that every change is applied one by one.
+  // The changes come in a peer's message, so that the follower applies them one by one.
   const channel = { call: async () => ({ changes }) }
   const follower = new ConfigurationFollower({
-    table: brokenTable(),
+    table: unavailableTable(),
     peers: channel as unknown as PeerChannel,
     counters: new MemoryCounters(),
     kinds: ['teams'],
@@ -274,10 +274,10 @@
 }
 
 async function measureChanges(size: number): Promise<number> {
-  return microsecondsOf(() => createFollower(size), 1, 5)
+  return medianMicroseconds(() => createFollower(size), 1, 5)
 }
 
-function brokenTable(): MemoryTable {
+function unavailableTable(): MemoryTable {
   const table = new MemoryTable()
   table.query = () => Promise.reject(new RackwalkError(ResultCode.PlatformUnavailable))
   return table
@@ -297,7 +297,7 @@
 }
 
 async function measureJournal(size: number): Promise<number> {
-  return microsecondsOf(
+  return medianMicroseconds(
     async () => {
       const journal = createJournal(size)
       while (journal.backlog > 0) await journal.flush()
--- a/bench/src/capacity/page.ts
+++ b/bench/src/capacity/page.ts
@@ -1,10 +1,10 @@
-/** Writes docs/CAPACITY.md from what was just measured. */
+/** Renders docs/CAPACITY.md from measured slopes. */
 
-import { short } from '../percentile.js'
+import { formatShort } from '../percentile.js'
 import type { PathSlopes } from '../path/index.js'
 import { nodeCosts, platformCosts } from './estimate.js'
 import type { NodeCost, PlatformCost } from './estimate.js'
-import { BOOKING_LARGE_SIZE, BOOKING_SIZE, DOCWORKS_SIZE, LETTER_SIZE } from './fleetSize.js'
+import { BOOKING_LARGE_SIZE, BOOKING_SIZE, DOCWORKS_SIZE, REQUIREMENT_SIZE } from './fleetSize.js'
 import type { FleetSize } from './fleetSize.js'
 import { gatewayNodeCosts, gatewayPlatformCosts } from './gatewayEstimate.js'
 import type { GatewaySlopes } from './gatewaySlopes.js'
@@ -16,7 +16,7 @@
 const HEAP_LIMIT = 256 * 1024 * 1024
 const MEGABYTE = 1024 * 1024
 
-/** The whole page, from what was just measured. */
+/** Renders the whole page. */
 export function capacityPage(
   slopes: MeasuredSlopes,
   gateway: GatewaySlopes,
@@ -45,7 +45,7 @@
   gateway: GatewaySlopes,
   path: PathSlopes,
 ): readonly string[] {
-  return [LETTER_SIZE, BOOKING_SIZE, BOOKING_LARGE_SIZE, DOCWORKS_SIZE].flatMap(fleet => [
+  return [REQUIREMENT_SIZE, BOOKING_SIZE, BOOKING_LARGE_SIZE, DOCWORKS_SIZE].flatMap(fleet => [
     `## ${fleet.name}: ${fleet.nodes} nodes, ${fleet.endpoints} endpoints, ${fleet.budgets} budgets`,
     '',
     'Instances with the OpenAI-style interface:',
@@ -69,20 +69,20 @@
   const rows = costs.map(cost => [
     cost.part,
     `${(100 * cost.coreShare).toFixed(3)}%`,
-    `${short(cost.bytesPerSecond / 1000)} KB/s`,
-    `${short(cost.heapBytes / MEGABYTE)} MB`,
+    `${formatShort(cost.bytesPerSecond / 1000)} KB/s`,
+    `${formatShort(cost.heapBytes / MEGABYTE)} MB`,
     cost.mechanism,
   ])
-  const verdict = [
+  const totals = [
     '**total**',
-    `${(100 * core).toFixed(3)}% ${met(core, CORE_LIMIT, '3.4%')}`,
-    `${short(bytes / 1000)} KB/s ${met(bytes, BYTES_LIMIT, '17 KB/s')}`,
-    `${short(heap / MEGABYTE)} MB ${met(heap, HEAP_LIMIT, '256 MB')}`,
+    `${(100 * core).toFixed(3)}% ${limitNote(core, CORE_LIMIT, '3.4%')}`,
+    `${formatShort(bytes / 1000)} KB/s ${limitNote(bytes, BYTES_LIMIT, '17 KB/s')}`,
+    `${formatShort(heap / MEGABYTE)} MB ${limitNote(heap, HEAP_LIMIT, '256 MB')}`,
     '',
   ]
   return table(
     ['control work of a node', 'core', 'network', 'heap', 'mechanism'],
-    [...rows, verdict],
+    [...rows, totals],
   )
 }
 
@@ -92,17 +92,17 @@
   const reads = costs.reduce((sum, cost) => sum + cost.readsPerSecond, 0)
   const rows = costs.map(cost => [
     cost.part,
-    short(cost.writesPerSecond),
-    short(cost.readsPerSecond),
+    formatShort(cost.writesPerSecond),
+    formatShort(cost.readsPerSecond),
     cost.mechanism,
   ])
-  const verdict = [
+  const totals = [
     '**total**',
-    `${short(writes)} ${met(writes, storeWritesPerSecond, String(storeWritesPerSecond))}`,
-    `${short(reads)} ${met(reads, storeReadsPerSecond, String(storeReadsPerSecond))}`,
+    `${formatShort(writes)} ${limitNote(writes, storeWritesPerSecond, String(storeWritesPerSecond))}`,
+    `${formatShort(reads)} ${limitNote(reads, storeReadsPerSecond, String(storeReadsPerSecond))}`,
     '',
   ]
-  return table(['platform, whole fleet', 'writes/s', 'reads/s', 'mechanism'], [...rows, verdict])
+  return table(['platform, whole fleet', 'writes/s', 'reads/s', 'mechanism'], [...rows, totals])
 }
 
 function pathSection(fleet: FleetSize, path: PathSlopes): readonly string[] {
@@ -110,7 +110,7 @@
   const tokens = fleet.tokensPerSecond / fleet.nodes
   const core = (requests * path.perRequest + tokens * path.perToken) / 1e6
   return [
-    `Request path of a node: ${short(requests)} requests/s and ${short(tokens)} tokens/s take ` +
+    `Request path of a node: ${formatShort(requests)} requests/s and ${formatShort(tokens)} tokens/s take ` +
       `${(100 * core).toFixed(1)}% of a core by the slopes above.`,
     '',
   ]
@@ -146,52 +146,59 @@
   ]
 }
 
-function row(what: string, per: string, slope: Slope): readonly string[] {
+function slopeRow(what: string, per: string, slope: Slope): readonly string[] {
   return [
     what,
     per,
-    short(slope.perUnit),
-    short(slope.fixed),
+    formatShort(slope.perUnit),
+    formatShort(slope.fixed),
     slope.fit.toFixed(3),
-    slope.samples.map(({ size, value }) => `${size}: ${short(value)}`).join(', '),
+    slope.samples.map(({ size, value }) => `${size}: ${formatShort(value)}`).join(', '),
   ]
 }
 
 function gatewaySlopeRows(slopes: GatewaySlopes): readonly (readonly string[])[] {
   return [
-    row('gateway: choice of a server, us', 'server of the service', slopes.choice),
-    row('gateway: load report taken in, us', 'server in the report', slopes.reportTaken),
-    row('gateway: load report, bytes', 'server in the report', slopes.reportBytes),
-    row('gateway: prompt caches, heap bytes', 'server', slopes.cacheHeap),
-    row('gateway: a second of prepaid budgets at rest, us', 'budget', slopes.prepaidMaintain),
-    row('gateway: prepaid heap with its stand-in store, bytes', 'budget', slopes.prepaidHeap),
+    slopeRow('gateway: choice of a server, us', 'server of the service', slopes.choice),
+    slopeRow('gateway: load report taken in, us', 'server in the report', slopes.reportTaken),
+    slopeRow('gateway: load report, bytes', 'server in the report', slopes.reportBytes),
+    slopeRow('gateway: prompt caches, heap bytes', 'server', slopes.cacheHeap),
+    slopeRow('gateway: a second of prepaid budgets at rest, us', 'budget', slopes.prepaidMaintain),
+    slopeRow('gateway: prepaid heap with its stand-in store, bytes', 'budget', slopes.prepaidHeap),
   ]
 }
 
 function slopeRows(slopes: MeasuredSlopes, path: PathSlopes): readonly (readonly string[])[] {
-  const plain = (what: string, per: string, value: number) => [what, per, short(value), '', '', '']
+  const plain = (what: string, per: string, value: number) => [
+    what,
+    per,
+    formatShort(value),
+    '',
+    '',
+    '',
+  ]
   return [
-    row('heartbeat round, us', 'node of the fleet', slopes.heartbeatRound),
+    slopeRow('heartbeat round, us', 'node of the fleet', slopes.heartbeatRound),
     plain('heartbeat, bytes', 'message', slopes.heartbeatBytes),
-    row('digests, bytes', 'group', slopes.digestBytes),
-    row('membership heap, bytes', 'node of the fleet', slopes.memberHeap),
-    row('budget maintenance, us', 'budget held', slopes.budgetMaintain),
-    row('budget heap, bytes', 'budget held', slopes.budgetHeap),
-    row('routing decision, us', 'endpoint of the model', slopes.routingDecision),
-    row('endpoint heap, bytes', 'endpoint', slopes.endpointHeap),
-    row('configuration change, us', 'change', slopes.changeApplied),
-    row('configuration heap, bytes', 'resource', slopes.resourceHeap),
-    row('journal, us', 'entry', slopes.journalEntry),
+    slopeRow('digests, bytes', 'group', slopes.digestBytes),
+    slopeRow('membership heap, bytes', 'node of the fleet', slopes.memberHeap),
+    slopeRow('budget maintenance, us', 'budget held', slopes.budgetMaintain),
+    slopeRow('budget heap, bytes', 'budget held', slopes.budgetHeap),
+    slopeRow('routing decision, us', 'endpoint of the model', slopes.routingDecision),
+    slopeRow('endpoint heap, bytes', 'endpoint', slopes.endpointHeap),
+    slopeRow('configuration change, us', 'change', slopes.changeApplied),
+    slopeRow('configuration heap, bytes', 'resource', slopes.resourceHeap),
+    slopeRow('journal, us', 'entry', slopes.journalEntry),
     plain('journal, bytes', 'entry', slopes.journalEntryBytes),
-    row('journal backlog heap, bytes', 'entry', slopes.backlogHeap),
-    row('decision record, us', 'record', slopes.recordAdded),
-    row('decision record heap, bytes', 'record', slopes.recordHeap),
+    slopeRow('journal backlog heap, bytes', 'entry', slopes.backlogHeap),
+    slopeRow('decision record, us', 'record', slopes.recordAdded),
+    slopeRow('decision record heap, bytes', 'record', slopes.recordHeap),
     plain('decision record, bytes', 'record', slopes.recordBytes),
-    row('request path, us (fixed: a request)', 'token', path.slope),
+    slopeRow('request path, us (fixed: a request)', 'token', path.slope),
   ]
 }
 
-function met(value: number, limit: number, text: string): string {
+function limitNote(value: number, limit: number, text: string): string {
   return value <= limit ? `(limit ${text}: met)` : `(limit ${text}: **not met**)`
 }
 
--- a/bench/src/capacity/slope.ts
+++ b/bench/src/capacity/slope.ts
@@ -1,19 +1,19 @@
-/** One measurement: a size and what it cost. */
+/** One measurement: the cost at one size. */
 export interface Sample {
   readonly size: number
   readonly value: number
 }
 
-/** A straight line through measurements. */
+/** A straight line fitted to measurements. */
 export interface Slope {
   readonly perUnit: number
   readonly fixed: number
-  /** Share of the variance that the line explains. */
+  /** Share of the variance that the line explains (R²). */
   readonly fit: number
   readonly samples: readonly Sample[]
 }
 
-/** Least squares through at least two samples. */
+/** Fits a least-squares line to at least two samples. */
 export function fitSlope(samples: readonly Sample[]): Slope {
   const sizes = mean(samples.map(({ size }) => size))
   const values = mean(samples.map(({ value }) => value))
@@ -22,12 +22,12 @@
   const perUnit = covariance / variance
   const fixed = values - perUnit * sizes
   const total = sum(samples.map(({ value }) => (value - values) ** 2))
-  const rest = sum(samples.map(({ size, value }) => (value - fixed - perUnit * size) ** 2))
-  return { perUnit, fixed, fit: total === 0 ? 1 : 1 - rest / total, samples }
+  const residual = sum(samples.map(({ size, value }) => (value - fixed - perUnit * size) ** 2))
+  return { perUnit, fixed, fit: total === 0 ? 1 : 1 - residual / total, samples }
 }
 
-/** A line through what a measurement gives for each size. */
-export async function overSizes(
+/** Measures each size and fits a line to the results. */
+export async function slopeOverSizes(
   sizes: readonly number[],
   measure: (size: number) => Promise<number>,
 ): Promise<Slope> {
@@ -36,8 +36,8 @@
   return fitSlope(samples)
 }
 
-/** Median time of one call, in microseconds. */
-export async function microsecondsOf(
+/** Returns the time of one call in microseconds: the median over batches of `repeats` calls. */
+export async function medianMicroseconds(
   run: () => unknown,
   repeats: number,
   batches = 9,
@@ -51,14 +51,14 @@
   return times.sort((left, right) => left - right)[Math.floor(batches / 2)] as number
 }
 
-/** Heap that something takes, in bytes; the result is kept alive until it was measured. */
+/** Returns the heap bytes of what `create` returns, which stays referenced while it is measured. */
 export async function heapBytesOf(create: () => unknown): Promise<number> {
   globalThis.gc?.()
   const before = process.memoryUsage().heapUsed
-  const kept = await create()
+  const created = await create()
   globalThis.gc?.()
   const bytes = process.memoryUsage().heapUsed - before
-  return kept === undefined ? bytes : Math.max(0, bytes)
+  return created === undefined ? bytes : Math.max(0, bytes)
 }
 
 function sum(values: readonly number[]): number {
--- a/bench/src/explore.ts
+++ b/bench/src/explore.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run explore -- --runs N --seed S`: explores as many schedules of the coordination parts as asked
- * for, beside those that CI explores.
+ * `npm run explore -- --runs N --seed S`: explores N random schedules of the coordination code, in
+ * addition to those that CI explores.
  */
 
 import { cac } from 'cac'
@@ -17,7 +17,7 @@
 
 async function run(flags: Flags): Promise<void> {
   const variant = [SOUND, ...BROKEN_VARIANTS].find(({ name }) => name === flags.variant)
-  if (variant === undefined) throw new Error(`no variant ${flags.variant}`)
+  if (variant === undefined) throw new Error(`unknown variant ${flags.variant}`)
   const started = performance.now()
   const options = { runs: Number(flags.runs), seed: Number(flags.seed), variant }
   const result = await explore({
@@ -41,9 +41,9 @@
   .command('', 'Explore random schedules of the coordination code under faults')
   .option('--runs <number>', 'Schedules', { default: '1000' })
   .option('--seed <number>', 'Seed', { default: '1' })
-  .option('--variant <name>', 'Which code', { default: 'sound' })
-  .option('--path <path>', 'Replay the run that an exploration printed')
-  .option('--promise <name>', 'Look for breaches of this promise only')
+  .option('--variant <name>', 'Variant of the code to run', { default: 'sound' })
+  .option('--path <path>', 'Replay the run whose path an exploration printed')
+  .option('--promise <name>', 'Look for violations of this promise only')
   .option('--shrink', 'Shrink a failing run')
   .action((flags: Flags) => run(flags))
 program.help()
--- a/bench/src/mainThreadTime.ts
+++ b/bench/src/mainThreadTime.ts
@@ -3,15 +3,15 @@
 import { readFileSync } from 'node:fs'
 import { performance } from 'node:perf_hooks'
 
-/** The kernel counts a thread's time in ticks of this many a second. */
+/** The kernel counts a thread's processor time in ticks of 1/100 s. */
 const TICKS_PER_SECOND = 100
-/** Places of user and system time after the command name (proc(5)). */
+/** Positions of user and system time among the fields after the command name (proc(5)). */
 const USER_FIELD = 11
 const SYSTEM_FIELD = 12
 
 /**
- * Processor seconds that the main thread has used. Where the kernel does not tell, the time
- * for which its event loop was busy, which is an upper bound.
+ * Returns the processor seconds that the main thread has used. If `/proc` cannot be read, returns
+ * the time for which the event loop was busy, which is an upper bound.
  */
 export function mainThreadSeconds(): number {
   try {
--- a/bench/src/path/index.ts
+++ b/bench/src/path/index.ts
@@ -18,29 +18,29 @@
   readonly error?: string
 }
 
-/** The load worker as the main thread sees it. */
+/** The main thread's client of the load worker. */
 class LoadClient {
   private readonly worker = new Worker(new URL('./loadWorker.js', import.meta.url))
-  private readonly waiting = new Map<
+  private readonly pending = new Map<
     number,
     { resolve(v: unknown): void; reject(e: Error): void }
   >()
-  private asked = 0
+  private lastId = 0
 
   constructor() {
     this.worker.on('message', ({ id, result, error }: Reply) => {
-      const waiting = this.waiting.get(id)
-      this.waiting.delete(id)
-      if (error === undefined) waiting?.resolve(result)
-      else waiting?.reject(new Error(error))
+      const pending = this.pending.get(id)
+      this.pending.delete(id)
+      if (error === undefined) pending?.resolve(result)
+      else pending?.reject(new Error(error))
     })
   }
 
-  ask(request: WorkerRequest): Promise<unknown> {
-    this.asked += 1
-    const id = this.asked
+  call(request: WorkerRequest): Promise<unknown> {
+    this.lastId += 1
+    const id = this.lastId
     this.worker.postMessage({ id, request })
-    return new Promise((resolve, reject) => this.waiting.set(id, { resolve, reject }))
+    return new Promise((resolve, reject) => this.pending.set(id, { resolve, reject }))
   }
 
   async start(): Promise<StartedPorts> {
@@ -49,11 +49,11 @@
       engines: ENGINES,
       tokenMilliseconds: TOKEN_MILLISECONDS,
     } as const
-    return (await this.ask(request)) as StartedPorts
+    return (await this.call(request)) as StartedPorts
   }
 
   async load(load: Load): Promise<LoadResult> {
-    return (await this.ask({ kind: 'load', load })) as LoadResult
+    return (await this.call({ kind: 'load', load })) as LoadResult
   }
 
   async stop(): Promise<void> {
@@ -61,10 +61,10 @@
   }
 }
 
-/** What a load cost the main thread, where only the fleet runs. */
+/** Results of a load and its cost on the main thread, which runs nothing but the fleet. */
 interface MeasuredLoad extends LoadResult {
-  /** Processor seconds of the main thread. */
-  readonly busySeconds: number
+  /** Processor time of the main thread. */
+  readonly processorSeconds: number
 }
 
 class PathBench {
@@ -78,7 +78,7 @@
       tableUrl: this.ports.tableUrl,
       objectUrl: this.ports.objectUrl,
       publishInstances: async instances => {
-        await this.client.ask({ kind: 'publish', instances })
+        await this.client.call({ kind: 'publish', instances })
       },
     }
     const logger = { info: () => undefined, warn: () => undefined }
@@ -104,7 +104,7 @@
   ): Promise<MeasuredLoad> {
     const before = mainThreadSeconds()
     const result = await this.client.load({ addresses, streams, requests, tokens })
-    return { ...result, busySeconds: mainThreadSeconds() - before }
+    return { ...result, processorSeconds: mainThreadSeconds() - before }
   }
 
   async stop(): Promise<void> {
@@ -144,28 +144,33 @@
   }
 }
 
-/** Processor time of the path, in microseconds of the main thread. */
+/** Processor time of the request path on the main thread, in microseconds. */
 export interface PathSlopes {
   readonly perRequest: number
   readonly perToken: number
   readonly slope: Slope
 }
 
-/** What a request and a token cost, from answers of several lengths. */
+/** Measures the cost of a request and of a token, from answers of several lengths. */
 export async function measurePathSlopes(): Promise<PathSlopes> {
   const bench = await new PathBench().start()
   await bench.measure(bench.routed, 64, 128, BOUND_TOKENS)
   const samples = []
   for (const tokens of [50, 150, 450]) {
-    const { busySeconds, whole } = await bench.measure(bench.routed, 128, 512, tokens)
-    samples.push({ size: tokens, value: (busySeconds * 1e6) / whole })
+    const { processorSeconds, completeAnswers } = await bench.measure(
+      bench.routed,
+      128,
+      512,
+      tokens,
+    )
+    samples.push({ size: tokens, value: (processorSeconds * 1e6) / completeAnswers })
   }
   await bench.stop()
   const slope = fitSlope(samples)
   return { perRequest: slope.fixed, perToken: slope.perUnit, slope }
 }
 
-/** Bounds on counts and on ratios of the same run. */
+/** Compares routed answers with answers taken directly from the engines, in one run. */
 export async function boundPath(): Promise<readonly Bound[]> {
   const bench = await new PathBench().start()
   await bench.measure(bench.routed, 32, 64, BOUND_TOKENS)
@@ -174,7 +179,7 @@
   await bench.stop()
   const ratio = routed.totalMedian / direct.totalMedian
   return [
-    { name: 'path: whole answers of 300', value: routed.whole, atLeast: 300 },
+    { name: 'path: whole answers of 300', value: routed.completeAnswers, atLeast: 300 },
     { name: 'path: median time of an answer against direct', value: ratio, atMost: 2 },
   ]
 }
--- a/bench/src/path/loadWorker.ts
+++ b/bench/src/path/loadWorker.ts
@@ -1,6 +1,6 @@
 /**
- * The other side of the path's load, in a thread of its own, so that what the main thread spends is the
- * path's alone: platform, engines, service and callers.
+ * Runs the platform, the engines, the service and the callers of the path bench in a worker thread,
+ * so that the main thread's processor time is that of the request path alone.
  */
 
 import { parentPort } from 'node:worker_threads'
@@ -8,13 +8,13 @@
 import type { ListedInstance } from '@rackwalk/stores'
 import { Durations } from '../percentile.js'
 
-/** What the main thread asks for. */
+/** Requests that the main thread sends to the worker. */
 export type WorkerRequest =
   | { readonly kind: 'start'; readonly engines: number; readonly tokenMilliseconds: number }
   | { readonly kind: 'publish'; readonly instances: readonly ListedInstance[] }
   | { readonly kind: 'load'; readonly load: Load }
 
-/** Streams that are kept open at the same time until so many were answered. */
+/** A load: `streams` concurrent callers that send `requests` requests between them. */
 export interface Load {
   readonly addresses: readonly string[]
   readonly streams: number
@@ -22,7 +22,7 @@
   readonly tokens: number
 }
 
-/** Where the worker listens. */
+/** Addresses and ports at which the worker's servers listen. */
 export interface StartedPorts {
   readonly tableUrl: string
   readonly objectUrl: string
@@ -30,9 +30,11 @@
   readonly service: number
 }
 
-/** Times in milliseconds. */
+/** Results of a load. Times in milliseconds. */
 export interface LoadResult {
-  readonly whole: number
+  /** Number of answers that were received to the end. */
+  readonly completeAnswers: number
+  /** Median time from the start of a request to the end of its answer. */
   readonly totalMedian: number
 }
 
@@ -62,18 +64,18 @@
 async function run(load: Load): Promise<LoadResult> {
   const total = new Durations()
   let started = 0
-  let whole = 0
+  let completeAnswers = 0
   const caller = async () => {
     while (started < load.requests) {
       const number = started++
       const address = load.addresses[number % load.addresses.length] as string
       const answer = await streamChat(address, { word: 'w', tokens: load.tokens })
-      if (answer.isWhole) whole += 1
+      if (answer.isWhole) completeAnswers += 1
       total.add(answer.totalMilliseconds)
     }
   }
   await Promise.all(Array.from({ length: load.streams }, caller))
-  return { whole, totalMedian: total.at(50) }
+  return { completeAnswers, totalMedian: total.percentile(50) }
 }
 
 parentPort?.on('message', ({ id, request }: { id: number; request: WorkerRequest }) => {
--- a/bench/src/routing/engineReports.ts
+++ b/bench/src/routing/engineReports.ts
@@ -1,13 +1,13 @@
-/** What an engine model publishes: its load as it was some time ago, and cache events, a few lost. */
+/** Reports of an engine model: its load, delayed, and its cache events, of which a few are lost. */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 import type { CacheEvent, LoadReport } from '@rackwalk/router'
 import type { CacheChange, EngineModel } from '@rackwalk/stand-ins'
 
-/** Age of what an engine says. */
+/** Delay between a change at an engine and its report. */
 const REPORT_LAG_MILLISECONDS: Milliseconds = 400
-/** One of so many cache events is lost. */
-const LOST_EVENT = 50
+/** Every event whose sequence number is a multiple of this is lost. */
+const LOST_EVENT_PERIOD = 50
 
 const NO_LOAD: LoadReport = {
   running: 0,
@@ -17,7 +17,7 @@
   queuedPromptTokens: 0,
 }
 
-/** The reports of one engine. */
+/** The load reports and cache events of one engine. */
 export class EngineReports {
   private reported = NO_LOAD
   private readonly events: CacheEvent[] = []
@@ -25,7 +25,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** What the engine says of its load. */
+  /** The load that the engine reported last. */
   get load(): LoadReport {
     return this.reported
   }
@@ -34,19 +34,19 @@
     return this.events.filter(event => event.sequence > sequence)
   }
 
-  /** From now on the load of this engine is reported. */
-  follow(engine: EngineModel): void {
+  /** Starts reporting the engine's load, repeatedly and with a delay. */
+  scheduleReport(engine: EngineModel): void {
     const current = loadOf(engine)
     this.clock.after(REPORT_LAG_MILLISECONDS, () => {
       this.reported = current
-      this.follow(engine)
+      this.scheduleReport(engine)
     })
   }
 
-  /** The engine's memory changed. */
-  note({ kind, ids }: CacheChange): void {
+  /** Publishes a change of the engine's cache as an event, after a delay. */
+  recordCacheChange({ kind, ids }: CacheChange): void {
     this.sequence += 1
-    if (this.sequence % LOST_EVENT === 0) return
+    if (this.sequence % LOST_EVENT_PERIOD === 0) return
     const event = { sequence: this.sequence, kind, hashes: ids }
     this.clock.after(REPORT_LAG_MILLISECONDS, () => this.events.push(event))
   }
--- a/bench/src/routing/index.ts
+++ b/bench/src/routing/index.ts
@@ -14,20 +14,24 @@
 
 const RUN_MILLISECONDS = 90_000
 
-/** Ours against the others on the same traffic. */
+/** Compares the expected-first-token policy with two-choices on the same traffic. */
 export async function boundRouting(seed: number): Promise<readonly Bound[]> {
   const run = (policy: RoutingPolicyName) =>
     new RoutingSimulation(DOCWORKS, policy, seed).run(RUN_MILLISECONDS)
-  const ours = await run('expected-first-token')
-  const choices = await run('two-choices')
-  const ratio = ours.firstToken.at(95) / choices.firstToken.at(95)
+  const expectedFirstToken = await run('expected-first-token')
+  const twoChoices = await run('two-choices')
+  const ratio = expectedFirstToken.firstToken.percentile(95) / twoChoices.firstToken.percentile(95)
   return [
     { name: 'routing: p95 first token against two-choices', value: ratio, atMost: 0.8 },
     {
       name: 'routing: prefix hit rate over two-choices',
-      value: ours.hitRate / choices.hitRate,
+      value: expectedFirstToken.hitRate / twoChoices.hitRate,
       atLeast: 1.1,
     },
-    { name: 'routing: busiest engine over the mean', value: ours.worstShare, atMost: 1.6 },
+    {
+      name: 'routing: busiest engine over the mean',
+      value: expectedFirstToken.busiestOverMean,
+      atMost: 1.6,
+    },
   ]
 }
--- a/bench/src/routing/routingSimulation.ts
+++ b/bench/src/routing/routingSimulation.ts
@@ -1,4 +1,4 @@
-/** Drives the real routing code of several instances against engine models, on virtual time. */
+/** Runs the real routing code of several instances against engine models, on virtual time. */
 
 import { SeededRandom, VirtualClock, asId, randomBelow } from '@rackwalk/shared'
 import type { EndpointId, ModelId } from '@rackwalk/shared'
@@ -20,23 +20,23 @@
 import { Durations } from '../percentile.js'
 import { EngineReports } from './engineReports.js'
 
-/** One user's engines and traffic. */
+/** The instances, engines and traffic of one user. */
 export interface RoutingProfile {
   readonly instances: number
   readonly engines: number
   readonly requestsPerSecond: number
-  /** Bytes that all requests of a team begin with. */
+  /** Length of the prefix that all prompts of a team share, in bytes. */
   readonly teamPrefixBytes: number
   readonly teams: number
   readonly conversations: number
 }
 
-/** What one policy did with the traffic. Times in milliseconds. */
+/** Results of one policy. Times in milliseconds. */
 export interface RoutingOutcome {
   readonly firstToken: Durations
   readonly hitRate: number
-  /** Requests of the busiest engine over the mean. */
-  readonly worstShare: number
+  /** Requests to the busiest engine divided by the mean over all engines. */
+  readonly busiestOverMean: number
 }
 
 const MODEL = asId<ModelId>('assistant')
@@ -61,15 +61,15 @@
   readonly positions: Map<EndpointId, number>
 }
 
-/** Drives the real routing code of several instances against engine models. */
+/** Simulates several instances that route one user's traffic to engine models. */
 export class RoutingSimulation {
   private readonly clock = new VirtualClock()
   private readonly random: SeededRandom
   private readonly engines: readonly EngineModel[]
   private readonly reports: readonly EngineReports[]
   private readonly routers: readonly RouterInstance[]
-  private readonly texts: Buffer
-  private readonly lengths: number[]
+  private readonly teamPrefix: Buffer
+  private readonly turnCounts: number[]
   private readonly firstToken = new Durations()
   private requests = 0
 
@@ -83,9 +83,12 @@
     this.reports = ids.map(() => new EngineReports(this.clock))
     this.engines = ids.map(
       (id, index) =>
-        new EngineModel(id, CAPACITY, this.clock, change => this.reports[index]?.note(change)),
+        new EngineModel(id, CAPACITY, this.clock, change =>
+          this.reports[index]?.recordCacheChange(change),
+        ),
     )
-    for (const [index, engine] of this.engines.entries()) this.reports[index]?.follow(engine)
+    for (const [index, engine] of this.engines.entries())
+      this.reports[index]?.scheduleReport(engine)
     const source = endpointSource(ids)
     const permits = { allows: () => true, refusalOf: () => undefined }
     this.routers = Array.from({ length: profile.instances }, () => ({
@@ -93,8 +96,8 @@
       policy: createRoutingPolicy(policy),
       positions: new Map<EndpointId, number>(),
     }))
-    this.texts = Buffer.alloc(profile.teamPrefixBytes, 'manual ')
-    this.lengths = Array.from({ length: profile.conversations }, () => 0)
+    this.teamPrefix = Buffer.alloc(profile.teamPrefixBytes, 'manual ')
+    this.turnCounts = Array.from({ length: profile.conversations }, () => 0)
   }
 
   async run(milliseconds: number): Promise<RoutingOutcome> {
@@ -108,28 +111,28 @@
     return {
       firstToken: this.firstToken,
       hitRate: hits / tokens,
-      worstShare: (busiest * this.engines.length) / this.requests,
+      busiestOverMean: (busiest * this.engines.length) / this.requests,
     }
   }
 
   private scheduleArrival(): void {
     const delay = (-Math.log(1 - this.random.next()) * 1000) / this.profile.requestsPerSecond
     this.clock.after(delay, () => {
-      this.arrive(randomBelow(this.random, this.profile.conversations))
+      this.submitRequest(randomBelow(this.random, this.profile.conversations))
       this.scheduleArrival()
     })
   }
 
-  /** Many readers of one page at the same moment: a hot prefix. */
+  /** Schedules bursts of requests with a hot prefix, as when many users open one page at once. */
   private scheduleBurst(): void {
     this.clock.after(BURST_EVERY_MILLISECONDS, () => {
       const conversation = randomBelow(this.random, this.profile.conversations)
-      for (let count = 0; count < BURST_REQUESTS; count += 1) this.arrive(conversation)
+      for (let count = 0; count < BURST_REQUESTS; count += 1) this.submitRequest(conversation)
       this.scheduleBurst()
     })
   }
 
-  private arrive(conversation: number): void {
+  private submitRequest(conversation: number): void {
     const prompt = this.promptOf(conversation)
     const hashes = prefixHashes(prompt)
     const promptTokens = promptTokenEstimate(prompt.length)
@@ -137,7 +140,7 @@
     const views = router.table.modelCandidates(MODEL, hashes)
     const demand = { promptTokens, instances: this.profile.instances }
     const choice = router.policy.choose(views, demand, this.random)
-    if (choice === undefined) throw new Error('no engine')
+    if (choice === undefined) throw new Error('the routing policy chose no engine')
     const { endpointId } = choice
     router.table.prefixes.noteSent(endpointId, hashes)
     router.table.noteRequestSent(endpointId, promptTokens)
@@ -162,27 +165,31 @@
     this.firstToken.add(duration)
   }
 
-  /** A team's common beginning, then a conversation that grows with each turn. */
+  /** Returns the team's shared prefix, then a conversation that grows with each turn. */
   private promptOf(conversation: number): Buffer {
     const team = conversation % this.profile.teams
-    const turns = (this.lengths[conversation] ?? 0) + 1
-    this.lengths[conversation] = turns % 12
+    const turns = (this.turnCounts[conversation] ?? 0) + 1
+    this.turnCounts[conversation] = turns % 12
     const head = Buffer.from(`team ${team} `)
     const turn = Buffer.from(`conversation ${conversation} `.repeat(100 * turns))
-    return Buffer.concat([head, this.texts, turn])
+    return Buffer.concat([head, this.teamPrefix, turn])
   }
 
   private scheduleReports(router: RouterInstance): void {
     const delay = REPORT_PERIOD_MILLISECONDS * (0.5 + this.random.next())
     this.clock.after(delay, () => {
       for (const [index, engine] of this.engines.entries()) {
-        this.report(router, engine.endpointId, this.reports[index] as EngineReports)
+        this.applyReport(router, engine.endpointId, this.reports[index] as EngineReports)
       }
       this.scheduleReports(router)
     })
   }
 
-  private report(router: RouterInstance, endpointId: EndpointId, reports: EngineReports): void {
+  private applyReport(
+    router: RouterInstance,
+    endpointId: EndpointId,
+    reports: EngineReports,
+  ): void {
     router.table.noteReport(endpointId, reports.load, this.clock.monotonic())
     const events = reports.eventsAfter(router.positions.get(endpointId) ?? 0)
     router.table.prefixes.apply(endpointId, events)
