--- a/.dependency-cruiser.cjs
+++ b/.dependency-cruiser.cjs
@@ -1,6 +1,7 @@
 /**
- * Import circles, type imports among them: whoever reads one module of a circle has to read all
- * of it. Run by `npm run lint`. The direction between packages is a rule of eslint.config.js.
+ * Forbids import cycles, including those of type imports: to understand one module of a cycle, a
+ * reader has to read all of them. Run by `npm run lint`. The direction of imports between packages
+ * is a rule in eslint.config.js.
  */
 module.exports = {
   forbidden: [
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,11 +3,12 @@
 import tseslint from 'typescript-eslint'
 import { openingComment } from './scripts/lint/openingComment.mjs'
 
-// Packages in the order in which they may depend on each other: each imports only earlier ones.
+// Packages in the order of their dependencies: each package may import only earlier ones.
 const LAYERS = ['shared', 'decisions', 'stores', 'coordination', 'router', 'daemon']
-// The coordination library is embedded by others, so it must not know a transport or an engine.
+// The coordination library is embedded in other programs: it must not depend on a transport or an
+// engine.
 const TRANSPORTS = ['undici', '@grpc/grpc-js', 'node:http', 'http']
-// Folders whose modules and exports all have a doc comment; the list can only grow.
+// Folders whose modules and exports all need a doc comment. Folders may only be added.
 const DOCUMENTED = [
   'packages/shared/src',
   'packages/decisions/src',
@@ -20,8 +21,8 @@
   'platform/src',
   'bench/src',
 ]
-// Longer or more branched functions are hard to hold in mind; those that were there when the
-// rule came are counted by file in eslint-suppressions.json, and the count can only fall.
+// Longer or more branched functions are hard to follow. Functions that exceeded the limits when the
+// rule was introduced are counted per file in eslint-suppressions.json; the counts may only fall.
 const FUNCTION_LINES = 40
 const FUNCTION_COMPLEXITY = 10
 
--- a/examples/embed.mjs
+++ b/examples/embed.mjs
@@ -1,10 +1,11 @@
-// Budgets that cannot be overspent, in another program. Run `node examples/embed.mjs` after `npm run build`.
+// Embeds the coordination library in another program, to spend from budgets that cannot be overspent.
+// Run `node examples/embed.mjs` after `npm run build`.
 import { asId } from '@rackwalk/shared'
 import { CoordinationNode, CostWeightedPolicy } from '@rackwalk/coordination'
 import { createBill, createBudget, standaloneParts } from '@rackwalk/coordination'
 import { MemoryObjects, MemoryTable } from '@rackwalk/stand-ins'
 
-/** Spends from a budget until it is used up; gives the tokens that were admitted. */
+/** Spends from a budget until a reservation is refused. Returns the number of admitted tokens. */
 export async function spendUntilRefused(limit, tokens) {
   const [budgetId, teamId] = [asId('tokens'), asId('team')]
   const table = new MemoryTable()
@@ -17,7 +18,7 @@
     const result = await node.ledger.reserve(budgetId, tokens)
     if (result.kind === 'refused') return node.leave().then(() => admitted)
     const bill = createBill({ budgetId, teamId, requestId: `request-${admitted}`, tokens })
-    // Only now may the result be handed out: the bill outlives this process.
+    // Hand out the result only after this await: from then on the bill outlives this process.
     await node.ledger.settle(result.reservation, bill).durableOrHeld
   }
 }
