--- a/packages/router/src/callerConnection.ts
+++ b/packages/router/src/callerConnection.ts
@@ -1,42 +1,48 @@
 /**
- * The caller's side of a request of the OpenAI-style kind, apart from what carries it: filters write to it
- * and learn from it that the caller has left.
+ * The caller's side of a request of the OpenAI-style kind, independent of the transport. Filters
+ * write the answer to it and learn from it that the caller has disconnected.
  */
 
 import type { Readable } from 'node:stream'
 import type { RefusalFactory } from './refusedBodyHandler.js'
 
-/** A caller's side of one request, whatever carries it. */
+/** The caller's side of one request, independent of the transport. */
 export interface CallerConnection {
-  /** Aborts when the caller is gone. */
+  /** Aborts when the caller disconnects. */
   readonly disconnectSignal: AbortSignal
   /**
-   * Sends the status and headers; once. An answer that is not delimited ends with the caller's connection, so that
-   * nothing says that it is whole.
+   * Sends the status and headers; to be called once. An answer that is not delimited ends with the
+   * caller's connection, so nothing shows the caller that it is complete.
    */
   writeHead(status: number, headers: Readonly<Record<string, string>>, isDelimited?: boolean): void
-  /** Answers without the request's body, of which no more is read than the link bears; resolves as `end` does. */
+  /**
+   * Answers without the request's body, of which no more is read than the link's budget allows.
+   * Resolves like `end`.
+   */
   refuse(refusal: RefusalFactory): Promise<void>
-  /** Whether an answer has begun. */
+  /** Whether the head of an answer has been sent. */
   readonly hasSentHead: boolean
-  /** Sends bytes; false when the caller's side should first be allowed to drain. */
+  /** Sends bytes. Returns false if the caller's buffer should drain first. */
   write(chunk: Buffer): boolean
-  /** Resolves when more can be sent, or the caller left. */
+  /** Resolves when more can be sent or the caller has disconnected. */
   waitForDrain(): Promise<void>
-  /** Ends the answer; resolves when all of it was handed to the network, or the caller left. */
+  /**
+   * Ends the answer. Resolves when all of it was handed to the network or the caller has
+   * disconnected.
+   */
   end(chunk?: Buffer): Promise<void>
-  /** Breaks the connection off, so that an answer cut short is not taken for a whole one. */
+  /** Destroys the connection, so that a truncated answer is not mistaken for a complete one. */
   destroy(): void
 }
 
-/** A request as it arrived. */
+/** A request as received. */
 export interface IncomingRequest {
   readonly method: string
-  /** Path and query. */
+  /** Path and query string. */
   readonly requestTarget: string
-  /** Lower-case names; the first value of each. */
+  /** First value of each header, by lower-case name. */
   readonly headers: ReadonlyMap<string, string>
-  /** The body; it can be read once. */
+  /** The body, which can be read only once. */
   readonly body: Readable
   readonly caller: CallerConnection
 }
--- a/packages/router/src/decisionRecord.ts
+++ b/packages/router/src/decisionRecord.ts
@@ -1,5 +1,5 @@
 /**
- * What is kept of one request's decisions in the OpenAI-style kind. Filters fill it in as they go;
+ * The decisions made for one request of the OpenAI-style kind. The filters fill it in as they run;
  * `explain` shows it.
  */
 
@@ -17,39 +17,42 @@
 import type { AnswerEnd, AnswerDisposition, AnswerFraming } from '@rackwalk/decisions'
 import type { ScoredEndpoint } from './routing/endpointView.js'
 
-/** One choice of an endpoint: one for each attempt. */
+/** The choice of an endpoint for one attempt. */
 export interface RoutingRecord {
   readonly policy: string
   readonly endpointId: EndpointId
   readonly compared: readonly ScoredEndpoint[]
-  /** What came of the attempt. */
+  /** Outcome of the attempt. */
   outcome: string
-  /** How its answer ended; undefined where no head of one came. */
+  /** How the answer ended; undefined if no answer head arrived. */
   answer?: AnswerRecord
 }
 
-/** How an endpoint's answer was framed, what its reading ended with, and what became of it. */
+/** How an endpoint's answer was framed, how reading it ended, and what became of it. */
 interface AnswerRecord {
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
   readonly fate: AnswerDisposition
 }
 
-/** Everything that decided about one request; what `explain` shows. */
+/** All decisions made for one request, as `explain` shows them. */
 export interface DecisionRecord {
   readonly requestId: RequestId
   readonly instanceId: string
-  /** Wall time, milliseconds. */
+  /** Wall time in milliseconds. */
   readonly receivedAt: Milliseconds
   teamId?: TeamId
   target?: string
   key?: IdempotencyKey
   repeatable?: boolean
-  /** The claim of a request that may run once is held, so no earlier attempt ran. */
+  /**
+   * Whether the claim of a request that may run only once is held, which means that no earlier
+   * attempt ran.
+   */
   claimed?: boolean
   priority?: number
   queuedMilliseconds?: Milliseconds
-  /** The allocation as it was when the reservation was decided. */
+  /** The allocation at the time of the reservation decision. */
   allocation?: AllocationView
   reservedTokens?: TokenCount
   routing: RoutingRecord[]
--- a/packages/router/src/errorBody.ts
+++ b/packages/router/src/errorBody.ts
@@ -1,6 +1,6 @@
 /**
- * Every refusal and failure as callers see it: body, headers, or the last event of a stream. The same for
- * both kinds of daemon.
+ * Refusals and failures as callers see them: body, headers, or the last event of a stream. Both
+ * kinds of daemon use the same ones.
  */
 
 import {
@@ -16,18 +16,18 @@
 
 const STANDARD_RETURN_TIME = new StandardRetryAfter()
 
-/** The JSON that a caller gets for every refusal and failure. */
+/** The JSON body of every refusal and failure. */
 export interface ErrorBody {
   readonly error: {
     readonly code: ResultCode
     readonly name: string
     readonly message: string
-    /** Field names below are those of the OpenAI error shape, for stock clients. */
+    /** The field names from here on are those of the OpenAI error shape, for stock clients. */
     readonly type: string
     readonly execution?: Execution
     /**
-     * Given where a request may run once and its key was not claimed: `execution` speaks of
-     * this attempt, and an earlier one with the key may have run.
+     * Set if the request may run only once and its key was not claimed: `execution` describes this
+     * attempt, and an earlier one with the same key may have run.
      */
     readonly earlierAttempts?: 'unknown'
     readonly repeatable: boolean
@@ -36,7 +36,10 @@
   }
 }
 
-/** Describes an error by its row of the result table; who may come back at all is told to wait for `leastSeconds`. */
+/**
+ * Builds the body of an error from its row of the result table. A retry time, if there is one, is
+ * at least `leastSeconds`.
+ */
 export function errorBody(
   error: RackwalkError,
   requestId?: RequestId,
@@ -59,7 +62,7 @@
   }
 }
 
-/** Headers that go with an error's body. */
+/** Returns the headers that accompany an error's body. */
 export function errorHeaders(
   error: RackwalkError,
   requestId?: RequestId,
@@ -73,7 +76,7 @@
   return headers
 }
 
-/** The last event of a stream that cannot be brought to its end. */
+/** Returns the last event of a stream that cannot be completed. */
 export function errorEvent(error: RackwalkError, requestId: RequestId): Buffer {
   return Buffer.from(`data: ${JSON.stringify(errorBody(error, requestId))}\n\n`)
 }
--- a/packages/router/src/readBody.ts
+++ b/packages/router/src/readBody.ts
@@ -1,13 +1,13 @@
 /**
- * Reads a caller's body within bounds of size and time, so that a slow or endless one holds nothing for
- * long.
+ * Reads a caller's body within limits of size and time, so that a slow or endless body does not
+ * hold resources for long.
  */
 
 import type { Readable } from 'node:stream'
 import { NotRunError, ResultCode } from '@rackwalk/shared'
 import type { Bytes, Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Collects a body of bounded size that must arrive in bounded time. */
+/** Collects a body. Rejects if it exceeds `limit` or does not arrive within `timeout`. */
 export function readBody(
   body: Readable,
   limit: Bytes,
--- a/packages/router/src/refusedBodyHandler.ts
+++ b/packages/router/src/refusedBodyHandler.ts
@@ -1,6 +1,7 @@
 /**
- * Sends refusals and sees to the bodies of their requests, which nobody wants. Owns which connections are held or read
- * in vain; the rule is in decisions/admitting.
+ * Sends refusals and handles the bodies of refused requests, which are discarded. Owns the set of
+ * connections that are held or whose bodies are being discarded. The rule is in
+ * decisions/admitting.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -14,42 +15,48 @@
 import type { LinkBandwidthBudget, RefusedBodyDisposition } from '@rackwalk/decisions'
 import type { Bytes, Clock, Milliseconds } from '@rackwalk/shared'
 
-/** What became of the body of a refused request: read as it came, read later, or given up with its connection. */
+/**
+ * What became of the body of a refused request: read at once, read after a hold, or dropped with
+ * its connection.
+ */
 export type RefusedBodyOutcome = 'read' | 'held' | 'closed'
 
-/** Counts what refused bodies cost. */
+/** Counts the cost of refused bodies. */
 export interface RefusedBodyCounters {
   noteRefusedBody(outcome: RefusedBodyOutcome): void
-  /** Bytes of refused bodies that came over the link. */
+  /** Records bytes of refused bodies that crossed the link. */
   noteDiscardedBytes(bytes: Bytes): void
 }
 
-/** What the refusals of one instance work with. */
+/** Dependencies of a refused body handler. */
 export interface RefusedBodiesParts {
   readonly clock: Clock
-  /** What the own link carries, shared with the bodies of admitted requests. */
+  /** Bandwidth budget of this instance's link, shared with the bodies of admitted requests. */
   readonly link: LinkBandwidthBudget
   readonly counters: RefusedBodyCounters
 }
 
-/** The answer to a request whose body nobody wants. */
+/** The answer to a request whose body is discarded. */
 export interface Refusal {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer
 }
 
-/** Makes a refusal that lets its caller come back after so many seconds at the soonest. */
+/** Creates a refusal whose retry time is at least `leastSeconds`. */
 export type RefusalFactory = (leastSeconds: number) => Refusal
 
-/** Sends refusals at once, and reads their requests' bodies only as far as the link bears it. */
+/**
+ * Sends refusals at once, and reads the bodies of their requests only as fast as the link's budget
+ * allows.
+ */
 export class RefusedBodyHandler {
-  /** Connections that are held or read in vain at present. */
+  /** Number of connections that are held or whose bodies are being discarded. */
   private unread = 0
 
   constructor(private readonly parts: RefusedBodiesParts) {}
 
-  /** Sends the whole refusal; undefined where the request has no body that is left to be seen to. */
+  /** Sends the whole refusal. Returns undefined if no request body is left to handle. */
   refuse(response: ServerResponse, refusalAfter: RefusalFactory): RefusedBodyOutcome | undefined {
     const { req: request } = response
     if (!hasBody(request) || isFullyRead(request)) {
@@ -79,7 +86,10 @@
     return refusedBodyDisposition(body, this.unread)
   }
 
-  /** The connection is read again after the hold; its caller may send the next request meanwhile. */
+  /**
+   * Sends the refusal and reads the connection again after the hold. The caller may send its next
+   * request in the meantime.
+   */
   private sendAndRead(response: ServerResponse, refusal: RefusalFactory, hold: Milliseconds): void {
     const { req: request } = response
     const size = sizeOf(request)
@@ -100,8 +110,8 @@
   }
 
   /**
-   * The caller is told to leave, and has time to take the refusal before the connection ends: a reset that meets bytes
-   * still on their way would take the refusal with it.
+   * Sends the refusal with `connection: close` and leaves the caller time to read it before the
+   * connection ends. A reset that meets bytes still in flight would discard the refusal.
    */
   private sendAndClose(response: ServerResponse, refusal: Refusal): void {
     const { req: request } = response
@@ -115,7 +125,7 @@
     }
     this.charge(Math.min(sizeOf(request) ?? REFUSED_BODY_BYTES, REFUSED_BODY_BYTES))
     whenSocketAssigned(response, () => this.readSome(request))
-    // An answer that is ended would take the connection with it at once.
+    // Ending the answer here would close the connection at once.
     response.writeHead(refusal.status, headers)
     response.write(refusal.body, () => request.socket.end())
   }
@@ -126,7 +136,7 @@
     let bytes: Bytes = 0
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length
-      // A socket that is paused alone is read again as soon as the request asks for more.
+      // A socket that is paused on its own resumes as soon as the request asks for more data.
       if (bytes > REFUSED_BODY_BYTES) request.pause()
     })
     this.discardBody(request, () => socket.destroySoon())
@@ -137,7 +147,10 @@
     link.noteRefusedBody(bytes, clock.monotonic())
   }
 
-  /** Counts a connection until it ends or `finish` is called; ends it after a time. Gives `finish`. */
+  /**
+   * Counts a connection until it closes or the returned function is called, and destroys it after a
+   * time.
+   */
   private trackConnection(socket: Socket, milliseconds: Milliseconds): () => void {
     this.unread += 1
     const timer = this.parts.clock.after(milliseconds, () => socket.destroy())
@@ -153,17 +166,20 @@
     return finish
   }
 
-  /** Throws away what comes of a body. */
+  /** Discards the body as it arrives. */
   private discardBody(request: IncomingMessage, onEnd: () => void): void {
     request.on('data', (chunk: Buffer) => this.parts.counters.noteDiscardedBytes(chunk.length))
     request.once('end', onEnd)
-    // Node.js would read on without counting where nobody had begun to read before the answer ends.
+    // Without a read before the answer ends, Node.js would drain the body without counting it.
     request.read(0)
     request.resume()
   }
 }
 
-/** Earlier answers of the connection go first, and none is cut off by the bounds of a refused body behind it. */
+/**
+ * Runs the callback once the response owns the socket. Earlier answers on the connection go first,
+ * and the limits for a refused body behind them do not cut them off.
+ */
 function whenSocketAssigned(response: ServerResponse, run: () => void): void {
   if (response.socket === null) response.once('socket', run)
   else run()
@@ -183,12 +199,15 @@
   return declaredBodyBytes(request) !== 0
 }
 
-/** Whether all of the body was read for its request. */
+/** Whether the whole body was read by its request's handler. */
 function isFullyRead(request: IncomingMessage): boolean {
   return request.readableDidRead && request.readableEnded
 }
 
-/** The size as it was told or, where all is there, as it came; undefined where nobody knows it yet. */
+/**
+ * Returns the declared size or, if the body has arrived completely, the received size; undefined if
+ * it is not known yet.
+ */
 function sizeOf(request: IncomingMessage): Bytes | undefined {
   const announced = declaredBodyBytes(request)
   if (announced !== undefined) return announced
@@ -200,7 +219,10 @@
   return expects && !request.complete && request.readableLength === 0 && !request.readableDidRead
 }
 
-/** Stops reading a connection for a time. Node.js reads on whenever a message ends, so the pause is renewed until then. */
+/**
+ * Pauses reading from a connection for a time. Node.js resumes the socket whenever a message ends,
+ * so the pause is renewed until then.
+ */
 function holdReading(
   socket: Socket,
   clock: Clock,
@@ -218,15 +240,15 @@
   })
 }
 
-/** The size of a body, told ahead; undefined where it comes in chunks. */
+/** Returns the declared size of a body; undefined for a chunked body. */
 export function declaredBodyBytes({ headers }: IncomingMessage): Bytes | undefined {
   if (headers['transfer-encoding'] !== undefined) return undefined
   return Number(headers['content-length'] ?? 0)
 }
 
 /**
- * A caller that waits for `100 Continue` is asked for its body when the body is read, so that one who is refused never
- * sends it.
+ * Sends `100 Continue` to a caller that expects it only once the body is read, so that a caller
+ * that is refused never sends its body.
  */
 export function sendContinueOnRead(server: Server): void {
   server.on('checkContinue', (request, response) => {
--- a/packages/router/src/requestPipeline.ts
+++ b/packages/router/src/requestPipeline.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a request of the OpenAI-style kind through its filters, and what a caller is told when one of
- * them throws. Owns nothing but the order.
+ * The path of a request of the OpenAI-style kind through its filters, and the error that the caller
+ * gets when a filter throws. Owns only the order.
  */
 
 import {
@@ -36,7 +36,7 @@
 } from './filters/stages.js'
 import { RequestScope } from './requestScope.js'
 
-/** The filters of the request path, in their order. */
+/** The filters of the request path, in order. */
 export interface RequestFilters {
   readonly authenticate: AuthenticateFilter
   readonly parse: ParseFilter
@@ -52,25 +52,25 @@
   readonly complete: CompleteFilter
 }
 
-/** Where requests go that this instance can't send to any endpoint. */
+/** Handles requests that this instance cannot send to any endpoint. */
 interface CutOffFallback {
   readonly handOver: ChatRelay
-  /** Whether no endpoint of a model or service is reached from here. */
+  /** Whether no endpoint of a model or service can be reached from this instance. */
   readonly isCutOff: (target: string) => boolean
 }
 
-/** Parts that the pipeline works with besides its filters. */
+/** Dependencies of the pipeline besides its filters. */
 export interface PipelineParts extends CutOffFallback {
   readonly incarnation: IncarnationId
   readonly clock: Clock
   readonly createRequestId: () => RequestId
-  /** Keeps the decision record, counts and logs it. */
+  /** Stores, counts and logs the decision record. */
   readonly onRecord: (record: DecisionRecord) => void
-  /** Errors that are faults of the program. */
+  /** Reports an error that is a fault of the program. */
   readonly onFault: (error: unknown) => void
 }
 
-/** The path of a request: one list that reads from top to bottom. */
+/** The path of a request as one list, read from top to bottom. */
 export class RequestPipeline {
   private open = 0
 
@@ -79,12 +79,12 @@
     private readonly parts: PipelineParts,
   ) {}
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get inFlight(): number {
     return this.open
   }
 
-  /** Serves one request to its end; never throws. */
+  /** Serves one request until it is over. Never throws. */
   async serve(incoming: IncomingRequest): Promise<void> {
     const received = this.receive(incoming)
     this.open += 1
@@ -106,7 +106,10 @@
     return this.serveHere(screened).catch(thrown => this.serveElsewhere(screened, thrown))
   }
 
-  /** What is known not to have run, and can't be sent from here, is served by another instance. */
+  /**
+   * Relays a request to another instance if it is known not to have run and this instance cannot
+   * reach the endpoints.
+   */
   private async serveElsewhere(
     request: ParsedRequest,
     thrown: unknown,
@@ -114,7 +117,8 @@
     const { handOver, isCutOff } = this.parts
     const mayGo = thrown instanceof NotRunError && isCutOff(request.target)
     if (!mayGo || !handOver.canRelay(request)) throw thrown
-    // What was set aside for it here is given back first: the other instance sets it aside anew.
+    // The local reservations of the request are released first, because the other instance makes
+    // its own.
     request.scope.close()
     const outcome = await handOver.relay(request)
     if (outcome === undefined) throw new NotRunError(ResultCode.CutOff, request.target)
@@ -136,7 +140,10 @@
     return this.filters.complete.apply(settled)
   }
 
-  /** A request that was sent but gave no answer still ends in the journal. */
+  /**
+   * Dispatches the request. A request that was sent but got no answer is still recorded as ended in
+   * the journal.
+   */
   private async dispatch(routed: RoutedRequest): Promise<DispatchedRequest> {
     try {
       return await this.filters.dispatch.apply(routed)
@@ -198,7 +205,10 @@
   }
 }
 
-/** An unclaimed key of a request that may run once says nothing of earlier attempts. */
+/**
+ * Returns `unknown` for a request that may run only once and whose key is not claimed: its refusal
+ * says nothing about earlier attempts.
+ */
 function earlierAttempts({ repeatable, key, claimed, execution }: DecisionRecord) {
   const isOpen = repeatable === false && key !== undefined && claimed !== true
   return isOpen && execution === 'not-run' ? ('unknown' as const) : undefined
--- a/packages/router/src/requestScope.ts
+++ b/packages/router/src/requestScope.ts
@@ -1,6 +1,6 @@
 /**
- * What a request holds and has to give back. A step that is undone when the request is
- * refused registers with `onRefused`; one that ends with the request with `onEnd`.
+ * The resources that a request holds and has to release. A step that must be undone if the request
+ * is refused registers with `onRefused`; a step that ends with the request registers with `onEnd`.
  */
 export class RequestScope {
   private refusals: (() => void)[] = []
@@ -14,12 +14,12 @@
     this.ends.push(finish)
   }
 
-  /** From here on the request may have run, so nothing is undone any more. */
+  /** Marks the request as possibly run, so that nothing is undone from here on. */
   commit(): void {
     this.refusals = []
   }
 
-  /** Gives back what is left, last first. */
+  /** Runs the remaining steps, last registered first. */
   close(): void {
     const steps = [...this.ends, ...this.refusals].reverse()
     this.refusals = []
--- a/packages/router/src/retryAfter.ts
+++ b/packages/router/src/retryAfter.ts
@@ -1,15 +1,15 @@
-/** How callers are told, in the headers of a refusal, when to come back. Relies on nothing else. */
+/** Retry time in the headers of a refusal. Has no dependencies. */
 
 const MILLISECONDS_IN_SECOND = 1_000
 
-/** Spells in headers after how long a caller should come back. */
+/** Formats the retry time as headers. */
 export interface RetryAfterFormat {
   retryHeaders(afterSeconds: number): Readonly<Record<string, string>>
 }
 
 /**
- * Whole seconds, as RFC 9110 defines `Retry-After`, rounded up so that nobody comes too early. `retry-after-ms` has the
- * exact time for clients that read it.
+ * Formats whole seconds, as RFC 9110 defines `Retry-After`, rounded up so that no caller retries
+ * too early. `retry-after-ms` carries the exact time for clients that read it.
  */
 export class StandardRetryAfter implements RetryAfterFormat {
   retryHeaders(afterSeconds: number): Readonly<Record<string, string>> {
--- a/packages/router/src/routing/endpointLinks.ts
+++ b/packages/router/src/routing/endpointLinks.ts
@@ -1,6 +1,6 @@
 /**
- * The links to configured endpoints, by what new connections have shown. Owns when a connection to each came up last, and
- * when one last did not.
+ * The links to configured endpoints. Owns the times of the latest successful and the latest failed
+ * connection to each endpoint.
  */
 
 import type { EndpointLink } from '@rackwalk/decisions'
@@ -22,28 +22,31 @@
     private readonly clock: Clock,
   ) {}
 
-  /** The endpoints of a model or service. */
+  /** Returns the endpoints of a model or service. */
   endpointsOf(target: string): readonly MonitoredEndpoint[] {
     const { catalogue } = this
     const serving = catalogue.endpoints.filter(
       endpoint => serves(endpoint, target) && !catalogue.isEvacuated(endpoint),
     )
-    return serving.map(endpoint => this.watched(endpoint, target))
+    return serving.map(endpoint => this.monitored(endpoint, target))
   }
 
-  /** Endpoints of everything else. */
+  /** Returns the endpoints of all other models and services. */
   endpointsOfOthers(target: string): readonly MonitoredEndpoint[] {
     const others = this.catalogue.endpoints.filter(endpoint => !serves(endpoint, target))
-    return others.map(endpoint => this.watched(endpoint, target))
+    return others.map(endpoint => this.monitored(endpoint, target))
   }
 
-  /** An endpoint as it is listed for a model or service; undefined where it is not. */
+  /**
+   * Returns an endpoint as listed for a model or service; undefined if the catalogue does not list
+   * it.
+   */
   find(target: string, endpointId: EndpointId): MonitoredEndpoint | undefined {
     const endpoint = this.catalogue.endpoints.find(other => other.endpointId === endpointId)
-    return endpoint && this.watched(endpoint, target)
+    return endpoint && this.monitored(endpoint, target)
   }
 
-  private watched({ endpointId, spec }: ConfiguredEndpoint, service: string): MonitoredEndpoint {
+  private monitored({ endpointId, spec }: ConfiguredEndpoint, service: string): MonitoredEndpoint {
     const seen = this.seenOf(endpointId)
     const { clock } = this
     const link: EndpointLink = { ...seen, failureDomain: spec.failureDomain ?? '' }
--- a/packages/router/src/routing/endpointRouter.ts
+++ b/packages/router/src/routing/endpointRouter.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the routing decision of each attempt: collects what is known of the usable endpoints, asks the
- * policy and keeps what was compared.
+ * Makes the routing decision of each attempt: collects the views of the usable endpoints, asks the
+ * routing policy and records the compared scores.
  */
 
 import { rendezvousChoice, chooseIsolationEndpoint } from '@rackwalk/decisions'
@@ -19,26 +19,26 @@
 import type { RoutingPolicy } from './routingPolicy.js'
 import { LeastInFlightPolicy, createRoutingPolicy } from './routingPolicy.js'
 
-/** Parts that a router works with. */
+/** Dependencies of an endpoint router. */
 export interface EndpointRouterParts {
   readonly catalogue: Catalogue
   readonly endpoints: EndpointTable
   readonly random: RandomSource
   readonly instances: () => number
   readonly crashes: CrashGuard
-  /** Writes the one log line of a decision. */
+  /** Logs a decision; called once for each. */
   readonly onDecision: (request: ParsedRequest, decision: RoutingRecord) => void
 }
 
-/** Named in the record of a decision where the request may end endpoints. */
+/** Recorded policy name if the request may be crash-inducing and is isolated. */
 const ISOLATING_POLICY = 'isolated'
-/** Named where an engine is to go on with an answer that another one cut. */
+/** Recorded policy name if an engine is to continue an answer that was interrupted at another. */
 const CONTINUING_POLICY = 'continued'
 
-/** Endpoints that a request was sent to. */
+/** Endpoints that the request has been sent to. */
 export interface AttemptHistory {
   readonly tried: ReadonlySet<EndpointId>
-  /** Those that broke it off, and only once. */
+  /** Endpoints that reset the request exactly once. */
   readonly resetOnce: ReadonlySet<EndpointId>
 }
 
@@ -46,14 +46,14 @@
 
 type EndpointChoice = Pick<RoutingRecord, 'endpointId' | 'compared'>
 
-/** Makes the routing decision for each attempt and keeps it in the request's record. */
+/** Makes the routing decision for each attempt and adds it to the request's decision record. */
 export class EndpointRouter {
   private readonly policies = new Map<string, RoutingPolicy>()
   private readonly leastInFlight = new LeastInFlightPolicy()
 
   constructor(private readonly parts: EndpointRouterParts) {}
 
-  /** Chooses among the endpoints that were not tried yet; refuses when there is none. */
+  /** Chooses among the endpoints that have not been tried yet. Throws if there is none. */
   choose(request: ParsedRequest, tries: AttemptHistory = NOT_TRIED): RoutingRecord {
     const { tried } = tries
     const hashes = request.call.kind === 'chat' ? prefixHashes(request.call.chat.prompt) : []
@@ -73,8 +73,9 @@
   }
 
   /**
-   * The engine that goes on with an answer, among those that can: the one that the request's hash names, as for a request
-   * that may end endpoints. Undefined where there is none.
+   * Chooses the engine that continues an interrupted answer, among those that support continuation
+   * and run the same software version. The request's fingerprint selects it by rendezvous hashing,
+   * as for a request that may be crash-inducing. Undefined if there is none.
    */
   chooseForContinuation(
     request: ParsedRequest,
@@ -100,7 +101,10 @@
     return spec?.kind === 'model' && spec.continuesAnswers === true
   }
 
-  /** Why no endpoint may get the request now, tried or not; undefined where one may, or where there is none. */
+  /**
+   * Returns why no endpoint, tried or not, may get the request now. Undefined if one may get it, or
+   * if no endpoint exists.
+   */
   refusalFor(request: ParsedRequest): NotRunError | undefined {
     const endsEndpoints = requestVerdict(this.parts.crashes, request) === 'refuse'
     if (endsEndpoints) return new NotRunError(ResultCode.EndsEndpoints)
@@ -108,7 +112,10 @@
     return refusalByAdvice(this.parts, request)
   }
 
-  /** The endpoint at which all instances try a request that may end endpoints; refuses one that does. */
+  /**
+   * Chooses the endpoint at which all instances try a request that may be crash-inducing. Throws if
+   * the request is known to be crash-inducing.
+   */
   private isolate(
     request: ParsedRequest,
     candidates: readonly EndpointView[],
@@ -119,7 +126,8 @@
     if (verdict === 'refuse') throw new NotRunError(ResultCode.EndsEndpoints)
     if (verdict === 'send') return undefined
     const { crashes } = this.parts
-    // All chats that hold the same suspected message cost one endpoint together.
+    // All chats that contain the same suspect message share one isolation key, so that together
+    // they cost only one endpoint.
     const subject =
       crashes.promptParts.isolationKey(messageKeys(crashes, request)) ?? crashFingerprint
     if (subject === undefined) return undefined
@@ -131,7 +139,10 @@
     return endpointId === undefined ? undefined : { endpointId, compared: [] }
   }
 
-  /** Without those at which it is looked whether they have ended, where others are left. */
+  /**
+   * Returns the endpoints without those that are being probed for a crash, or all of them if no
+   * others are left.
+   */
   private withoutSuspects(untried: readonly EndpointView[]): readonly EndpointView[] {
     const { crashes } = this.parts
     const trusted = untried.filter(({ endpointId }) => !crashes.isEndpointSuspect(endpointId))
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -1,6 +1,6 @@
 /**
- * What this instance knows of every endpoint. Owns the requests in progress, the newest reports, health
- * and who leaves; decides nothing.
+ * The state of every endpoint as this instance knows it. Owns the requests in progress, the latest
+ * load reports, endpoint health and the set of leaving endpoints. Makes no decisions.
  */
 
 import { soonestRefusal } from '@rackwalk/decisions'
@@ -24,43 +24,57 @@
   inFlight: number
   report: LoadReport | undefined
   reportAt: Milliseconds
-  /** Monotonic time at which the newest report was asked for. */
+  /** Monotonic time at which the latest report was requested. */
   reportAskedAt: Milliseconds
-  /** What was sent there of late, oldest first. */
+  /** Requests sent there that the latest report may not include, oldest first. */
   recent: RecentRequest[]
-  /** Monotonic time until which it is left alone, since it has ended and may not be back. */
+  /**
+   * Monotonic time until which the endpoint gets no requests, because it terminated and may not be
+   * back.
+   */
   unreachableUntil: Milliseconds
-  /** Requests that were sent there from here, as licences count them. */
+  /** Requests sent there by this instance, as licences count them. */
   readonly sends: SendHistory
-  /** Monotonic time at which somebody first said that it leaves. */
+  /** Monotonic time at which the endpoint was first said to be leaving. */
   leavingSince: Milliseconds | undefined
-  /** Whether an answer said so, and nothing was seen since of its end: a report may be older than the answer. */
+  /**
+   * Whether an answer announced that the endpoint is leaving and no termination has been observed
+   * since. A report that says otherwise may be older than the answer.
+   */
   hasAnnouncedLeaving: boolean
 }
 
-/** Where the configured endpoints are looked up. */
+/** The source of the configured endpoints. */
 export type EndpointCatalogue = Pick<Catalogue, 'endpoints' | 'findEndpoint' | 'isEvacuated'>
 
-/** Who said that an endpoint leaves. */
+/** Source of the information that an endpoint is leaving. */
 export type LeavingSource = 'list' | 'answer' | 'report' | 'peer'
 
 function isLoaded({ report }: EndpointView, modelId: ModelId): boolean {
   return report?.loadedModels === undefined || report.loadedModels.includes(modelId)
 }
 
-/** Age that a load report is taken to have when it arrives. */
+/** Assumed age of a load report on arrival, in milliseconds. */
 const REPORT_LAG_MILLISECONDS = 400
-/** An endpoint that said in an answer that it leaves and is still there after this time is asked again. */
+/**
+ * An endpoint that announced in an answer that it is leaving gets requests again after this time if
+ * its reports say that it stays.
+ */
 const LONGEST_LEAVING_MILLISECONDS = 60_000
-/** An endpoint that has ended is left alone for this long; one that is back sooner is missed for so long at the most. */
+/**
+ * An endpoint that terminated gets no requests for this time. An endpoint that is back sooner is
+ * left unused for at most as long.
+ */
 const UNREACHABLE_MILLISECONDS = 1_000
-/** Default rate of prompt tokens where an endpoint's is not configured: plain services. */
+/** Prefill rate assumed for plain services, which do not configure one, in tokens per second. */
 const SERVICE_PREFILL_RATE = 1_000_000
 
-/** Told when an endpoint's state changes, for the log. */
+/** Called when an endpoint's state changes, for the log. */
 export type EndpointListener = (endpointId: EndpointId, change: string) => void
 
-/** What this instance knows of every endpoint: own requests, reports, health, leaving. */
+/**
+ * The state of every endpoint as this instance knows it: own requests, reports, health, leaving.
+ */
 export class EndpointTable {
   readonly prefixes: PrefixIndex
   private readonly states = new Map<EndpointId, EndpointState>()
@@ -76,22 +90,28 @@
     this.ejection = new OutlierEjection(clock)
   }
 
-  /** Endpoints that may get new work for a model, as a decision sees them. */
+  /** Returns views of the endpoints that may get new requests for a model. */
   modelCandidates(modelId: ModelId, hashes: readonly PrefixHash[]): readonly EndpointView[] {
     return this.viewsOf(this.modelPool(modelId), hashes).filter(view => isLoaded(view, modelId))
   }
 
-  /** Why a model may be asked nowhere now; undefined where nothing that its endpoints said is the reason. */
+  /**
+   * Returns why no endpoint of a model may get a request now. Undefined if the reason is not an
+   * advice of its endpoints.
+   */
   modelRefusal(modelId: ModelId): SendRefusal | undefined {
     return this.refusalIn(this.modelPool(modelId))
   }
 
-  /** Endpoints that may get new work for a plain service. */
+  /** Returns views of the endpoints that may get new requests for a plain service. */
   serviceCandidates(service: string): readonly EndpointView[] {
     return this.viewsOf(this.servicePool(service), [])
   }
 
-  /** The same for a plain service. */
+  /**
+   * Returns why no endpoint of a plain service may get a request now. Undefined if the reason is
+   * not an advice of its endpoints.
+   */
   serviceRefusal(service: string): SendRefusal | undefined {
     return this.refusalIn(this.servicePool(service))
   }
@@ -108,7 +128,7 @@
     )
   }
 
-  /** A request goes there now. */
+  /** Records that a request is being sent to the endpoint. */
   noteRequestSent(endpointId: EndpointId, promptTokens: TokenCount): void {
     const state = this.stateOf(endpointId)
     state.inFlight += 1
@@ -116,7 +136,7 @@
     state.recent.push({ at: this.clock.monotonic(), promptTokens })
   }
 
-  /** A request ended there. */
+  /** Records that a request at the endpoint is over. */
   noteRequestEnded(endpointId: EndpointId): void {
     this.stateOf(endpointId).inFlight -= 1
   }
@@ -129,17 +149,17 @@
     if (this.ejection.noteFailure(endpointId)) this.onChange(endpointId, 'ejected')
   }
 
-  /** A report came that was asked for at this monotonic time. */
+  /** Records a load report that was requested at the monotonic time `askedAt`. */
   noteReport(endpointId: EndpointId, report: LoadReport, askedAt: Milliseconds): void {
     const state = this.stateOf(endpointId)
     state.report = report
     state.reportAskedAt = askedAt
     state.reportAt = this.clock.monotonic()
-    // A report tells of some time ago, so what was sent just before it is not in it.
+    // A report describes a past state, so requests sent shortly before its arrival are not in it.
     const asOf = state.reportAt - REPORT_LAG_MILLISECONDS
     state.recent = state.recent.filter(sent => sent.at > asOf)
     if (report.leaving) this.noteLeaving(endpointId, 'report')
-    // An endpoint that says it stays has come back; the list and peers may be behind.
+    // An endpoint that reports that it stays has come back. The list and the peers may lag behind.
     else this.noteStaying(endpointId)
   }
 
@@ -151,17 +171,17 @@
     this.onChange(endpointId, `leaving (${source})`)
   }
 
-  /** Endpoints known to be leaving, for peers. */
+  /** Endpoints known to be leaving; sent to peers. */
   get leaving(): readonly EndpointId[] {
     return [...this.states].flatMap(([id, state]) => (state.leavingSince === undefined ? [] : [id]))
   }
 
-  /** Requests of this instance in progress at all endpoints. */
+  /** Number of this instance's requests in progress at all endpoints. */
   get inFlight(): number {
     return [...this.states.values()].reduce((sum, state) => sum + state.inFlight, 0)
   }
 
-  /** Drops what is known of endpoints that are no longer configured. */
+  /** Removes the state of idle endpoints that are no longer configured. */
   prune(): void {
     for (const endpointId of this.states.keys()) {
       const isIdle = this.states.get(endpointId)?.inFlight === 0
@@ -172,7 +192,10 @@
     }
   }
 
-  /** It has ended; whoever looks at it tells again while it is not back. */
+  /**
+   * Records that the endpoint terminated. Its prober calls this again for as long as the endpoint
+   * is not back.
+   */
   noteUnreachable(endpointId: EndpointId): void {
     this.stateOf(endpointId).unreachableUntil = this.clock.monotonic() + UNREACHABLE_MILLISECONDS
   }
@@ -182,7 +205,10 @@
     return this.clock.monotonic() < until
   }
 
-  /** Its reports can't be fetched: what it said in answers may be over with its start. */
+  /**
+   * Records that the endpoint's reports cannot be fetched. The endpoint may have restarted, which
+   * voids the announcements in its earlier answers.
+   */
   noteReportFailed(endpointId: EndpointId): void {
     this.stateOf(endpointId).hasAnnouncedLeaving = false
   }
@@ -217,7 +243,10 @@
     )
   }
 
-  /** Why the endpoints of a model or service may be sent nothing now, the one that is over first. */
+  /**
+   * Returns why the endpoints of a model or service may get no requests now; of several reasons,
+   * the one that expires first.
+   */
   private refusalIn(pool: readonly ConfiguredEndpoint[]): SendRefusal | undefined {
     const usable = this.usable(pool)
     return soonestRefusal(
@@ -227,7 +256,7 @@
 
   private subjectOf({ endpointId, spec }: ConfiguredEndpoint): SendTarget {
     return {
-      // Its platform does not tell one start from the next.
+      // The platform of these endpoints does not distinguish one start from the next.
       start: endpointStart(endpointId, undefined),
       service: spec.kind === 'service' ? spec.service : endpointId,
       coldMilliseconds: 0,
@@ -235,13 +264,16 @@
     }
   }
 
-  /** When something last came from an endpoint, as far as it is noted: its reports are. */
+  /**
+   * Returns the times of the latest contact with an endpoint. Only its reports are recorded as
+   * contacts.
+   */
   lastHeard(endpointId: EndpointId): LastContactTimes {
     const readAt = Number.NEGATIVE_INFINITY
     return { askedAt: this.states.get(endpointId)?.reportAskedAt ?? readAt, readAt }
   }
 
-  /** Whether it is known that an endpoint takes nothing new since it is about to end. */
+  /** Whether the endpoint is known to accept no new requests because it is about to terminate. */
   isLeaving(endpointId: EndpointId): boolean {
     return this.states.get(endpointId)?.leavingSince !== undefined
   }
--- a/packages/router/src/routing/linkMonitor.ts
+++ b/packages/router/src/routing/linkMonitor.ts
@@ -1,6 +1,8 @@
 /**
- * Knows which endpoints this instance reaches. Owns the checks of links after a connection that did not come up, and which
- * services it is cut off from; the rule is in decisions/choosing/endpointReach. Nothing that it finds is told of an endpoint.
+ * Tracks which endpoints this instance can reach. Owns the connection checks that follow a failed
+ * connect, and the set of services that this instance is cut off from. The rule is in
+ * decisions/choosing/endpointReach. A failed check says nothing about the state of the endpoint
+ * itself and is not reported as such.
  */
 
 import { connect } from 'node:net'
@@ -9,48 +11,51 @@
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
 
-/** An endpoint, as far as the way to it is concerned. */
+/** An endpoint as the link monitor sees it. */
 export interface MonitoredEndpoint {
-  /** Service or model. */
+  /** Name of the service or model. */
   readonly service: string
   /** IP:PORT. */
   readonly address: string
   readonly link: EndpointLink
-  /** A new connection to it came up, */
+  /** Records that a new connection to the endpoint was established. */
   noteConnected(): void
-  /** or did not. */
+  /** Records that a new connection to the endpoint could not be established. */
   noteConnectFailed(): void
 }
 
-/** What the watch works with. */
+/** Dependencies of a link monitor. */
 export interface LinkMonitorParts<Endpoint extends MonitoredEndpoint> {
   readonly clock: Clock
   readonly random: RandomSource
-  /** Endpoints of a service that are there, whether or not their links are up. */
+  /** Returns the listed endpoints of a service, whether or not their links are up. */
   readonly endpointsOf: (service: string) => readonly Endpoint[]
-  /** Endpoints of all other services. */
+  /** Returns the endpoints of all other services. */
   readonly endpointsOfOthers: (service: string) => readonly Endpoint[]
-  /** This instance is cut off from a service, or no longer. */
+  /** Called when this instance becomes cut off from a service, and when it no longer is. */
   readonly onCutOff: (service: string, isCutOff: boolean) => void
-  /** Whether a connection to IP:PORT comes up; over the network unless it is given. */
+  /** Whether a connection to IP:PORT is established in time. Defaults to a real TCP connect. */
   readonly connects?: (address: string) => Promise<boolean>
 }
 
-/** A connection comes up within this time, or its link is lost: a request may wait for it. */
+/**
+ * A connection that is not established within this time counts as failed. Kept short because a
+ * request may be waiting for the check.
+ */
 const CONNECT_MILLISECONDS: Milliseconds = 150
-/** Links that are lost are checked this often, so that they are used again soon after they are back. */
+/** Interval between checks of failed links, so that they are used again soon after they recover. */
 const CHECK_MILLISECONDS: Milliseconds = 400
 
 interface LinkedEndpoint<Endpoint> extends EndpointLink {
   readonly endpoint: Endpoint
 }
 
-/** The links from one instance to endpoints. */
+/** Monitors the links from one instance to its endpoints. */
 export class LinkMonitor<Endpoint extends MonitoredEndpoint> {
-  /** Services whose links are checked. */
+  /** Services whose links are being checked. */
   private readonly checked = new Set<string>()
   private readonly cutOff = new Set<string>()
-  /** Addresses of endpoints that are not reached, by service, as the newest check showed. */
+  /** Addresses of unreachable endpoints by service, as of the latest check. */
   private readonly unreachableAddresses = new Map<string, ReadonlySet<string>>()
   private readonly connects: (address: string) => Promise<boolean>
   private isStopped = false
@@ -63,30 +68,33 @@
     this.isStopped = true
   }
 
-  /** Services of which no endpoint is reached. */
+  /** Services without any reachable endpoint. */
   get cutOffServices(): readonly string[] {
     return [...this.cutOff]
   }
 
-  /** Whether no endpoint of a service is reached. */
+  /** Whether no endpoint of a service is reachable. */
   isCutOff(service: string): boolean {
     return this.cutOff.has(service)
   }
 
-  /** Endpoints of a service that are not reached. */
+  /** Returns the endpoints of a service that are unreachable. */
   unreachableEndpoints(service: string): ReadonlySet<Endpoint> {
     const lost = this.unreachableAddresses.get(service)
     if (lost === undefined) return new Set()
     return new Set(this.parts.endpointsOf(service).filter(({ address }) => lost.has(address)))
   }
 
-  /** A new connection to an endpoint did not come up: it is found out whether others do. */
+  /**
+   * Records a failed connection and starts to check whether other endpoints of the service are
+   * reachable.
+   */
   noteConnectFailed(endpoint: Endpoint): void {
     endpoint.noteConnectFailed()
     this.startChecking(endpoint.service)
   }
 
-  /** The links to a service are in doubt, and are checked until they are not. */
+  /** Checks the links of a service until none of its endpoints is unreachable. */
   startChecking(service: string): void {
     if (this.checked.has(service) || this.isStopped) return
     this.checked.add(service)
@@ -96,9 +104,10 @@
   }
 
   /**
-   * Whether this instance reaches others than the endpoint at this address. Where it does not, that nobody listens there
-   * tells of the link and not of the endpoint; true where there is no other. Those of other services are asked last: all
-   * of one service may have ended.
+   * Whether this instance reaches any endpoint other than the one at `address`. If it reaches none,
+   * a refused connection at `address` says something about this instance's links and not about the
+   * endpoint. Returns true if there is no other endpoint. Endpoints of other services are checked
+   * last; they are needed because all endpoints of one service may have terminated.
    */
   async reachesOthers(address: string, service: string): Promise<boolean> {
     const { endpointsOf, endpointsOfOthers } = this.parts
@@ -135,7 +144,11 @@
     return isUp
   }
 
-  /** Only a check tells: endpoints that end one after the other look like a cut to requests, which try those that look idle. */
+  /**
+   * Updates the reachability of a service. Only check results count: requests go to the endpoints
+   * that look idle, so endpoints that terminate one after the other would look like a cut link to
+   * them.
+   */
   private judge(service: string): void {
     const links = this.linksOf(service)
     const unreached = [...unreachableLinks(links, this.now)].map(({ endpoint }) => endpoint.address)
@@ -161,7 +174,7 @@
   return { endpoint, ...endpoint.link }
 }
 
-/** Whether a connection to IP:PORT comes up in time; nothing is sent on it. */
+/** Whether a TCP connection to IP:PORT is established in time. No data is sent on it. */
 function canConnect(address: string): Promise<boolean> {
   const [host = '', port = ''] = address.split(':')
   return new Promise(resolve => {
@@ -172,7 +185,8 @@
       resolve(isUp)
     }
     let isConnected = false
-    // On a busy processor the timer is late, and the connection may be up and wait to be seen: that comes first.
+    // On a busy CPU the timer may fire late while a `connect` event is already pending.
+    // `setImmediate` lets that event be handled first.
     const giveUp = () => setImmediate(() => finish(isConnected))
     const timer = setTimeout(giveUp, CONNECT_MILLISECONDS)
     socket.on('connect', () => {
--- a/packages/router/src/routing/noCandidate.ts
+++ b/packages/router/src/routing/noCandidate.ts
@@ -1,4 +1,6 @@
-/** The error where no endpoint may get a request of the OpenAI-style kind, and when its caller should come back. */
+/**
+ * The error for a request of the OpenAI-style kind that no endpoint may get, with its retry time.
+ */
 
 import { allRefusedError } from '@rackwalk/decisions'
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -6,24 +8,29 @@
 import type { Call } from '../filters/stages.js'
 import type { EndpointTable } from './endpointTable.js'
 
-/** What the error is made from. */
+/** Dependencies of the error. */
 export interface NoCandidateParts {
   readonly endpoints: EndpointTable
   readonly random: RandomSource
 }
 
-/** A request that finds no endpoint. */
+/** A request for which there is no endpoint. */
 interface UnroutableRequest {
   readonly call: Call
   readonly target: string
 }
 
-/** By what the endpoints said of themselves, or else that there is none. */
+/**
+ * Returns the refusal that the endpoints' advice gives; without one, the error that no endpoint
+ * exists.
+ */
 export function noCandidateError(parts: NoCandidateParts, request: UnroutableRequest): NotRunError {
   return refusalByAdvice(parts, request) ?? new NotRunError(ResultCode.NoEndpoint)
 }
 
-/** By what the endpoints said of themselves; undefined where they said nothing that forbids the request. */
+/**
+ * Returns the refusal that the endpoints' advice gives; undefined if no advice forbids the request.
+ */
 export function refusalByAdvice(
   { endpoints, random }: NoCandidateParts,
   { call, target }: UnroutableRequest,
--- a/packages/router/src/routing/prefixIndex.ts
+++ b/packages/router/src/routing/prefixIndex.ts
@@ -1,22 +1,22 @@
 /**
- * Which endpoint probably has which prompt cached? Owns block hashes by endpoint; a wrong guess costs
- * time, never a wrong answer.
+ * An index of the prompt prefixes that each endpoint probably has cached. Owns block hashes by
+ * endpoint. A wrong entry costs time but never causes a wrong answer.
  */
 
 import { createHash } from 'node:crypto'
 import type { Clock, EndpointId, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Bytes of prompt text in one block of the index. */
+/** Bytes of prompt text per block of the index. */
 export const PREFIX_BLOCK_BYTES = 512
-/** Tokens that a block is taken to hold, for estimates. */
+/** Tokens per block assumed in estimates. */
 export const PREFIX_BLOCK_TOKENS = 128
-/** Blocks of a prompt that are looked at; longer prompts share at least these. */
+/** Maximum number of blocks hashed per prompt. Longer prompts are compared by these alone. */
 const MAXIMUM_BLOCKS = 64
 
-/** Hash of a prompt up to the end of one block; it stands for everything before it too. */
+/** Hash of a prompt up to the end of one block; it covers all preceding blocks too. */
 export type PrefixHash = string
 
-/** The chain of block hashes of a prompt; an unfinished last block has none. */
+/** Returns the chained block hashes of a prompt. An incomplete last block has no hash. */
 export function prefixHashes(prompt: Buffer): readonly PrefixHash[] {
   const blocks = Math.min(MAXIMUM_BLOCKS, Math.floor(prompt.length / PREFIX_BLOCK_BYTES))
   const hashes: PrefixHash[] = []
@@ -30,7 +30,9 @@
   return hashes
 }
 
-/** A change of an engine's cache as it reports it; sequence numbers show gaps. */
+/**
+ * A cache change that an engine reports. A gap in the sequence numbers shows that events were lost.
+ */
 export interface CacheEvent {
   readonly sequence: number
   readonly kind: 'stored' | 'removed' | 'cleared'
@@ -38,27 +40,29 @@
 }
 
 interface EndpointBlocks {
-  /** Block to the time at which it was last confirmed or assumed. */
+  /**
+   * Maps each block to the monotonic time at which it was last confirmed or assumed to be cached.
+   */
   readonly blocks: Map<PrefixHash, Milliseconds>
   lastSequence: number | undefined
 }
 
-/** A block not heard of for this long is taken to be gone. */
+/** A block that has not been confirmed for this long is assumed to be evicted. */
 const BLOCK_EXPIRY_MILLISECONDS = 10 * 60_000
-/** Blocks remembered for one endpoint. */
+/** Maximum number of blocks kept per endpoint. */
 const MAXIMUM_BLOCKS_PER_ENDPOINT = 20_000
 
 /**
- * Which endpoint probably has which prompt prefixes cached. Events come late and with gaps,
- * so it is only a hint: it learns from own routing too, decays, and forgets an endpoint's
- * blocks when a gap may have hidden removals.
+ * Estimates which prompt prefixes each endpoint has cached. Cache events arrive late and with gaps,
+ * so the index is only a hint: it also learns from this instance's own routing, its entries expire,
+ * and an endpoint's blocks are dropped when a gap may have hidden removals.
  */
 export class PrefixIndex {
   private readonly endpoints = new Map<EndpointId, EndpointBlocks>()
 
   constructor(private readonly clock: Clock) {}
 
-  /** Tokens of the longest known prefix at an endpoint. */
+  /** Returns the number of tokens in the longest prefix that an endpoint probably has cached. */
   cachedTokens(endpointId: EndpointId, hashes: readonly PrefixHash[]): TokenCount {
     const known = this.endpoints.get(endpointId)?.blocks
     if (known === undefined) return 0
@@ -72,12 +76,14 @@
     return matched * PREFIX_BLOCK_TOKENS
   }
 
-  /** A prompt was sent there, so its blocks will probably be cached. */
+  /**
+   * Records that a prompt was sent to the endpoint, so its blocks will probably be cached there.
+   */
   noteSent(endpointId: EndpointId, hashes: readonly PrefixHash[]): void {
     this.store(this.blocksOf(endpointId), hashes)
   }
 
-  /** Takes in an engine's events; true when a gap was found and the blocks were dropped. */
+  /** Applies an engine's events. Returns true if a gap was found and the blocks were dropped. */
   apply(endpointId: EndpointId, events: readonly CacheEvent[]): boolean {
     const known = this.blocksOf(endpointId)
     let hadGap = false
--- a/packages/router/src/routing/routingPolicy.ts
+++ b/packages/router/src/routing/routingPolicy.ts
@@ -1,6 +1,7 @@
 /**
- * Which of the usable endpoints gets the request? The policies of the OpenAI-style kind, one class for
- * each name that a resource may give; pure but for the chance that they are given.
+ * The routing policies of the OpenAI-style kind, which choose one of the usable endpoints for a
+ * request. There is one class for each policy name in the resource schema. Randomness comes only
+ * from the random source that a policy is given.
  */
 
 import { randomBelow } from '@rackwalk/shared'
@@ -8,10 +9,10 @@
 import type { RoutingPolicyName } from '../resources/kinds.js'
 import type { EndpointView, RoutedDemand, RoutingChoice, ScoredEndpoint } from './endpointView.js'
 
-/** Chooses one of several usable endpoints; a function of what it is given and of chance. */
+/** Chooses one of the usable endpoints. */
 export interface RoutingPolicy {
   readonly name: RoutingPolicyName
-  /** Undefined only when there is no candidate. */
+  /** Undefined only if there are no candidates. */
   choose(
     candidates: readonly EndpointView[],
     demand: RoutedDemand,
@@ -19,7 +20,7 @@
   ): RoutingChoice | undefined
 }
 
-/** Any endpoint with equal chance. */
+/** Chooses uniformly at random. */
 class RandomPolicy implements RoutingPolicy {
   readonly name = 'random'
 
@@ -28,7 +29,7 @@
   }
 }
 
-/** One after the other. */
+/** Chooses the candidates in turn. */
 class RoundRobinPolicy implements RoutingPolicy {
   readonly name = 'round-robin'
   private position = 0
@@ -39,7 +40,7 @@
   }
 }
 
-/** The endpoint with the fewest requests of this instance. */
+/** Chooses the endpoint with the fewest requests in progress from this instance. */
 export class LeastInFlightPolicy implements RoutingPolicy {
   readonly name = 'least-in-flight'
 
@@ -48,7 +49,10 @@
   }
 }
 
-/** The less busy of two at random, by the report and own requests since (Mitzenmacher 2001). */
+/**
+ * Chooses the less loaded of two random endpoints, by its report and the requests sent since then
+ * (Mitzenmacher 2001).
+ */
 class TwoChoicesPolicy implements RoutingPolicy {
   readonly name = 'two-choices'
 
@@ -58,24 +62,24 @@
 }
 
 /**
- * Endpoints looked at beside those that probably have the prompt cached. With more, all
- * instances find the same best one in the same stale reports (docs/measurements.md).
+ * Number of random endpoints scored besides those that probably have the prompt cached. With more,
+ * all instances find the same best endpoint in the same stale reports (docs/measurements.md).
  */
 const SAMPLE_SIZE = 2
-/** Endpoints with the longest cached prefix that are always looked at. */
+/** Number of endpoints with the longest cached prefix that are always scored. */
 const CACHED_CANDIDATES = 2
-/** Time that one more running request adds to a first token, from batching. */
+/** Milliseconds that each running request adds to the time to first token, due to batching. */
 const BATCHING_MILLISECONDS = 2
-/** Prompt tokens assumed for a waiting request of which nothing more is known. */
+/** Prompt tokens assumed for a waiting request of unknown size. */
 const ASSUMED_PROMPT_TOKENS = 600
 
 /**
- * The endpoint with the smallest expected time to the first token: prompt tokens ahead in
- * the queue and of this request, less what is cached, over the rate at which the engine
- * takes them in. Reports lag, so what this instance sent since the last one is added; the
- * others are assumed to have sent alike, which keeps all instances from turning to the same
- * endpoint at once. Cost does not grow with the number of endpoints (compare Prequal, NSDI
- * 2024).
+ * Chooses the endpoint with the smallest expected time to first token: the queued prompt tokens
+ * plus those of this request, minus the cached ones, divided by the engine's prefill rate. Reports
+ * lag, so the requests that this instance sent since the latest report are added. The other
+ * instances are assumed to have sent similar requests, which keeps all instances from turning to
+ * the same endpoint at once. The cost does not grow with the number of endpoints (compare Prequal,
+ * NSDI 2024).
  */
 class ExpectedFirstTokenPolicy implements RoutingPolicy {
   readonly name = 'expected-first-token'
@@ -90,7 +94,7 @@
   }
 }
 
-/** Expected time to the first token at an endpoint, in milliseconds. */
+/** Returns the expected time to first token at an endpoint, in milliseconds. */
 export function expectedFirstTokenMilliseconds(
   view: EndpointView,
   demand: RoutedDemand,
@@ -104,7 +108,7 @@
   return prefill + running * BATCHING_MILLISECONDS + isFullPenalty
 }
 
-/** Wait for a place that each request over an engine's capacity adds. */
+/** Milliseconds that each request above an engine's capacity adds to the wait for a slot. */
 const OVER_CAPACITY_MILLISECONDS = 250
 
 function promptTokensAhead(view: EndpointView, demand: RoutedDemand): number {
@@ -116,10 +120,10 @@
   return Math.max(0, Math.max(reported, waiting) + sentSince - drained)
 }
 
-/** Share of this instance's own sending that each other instance is assumed to repeat. */
+/** Share of this instance's own traffic that each other instance is assumed to send as well. */
 const ASSUMED_PEER_SHARE = 0.15
 
-/** Requests that an endpoint probably has now. */
+/** Returns the estimated number of requests that an endpoint has now. */
 export function estimatedRequests(view: EndpointView, demand: RoutedDemand): number {
   if (view.report === undefined) return view.inFlight * demand.instances
   const others = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
@@ -127,7 +131,7 @@
   return Math.max(view.inFlight, view.report.running + view.report.waiting + sentSince)
 }
 
-/** One policy of each name; a policy may keep a position, so each router has its own. */
+/** Creates the policy of a name. A policy may keep a position, so each router has its own. */
 export function createRoutingPolicy(name: RoutingPolicyName): RoutingPolicy {
   switch (name) {
     case 'random':
@@ -147,7 +151,7 @@
   return view && { endpointId: view.endpointId, compared }
 }
 
-/** The view with the smallest score; the first one among equals. */
+/** Returns the view with the smallest score; of equal scores, the first. */
 function best(
   views: readonly EndpointView[],
   score: (view: EndpointView) => number,
@@ -163,7 +167,7 @@
   return views[randomBelow(random, views.length)]
 }
 
-/** Up to `size` distinct views; the cost depends on `size` alone. */
+/** Returns up to `size` distinct views. The cost depends only on `size`. */
 function sample(
   views: readonly EndpointView[],
   size: number,
@@ -175,7 +179,10 @@
   return [...positions].flatMap(position => views[position] ?? [])
 }
 
-/** The views from a random one on, so that equals are not always met in the same order. */
+/**
+ * Returns the views rotated to a random start, so that ties are not always broken in the same
+ * order.
+ */
 function rotated(views: readonly EndpointView[], random: RandomSource): readonly EndpointView[] {
   const start = randomBelow(random, views.length)
   return [...views.slice(start), ...views.slice(0, start)]
--- a/packages/router/src/socketEnd.ts
+++ b/packages/router/src/socketEnd.ts
@@ -1,6 +1,7 @@
 /**
- * How did a connection end: closed by its peer in order, or reset? Where the last bytes and a reset come in one turn of the
- * loop, libuv reports an end and no error, so the socket's events alone don't tell.
+ * Detects whether the peer closed a connection in order or reset it. If the last bytes and a reset
+ * arrive in one turn of the event loop, libuv reports an end and no error, so the socket's events
+ * alone are not enough.
  */
 
 import type { Socket } from 'node:net'
@@ -9,8 +10,9 @@
 export type SocketEnd = 'closed' | 'reset'
 
 /**
- * Tells it when a socket reports its end. The kernel knows the peer of a connection that was closed in order, and none of
- * one that was reset. Node.js remembers an address once it was asked for, so nothing may ask for it before.
+ * Returns how a connection ended; to be called when its socket reports the end. The kernel knows
+ * the peer address of a connection that was closed in order, and none for one that was reset.
+ * Node.js caches the address once it is read, so no code may read it earlier.
  */
 export function socketEnd(socket: Socket): SocketEnd {
   return socket.remoteAddress === undefined ? 'reset' : 'closed'
