--- a/packages/router/src/filters/admit.ts
+++ b/packages/router/src/filters/admit.ts
@@ -1,6 +1,6 @@
 /**
- * Is there room for the request at some endpoint? Owns the waiting rooms of the models; a request that
- * cannot be served in time is refused at once instead of waiting for its deadline.
+ * Admits requests for which some endpoint has room. Owns the queues of the models and services. A
+ * request that cannot be served in time is refused at once instead of waiting for its deadline.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -13,20 +13,20 @@
 import { estimatedRequests, expectedFirstTokenMilliseconds } from '../routing/routingPolicy.js'
 import type { AdmittedRequest, Call, DeduplicatedRequest, Filter } from './stages.js'
 
-/** Parts that admission works with. */
+/** Dependencies of admission. */
 export interface AdmitParts {
   readonly catalogue: Catalogue
   readonly endpoints: EndpointTable
   readonly clock: Clock
   readonly random: RandomSource
   readonly instances: () => number
-  /** Throws when this instance takes no new requests. */
+  /** Throws if this instance accepts no new requests. */
   readonly checkServing: () => void
 }
 
 /**
- * Lets a request in when an endpoint has room, makes it wait a little when none has, and
- * refuses at once when waiting is useless.
+ * Admits a request if an endpoint has room, queues it for a short time if none has, and refuses it
+ * at once if waiting is useless.
  */
 export class AdmitFilter implements Filter<DeduplicatedRequest, AdmittedRequest> {
   private readonly queues = new Map<string, FairQueue>()
@@ -46,7 +46,10 @@
     return { ...request, noteDispatched }
   }
 
-  /** Lets waiting requests in; called whenever a request ended or a report came. */
+  /**
+   * Admits waiting requests of a model or service. Called whenever a request is over or a report
+   * arrives.
+   */
   admitWaiting(target: string): void {
     this.queues.get(target)?.admitWaiting()
   }
@@ -55,7 +58,7 @@
     for (const queue of this.queues.values()) queue.admitWaiting()
   }
 
-  /** Requests waiting in all queues. */
+  /** Number of waiting requests in all queues. */
   get queuedRequests(): number {
     return [...this.queues.values()].reduce((sum, queue) => sum + queue.length, 0)
   }
@@ -80,7 +83,10 @@
     return outcome.waited
   }
 
-  /** A first token expected after the deadline means that the answer cannot be in time. */
+  /**
+   * Throws if the first token is expected after the deadline, because the answer cannot be in time
+   * then.
+   */
   private checkDeadline(request: DeduplicatedRequest, views: readonly EndpointView[]): void {
     if (request.call.kind !== 'chat') return
     const demand = {
@@ -95,12 +101,12 @@
   private queueOf({ call, target }: DeduplicatedRequest): FairQueue {
     const known = this.queues.get(target)
     if (known !== undefined) return known
-    const created = new FairQueue(this.parts.clock, () => this.freePlaces(call))
+    const created = new FairQueue(this.parts.clock, () => this.freeSlots(call))
     this.queues.set(target, created)
     return created
   }
 
-  private freePlaces(call: Call): number {
+  private freeSlots(call: Call): number {
     const demand = { promptTokens: 0, instances: this.parts.instances() }
     return this.candidates(call).reduce((sum, view) => {
       const free = view.maximumInFlight - estimatedRequests(view, demand)
--- a/packages/router/src/filters/answerDelivery.ts
+++ b/packages/router/src/filters/answerDelivery.ts
@@ -1,21 +1,21 @@
-/** An answer on its way from its endpoint to its caller, whatever its form. */
+/** The delivery of an endpoint's answer to its caller, independent of the answer's form. */
 
 import type { ReportedUsage } from '../engine/usage.js'
 
-/** One answer on its way through. */
+/** The delivery of one answer. */
 export interface AnswerDelivery {
-  /** False when the caller should first be allowed to drain. */
+  /** Delivers a chunk. Returns false if the caller's buffer should drain first. */
   deliver(chunk: Buffer): boolean
-  /** What must not be passed on before the bill is safe. */
+  /** Chunks that must not be sent before the bill is durable. */
   readonly withheldChunks: readonly Buffer[]
-  /** Whether something in the answer says that it is whole. */
+  /** Whether the answer contains an end marker, which proves that it is complete. */
   readonly hasEndMarker: boolean
-  /** Whether it is whole where its framing says so. */
+  /** Whether the answer is complete, provided that its framing does not contradict. */
   readonly isComplete: boolean
   usage(): ReportedUsage
 }
 
-/** Several events as one write. */
+/** Joins several events into one write. */
 export function concatEvents(events: readonly Buffer[]): Buffer {
   const [only] = events
   return events.length === 1 && only !== undefined ? only : Buffer.concat(events)
--- a/packages/router/src/filters/answerHeaders.ts
+++ b/packages/router/src/filters/answerHeaders.ts
@@ -1,17 +1,20 @@
-/** The headers of an endpoint's answer as its caller gets them. */
+/** Builds the headers of an endpoint's answer for its caller. */
 
 import type { DispatchedRequest } from './stages.js'
 
 /** Response headers that describe one connection and not the answer. */
 const DROPPED_HEADERS = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length'])
 
-/** The headers that are passed on, and the request's id. */
+/** Returns the headers to pass on, together with the request id. */
 export function answerHeaders({ answer, requestId }: DispatchedRequest): Record<string, string> {
   const kept = Object.entries(answer.headers).filter(([name]) => !DROPPED_HEADERS.has(name))
   return { ...Object.fromEntries(kept), 'rackwalk-request-id': requestId }
 }
 
-/** The same for an answer that is there as a whole; its length goes with it where that is known to be all. */
+/**
+ * Returns the headers of an answer that was received completely. Includes its length if the framing
+ * proves that nothing is missing.
+ */
 export function wholeAnswerHeaders(
   request: DispatchedRequest,
   body: readonly Buffer[],
--- a/packages/router/src/filters/authenticate.ts
+++ b/packages/router/src/filters/authenticate.ts
@@ -1,5 +1,6 @@
 /**
- * Whose request is it? The key decides; an unknown one ends the request before anything is read.
+ * Identifies the team of a request by its API key. An unknown key ends the request before its body
+ * is read.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -8,7 +9,7 @@
 
 const BEARER = /^Bearer +(\S+)$/i
 
-/** Finds the team whose key the caller shows. */
+/** Finds the team that owns the API key of the request. */
 export class AuthenticateFilter implements Filter<ReceivedRequest, AuthenticatedRequest> {
   constructor(private readonly catalogue: Catalogue) {}
 
--- a/packages/router/src/filters/chatEventDelivery.ts
+++ b/packages/router/src/filters/chatEventDelivery.ts
@@ -1,6 +1,6 @@
 /**
- * A chat's stream of events on its way: keeps back the closing ones, watches the usage reports, and joins the events of an
- * engine that goes on with an answer to those that its caller has.
+ * Delivers a chat's event stream: withholds the closing events, reads the usage reports, and joins
+ * the events of an engine that continues an answer to those that the caller already has.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
@@ -16,43 +16,44 @@
 import type { ChatRequest } from '../engine/chatRequest.js'
 import type { DispatchedRequest } from './stages.js'
 
-/** What the events of a chat are passed on with. */
-export interface EventPassageParts {
+/** Dependencies of a chat event delivery. */
+export interface EventDeliveryParts {
   readonly ledger: BudgetLedger
   readonly onTokens: (tokens: number) => void
 }
 
-/** A streamed chat on its way. */
+/** The delivery of a streamed chat. */
 export class ChatEventDelivery implements AnswerDelivery {
   readonly withheldChunks: Buffer[] = []
   hasEndMarker = false
-  /** The run that goes on with the answer; undefined while the first one is passed on. */
+  /** Rewrites the events of the run that continues the answer; undefined during the first run. */
   continuation: ContinuationRewriter | undefined
   private splitter = new EventSplitter()
   private lastEvent: Buffer | undefined
-  private events = 0
-  private promptKnown = false
+  private deliveredEvents = 0
+  private hasPromptTokens = false
   private usageEvent: Buffer | undefined
 
   constructor(
     private readonly request: DispatchedRequest,
     private readonly chat: ChatRequest,
-    private readonly parts: EventPassageParts,
-    /** What the caller has; undefined where the chat is not continued. */
+    private readonly parts: EventDeliveryParts,
+    /** What the caller has received; undefined if the chat is not continued. */
     readonly deliveredChat: DeliveredChat | undefined,
   ) {
-    // Its last event tells that it is whole, or an error event in place of it.
+    // The head can be sent before the outcome is known: the last event shows that the answer is
+    // complete, and an error event may take its place.
     request.incoming.caller.writeHead(request.answer.status, answerHeaders(request))
   }
 
   deliver(chunk: Buffer): boolean {
-    const passed = this.eventsOf(chunk).filter(event => this.passes(event))
-    if (passed.length === 0) return true
-    this.events += passed.length
-    this.lastEvent = passed.at(-1)
-    this.parts.onTokens(passed.length)
-    if (!this.promptKnown) this.shrinkReservation(passed[0])
-    return this.request.incoming.caller.write(concatEvents(passed))
+    const forwarded = this.eventsOf(chunk).filter(event => this.shouldForward(event))
+    if (forwarded.length === 0) return true
+    this.deliveredEvents += forwarded.length
+    this.lastEvent = forwarded.at(-1)
+    this.parts.onTokens(forwarded.length)
+    if (!this.hasPromptTokens) this.shrinkReservation(forwarded[0])
+    return this.request.incoming.caller.write(concatEvents(forwarded))
   }
 
   get isComplete(): boolean {
@@ -63,19 +64,26 @@
     const closing = this.withheldChunks.find(event => isUsageEvent(event)) ?? this.usageEvent
     const reported = findUsage((closing ?? this.lastEvent)?.toString('utf8') ?? '')
     if (reported !== undefined) return reported
-    // An engine that reports nothing before the end is counted by what was passed on.
+    // The usage of an engine that reports nothing before the end is counted from the delivered
+    // events.
     if (this.continuation !== undefined) return this.continuation.usage()
-    return { promptTokens: this.chat.promptTokenBound, generatedTokens: this.events }
+    return { promptTokens: this.chat.promptTokenBound, generatedTokens: this.deliveredEvents }
   }
 
-  /** Another engine goes on: what of its predecessor's last event was not whole is void. */
+  /**
+   * Switches to the answer of another engine. An incomplete last event of the previous engine is
+   * discarded.
+   */
   startContinuation(usage: ReportedUsage): void {
     this.continuation = new ContinuationRewriter(this.firstRun(usage))
     this.splitter = new EventSplitter()
     this.deliveredChat?.release()
   }
 
-  /** All text is there: gives the answer the closing events that its engine did not come to. */
+  /**
+   * Appends the closing events that the engine did not send. To be called when all text has been
+   * delivered.
+   */
   appendClosingEvents(usage: ReportedUsage, finishReason: 'length' | undefined): void {
     const chunks = closingEvents(this.firstRun(usage), finishReason)
     if (chunks.finish) this.request.incoming.caller.write(chunks.finish)
@@ -98,8 +106,8 @@
     return events.flatMap(event => continuation.rewrite(event) ?? [])
   }
 
-  /** False for the events that close the answer; those are kept back or dropped. */
-  private passes(event: Buffer): boolean {
+  /** Returns false for the closing events, which are withheld or dropped. */
+  private shouldForward(event: Buffer): boolean {
     if (isDoneEvent(event)) {
       this.hasEndMarker = true
       this.withheldChunks.push(Buffer.from(event))
@@ -112,9 +120,9 @@
     return false
   }
 
-  /** The prompt's true count frees what the bound reserved too much. */
+  /** Releases the part of the reservation by which the bound exceeds the reported prompt size. */
   private shrinkReservation(first: Buffer | undefined): void {
-    this.promptKnown = true
+    this.hasPromptTokens = true
     const reported = findUsage(first?.toString('utf8') ?? '')
     if (reported === undefined) return
     const tokens: TokenCount = reported.promptTokens + this.chat.outputTokenLimit
--- a/packages/router/src/filters/chatRelay.ts
+++ b/packages/router/src/filters/chatRelay.ts
@@ -1,7 +1,8 @@
 /**
- * Hands a chat to another instance where this one reaches no engine. The other one serves it as its own: it admits it, holds
- * its budget, claims its key and makes the attempts. Owns the exchange in progress and which instances refused lately; the
- * rules are in decisions/choosing/relayPeer and decisions/retrying/relayStep.
+ * Relays a chat to another instance when this one reaches no engine. The other instance serves the
+ * chat as its own: it admits it, holds its budget, claims its key and makes the attempts. Owns the
+ * exchange in progress and the times of recent refusals by instance. The rules are in
+ * decisions/choosing/relayPeer and decisions/retrying/relayStep.
  */
 
 import { chooseRelayPeer, isProvenComplete, relayStep } from '@rackwalk/decisions'
@@ -20,17 +21,17 @@
 export interface ChatRelayPeer {
   readonly incarnation: IncarnationId
   readonly failureDomain: string
-  /** IP:PORT for callers. */
+  /** IP:PORT at which it serves callers. */
   readonly callerAddress: string
 }
 
-/** What chats are handed over with. */
+/** Dependencies of a chat relay. */
 export interface ChatRelayParts {
   readonly incarnation: IncarnationId
   readonly failureDomain: string
   readonly clock: Clock
   readonly random: RandomSource
-  /** Others that serve callers. */
+  /** Returns the other instances that serve callers. */
   readonly peers: () => readonly ChatRelayPeer[]
   readonly onHandedOver: (outcome: RelayOutcome) => void
 }
@@ -40,18 +41,21 @@
 }
 
 const CONNECT_MILLISECONDS: Milliseconds = 300
-/** Connections to one instance. */
+/** Maximum number of connections to one instance. */
 const MAXIMUM_PEER_CONNECTIONS = 256
-/** Who refused as cut off or full is asked last for so long: it says nothing of it by itself. */
+/**
+ * An instance that refused because it is cut off or overloaded is asked last for this time.
+ * Instances do not announce these states for chats, so the refusal is the only sign.
+ */
 const REFUSAL_MILLISECONDS: Milliseconds = 1_000
 const STATUS_UNAVAILABLE = 503
-/** Headers of one exchange, which the next one has anew. */
+/** Headers that are set anew for each hop. */
 const PER_HOP_HEADERS = new Set(['host', 'content-length', 'rackwalk-deadline-ms'])
 
-/** Hands chats of one instance to others. */
+/** Relays chats of this instance to others. */
 export class ChatRelay {
   private readonly agents = new Map<string, EndpointAgent>()
-  /** Monotonic time at which each refused last. */
+  /** Monotonic time of each instance's latest refusal. */
   private readonly refusedAt = new Map<IncarnationId, Milliseconds>()
 
   constructor(private readonly parts: ChatRelayParts) {}
@@ -60,12 +64,15 @@
     for (const agent of this.agents.values()) agent.destroy()
   }
 
-  /** Whether the request may go to another instance at all. */
+  /** Whether the request may be relayed at all. */
   canRelay({ incoming, call }: ParsedRequest): boolean {
     return call.kind === 'chat' && !incoming.headers.has(RELAYED_BY)
   }
 
-  /** What came of it; undefined where nobody was sent it. Throws where it may have run and no answer came. */
+  /**
+   * Relays the request and returns the outcome; undefined if it was sent to no instance. Throws if
+   * it may have run and no answer arrived.
+   */
   async relay(request: ParsedRequest): Promise<RelayOutcome | undefined> {
     const { call } = request
     if (call.kind !== 'chat') return undefined
@@ -76,7 +83,7 @@
       asked.add(peer.incarnation)
       const exchange = this.open(peer, request, call.chat)
       const next = this.choose(asked)
-      const outcome = await this.pass(exchange, request, outcomes, next !== undefined)
+      const outcome = await this.forwardAnswer(exchange, request, outcomes, next !== undefined)
       this.noteOutcome(peer, outcome)
       const step = relayStep(outcomes, routeOf(request), next !== undefined)
       if (step === 'pass-on') return outcome
@@ -87,31 +94,31 @@
     throw new DispatchedError(ResultCode.EndpointFailed, 'the instance that it was handed to')
   }
 
-  /** Whether nobody waits for an answer any more. */
+  /** Whether the caller has left or the deadline has passed. */
   private isOver({ incoming, deadline }: ParsedRequest): boolean {
     return incoming.caller.disconnectSignal.aborted || this.parts.clock.sinceStart() >= deadline
   }
 
-  /** Passes the answer on where there is one to pass on. */
-  private async pass(
+  /** Waits for the answer and forwards it if the rule says so. */
+  private async forwardAnswer(
     exchange: UpstreamExchange,
     request: ParsedRequest,
     outcomes: RelayOutcome[],
     hasAnother: boolean,
   ): Promise<RelayOutcome> {
     const head = await exchange.awaitAnswer()
-    if (head.kind === 'not-sent') return added(outcomes, { kind: 'not-sent' })
-    if (head.kind === 'failed') return added(outcomes, { kind: 'failed', reason: head.reason })
+    if (head.kind === 'not-sent') return appended(outcomes, { kind: 'not-sent' })
+    if (head.kind === 'failed') return appended(outcomes, { kind: 'failed', reason: head.reason })
     const status = head.response.statusCode ?? 0
     const kind = status === STATUS_UNAVAILABLE ? 'refused' : 'answered'
-    const outcome = added(outcomes, { kind, status })
+    const outcome = appended(outcomes, { kind, status })
     if (relayStep(outcomes, routeOf(request), hasAnother) !== 'pass-on') {
       exchange.drain()
       return outcome
     }
     const names = withoutConnectionHeaders(head.response.rawHeaders)
-    const isWhole = await passBody(exchange, request, status, namedHeaders(names))
-    if (isWhole) return outcome
+    const isComplete = await forwardBody(exchange, request, status, namedHeaders(names))
+    if (isComplete) return outcome
     request.incoming.caller.destroy()
     return outcome
   }
@@ -141,18 +148,18 @@
     const { clock, incarnation } = this.parts
     const remaining = Math.max(1, Math.floor(deadline - clock.sinceStart()))
     const body = Buffer.from(JSON.stringify(relayedChatBody(chat)))
-    const sent = withoutConnectionHeaders([...incoming.headers].flat(), name =>
+    const callerHeaders = withoutConnectionHeaders([...incoming.headers].flat(), name =>
       PER_HOP_HEADERS.has(name),
     )
-    const own = { [RELAYED_BY]: incarnation, 'rackwalk-deadline-ms': String(remaining) }
-    const headers = [...sent, ...Object.entries(own).flat()]
+    const relayHeaders = { [RELAYED_BY]: incarnation, 'rackwalk-deadline-ms': String(remaining) }
+    const headers = [...callerHeaders, ...Object.entries(relayHeaders).flat()]
     headers.push('host', peer.callerAddress, 'content-length', String(body.length))
     const { method, requestTarget: path } = incoming
     const endpoint = { record: { address: peer.callerAddress }, agent: this.agentOf(peer) }
     const described = { method, path, headers, body, connectMilliseconds: CONNECT_MILLISECONDS }
     const exchange = new UpstreamExchange(endpoint, described)
-    const noteLeft = () => exchange.abort('caller-left')
-    incoming.caller.disconnectSignal.addEventListener('abort', noteLeft, { once: true })
+    const noteDisconnected = () => exchange.abort('caller-left')
+    incoming.caller.disconnectSignal.addEventListener('abort', noteDisconnected, { once: true })
     const timer = clock.after(remaining, () => exchange.abort('deadline'))
     scope.onEnd(() => timer.cancel())
     return exchange
@@ -169,8 +176,10 @@
   }
 }
 
-/** Whether all of the answer came and went to the caller, at the caller's pace. */
-function passBody(
+/**
+ * Forwards the answer at the caller's pace. Resolves with whether all of it arrived and was sent.
+ */
+function forwardBody(
   exchange: UpstreamExchange,
   { incoming: { caller } }: ParsedRequest,
   status: number,
@@ -185,15 +194,15 @@
     }
     const onEnd = (end: AnswerEnd) => {
       const { framing } = exchange
-      const isWhole = isProvenComplete({ framing, end, isBodyTruncated: false })
-      if (isWhole) void caller.end().then(() => resolve(true))
+      const isComplete = isProvenComplete({ framing, end, isBodyTruncated: false })
+      if (isComplete) void caller.end().then(() => resolve(true))
       else resolve(false)
     }
     exchange.readBody({ onData, onEnd })
   })
 }
 
-function added(outcomes: RelayOutcome[], outcome: RelayOutcome): RelayOutcome {
+function appended(outcomes: RelayOutcome[], outcome: RelayOutcome): RelayOutcome {
   outcomes.push(outcome)
   return outcome
 }
--- a/packages/router/src/filters/claim.ts
+++ b/packages/router/src/filters/claim.ts
@@ -1,19 +1,20 @@
 /**
- * May this request run, given that it must run once only? The claim is taken in the table right before
- * dispatch and released where the request turns out not to have run.
+ * Decides whether a request that may run only once may run. The claim is made in the table right
+ * before dispatch, and released if the request turns out not to have run.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
 import type { ClaimResult, Claims } from '@rackwalk/coordination'
 import type { ClaimedRequest, Filter, ReservedRequest } from './stages.js'
 
-/** Claims a request that may run at most once; only the holder of the claim dispatches. */
+/** Claims a request that may run at most once. Only the holder of the claim dispatches it. */
 export class ClaimFilter implements Filter<ReservedRequest, ClaimedRequest> {
   constructor(private readonly claims: Claims) {}
 
   async apply(request: ReservedRequest): Promise<ClaimedRequest> {
     const { callerKey, team, requestId } = request
-    // Without a key nobody can ask for the same request again, so none need be kept out.
+    // Without a key nobody can send the same request again, so there are no other attempts to
+    // exclude.
     if (request.repeatable || callerKey === undefined) return { ...request, claim: undefined }
     const result = await this.claims.claim(team.teamId, callerKey, requestId)
     const claim = claimOrRefuse(result)
--- a/packages/router/src/filters/complete.ts
+++ b/packages/router/src/filters/complete.ts
@@ -1,6 +1,6 @@
 /**
- * Ends the answer at the caller. The end is held back until the bill is safe, so that nobody has a whole
- * answer that nobody pays for.
+ * Ends the answer at the caller. The end is withheld until the bill is durable, so that no caller
+ * gets a complete answer that is never billed.
  */
 
 import { DispatchedError, ResultCode } from '@rackwalk/shared'
@@ -8,7 +8,9 @@
 import { wholeAnswerHeaders } from './answerHeaders.js'
 import type { Filter, SettledRequest } from './stages.js'
 
-/** Releases the end of an answer whose bill is safe; cuts off one that is not whole. */
+/**
+ * Releases the end of an answer whose bill is durable, and cuts off an answer that is incomplete.
+ */
 export class CompleteFilter implements Filter<SettledRequest, SettledRequest> {
   async apply(request: SettledRequest): Promise<SettledRequest> {
     const { caller } = request.incoming
@@ -25,7 +27,7 @@
     return { ...request, code }
   }
 
-  /** Sends the head of an answer that was held as a whole. */
+  /** Sends the head of an answer that was withheld completely. */
   private begin(request: SettledRequest): void {
     const { caller } = request.incoming
     const { status, isDelimited } = request.answer
@@ -33,7 +35,10 @@
     caller.writeHead(status, wholeAnswerHeaders(request, request.withheldChunks), isDelimited)
   }
 
-  /** A stream can still carry a last event; any other answer that has begun ends by its connection. */
+  /**
+   * Reports an error on an answer that has begun. A stream can carry an error event; any other
+   * answer ends with its connection.
+   */
   private async cutOff(request: SettledRequest, error: DispatchedError): Promise<void> {
     const { caller } = request.incoming
     if (!caller.hasSentHead) throw error
--- a/packages/router/src/filters/continueAnswer.ts
+++ b/packages/router/src/filters/continueAnswer.ts
@@ -1,6 +1,7 @@
 /**
- * Has another engine go on with a streamed chat that was cut. Owns the memory of what callers have; relies on dispatch for
- * the engine. The rule is in decisions/retrying/continuation.
+ * Lets another engine continue a streamed chat that was interrupted. Owns the record of what
+ * callers have received; relies on dispatch for the engine. The rule is in
+ * decisions/retrying/continuation.
  */
 
 import { continuationStep } from '@rackwalk/decisions'
@@ -16,17 +17,20 @@
 import type { ChatEventDelivery } from './chatEventDelivery.js'
 import type { DispatchedRequest, ContinuationRequest } from './stages.js'
 
-/** Parts that continuing works with. */
+/** Dependencies of answer continuation. */
 export interface ContinuationParts {
   readonly dispatch: Pick<DispatchFilter, 'dispatchContinuation' | 'noteContinuationFailure'>
   readonly catalogue: Catalogue
   readonly space: AnswerBufferPool
   readonly clock: Clock
-  /** An engine goes on with the answer of another one. */
+  /** Called when an engine continues another engine's answer. */
   readonly onContinued: () => void
 }
 
-/** Ends that leave an answer for another engine: it or the way to it brought them about. */
+/**
+ * Ends after which another engine may continue the answer: the engine, or the connection to it,
+ * caused them.
+ */
 const CONTINUABLE_ENDS: ReadonlySet<AnswerEnd> = new Set([
   'complete',
   'closed',
@@ -35,77 +39,90 @@
   'endpoint-ended',
 ])
 
-/** Goes on with answers that were cut. */
+/** Continues interrupted answers. */
 export class AnswerContinuation {
   constructor(private readonly parts: ContinuationParts) {}
 
-  /** Where what the caller has is kept; undefined where no engine could go on with it. */
+  /**
+   * Creates the record of what the caller receives; undefined if no engine could continue the
+   * answer.
+   */
   trackDelivered(request: DispatchedRequest, chat: ChatRequest): DeliveredChat | undefined {
     if (!isContinuable(request, chat) || !this.hasEngine(request, chat)) return undefined
     const { endpointId } = request.answer
     const softwareVersion = this.parts.catalogue.softwareVersionOf(endpointId)
-    const kept = new DeliveredChat(this.parts.space, softwareVersion)
-    request.scope.onEnd(() => kept.release())
-    return kept
+    const deliveredChat = new DeliveredChat(this.parts.space, softwareVersion)
+    request.scope.onEnd(() => deliveredChat.release())
+    return deliveredChat
   }
 
-  /** The answer of the engine that goes on; undefined where none does, or nothing is missing any more. */
+  /**
+   * Returns the answer of the engine that continues; undefined if none does, or if nothing is
+   * missing.
+   */
   async continueAnswer(
-    cut: DispatchedRequest,
+    interrupted: DispatchedRequest,
     chat: ChatRequest,
-    passage: ChatEventDelivery,
+    delivery: ChatEventDelivery,
   ): Promise<DispatchedRequest | undefined> {
-    const { deliveredChat } = passage
-    const step = this.stepOf(cut, chat, passage)
+    const { deliveredChat } = delivery
+    const step = this.stepOf(interrupted, chat, delivery)
     if (deliveredChat?.usage === undefined || step.kind === 'cut') return undefined
     if (step.kind === 'close') {
-      passage.appendClosingEvents(deliveredChat.usage, step.finishReason)
+      delivery.appendClosingEvents(deliveredChat.usage, step.finishReason)
       return undefined
     }
-    return this.ask(cut, passage, {
+    return this.dispatchRemainder(interrupted, delivery, {
       body: bodyOf(chat, deliveredChat, step.outputTokens),
       softwareVersion: deliveredChat.softwareVersion,
       usage: deliveredChat.usage,
     })
   }
 
-  /** The answer is cut for good: whether the request may have ended the engine that went on is looked at. */
-  noteInterrupted(cut: DispatchedRequest, passage: ChatEventDelivery): void {
-    const { continuation } = passage
+  /**
+   * Records that the answer stays interrupted. If the continuing engine failed before its first
+   * event, checks whether the request may have crashed it.
+   */
+  noteInterrupted(interrupted: DispatchedRequest, delivery: ChatEventDelivery): void {
+    const { continuation } = delivery
     const isAtJoin = continuation !== undefined && !continuation.hasBegun
-    if (isAtJoin && isOfEngine(cut)) this.parts.dispatch.noteContinuationFailure(cut)
+    if (isAtJoin && isCausedByEngine(interrupted))
+      this.parts.dispatch.noteContinuationFailure(interrupted)
   }
 
-  private async ask(
-    cut: DispatchedRequest,
-    passage: ChatEventDelivery,
-    rest: ContinuationRequest & { readonly usage: ReportedUsage },
+  private async dispatchRemainder(
+    interrupted: DispatchedRequest,
+    delivery: ChatEventDelivery,
+    remainder: ContinuationRequest & { readonly usage: ReportedUsage },
   ): Promise<DispatchedRequest | undefined> {
-    const routing = cut.record.routing.at(-1)
-    const { framing, end = 'aborted' } = cut.answer
-    const next = await this.parts.dispatch.dispatchContinuation(cut, rest)
+    const routing = interrupted.record.routing.at(-1)
+    const { framing, end = 'aborted' } = interrupted.answer
+    const next = await this.parts.dispatch.dispatchContinuation(interrupted, remainder)
     if (routing) routing.answer = { framing, end, fate: next === undefined ? 'cut' : 'continued' }
     if (next === undefined) return undefined
-    passage.startContinuation(rest.usage)
+    delivery.startContinuation(remainder.usage)
     this.parts.onContinued()
     return next
   }
 
   private stepOf(
-    cut: DispatchedRequest,
+    interrupted: DispatchedRequest,
     chat: ChatRequest,
-    passage: ChatEventDelivery,
+    delivery: ChatEventDelivery,
   ): ContinuationStep {
-    const { deliveredChat, continuation } = passage
-    const isLate = this.parts.clock.sinceStart() >= cut.deadline
+    const { deliveredChat, continuation } = delivery
+    const isLate = this.parts.clock.sinceStart() >= interrupted.deadline
     return continuationStep({
-      isContinuable: deliveredChat !== undefined && isContinuable(cut, chat),
+      isContinuable: deliveredChat !== undefined && isContinuable(interrupted, chat),
       isFullyKnown: deliveredChat?.isReconstructible === true,
       isFinished: deliveredChat?.isFinished === true,
       generatedTokens: deliveredChat?.usage?.generatedTokens,
       outputTokenLimit: chat.outputTokenLimit,
       continuations: continuation === undefined ? 0 : 1,
-      isAbandoned: isLate || cut.incoming.caller.disconnectSignal.aborted || !isOfEngine(cut),
+      isAbandoned:
+        isLate ||
+        interrupted.incoming.caller.disconnectSignal.aborted ||
+        !isCausedByEngine(interrupted),
     })
   }
 
@@ -127,11 +144,14 @@
   return repeatable && isContinuable
 }
 
-function isOfEngine({ answer }: DispatchedRequest): boolean {
+function isCausedByEngine({ answer }: DispatchedRequest): boolean {
   return answer.end !== undefined && CONTINUABLE_ENDS.has(answer.end)
 }
 
-/** Before any text the chat is asked anew. */
+/**
+ * Returns the body that requests the remaining output. Before any text was delivered, the chat is
+ * sent again as it was.
+ */
 function bodyOf({ body }: ChatRequest, { text }: DeliveredChat, outputTokens: number) {
   return text === ''
     ? { ...body, max_tokens: outputTokens }
--- a/packages/router/src/filters/crashScreen.ts
+++ b/packages/router/src/filters/crashScreen.ts
@@ -1,5 +1,6 @@
 /**
- * Has this request ended endpoints? One that is known to is refused before a key, a place or tokens are taken for it.
+ * Refuses crash-inducing requests. A request that is known to crash endpoints is refused before it
+ * takes a key, a queue place or tokens.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -7,7 +8,7 @@
 import { requestVerdict } from '../crashes/requestVerdict.js'
 import type { Filter, ParsedRequest } from './stages.js'
 
-/** Refuses requests that end endpoints. */
+/** Refuses requests that are known to crash endpoints. */
 export class CrashScreenFilter implements Filter<ParsedRequest, ParsedRequest> {
   constructor(private readonly crashes: CrashGuard) {}
 
--- a/packages/router/src/filters/deduplicate.ts
+++ b/packages/router/src/filters/deduplicate.ts
@@ -1,6 +1,6 @@
 /**
- * Does an attempt with the same key run already, and what was billed for it? Relies on the key's
- * registrar.
+ * Detects an attempt with the same key that is already running, and the tokens billed for earlier
+ * ones. Relies on the key's registrar.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -9,9 +9,9 @@
 import type { DeduplicatedRequest, Filter, ParsedRequest } from './stages.js'
 
 /**
- * Keeps a caller's retry from running beside the first attempt. For requests that may be
- * repeated the registrar's word is a hint that saves work; for others the durable claim,
- * taken later, decides.
+ * Keeps a caller's retry from running concurrently with the first attempt. For repeatable requests
+ * the registrar's answer is a hint that saves work; for others, the durable claim that is made
+ * later decides.
  */
 export class DeduplicateFilter implements Filter<ParsedRequest, DeduplicatedRequest> {
   constructor(
@@ -45,7 +45,7 @@
   }
 }
 
-/** Tokens billed for the key before; throws where the request must not go on. */
+/** Returns the tokens already billed for the key. Throws if the request must not proceed. */
 function creditOrRefuse(registration: KeyRegistration, repeatable: boolean): TokenCount {
   switch (registration.state) {
     case 'first':
--- a/packages/router/src/filters/delivery.ts
+++ b/packages/router/src/filters/delivery.ts
@@ -1,5 +1,5 @@
 /**
- * Passes an endpoint's answer on at the caller's pace, keeps back its end, and finds out what it cost.
+ * Delivers an endpoint's answer at the caller's pace, withholds its end and determines its cost.
  */
 
 import { ResultCode } from '@rackwalk/shared'
@@ -18,7 +18,7 @@
 import { concatEvents } from './answerDelivery.js'
 import type { DispatchedRequest, Filter, DeliveredRequest } from './stages.js'
 
-/** Parts that relaying works with. */
+/** Dependencies of delivery. */
 export interface DeliveryParts {
   readonly ledger: BudgetLedger
   readonly endpoints: EndpointTable
@@ -27,90 +27,93 @@
   readonly continuation: AnswerContinuation
 }
 
-/** Bytes at the end of a plain answer in which its usage report is looked for. */
+/** Bytes at the end of a plain answer that are searched for its usage report. */
 const TAIL_BYTES = 64 * 1024
 const NO_USAGE: ReportedUsage = { promptTokens: 0, generatedTokens: 0 }
 
-/** The run that an answer ended with, and what broke it off. */
-interface PassedRun {
+/** The last run of an answer, and the error that interrupted it. */
+interface DeliveredRun {
   readonly request: DispatchedRequest
   readonly failure: Error | undefined
 }
 
-/** How the passing-on ended. */
+/** How the delivery ended. */
 interface DeliveryEnd {
   readonly code: DispatchedCode
   readonly detail?: string
 }
 
-/** Passes an answer on, chunk by chunk at the caller's pace, all but its end. */
+/** Delivers an answer chunk by chunk at the caller's pace, except for its end. */
 export class DeliveryFilter implements Filter<DispatchedRequest, DeliveredRequest> {
   constructor(private readonly parts: DeliveryParts) {}
 
   async apply(request: DispatchedRequest): Promise<DeliveredRequest> {
     const { record, receivedAt } = request
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - receivedAt
-    const passage = this.passageOf(request)
-    const run = await this.passWithRest(request, passage)
+    const delivery = this.createDelivery(request)
+    const run = await this.deliverWithContinuation(request, delivery)
     run.request.answer.cancel()
-    const end = this.endOf(run.request, passage, run.failure)
-    noteFate(run.request, end)
-    const usage = passage.usage()
+    const end = this.endOf(run.request, delivery, run.failure)
+    recordDisposition(run.request, end)
+    const usage = delivery.usage()
     const billedTokens = billableTokens(request, end, usage)
     const { code, detail } = end
     return {
       ...run.request,
       code,
       detail,
-      withheldChunks: passage.withheldChunks,
+      withheldChunks: delivery.withheldChunks,
       usage,
       billedTokens,
     }
   }
 
-  /** Passes the answer on, and what another engine goes on with where it is cut. */
-  private async passWithRest(
+  /** Delivers the answer and, if it is interrupted, its continuation by another engine. */
+  private async deliverWithContinuation(
     request: DispatchedRequest,
-    passage: AnswerDelivery,
-  ): Promise<PassedRun> {
-    const failure = await this.pass(request, passage)
+    delivery: AnswerDelivery,
+  ): Promise<DeliveredRun> {
+    const failure = await this.deliverRun(request, delivery)
     const { call } = request
-    const isCut = passage instanceof ChatEventDelivery && !passage.hasEndMarker
-    if (!isCut || call.kind !== 'chat') return { request, failure }
+    const isInterrupted = delivery instanceof ChatEventDelivery && !delivery.hasEndMarker
+    if (!isInterrupted || call.kind !== 'chat') return { request, failure }
     const { continuation, endpoints } = this.parts
-    const next = await continuation.continueAnswer(request, call.chat, passage)
+    const next = await continuation.continueAnswer(request, call.chat, delivery)
     if (next === undefined) return { request, failure }
     endpoints.noteFailure(request.answer.endpointId)
-    const run = { request: next, failure: await this.pass(next, passage) }
-    if (!passage.hasEndMarker) continuation.noteInterrupted(next, passage)
+    const run = { request: next, failure: await this.deliverRun(next, delivery) }
+    if (!delivery.hasEndMarker) continuation.noteInterrupted(next, delivery)
     return run
   }
 
-  private passageOf(request: DispatchedRequest): AnswerDelivery {
+  private createDelivery(request: DispatchedRequest): AnswerDelivery {
     const { call } = request
     if (isEventStream(request)) {
       if (call.kind !== 'chat') return new ServiceEventDelivery(request)
-      const kept = this.parts.continuation.trackDelivered(request, call.chat)
-      return new ChatEventDelivery(request, call.chat, this.parts, kept)
+      const deliveredChat = this.parts.continuation.trackDelivered(request, call.chat)
+      return new ChatEventDelivery(request, call.chat, this.parts, deliveredChat)
     }
     return request.answer.isComplete
       ? new BufferedAnswerDelivery(request)
       : new StreamedAnswerDelivery(request)
   }
 
-  /** Resolves with what broke the answer off, or with nothing at its end. */
-  private pass(request: DispatchedRequest, passage: AnswerDelivery): Promise<Error | undefined> {
+  /** Resolves with the error that interrupted the answer, or with undefined at its end. */
+  private deliverRun(
+    request: DispatchedRequest,
+    delivery: AnswerDelivery,
+  ): Promise<Error | undefined> {
     const { answer, incoming } = request
     return new Promise(resolve => {
       const consumer = {
         isFull: false,
         receive: (chunk: Buffer) => {
           try {
-            if (passage.deliver(chunk) || consumer.isFull) return
+            if (delivery.deliver(chunk) || consumer.isFull) return
           } catch (thrown) {
             return resolve(thrown as Error)
           }
-          // What was held comes at once, and one wait for the caller is enough for all of it.
+          // Buffered chunks arrive in one go; one wait for the caller covers them all.
           if (consumer.isFull) return
           consumer.isFull = true
           void incoming.caller.waitForDrain().then(() => {
@@ -125,18 +128,18 @@
     })
   }
 
-  private endOf(request: DispatchedRequest, passage: AnswerDelivery, failure: Error | undefined) {
+  private endOf(request: DispatchedRequest, delivery: AnswerDelivery, failure: Error | undefined) {
     if (request.incoming.caller.disconnectSignal.aborted)
       return { code: ResultCode.CallerLeft } as const
-    // What the answer itself proves whole is whole, whatever became of its connection.
-    return failure === undefined || passage.hasEndMarker
-      ? this.wholeEnd(request, passage)
-      : this.brokenEnd(request, failure)
+    // An answer with an end marker is complete, however its connection ended.
+    return failure === undefined || delivery.hasEndMarker
+      ? this.completeEnd(request, delivery)
+      : this.interruptedEnd(request, failure)
   }
 
-  private wholeEnd(request: DispatchedRequest, passage: AnswerDelivery): DeliveryEnd {
+  private completeEnd(request: DispatchedRequest, delivery: AnswerDelivery): DeliveryEnd {
     const { endpointId, status } = request.answer
-    if (!passage.isComplete) {
+    if (!delivery.isComplete) {
       this.parts.endpoints.noteFailure(endpointId)
       return { code: ResultCode.EndpointBrokeOff, detail: 'the answer has no end' }
     }
@@ -145,7 +148,7 @@
     return { code: ResultCode.Ok }
   }
 
-  private brokenEnd(request: DispatchedRequest, failure: Error): DeliveryEnd {
+  private interruptedEnd(request: DispatchedRequest, failure: Error): DeliveryEnd {
     if (answerEndOf(failure) === 'deadline' || this.parts.clock.sinceStart() >= request.deadline)
       return { code: ResultCode.DeadlinePassed }
     this.parts.endpoints.noteFailure(request.answer.endpointId)
@@ -155,11 +158,14 @@
   }
 }
 
-/** A service's stream of events: whole where its framing says so, or else by a last event as a chat has it. */
+/**
+ * A service's event stream. It is complete if its framing proves so or if it ends with a done event
+ * as a chat does.
+ */
 class ServiceEventDelivery implements AnswerDelivery {
   hasEndMarker = false
   private readonly splitter = new EventSplitter()
-  private readonly closing: Buffer[] = []
+  private readonly closingEvents: Buffer[] = []
 
   constructor(private readonly request: DispatchedRequest) {
     request.incoming.caller.writeHead(request.answer.status, answerHeaders(request))
@@ -169,29 +175,32 @@
     return this.hasEndMarker || this.request.answer.isDelimited
   }
 
-  /** What follows the last whole event is a part of a whole answer. */
+  /** Data after the last complete event still belongs to a complete answer. */
   get withheldChunks(): readonly Buffer[] {
     const { remainder } = this.splitter
-    return remainder === undefined ? this.closing : [...this.closing, remainder]
+    return remainder === undefined ? this.closingEvents : [...this.closingEvents, remainder]
   }
 
   deliver(chunk: Buffer): boolean {
-    const passed = this.splitter.split(chunk).filter(event => this.passes(event))
-    return passed.length === 0 || this.request.incoming.caller.write(concatEvents(passed))
+    const forwarded = this.splitter.split(chunk).filter(event => this.shouldForward(event))
+    return forwarded.length === 0 || this.request.incoming.caller.write(concatEvents(forwarded))
   }
 
   usage(): ReportedUsage {
     return NO_USAGE
   }
 
-  private passes(event: Buffer): boolean {
+  private shouldForward(event: Buffer): boolean {
     this.hasEndMarker ||= isDoneEvent(event)
-    if (this.hasEndMarker) this.closing.push(Buffer.from(event))
+    if (this.hasEndMarker) this.closingEvents.push(Buffer.from(event))
     return !this.hasEndMarker
   }
 }
 
-/** Any other answer that is whole: all of it is kept back, its head as well, so that it may still become an error. */
+/**
+ * Any other answer that was received completely. All of it is withheld, including its head, so that
+ * an error can still replace it.
+ */
 class BufferedAnswerDelivery implements AnswerDelivery {
   readonly withheldChunks: Buffer[] = []
   readonly hasEndMarker = false
@@ -210,7 +219,7 @@
   }
 }
 
-/** Any other answer that goes as it comes: its last chunk is kept back. */
+/** Any other answer that is delivered as it arrives. Its last chunk is withheld. */
 class StreamedAnswerDelivery implements AnswerDelivery {
   readonly hasEndMarker = false
   readonly isComplete = true
@@ -234,7 +243,9 @@
     return findUsage(this.tail.toString('utf8')) ?? NO_USAGE
   }
 
-  /** The head goes with the first bytes: until then the answer may still become an error. */
+  /**
+   * Sends the head together with the first bytes; until then an error can still replace the answer.
+   */
   private write(chunk: Buffer): boolean {
     const { incoming, answer } = this.request
     if (!incoming.caller.hasSentHead) {
@@ -248,15 +259,15 @@
   }
 }
 
-/** The end of an answer, in which its usage is reported. */
+/** Returns the end of an answer, which contains its usage report. */
 function tailOf(chunks: readonly Buffer[]): Buffer {
   const data = Buffer.concat(chunks)
   return data.subarray(Math.max(0, data.length - TAIL_BYTES))
 }
 
 /**
- * What a request costs: whole answers and those that the caller gave up. An answer that the
- * fleet failed to bring to its end costs its team nothing.
+ * Returns the tokens to bill. Complete answers are billed, and so are those that the caller gave up
+ * or whose deadline passed. An answer that the fleet failed to complete costs its team nothing.
  */
 function billableTokens(
   request: DispatchedRequest,
@@ -264,25 +275,25 @@
   usage: ReportedUsage,
 ): TokenCount {
   const isError = request.answer.status >= 400
-  const isCallers =
+  const isBillable =
     end.code === ResultCode.Ok ||
     end.code === ResultCode.CallerLeft ||
     end.code === ResultCode.DeadlinePassed
-  if (request.call.kind === 'service' || isError || !isCallers) return 0
+  if (request.call.kind === 'service' || isError || !isBillable) return 0
   const cost = usage.promptTokens + usage.generatedTokens
   return Math.max(0, cost - request.creditedTokens)
 }
 
-/** Notes what became of an answer that was passed on, all or in part. */
-function noteFate(request: DispatchedRequest, { code }: DeliveryEnd): void {
+/** Records what became of an answer that was delivered completely or in part. */
+function recordDisposition(request: DispatchedRequest, { code }: DeliveryEnd): void {
   const { framing, end = 'aborted', endpointId } = request.answer
-  // Whoever was asked to go on after it did not answer.
+  // The last routing entry may belong to an engine that was asked to continue and did not answer.
   const routing = request.record.routing.findLast(record => record.endpointId === endpointId)
   if (routing === undefined) return
-  routing.answer = { framing, end, fate: fateOf(request, code) }
+  routing.answer = { framing, end, fate: dispositionOf(request, code) }
 }
 
-function fateOf({ incoming }: DispatchedRequest, code: DispatchedCode): AnswerDisposition {
+function dispositionOf({ incoming }: DispatchedRequest, code: DispatchedCode): AnswerDisposition {
   if (code === ResultCode.Ok || code === ResultCode.EndpointError) return 'whole'
   if (code === ResultCode.CallerLeft) return 'dropped'
   return incoming.caller.hasSentHead ? 'cut' : 'refused'
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the request to endpoints until one answers. Owns the attempts of one request; relies on the router
- * for the endpoint and on the retry budget for another try.
+ * Sends the request to endpoints until one answers. Owns the attempts of one request; relies on the
+ * router for the endpoint and on the retry budget for further attempts.
  */
 
 import { DispatchedError, NotRunError, endpointStart, sleep } from '@rackwalk/shared'
@@ -27,7 +27,7 @@
   RoutedRequest,
 } from './stages.js'
 
-/** Parts that dispatch works with. */
+/** Dependencies of dispatch. */
 export interface DispatchParts {
   readonly catalogue: Catalogue
   readonly endpoints: EndpointTable
@@ -35,28 +35,31 @@
   readonly client: EndpointClient
   readonly crashes: CrashGuard
   readonly advices: EndpointAdviceStore
-  /** No endpoint is left alone for longer than this by its own word. */
+  /** Upper bound for the time that an endpoint's own advice keeps requests away from it. */
   readonly longestRestMilliseconds: Milliseconds
   readonly clock: Clock
   readonly random: RandomSource
   readonly firstByteMilliseconds: Milliseconds
   readonly onRetry: () => void
-  /** No connection to an endpoint came up. */
+  /** Called when no connection to an endpoint could be established. */
   readonly onConnectFailed: (target: string, endpointId: EndpointId) => void
-  /** Whether no endpoint of a model or service is reached from here. */
+  /** Whether no endpoint of a model or service can be reached from this instance. */
   readonly isCutOff: (target: string) => boolean
 }
 
 const MAXIMUM_ATTEMPTS = 4
-/** A first break names the start that it belongs to by its time in such steps: an engine takes longer to be back. */
+/**
+ * Resolution of the time that identifies an endpoint's start after its first reset. An engine takes
+ * longer than this to restart.
+ */
 const START_RESOLUTION_MILLISECONDS = 1_000
-/** Where model engines tell their state without using a slot. */
+/** Path at which model engines report their state without using a slot. */
 const LOAD_PATH = '/load'
 const STATUS_OK = 200
 const EVENT_STREAM = 'text/event-stream'
 const REFUSED_STATUS = 503
 const TOO_MANY_STATUS = 429
-/** Request headers that describe the caller's connection or are none of the endpoint's business. */
+/** Request headers that describe the caller's connection or must not reach the endpoint. */
 const DROPPED_HEADERS = new Set([
   'authorization',
   'connection',
@@ -72,41 +75,41 @@
   'upgrade',
 ])
 
-/** How a try is sent. */
+/** How an attempt was sent. */
 interface AttemptSend {
-  /** Whether as one that may end endpoints. */
+  /** Whether the request was isolated as possibly crash-inducing. */
   readonly wasIsolated: boolean
   /** Monotonic time. */
   readonly sentAt: Milliseconds
 }
 
-/** What came of a try. */
+/** An attempt together with its result. */
 interface SentAttempt extends AttemptSend {
   readonly result: AttemptResult
 }
 
-/** An attempt that gave no usable answer. */
+/** An attempt without a usable answer. */
 interface FailedAttempt {
   readonly result: AttemptResult
   /** Number of the attempt, from one. */
   readonly attempt: number
-  /** Resolves with whether its endpoint is known to have ended under it. */
-  readonly isKnown: Promise<boolean>
+  /** Resolves with whether the endpoint is known to have terminated during the attempt. */
+  readonly isTerminated: Promise<boolean>
 }
 
-/** What to do about an attempt that gave no usable answer. */
-type Verdict = 'try-another' | 'retry' | 'give-up'
+/** The next step after an attempt without a usable answer. */
+type NextStep = 'try-another' | 'retry' | 'give-up'
 
 /**
- * Sends the request. An attempt of which no byte left may be made again elsewhere whatever
- * the request; one that may have run is made again only when the request may be repeated,
- * within the retry budget, before anything of an answer was passed on.
+ * Sends the request. An attempt of which no byte was sent may always be repeated at another
+ * endpoint. An attempt that may have run is repeated only if the request is repeatable, within the
+ * retry budget, and before any part of an answer was delivered.
  */
 export class DispatchFilter implements Filter<RoutedRequest, DispatchedRequest> {
   private readonly retries: RetryBudget
-  /** What gives back what an answer holds. */
+  /** Functions that release what an answer holds. */
   private readonly answerReleasers = new WeakMap<EndpointAnswer, () => void>()
-  /** How the answers were asked for that go on with another one. */
+  /** How the attempts that continue another answer were sent. */
   private readonly continuationSends = new WeakMap<EndpointAnswer, AttemptSend>()
 
   constructor(private readonly parts: DispatchParts) {
@@ -130,41 +133,46 @@
       results.push(result)
       if (isFirst && result.kind === 'failed') resetOnce.add(endpointId)
       else resetOnce.delete(endpointId)
-      const isKnown = this.noteReset(request, endpointId, { ...sent, result })
-      const verdict = await this.judge(request, { result, attempt, isKnown })
+      const isTerminated = this.noteReset(request, endpointId, { ...sent, result })
+      const step = await this.nextStep(request, { result, attempt, isTerminated })
       const routing = request.record.routing.at(-1)
-      noteFate(routing, result, incoming.caller.disconnectSignal.aborted ? 'dropped' : 'refused')
-      if (verdict === 'give-up') throw this.failure(request, results)
-      // Who asked for rest is not asked again, so there is nothing to wait for.
-      if (verdict === 'retry' && !this.isResting(endpointId)) await this.backOff(attempt)
+      recordDisposition(
+        routing,
+        result,
+        incoming.caller.disconnectSignal.aborted ? 'dropped' : 'refused',
+      )
+      if (step === 'give-up') throw this.failure(request, results)
+      // An endpoint that asked for rest is not tried again, so there is nothing to wait for.
+      if (step === 'retry' && !this.isResting(endpointId)) await this.backOff(attempt)
       endpointId = this.chooseAnother(request, results, { tried, resetOnce })
-      noteFate(routing, result, 'repeated')
+      recordDisposition(routing, result, 'repeated')
     }
   }
 
   /**
-   * Has another engine go on with an answer that was cut; undefined where none does. Attempts, endpoints and the deadline
-   * are those of the request; only one engine runs it once more, and it is held for one that may have ended the first.
+   * Has another engine continue an interrupted answer; undefined if none does. The limits on
+   * attempts, endpoints and time are those of the request. At most one engine runs the request once
+   * more, as an isolated request, because the request may have crashed the first engine.
    */
   async dispatchContinuation(
-    cut: DispatchedRequest,
+    interrupted: DispatchedRequest,
     { body, softwareVersion }: ContinuationRequest,
   ): Promise<DispatchedRequest | undefined> {
-    const hasEnded = await this.hasEndedUnder(cut)
-    const tried = new Set(cut.tried)
-    let isFree = hasEnded
-    while (tried.size < MAXIMUM_ATTEMPTS && !this.isOver(cut, undefined)) {
-      const choice = this.parts.router.chooseForContinuation(cut, tried, softwareVersion)
+    const hasTerminated = await this.hasTerminatedDuring(interrupted)
+    const tried = new Set(interrupted.tried)
+    let isFree = hasTerminated
+    while (tried.size < MAXIMUM_ATTEMPTS && !this.isOver(interrupted, undefined)) {
+      const choice = this.parts.router.chooseForContinuation(interrupted, tried, softwareVersion)
       const endpointId = choice?.endpointId
       if (endpointId === undefined || (!isFree && !this.retries.withdraw())) return undefined
       tried.add(endpointId)
-      const request: RoutedRequest = { ...cut, endpointId, continuedBody: body }
+      const request: RoutedRequest = { ...interrupted, endpointId, continuedBody: body }
       const sent = { wasIsolated: true, sentAt: this.parts.clock.monotonic() }
       const result = await this.attempt(request, endpointId, sent)
       const answer = acceptedAnswer(result, request)
       if (answer !== undefined) {
         this.continuationSends.set(answer, sent)
-        return this.asStream({ ...request, answer, tried })
+        return this.requireEventStream({ ...request, answer, tried })
       }
       void this.noteReset(request, endpointId, { ...sent, result })
       if (result.kind === 'failed') return undefined
@@ -173,7 +181,10 @@
     return undefined
   }
 
-  /** The engine that went on with an answer cut it before any piece: it is held against the request where the engine ended. */
+  /**
+   * Handles an engine that interrupted a continued answer before its first event. The reset counts
+   * against the request if the engine terminated.
+   */
   noteContinuationFailure(request: DispatchedRequest): void {
     const { answer } = request
     const sent = this.continuationSends.get(answer)
@@ -181,17 +192,23 @@
     if (sent) void this.noteReset(request, answer.endpointId, { ...sent, result })
   }
 
-  /** What is held of a cut answer is given back at once: the chat may go on for long. */
-  private async hasEndedUnder(cut: DispatchedRequest): Promise<boolean> {
-    const { answer } = cut
+  /**
+   * Whether the engine terminated during the answer. Releases what the interrupted answer holds at
+   * once, because the chat may continue for long.
+   */
+  private async hasTerminatedDuring(interrupted: DispatchedRequest): Promise<boolean> {
+    const { answer } = interrupted
     this.answerReleasers.get(answer)?.()
     if (answer.end === 'endpoint-ended') return true
-    const breaking = this.breakingOf(cut, answer.endpointId)
-    return breaking !== undefined && this.parts.crashes.noteInterrupted(breaking)
+    const probeTarget = this.probeTargetOf(interrupted, answer.endpointId)
+    return probeTarget !== undefined && this.parts.crashes.noteInterrupted(probeTarget)
   }
 
-  /** What is no stream of events does not go on with one. */
-  private asStream(request: DispatchedRequest): DispatchedRequest | undefined {
+  /**
+   * Returns the request if its answer is an event stream. Any other answer cannot continue a stream
+   * and is discarded.
+   */
+  private requireEventStream(request: DispatchedRequest): DispatchedRequest | undefined {
     const { status, headers } = request.answer
     const type = headers['content-type'] ?? ''
     if (status === STATUS_OK && type.startsWith(EVENT_STREAM)) return request
@@ -214,7 +231,7 @@
     const answered = await this.parts.client.attempt({
       endpointId,
       address: endpoint.spec.address,
-      ...this.exchange(request),
+      ...this.exchangeOf(request),
       isRepeatable: request.repeatable,
       firstByteMilliseconds: this.parts.firstByteMilliseconds,
       signal: this.signalOf(request),
@@ -224,7 +241,10 @@
     return result
   }
 
-  /** An error that came from what listens before an engine that has ended is no answer: the request may go elsewhere. */
+  /**
+   * Rejects an error answer from a proxy whose engine has terminated. Such an error is not the
+   * engine's answer, so the request may go to another endpoint.
+   */
   private async rejectProxyError(
     request: RoutedRequest,
     endpointId: EndpointId,
@@ -233,9 +253,9 @@
     if (result.kind !== 'answering' || !isServerError(result.answer.status)) return result
     const reason = `status ${result.answer.status} of its front`
     const failed = { kind: 'failed', reason, stalled: false } as const
-    const hasEnded = await this.noteReset(request, endpointId, { ...sent, result: failed })
-    if (!hasEnded) return result
-    drop(result.answer)
+    const hasTerminated = await this.noteReset(request, endpointId, { ...sent, result: failed })
+    if (!hasTerminated) return result
+    discard(result.answer)
     return { ...failed, isAttributed: true }
   }
 
@@ -246,7 +266,10 @@
     return { wasIsolated, sentAt: clock.monotonic() }
   }
 
-  /** Resolves when it is known whether the endpoint ended as it broke the request off. */
+  /**
+   * Records a reset. Resolves once it is known whether the endpoint terminated as it reset the
+   * request.
+   */
   private async noteReset(
     request: RoutedRequest,
     endpointId: EndpointId,
@@ -256,14 +279,14 @@
     if (result.kind !== 'failed' || result.stalled || fingerprint === undefined) return false
     if (result.isAttributed === true) return true
     if (this.isOver(request, result)) return false
-    const breaking = this.breakingOf(request, endpointId)
-    if (breaking === undefined) return false
+    const probeTarget = this.probeTargetOf(request, endpointId)
+    if (probeTarget === undefined) return false
     const parts = allMessageKeys(request)
-    return this.parts.crashes.noteReset(breaking, { fingerprint, wasIsolated, sentAt, parts })
+    return this.parts.crashes.noteReset(probeTarget, { fingerprint, wasIsolated, sentAt, parts })
   }
 
-  /** An endpoint as looks at it need it; undefined where it is no longer configured. */
-  private breakingOf({ call, target }: RoutedRequest, endpointId: EndpointId) {
+  /** Returns the endpoint as its probes need it; undefined if it is no longer configured. */
+  private probeTargetOf({ call, target }: RoutedRequest, endpointId: EndpointId) {
     const { catalogue, endpoints } = this.parts
     const address = catalogue.findEndpoint(endpointId)?.spec.address
     if (address === undefined) return undefined
@@ -273,24 +296,28 @@
       service: target,
       address: new URL(address).host,
       isPlannedShutdown: endpoints.isLeaving(endpointId),
-      // A plain service has no place to ask: a GET there would be a call of it.
+      // A plain service has no path for probes: a GET there would be a service call.
       statePath: call.kind === 'chat' ? LOAD_PATH : undefined,
       heard: () => endpoints.lastHeard(endpointId),
       hasEnded: false,
     }
   }
 
-  /** Its platform does not tell one start from the next: the time of the first break of an end does, wherever it was seen. */
+  /**
+   * Returns the start that the endpoint is in. Its platform does not distinguish one start from the
+   * next, so without a known start the time of the first reset of a termination identifies it,
+   * whichever instance observed it.
+   */
   private startOf(endpointId: EndpointId): EndpointStart {
     const { clock, crashes, endpoints } = this.parts
-    const spoken = crashes.startOf(endpointId, endpoints.lastHeard(endpointId))
+    const knownStart = crashes.startOf(endpointId, endpoints.lastHeard(endpointId))
     const second = Math.floor(clock.wallTime() / START_RESOLUTION_MILLISECONDS)
-    return spoken ?? endpointStart(endpointId, second)
+    return knownStart ?? endpointStart(endpointId, second)
   }
 
-  private exchange(request: RoutedRequest) {
+  private exchangeOf(request: RoutedRequest) {
     const { incoming, call, requestId } = request
-    const headers = { ...passedHeaders(incoming.headers), 'x-request-id': requestId }
+    const headers = { ...forwardedHeaders(incoming.headers), 'x-request-id': requestId }
     if (call.kind === 'service') {
       const hasBody =
         incoming.headers.has('content-length') || incoming.headers.has('transfer-encoding')
@@ -304,36 +331,36 @@
     return { method: 'POST', path: '/v1/chat/completions', headers, body }
   }
 
-  /** Aborts the exchange when the caller leaves or its deadline passes. */
+  /** Returns a signal that aborts the exchange when the caller leaves or its deadline passes. */
   private signalOf(request: RoutedRequest): AbortSignal {
     const controller = new AbortController()
     const abort = (end: AnswerEnd) => controller.abort(end)
-    const noteLeft = () => abort('caller-left')
+    const noteDisconnected = () => abort('caller-left')
     const remaining = Math.max(0, request.deadline - this.parts.clock.sinceStart())
     const timer = this.parts.clock.after(remaining, () => abort('deadline'))
     const { disconnectSignal } = request.incoming.caller
-    if (disconnectSignal.aborted) noteLeft()
-    disconnectSignal.addEventListener('abort', noteLeft, { once: true })
+    if (disconnectSignal.aborted) noteDisconnected()
+    disconnectSignal.addEventListener('abort', noteDisconnected, { once: true })
     request.scope.onEnd(() => {
       timer.cancel()
-      disconnectSignal.removeEventListener('abort', noteLeft)
+      disconnectSignal.removeEventListener('abort', noteDisconnected)
     })
     return controller.signal
   }
 
-  /** An endpoint that asks for rest has not failed. */
+  /** Whether the endpoint asked for rest. Such an endpoint has not failed. */
   private isResting(endpointId: EndpointId): boolean {
     const advice = this.parts.advices.of(endpointStart(endpointId, undefined))
     return advice !== undefined && advice.retryAfterMilliseconds > 0
   }
 
-  /** What the endpoint says of itself with this answer, whatever becomes of the answer. */
+  /** Records the endpoint's advice in an answer, whatever becomes of the answer. */
   private noteAdvice(endpointId: EndpointId, { status, headers }: EndpointAnswer): void {
     const { clock, longestRestMilliseconds, advices } = this.parts
     const context = { wallTime: clock.wallTime(), longestRestMilliseconds }
     const advice = parseAdvice(adviceFromHeaders(status, headers), context)
-    const isTurnedAway = status === REFUSED_STATUS || status === TOO_MANY_STATUS
-    advices.note(endpointStart(endpointId, undefined), advice, !isTurnedAway)
+    const isRejected = status === REFUSED_STATUS || status === TOO_MANY_STATUS
+    advices.note(endpointStart(endpointId, undefined), advice, !isRejected)
     if (advice.isLeaving) this.parts.endpoints.noteLeaving(endpointId, 'answer')
   }
 
@@ -342,20 +369,23 @@
     if (routing !== undefined) routing.outcome = resultText(result)
     if (result.kind === 'answering') this.noteAdvice(endpointId, result.answer)
     if (acceptedAnswer(result, request) !== undefined) {
-      this.noteHarmless(request, result)
+      this.clearSuspicion(request, result)
       request.scope.commit()
       if (result.kind === 'answering') this.holdAnswer(request, result.answer)
       return
     }
-    if (result.kind === 'answering') drop(result.answer)
+    if (result.kind === 'answering') discard(result.answer)
     if (result.kind === 'unsent') this.parts.onConnectFailed(request.target, endpointId)
     this.parts.endpoints.noteRequestEnded(endpointId)
     if (!this.isOver(request, result) && !this.isResting(endpointId))
       this.parts.endpoints.noteFailure(endpointId)
   }
 
-  /** An error may be that of a front whose engine has ended under the request: it clears nothing until a look shows life. */
-  private noteHarmless(request: RoutedRequest, result: AttemptResult): void {
+  /**
+   * Clears the request of suspicion after an answer. A server error may come from a proxy whose
+   * engine terminated while it ran the request, so it clears nothing while the endpoint is suspect.
+   */
+  private clearSuspicion(request: RoutedRequest, result: AttemptResult): void {
     const { crashFingerprint } = request
     if (crashFingerprint === undefined || result.kind !== 'answering') return
     const { crashes } = this.parts
@@ -365,7 +395,10 @@
     crashes.promptParts.noteAnswered(messageKeys(crashes, request))
   }
 
-  /** Once, at the end of the request or of the answer. */
+  /**
+   * Registers the release of an answer, which takes effect once: at the end of the request or of
+   * the answer.
+   */
   private holdAnswer({ scope }: RoutedRequest, answer: EndpointAnswer): void {
     let isHeld = true
     const end = () => {
@@ -377,10 +410,10 @@
     scope.onEnd(end)
   }
 
-  private async judge(request: RoutedRequest, failed: FailedAttempt): Promise<Verdict> {
+  private async nextStep(request: RoutedRequest, failed: FailedAttempt): Promise<NextStep> {
     const { result, attempt } = failed
     if (this.isOver(request, result) || attempt >= MAXIMUM_ATTEMPTS) return 'give-up'
-    // A body that streams through can be sent once.
+    // A streamed body can be sent only once.
     const isBodySpent = request.call.kind === 'service' && request.incoming.body.readableDidRead
     if (isBodySpent) return 'give-up'
     if (result.kind === 'unsent') return this.afterUnsent(request)
@@ -391,19 +424,24 @@
     return 'retry'
   }
 
-  /** Where nothing is reached from here, another instance is asked and not the next endpoint. */
-  private afterUnsent({ target }: RoutedRequest): Verdict {
+  /**
+   * If this instance reaches no endpoint, the request is relayed to another instance instead of
+   * tried at the next endpoint.
+   */
+  private afterUnsent({ target }: RoutedRequest): NextStep {
     return this.parts.isCutOff(target) ? 'give-up' : 'try-another'
   }
 
   /**
-   * Retries are bounded so that a failing endpoint does not have its load multiplied. One that has ended bears no load, and all
-   * that waited there comes in one moment, more than is ever saved up: so what it ran is sent again free. The attempts of a
-   * request are bounded all the same, and what ends endpoints is kept from them by the guard.
+   * Whether a retry does not count against the budget. Retries are bounded so that the load of a
+   * failing endpoint is not multiplied. An endpoint that terminated bears no load, and all requests
+   * that ran there fail at the same moment, more than the budget ever accumulates; so their retries
+   * are free. The number of attempts per request is bounded nevertheless, and the crash guard keeps
+   * crash-inducing requests from endpoints.
    */
-  private async isFree({ result, isKnown }: FailedAttempt): Promise<boolean> {
-    const hasEnded = await isKnown
-    return hasEnded || (result.kind === 'failed' && result.end === 'endpoint-ended')
+  private async isFree({ result, isTerminated }: FailedAttempt): Promise<boolean> {
+    const hasTerminated = await isTerminated
+    return hasTerminated || (result.kind === 'failed' && result.end === 'endpoint-ended')
   }
 
   private chooseAnother(
@@ -431,12 +469,15 @@
     return error
   }
 
-  /** Whether nobody waits for an answer any more. */
+  /** Whether the caller has left or the deadline has passed. */
   private isOver(request: RoutedRequest, result: AttemptResult | undefined): boolean {
     return request.incoming.caller.disconnectSignal.aborted || this.isLate(request, result)
   }
 
-  /** An exchange that its deadline ended is late, however the clock rounds. */
+  /**
+   * Whether the request is past its deadline. An exchange that its deadline ended is late even if
+   * the clock still reads slightly less.
+   */
   private isLate(request: RoutedRequest, result: AttemptResult | undefined): boolean {
     if (result?.kind === 'failed' && result.end === 'deadline') return true
     return this.parts.clock.sinceStart() >= request.deadline
@@ -447,7 +488,10 @@
   }
 }
 
-/** A refusal by status is worth another attempt; every other answer goes to the caller. */
+/**
+ * Returns the answer if it goes to the caller. A refusal by status is retried if the request is
+ * repeatable.
+ */
 function acceptedAnswer(result: AttemptResult, request: RoutedRequest): EndpointAnswer | undefined {
   if (result.kind !== 'answering') return undefined
   const isRefusal =
@@ -455,30 +499,31 @@
   return isRefusal && request.repeatable ? undefined : result.answer
 }
 
-/** Nobody wants the answer. */
-function drop(answer: EndpointAnswer): void {
+/** Cancels an answer that nobody needs. */
+function discard(answer: EndpointAnswer): void {
   answer.cancel()
   answer.releaseBuffer()
 }
 
-/** Notes what becomes of an answer that broke off before anything of it was passed on. */
-function noteFate(
+/** Records what becomes of an answer that was interrupted before any of it was delivered. */
+function recordDisposition(
   routing: RoutingRecord | undefined,
   result: AttemptResult,
-  fate: AnswerDisposition,
+  disposition: AnswerDisposition,
 ) {
   if (routing === undefined || result.kind !== 'failed') return
   const { framing, end } = result
-  if (framing !== undefined && end !== undefined) routing.answer = { framing, end, fate }
+  if (framing !== undefined && end !== undefined)
+    routing.answer = { framing, end, fate: disposition }
 }
 
 function promptEstimate({ call }: RoutedRequest): number {
   return call.kind === 'chat' ? call.chat.promptTokenEstimate : 0
 }
 
-function passedHeaders(headers: ReadonlyMap<string, string>): Record<string, string> {
-  const passed = [...headers].filter(
+function forwardedHeaders(headers: ReadonlyMap<string, string>): Record<string, string> {
+  const forwarded = [...headers].filter(
     ([name]) => !DROPPED_HEADERS.has(name) && !name.startsWith('rackwalk-'),
   )
-  return Object.fromEntries(passed)
+  return Object.fromEntries(forwarded)
 }
--- a/packages/router/src/filters/dispatchFailure.ts
+++ b/packages/router/src/filters/dispatchFailure.ts
@@ -1,8 +1,9 @@
 /**
- * What is a caller of the OpenAI-style kind told whose request no endpoint answered?
+ * Chooses the error for a request of the OpenAI-style kind that no endpoint answered.
  *
- * "Not run" is said only where no attempt can have run the request: nothing of it was sent, or the endpoint turned it
- * away. Where all endpoints have asked for rest, the caller learns when the first one may be asked again.
+ * `NotRunError` is used only if no attempt can have run the request: no byte of it was sent, or the
+ * endpoint rejected it. If all endpoints have asked for rest, the error says when the first of them
+ * may be tried again.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -12,16 +13,16 @@
 
 /** How a request ended that no endpoint answered. */
 export interface UnansweredRequest {
-  /** What came of its attempts, the newest last. */
+  /** Results of the attempts, newest last. */
   readonly results: readonly AttemptResult[]
   readonly isCallerGone: boolean
   readonly isLate: boolean
   readonly isRepeatable: boolean
-  /** Why no endpoint may be asked now; undefined where one may. */
+  /** Why no endpoint may get the request now; undefined if one may. */
   readonly refusal: NotRunError | undefined
 }
 
-/** The error of a request that no endpoint answered. */
+/** Returns the error of a request that no endpoint answered. */
 export function dispatchFailure(request: UnansweredRequest): RackwalkError {
   const { results, refusal } = request
   if (results.some(mayHaveRun)) return failureAfterRun(request)
@@ -37,11 +38,11 @@
   return new DispatchedError(failureCode(results.at(-1)), detail, refusal?.retryAfterSeconds)
 }
 
-/** What the newest failure says of a request that may have run. */
+/** Returns the code for a request that may have run, by its newest failure. */
 function failureCode(newest: AttemptResult | undefined) {
   if (newest?.kind !== 'failed') return ResultCode.EndpointFailed
   if (newest.stalled) return ResultCode.EndpointStalled
-  // Who has begun to answer has run the request.
+  // An endpoint that has begun to answer has run the request.
   return newest.framing === undefined ? ResultCode.EndpointFailed : ResultCode.EndpointBrokeOff
 }
 
@@ -50,14 +51,14 @@
   return newest && resultText(newest)
 }
 
-/** Whether an endpoint ran the request, or may have. */
+/** Whether an endpoint ran the request, or may have run it. */
 function mayHaveRun(result: AttemptResult): boolean {
   if (result.kind !== 'answering') return result.kind === 'failed'
   const { status, headers } = result.answer
   return !isRejectedUnrun(status, headers)
 }
 
-/** What came of an attempt, for records and messages. */
+/** Describes the result of an attempt, for records and messages. */
 export function resultText(result: AttemptResult): string {
   if (result.kind === 'answering') return `status ${result.answer.status}`
   return `${result.kind}: ${result.reason}`
--- a/packages/router/src/filters/parse.ts
+++ b/packages/router/src/filters/parse.ts
@@ -1,6 +1,6 @@
 /**
- * What does the caller ask for? Everything that a caller can get wrong is refused here, before it costs
- * anybody anything.
+ * Parses what the caller asks for. Every mistake that a caller can make is rejected here, before
+ * the request uses any resources.
  */
 
 import { createHash } from 'node:crypto'
@@ -20,7 +20,7 @@
 import { nameSchema } from '../resources/name.js'
 import type { AuthenticatedRequest, Call, Filter, ParsedRequest } from './stages.js'
 
-/** Bounds of what a caller may send and ask for. */
+/** Limits on what a caller may send and ask for. */
 export interface CallerLimits {
   readonly maximumBodyBytes: Bytes
   readonly bodyTimeoutMilliseconds: Milliseconds
@@ -34,7 +34,7 @@
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
 const PRIORITIES: Readonly<Record<string, number>> = { low: 0, normal: 1, high: 2 }
 
-/** Reads the headers and, for a model, the body; checks everything a caller can get wrong. */
+/** Parses the headers and, for a model, the body. Checks everything that a caller can get wrong. */
 export class ParseFilter implements Filter<AuthenticatedRequest, ParsedRequest> {
   constructor(
     private readonly catalogue: Catalogue,
@@ -99,7 +99,10 @@
   }
 }
 
-/** A service's body streams through, so only its method and path are compared. */
+/**
+ * Returns the hash that the idempotency key is bound to. A service's body is streamed, so only the
+ * method and path count.
+ */
 function fingerprintOf({ incoming }: AuthenticatedRequest, call: Call): string {
   const hash = createHash('sha256')
   if (call.kind === 'chat') hash.update(JSON.stringify(call.chat.body))
@@ -107,7 +110,10 @@
   return hash.digest('base64')
 }
 
-/** The hash of the body stands for the body; a body that streams through is not known before it is sent. */
+/**
+ * Returns the fingerprint for the crash guard, in which the hash of the body represents the body.
+ * Undefined for a streamed body, which is not known before it is sent.
+ */
 function crashFingerprintOf(
   { incoming, team }: AuthenticatedRequest,
   call: Call,
@@ -155,7 +161,10 @@
   return priority
 }
 
-/** Chat answers may be made again; a service call only if its method or its caller says so. */
+/**
+ * Whether the request may run more than once. Chats may; a service call only if its method or its
+ * caller says so.
+ */
 function isRepeatable({ incoming }: AuthenticatedRequest, call: Call): boolean {
   const stated = incoming.headers.get('rackwalk-repeatable')?.toLowerCase()
   if (stated === 'no') return false
--- a/packages/router/src/filters/reserve.ts
+++ b/packages/router/src/filters/reserve.ts
@@ -1,11 +1,11 @@
-/** Is the most that the request can cost covered by its budget? Nothing is sent before it is. */
+/** Reserves the maximum cost of a request in its budget before anything is sent. */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
 import type { TokenCount } from '@rackwalk/shared'
 import type { BudgetLedger } from '@rackwalk/coordination'
 import type { AdmittedRequest, Call, Filter, ReservedRequest } from './stages.js'
 
-/** Sets aside the most that the request can cost, before anything is sent. */
+/** Reserves the maximum cost of the request, before anything is sent. */
 export class ReserveFilter implements Filter<AdmittedRequest, ReservedRequest> {
   constructor(private readonly ledger: BudgetLedger) {}
 
@@ -20,13 +20,16 @@
       this.ledger.release(reservation)
       throw new NotRunError(ResultCode.NoBudget, request.budgetId)
     }
-    // Settling closes the reservation; whatever ends otherwise gives it back here.
+    // Settling closes the reservation. A request that ends in any other way releases it here.
     request.scope.onEnd(() => this.ledger.release(reservation))
     return { ...request, reservation }
   }
 }
 
-/** Plain services cost no tokens, yet their calls are counted in the same books. */
+/**
+ * Returns the maximum cost in tokens. Plain services cost no tokens, but their calls are counted in
+ * the same ledger.
+ */
 function costBound(call: Call): TokenCount {
   if (call.kind === 'service') return 0
   return call.chat.promptTokenBound + call.chat.outputTokenLimit
--- a/packages/router/src/filters/route.ts
+++ b/packages/router/src/filters/route.ts
@@ -1,12 +1,12 @@
 /**
- * Where does the first attempt go? Asked once before dispatch, so that a request without a usable endpoint
- * is never sent.
+ * Chooses the endpoint of the first attempt, before dispatch, so that a request without a usable
+ * endpoint is never sent.
  */
 
 import type { EndpointRouter } from '../routing/endpointRouter.js'
 import type { ClaimedRequest, Filter, RoutedRequest } from './stages.js'
 
-/** Decides where the first attempt goes. */
+/** Chooses the endpoint of the first attempt. */
 export class RouteFilter implements Filter<ClaimedRequest, RoutedRequest> {
   constructor(private readonly router: EndpointRouter) {}
 
--- a/packages/router/src/filters/settle.ts
+++ b/packages/router/src/filters/settle.ts
@@ -1,6 +1,6 @@
 /**
- * Bills what the request cost and waits until the bill outlives this instance. A request that failed costs
- * nothing and is journalled all the same.
+ * Bills the cost of a request and waits until the bill survives this instance. A request that
+ * failed costs nothing but is still recorded in the journal.
  */
 
 import { RackwalkError } from '@rackwalk/shared'
@@ -9,12 +9,12 @@
 import type { ReportedUsage } from '../engine/usage.js'
 import type { ClaimedRequest, Filter, DeliveredRequest, SettledRequest } from './stages.js'
 
-/** Parts that settling works with. */
+/** Dependencies of settling. */
 export interface SettleParts {
   readonly ledger: BudgetLedger
   readonly claims: Claims
   readonly clock: Clock
-  /** How long the end of an answer may wait for its bill. */
+  /** Maximum time for which the end of an answer waits for its bill. */
   readonly billTimeoutMilliseconds: Milliseconds
 }
 
@@ -23,7 +23,7 @@
 
 const NO_USAGE: ReportedUsage = { promptTokens: 0, generatedTokens: 0 }
 
-/** Writes the bill and waits until it outlives this instance. */
+/** Writes the bill and waits until it survives this instance. */
 export class SettleFilter implements Filter<DeliveredRequest, SettledRequest> {
   constructor(private readonly parts: SettleParts) {}
 
@@ -43,13 +43,14 @@
     }
   }
 
-  /** Journals the end of a request that was sent but gave no answer; it costs nothing. */
+  /** Records the end of a request that was sent but got no answer. It costs nothing. */
   noteFailure(request: ClaimedRequest, code: DispatchedCode): void {
     const ending = { code, usage: NO_USAGE, billedTokens: 0 }
     try {
       this.journal(request, ending)
     } catch (thrown) {
-      // A sealed incarnation can record nothing, and the caller is told the same.
+      // A sealed incarnation can record nothing. The caller gets the failure's own error all the
+      // same.
       if (!(thrown instanceof RackwalkError)) throw thrown
     }
   }
--- a/packages/router/src/filters/stages.ts
+++ b/packages/router/src/filters/stages.ts
@@ -1,6 +1,6 @@
 /**
- * The stages of a request of the OpenAI-style kind. Each filter takes one and gives the next, so that a
- * list of filters in the wrong order does not compile.
+ * The stages of a request of the OpenAI-style kind. Each filter takes one stage and returns the
+ * next, so a list of filters in the wrong order does not compile.
  */
 
 import type {
@@ -23,22 +23,22 @@
 import type { RequestScope } from '../requestScope.js'
 import type { Team } from '../resources/catalogue.js'
 
-/** A step of the request path: it adds what it found out, or throws a numbered error. */
+/** A step of the request path. Returns the next stage or throws an error with a result code. */
 export interface Filter<Input, Output> {
   apply(input: Input): Promise<Output>
 }
 
-/** As it arrived, with its id. */
+/** A request as received, with its id. */
 export interface ReceivedRequest {
   readonly requestId: RequestId
-  /** Time, suspensions included. */
+  /** Time at which the request arrived, on the clock that includes suspensions. */
   readonly receivedAt: Milliseconds
   readonly incoming: IncomingRequest
   readonly scope: RequestScope
   readonly record: DecisionRecord
 }
 
-/** Its team is known. */
+/** A request whose team is known. */
 export interface AuthenticatedRequest extends ReceivedRequest {
   readonly team: Team
 }
@@ -48,113 +48,119 @@
   | { readonly kind: 'chat'; readonly chat: ChatRequest }
   | { readonly kind: 'service'; readonly service: string; readonly path: string }
 
-/** What it asks for is known and within bounds. */
+/** A request that was parsed and is within the limits. */
 export interface ParsedRequest extends AuthenticatedRequest {
   readonly call: Call
-  /** Model or service, by which policies and queues are kept. */
+  /** Name of the model or service; the key of policies and queues. */
   readonly target: string
-  /** Budget that pays: the team's own, or another one of the team that the caller names. */
+  /** Budget that pays: the team's own, or another of the team's budgets that the caller names. */
   readonly budgetId: BudgetId
   readonly repeatable: boolean
   readonly priority: number
-  /** Time, suspensions included, by which the caller wants the whole answer. */
+  /** Time by which the caller wants the complete answer, on the clock that includes suspensions. */
   readonly deadline: Milliseconds
-  /** The caller's key, if it gave one. */
+  /** Idempotency key that the caller gave, if any. */
   readonly callerKey: IdempotencyKey | undefined
   /** Identity of the bill: the caller's key, or else the request's own id. */
   readonly billKey: IdempotencyKey
-  /** Hash of what the key stands for. */
+  /** Hash of the request that the key is bound to. */
   readonly fingerprint: string
-  /** What it is apart from this try; undefined where its body streams through and is not known. */
+  /**
+   * Identity of the request across attempts; undefined if its body is streamed and therefore
+   * unknown.
+   */
   readonly crashFingerprint: RequestFingerprint | undefined
 }
 
-/** No other attempt with its key runs, as far as the registrar knows. */
+/** A request whose key has no other attempt running, as far as the registrar knows. */
 export interface DeduplicatedRequest extends ParsedRequest {
-  /** Billed for the same key before, and so not billed again. */
+  /** Tokens already billed for the same key, which are not billed again. */
   readonly creditedTokens: TokenCount
 }
 
-/** An endpoint has room for it. */
+/** A request for which an endpoint has room. */
 export interface AdmittedRequest extends DeduplicatedRequest {
-  /** To be called when an endpoint has the request; again has no effect. */
+  /** To be called when an endpoint has received the request. Further calls have no effect. */
   readonly noteDispatched: () => void
 }
 
-/** The most that it can cost is set aside. */
+/** A request whose maximum cost is reserved. */
 export interface ReservedRequest extends AdmittedRequest {
   readonly reservation: Reservation
 }
 
-/** A claim is there exactly when the request must not be repeated and has a key. */
+/** A request with a claim if it must not be repeated and has a key, and without one otherwise. */
 export interface ClaimedRequest extends ReservedRequest {
   readonly claim: Claim | undefined
 }
 
-/** Where the first attempt goes. */
+/** A request whose first endpoint is chosen. */
 export interface RoutedRequest extends ClaimedRequest {
   readonly endpointId: EndpointId
-  /** What is sent in place of the chat's own body; undefined where that is sent. */
+  /** Body sent in place of the chat's own; undefined if the chat's own is sent. */
   readonly continuedBody?: Readonly<Record<string, unknown>>
 }
 
-/** What another engine is asked for that goes on with an answer. */
+/** What an engine that continues an answer is asked for. */
 export interface ContinuationRequest {
   readonly body: Readonly<Record<string, unknown>>
-  /** Of the engine that began the answer. */
+  /** Software version of the engine that began the answer. */
   readonly softwareVersion: SoftwareVersion
 }
 
-/** An endpoint's answer that has begun to arrive. */
+/** An endpoint's answer whose head has arrived. */
 export interface EndpointAnswer {
   readonly endpointId: EndpointId
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly framing: AnswerFraming
-  /** What its reading ended with; undefined while more is read. */
+  /** How reading ended; undefined while the answer is being read. */
   readonly end: AnswerEnd | undefined
-  /** Whether all of it is there. */
+  /** Whether the whole answer has been received. */
   readonly isComplete: boolean
-  /** Whether more tells where it ends than the end of its connection. */
+  /**
+   * Whether the framing marks the end of the answer, so that it does not depend on the end of the
+   * connection.
+   */
   readonly isDelimited: boolean
-  /** Begins to hand the chunks over; once. */
+  /** Starts to pass chunks to the consumer; to be called once. */
   startReading(consumer: AnswerConsumer): void
-  /** Goes on after the consumer was full. */
+  /** Continues after the consumer was full. */
   resume(): void
-  /** Breaks the exchange off, which cancels the work at the endpoint. */
+  /** Aborts the exchange, which cancels the work at the endpoint. */
   readonly cancel: () => void
-  /** Gives back the memory of what was held of it; again has no effect. */
+  /** Releases the memory that buffers the answer. Further calls have no effect. */
   releaseBuffer(): void
 }
 
-/** Takes an answer in as it arrives. */
+/** Receives an answer as it arrives. */
 export interface AnswerConsumer {
   receive(chunk: Buffer): void
-  /** Whether the endpoint has to wait until `resume`. */
+  /** Whether the endpoint must pause until `resume`. */
   readonly isFull: boolean
   end(): void
   fail(error: Error): void
 }
 
-/** An endpoint has begun to answer it. */
+/** A request that an endpoint has begun to answer. */
 export interface DispatchedRequest extends RoutedRequest {
   readonly answer: EndpointAnswer
-  /** Endpoints that were tried, in their order. */
+  /** Endpoints that were tried, in order. */
   readonly tried: ReadonlySet<EndpointId>
 }
 
-/** An answer that was passed on but for its end. */
+/** A request whose answer was delivered, except for its end. */
 export interface DeliveredRequest extends DispatchedRequest {
   readonly code: DispatchedCode
   readonly detail: string | undefined
-  /** The end of the answer, kept back until its bill is safe. */
+  /** The end of the answer, withheld until its bill is durable. */
   readonly withheldChunks: readonly Buffer[]
   readonly usage: ReportedUsage
   readonly billedTokens: TokenCount
 }
 
-/** Its bill is written, and safe or not. */
+/** A request whose bill is written, whether or not it is durable. */
 export interface SettledRequest extends DeliveredRequest {
-  /** Whether the bill is kept; without it the end is not released. */
+  /** Whether the bill is durable; without this, the end is not released. */
   readonly isBillDurable: boolean
 }
--- a/packages/router/src/refusedBodyHandler.ts
+++ b/packages/router/src/refusedBodyHandler.ts
@@ -63,15 +63,18 @@
       send(response, refusalAfter(0))
       return undefined
     }
-    const fate = this.fateOf(request, response)
-    const outcome = outcomeOf(fate)
+    const disposition = this.dispositionOf(request, response)
+    const outcome = outcomeOf(disposition)
     this.parts.counters.noteRefusedBody(outcome)
-    if (fate.kind === 'close') this.sendAndClose(response, refusalAfter(0))
-    else this.sendAndRead(response, refusalAfter, fate.holdMilliseconds)
+    if (disposition.kind === 'close') this.sendAndClose(response, refusalAfter(0))
+    else this.sendAndRead(response, refusalAfter, disposition.holdMilliseconds)
     return outcome
   }
 
-  private fateOf(request: IncomingMessage, response: ServerResponse): RefusedBodyDisposition {
+  private dispositionOf(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): RefusedBodyDisposition {
     const { clock, link } = this.parts
     const bytes = sizeOf(request) ?? 0
     const body = {
@@ -90,14 +93,18 @@
    * Sends the refusal and reads the connection again after the hold. The caller may send its next
    * request in the meantime.
    */
-  private sendAndRead(response: ServerResponse, refusal: RefusalFactory, hold: Milliseconds): void {
+  private sendAndRead(
+    response: ServerResponse,
+    refusalAfter: RefusalFactory,
+    hold: Milliseconds,
+  ): void {
     const { req: request } = response
     const size = sizeOf(request)
     this.charge(size ?? 0)
     if (request.complete) this.parts.counters.noteDiscardedBytes(size ?? 0)
     const isDone = request.complete && hold === 0
     if (!isDone) whenSocketAssigned(response, () => this.readLater(request, hold))
-    send(response, refusal(toRetryAfterSeconds(hold)))
+    send(response, refusalAfter(toRetryAfterSeconds(hold)))
   }
 
   private readLater(request: IncomingMessage, hold: Milliseconds): void {
@@ -190,9 +197,9 @@
   response.end(body)
 }
 
-function outcomeOf(fate: RefusedBodyDisposition): RefusedBodyOutcome {
-  if (fate.kind === 'close') return 'closed'
-  return fate.holdMilliseconds === 0 ? 'read' : 'held'
+function outcomeOf(disposition: RefusedBodyDisposition): RefusedBodyOutcome {
+  if (disposition.kind === 'close') return 'closed'
+  return disposition.holdMilliseconds === 0 ? 'read' : 'held'
 }
 
 function hasBody(request: IncomingMessage): boolean {
