--- a/packages/router/src/engine/answerBuffer.ts
+++ b/packages/router/src/engine/answerBuffer.ts
@@ -1,41 +1,42 @@
 /**
- * How much of an answer may be held back until it is whole? A held answer that breaks off becomes a numbered
- * error or another attempt, and never half an answer. Owns the memory that all of them share.
+ * Buffers answers until they are complete, within limits. If a buffered answer is interrupted, the
+ * request gets an error with a result code or another attempt, and never half an answer. Owns the
+ * memory that all buffered answers share.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** Bounds of what is held. */
+/** Limits of answer buffering. */
 export interface AnswerBufferLimits {
-  /** Larger answers go as they come. */
+  /** Larger answers are streamed. */
   readonly maximumAnswerBytes: number
-  /** Of all answers of an instance at the same time; past it they go as they come. */
+  /** Limit for all answers of an instance together. Beyond it, answers are streamed. */
   readonly maximumTotalBytes: number
-  /** Longest hold of an answer that may be meant to be read while it arrives. */
+  /** Longest time for which an answer is buffered that may be meant to be read as it arrives. */
   readonly maximumUnsizedMilliseconds: Milliseconds
 }
 
 const MEBIBYTE = 1024 * 1024
 
-/** Bounds of an instance. */
+/** Limits of an instance. */
 export const ANSWER_BUFFER_LIMITS: AnswerBufferLimits = {
   maximumAnswerBytes: MEBIBYTE,
   maximumTotalBytes: 64 * MEBIBYTE,
   maximumUnsizedMilliseconds: 1_000,
 }
 
-/** Memory for the answers that an instance holds. */
+/** The memory that an instance uses to buffer answers. */
 export class AnswerBufferPool {
   private used = 0
 
   constructor(readonly limits: AnswerBufferLimits) {}
 
-  /** The hold of one answer. */
+  /** Opens the reservation of one answer. */
   openReservation(): BufferReservation {
     return new BufferReservation(this)
   }
 
-  /** False where there is no room. */
+  /** Reserves memory. Returns false if there is no room. */
   reserve(bytes: number): boolean {
     if (this.used + bytes > this.limits.maximumTotalBytes) return false
     this.used += bytes
@@ -46,56 +47,61 @@
     this.used -= bytes
   }
 
-  /** Bytes that are held now. */
+  /** Number of bytes reserved now. */
   get usedBytes(): number {
     return this.used
   }
 }
 
-/** What is held of one answer. */
+/** The buffer memory of one answer. */
 export class BufferReservation {
   private bytes = 0
   private isOpen = true
 
-  constructor(private readonly space: AnswerBufferPool) {}
+  constructor(private readonly pool: AnswerBufferPool) {}
 
-  /** Whether more of the answer may be held with this chunk. */
+  /** Reserves memory for one more chunk. Returns whether the chunk may be buffered. */
   reserve(bytes: number): boolean {
     if (!this.isOpen) return false
     const hasRoom =
-      this.bytes + bytes <= this.space.limits.maximumAnswerBytes && this.space.reserve(bytes)
+      this.bytes + bytes <= this.pool.limits.maximumAnswerBytes && this.pool.reserve(bytes)
     if (hasRoom) this.bytes += bytes
     else this.isOpen = false
     return hasRoom
   }
 
-  /** No more is held; what there is goes on. */
+  /** Stops buffering. Buffered chunks keep their memory. */
   close(): void {
     this.isOpen = false
   }
 
-  /** Gives the memory back; again has no effect. */
+  /** Releases the memory. Further calls have no effect. */
   release(): void {
     this.isOpen = false
-    this.space.release(this.bytes)
+    this.pool.release(this.bytes)
     this.bytes = 0
   }
 }
 
-/** Documents are of no use in part; anything else without a length may be read while it arrives. */
+/**
+ * A JSON document is useless in part. Any other answer without a length may be read as it arrives.
+ */
 const DOCUMENT_TYPE = /^application\/(?!stream\+)([\w.-]+\+)?json\s*(;|$)/i
 const STREAM_TYPE = /^text\/event-stream/i
 
-/** How an answer is held, by its head. */
+/** How an answer is buffered, by its headers. */
 export type BufferingMode = 'until-whole' | 'for-a-while' | 'not'
 
-/** Whether an answer is held: events are there to be passed on at once. */
+/**
+ * Returns whether and how long an answer is buffered. Events are delivered at once and never
+ * buffered.
+ */
 export function bufferingModeOf(headers: Readonly<Record<string, string>>): BufferingMode {
   if (STREAM_TYPE.test(headers['content-type'] ?? '')) return 'not'
   return headers['content-length'] !== undefined || isJson(headers) ? 'until-whole' : 'for-a-while'
 }
 
-/** Whether a body is one JSON document as it stands. */
+/** Whether a body is a single, unencoded JSON document. */
 export function isJson(headers: Readonly<Record<string, string>>): boolean {
   const isEncoded = (headers['content-encoding'] ?? 'identity') !== 'identity'
   return !isEncoded && DOCUMENT_TYPE.test(headers['content-type'] ?? '')
--- a/packages/router/src/engine/attemptResult.ts
+++ b/packages/router/src/engine/attemptResult.ts
@@ -1,10 +1,11 @@
-/** What came of sending a request to an endpoint of the OpenAI-style kind once. */
+/** The result of sending a request once to an endpoint of the OpenAI-style kind. */
 
 import type { AnswerEnd, AnswerFraming } from '@rackwalk/decisions'
 import type { EndpointAnswer } from '../filters/stages.js'
 
 /**
- * `unsent`: no byte can have left, so the request was not run. `failed`: it may have run.
+ * `unsent`: no byte can have been sent, so the request was not run. `failed`: the request may have
+ * run.
  */
 export type AttemptResult =
   | { readonly kind: 'answering'; readonly answer: EndpointAnswer }
@@ -13,10 +14,13 @@
       readonly kind: 'failed'
       readonly reason: string
       readonly stalled: boolean
-      /** What the reading ended with; undefined where it was not the reading that failed. */
+      /** How reading the answer ended; undefined if it was not reading that failed. */
       readonly end?: AnswerEnd
-      /** How an answer was framed that had begun; undefined where no head had come. */
+      /** Framing of an answer that had begun; undefined if no head arrived. */
       readonly framing?: AnswerFraming
-      /** Whether the endpoint is already known to have ended, and whether the request was there is settled. */
+      /**
+       * Whether the endpoint is known to have terminated and it is settled whether the request was in
+       * flight at that time.
+       */
       readonly isAttributed?: boolean
     }
--- a/packages/router/src/engine/bodyCompleteness.ts
+++ b/packages/router/src/engine/bodyCompleteness.ts
@@ -1,21 +1,24 @@
 /**
- * Does the body of an answer say by itself whether it is whole? Asked where nothing else does: an answer without a
- * length ends with its connection, whatever ended that.
+ * Determines from the body of an answer whether it is complete. Used if nothing else shows this: an
+ * answer without a length ends with its connection, whatever the reason was.
  */
 
 import type { AnswerFraming } from '@rackwalk/decisions'
 import { isJson } from './answerBuffer.js'
 
-/** `open`: something is missing. `closed`: nothing is. `unknown`: such a body doesn't tell. */
+/**
+ * `open`: something is missing. `closed`: nothing is missing. `unknown`: a body of this type cannot
+ * show it.
+ */
 export type BodyCompleteness = 'open' | 'closed' | 'unknown'
 
-/** Reads a body along as it arrives. */
+/** Follows a body as it arrives. */
 export interface CompletenessCheck {
   read(chunk: Buffer): void
   readonly state: BodyCompleteness
 }
 
-/** What an answer's body can prove, by its head. */
+/** Creates the check that fits an answer's framing and headers. */
 export function createCompletenessCheck(
   framing: AnswerFraming,
   headers: Readonly<Record<string, string>>,
@@ -23,12 +26,12 @@
   return framing === 'connection' && isJson(headers) ? new JsonCompletenessCheck() : NO_PROOF
 }
 
-/** A body that proves nothing, or need not. */
+/** The check of a body that cannot or need not show whether it is complete. */
 class UnknownCompleteness implements CompletenessCheck {
   readonly state = 'unknown'
 
   read(): void {
-    // Nothing in it would tell.
+    // No byte of such a body would change the state.
   }
 }
 
@@ -41,8 +44,9 @@
 const BLANK = new Set([0x09, 0x0a, 0x0d, 0x20])
 
 /**
- * A JSON document: whole where all that it opened is closed. Only that is looked at, so that a document which a strict
- * parser would refuse is not taken for a part of one. A bare number or word may go on, so it proves nothing.
+ * The check of a JSON document, which is complete once everything that it opened is closed. Only
+ * brackets and strings are followed, so that a document that a strict parser would reject is not
+ * mistaken for a truncated one. A top-level number or literal may continue, so it proves nothing.
  */
 export class JsonCompletenessCheck implements CompletenessCheck {
   private depth = 0
--- a/packages/router/src/engine/chatContinuation.ts
+++ b/packages/router/src/engine/chatContinuation.ts
@@ -1,13 +1,16 @@
 /**
- * The form of a chat that another engine goes on with: which chats have one, and how it is asked for. The option is the
- * published one of engines that continue the last message of a chat.
+ * The request that makes another engine continue a chat: which chats can be continued, and the body
+ * to send. The options are those that engines publish for continuing the last message of a chat.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
 
 type ChatBody = Readonly<Record<string, unknown>>
 
-/** Fields whose meaning would not survive a second run: it begins their grammar, offsets or stop strings anew. */
+/**
+ * Fields whose meaning would not survive a second run, because the second run would restart their
+ * grammar, offsets or stop strings.
+ */
 const FORBIDDEN_FIELDS = [
   'tools',
   'tool_choice',
@@ -24,7 +27,7 @@
   'modalities',
   'use_beam_search',
   'best_of',
-  // The caller's own use of the option.
+  // The caller's own use of the continuation options.
   'continue_final_message',
   'add_generation_prompt',
 ]
@@ -39,7 +42,7 @@
   return !isGuided && isPlainText(body['messages'])
 }
 
-/** The body that asks an engine to go on after a text. */
+/** Returns the body that asks an engine to continue after the given text. */
 export function continuationBody(body: ChatBody, text: string, outputTokens: TokenCount): ChatBody {
   const messages = body['messages'] as readonly unknown[]
   const continued: Record<string, unknown> = {
@@ -49,7 +52,7 @@
     add_generation_prompt: false,
     max_tokens: outputTokens,
   }
-  // What is left to be generated may be less than was asked for at least.
+  // Fewer tokens may remain than the requested minimum.
   delete continued['min_tokens']
   return continued
 }
--- a/packages/router/src/engine/chatRequest.ts
+++ b/packages/router/src/engine/chatRequest.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the body of a chat request: what routing and billing need is checked and bounded, the rest goes to
- * the engine untouched.
+ * Parses the body of a chat request. The fields that routing and billing need are checked and
+ * bounded; the rest is sent to the engine unchanged.
  */
 
 import * as z from 'zod'
@@ -10,7 +10,7 @@
 import { isContinuableChat } from './chatContinuation.js'
 import { promptTokenBound, promptTokenEstimate } from './tokenBound.js'
 
-/** Messages in one request. */
+/** Maximum number of messages in one request. */
 const MAXIMUM_MESSAGES = 10_000
 
 const contentPart = z.looseObject({ type: z.string(), text: z.string().optional() })
@@ -22,7 +22,9 @@
 
 const streamOptionsSchema = z.looseObject({ include_usage: z.boolean().optional() })
 
-/** The parts of the OpenAI chat request that matter here; the rest is passed on untouched. */
+/**
+ * The fields of an OpenAI chat request that are checked here. All others are passed on unchanged.
+ */
 const chatSchema = z.looseObject({
   model: z.string().min(1),
   messages: z.array(messageSchema).min(1).max(MAXIMUM_MESSAGES),
@@ -35,25 +37,25 @@
 
 type ChatBody = z.infer<typeof chatSchema>
 
-/** A chat request, ready to be routed. */
+/** A parsed chat request, ready for routing. */
 export interface ChatRequest {
   readonly modelId: ModelId
   readonly isStreamed: boolean
   /** Whether the caller asked for the chunk that reports usage. */
   readonly wantsUsage: boolean
-  /** Everything before the answer, as bytes; prefixes of it are what engines cache. */
+  /** All input of the engine as bytes. Engines cache prefixes of it. */
   readonly prompt: Buffer
   readonly messages: number
   readonly promptTokenBound: TokenCount
   readonly promptTokenEstimate: TokenCount
   /** The output limit that the engine is told to enforce. */
   readonly outputTokenLimit: TokenCount
-  /** Whether another engine can go on with its answer. */
+  /** Whether another engine can continue its answer. */
   readonly isContinuable: boolean
   readonly body: Readonly<Record<string, unknown>>
 }
 
-/** Parses and checks a body; throws a refusal with every fault in it. */
+/** Parses and checks a body. Throws a refusal that lists every fault. */
 export function parseChatRequest(
   raw: Buffer,
   findModel: (modelId: ModelId) => ModelLimits | undefined,
@@ -99,7 +101,10 @@
   }
 }
 
-/** The body as another instance takes it from the caller, with what was added for the engine taken back. */
+/**
+ * Returns the body as another instance expects it from a caller, without the options that were
+ * added for the engine.
+ */
 export function relayedChatBody({ body, wantsUsage }: ChatRequest): Record<string, unknown> {
   const options = body['stream_options']
   if (typeof options !== 'object' || options === null) return body
@@ -108,7 +113,10 @@
   return { ...body, stream_options: asked }
 }
 
-/** The engine must report usage and enforce the limit, whatever the caller asked for. */
+/**
+ * Returns the body for the engine, which must report usage and enforce the limit whatever the
+ * caller asked for.
+ */
 function engineBody(body: ChatBody, outputTokenLimit: TokenCount): Record<string, unknown> {
   const options = { ...body.stream_options, include_usage: true, continuous_usage_stats: true }
   const limited: Record<string, unknown> = { ...body, max_tokens: outputTokenLimit }
--- a/packages/router/src/engine/continuationRewriter.ts
+++ b/packages/router/src/engine/continuationRewriter.ts
@@ -1,6 +1,7 @@
 /**
- * Makes the events of an engine that goes on with another one's answer a part of that answer: its ids, and usage of both
- * runs. The first piece is marked, so that the caller sees where the text was joined.
+ * Rewrites the events of an engine that continues another engine's answer: gives them the ids of
+ * that answer and the usage of both runs. The first chunk with output is marked, so that the caller
+ * can see where the text was joined.
  */
 
 import { continuedUsage } from '@rackwalk/decisions'
@@ -9,7 +10,7 @@
 import type { ChunkMetadata } from './deliveredChat.js'
 import type { ReportedUsage } from './usage.js'
 
-/** What the caller has of the answer. */
+/** The part of the answer that the caller already has. */
 export interface DeliveredPrefix {
   readonly head: ChunkMetadata
   readonly usage: ReportedUsage
@@ -23,37 +24,37 @@
 
 type Chunk = Record<string, unknown>
 
-/** In the first piece after the join. */
+/** Marks the first chunk after the join. */
 const CONTINUED_MARKER = { rackwalk: { continued: true } }
 
-/** The events of one continuation. */
+/** Rewrites the events of one continuation. */
 export class ContinuationRewriter {
-  private pieces = 0
+  private outputChunks = 0
 
-  constructor(private readonly first: DeliveredPrefix) {}
+  constructor(private readonly prefix: DeliveredPrefix) {}
 
-  /** Whether any piece of the text has come from the second engine. */
+  /** Whether any output of the second engine has arrived. */
   get hasBegun(): boolean {
-    return this.pieces > 0
+    return this.outputChunks > 0
   }
 
-  /** The event as the caller gets it; undefined for one that opens an answer. */
+  /** Returns the event for the caller; undefined for an event that only opens an answer. */
   rewrite(event: Buffer): Buffer | undefined {
     const chunk = parseChunk(event.toString('utf8'))
     const choices = chunk?.['choices']
     if (chunk === undefined || !Array.isArray(choices)) return event
-    const rewritten = this.withUsage({ ...withoutHead(chunk), ...this.first.head })
+    const rewritten = this.withUsage({ ...withoutHead(chunk), ...this.prefix.head })
     const [choice] = choices as readonly Choice[]
     if (choice === undefined) return chunkEvent(rewritten)
     if (!this.hasBegun && isOpening(choice)) return undefined
-    this.pieces += 1
-    const mark = this.pieces === 1 ? CONTINUED_MARKER : {}
+    this.outputChunks += 1
+    const mark = this.outputChunks === 1 ? CONTINUED_MARKER : {}
     return chunkEvent({ ...rewritten, choices: [withoutRole(choice)], ...mark })
   }
 
-  /** Usage of both runs, by the tokens of the second one. */
-  usage(generatedTokens = this.pieces): ReportedUsage {
-    const { usage, outputTokenLimit } = this.first
+  /** Returns the usage of both runs, given the number of tokens that the second one generated. */
+  usage(generatedTokens = this.outputChunks): ReportedUsage {
+    const { usage, outputTokenLimit } = this.prefix
     return continuedUsage(usage, generatedTokens, outputTokenLimit)
   }
 
@@ -66,7 +67,7 @@
   }
 }
 
-/** The report of usage as engines spell it. */
+/** Returns a usage report in the engines' format. */
 function usageDocument({ promptTokens, generatedTokens }: ReportedUsage) {
   return {
     prompt_tokens: promptTokens,
@@ -75,7 +76,7 @@
   }
 }
 
-/** Events that close an answer of which all text is there. */
+/** Returns the closing events of an answer whose text is complete. */
 export function closingEvents({ head, usage }: DeliveredPrefix, finishReason: string | undefined) {
   const document = usageDocument(usage)
   const choice = { index: 0, delta: {}, finish_reason: finishReason }
@@ -100,7 +101,7 @@
   return field !== 'role'
 }
 
-/** Whether a chunk only says who speaks. */
+/** Whether a chunk contains no more than the role. */
 function isOpening({ delta = {}, finish_reason }: Choice): boolean {
   if (typeof finish_reason === 'string') return false
   return Object.entries(delta).every(
--- a/packages/router/src/engine/deliveredChat.ts
+++ b/packages/router/src/engine/deliveredChat.ts
@@ -1,7 +1,8 @@
 /**
- * What a caller has of a streamed chat, kept so that another engine can go on after it. Events are kept as they are and read
- * some at a time, since reading each as it passes would cost more than passing it on. The memory is bounded: an answer for
- * which there is no room is not kept, and so not continued.
+ * Records what a caller has received of a streamed chat, so that another engine can continue it.
+ * Events are stored as they are and parsed in batches, since parsing each one as it passes would
+ * cost more than delivering it. The memory is bounded: an answer for which there is no room is not
+ * recorded and therefore not continued.
  */
 
 import * as z from 'zod'
@@ -9,7 +10,7 @@
 import type { AnswerBufferPool } from './answerBuffer.js'
 import type { ReportedUsage } from './usage.js'
 
-/** Events of more bytes than this are read together. */
+/** Unparsed events are parsed together once they exceed this size. */
 const PARSE_BATCH_BYTES = 16 * 1024
 const DATA = 'data: '
 
@@ -27,19 +28,19 @@
 
 type Chunk = z.infer<typeof chunkSchema>
 
-/** What all chunks of one answer have in common. */
+/** The fields that all chunks of one answer share. */
 export type ChunkMetadata = Readonly<Record<string, unknown>>
 
 const HEAD_FIELDS = ['id', 'object', 'created', 'model', 'system_fingerprint'] as const
 
-/** The fields that say which answer a chunk belongs to. */
+/** Returns the fields that identify the answer that a chunk belongs to. */
 export function chunkMetadataOf(chunk: Readonly<Record<string, unknown>>): ChunkMetadata {
   return Object.fromEntries(
     HEAD_FIELDS.filter(field => chunk[field] !== undefined).map(field => [field, chunk[field]]),
   )
 }
 
-/** A chunk of the answer as an object; undefined for anything else. */
+/** Parses a chunk of the answer as an object; undefined for any other event. */
 export function parseChunk(event: string): Record<string, unknown> | undefined {
   if (!event.startsWith(DATA)) return undefined
   try {
@@ -52,47 +53,47 @@
   }
 }
 
-/** A chunk as an event. */
+/** Formats a chunk as an event. */
 export function chunkEvent(chunk: Readonly<Record<string, unknown>>): Buffer {
   return Buffer.from(`${DATA}${JSON.stringify(chunk)}\n\n`)
 }
 
-/** What a caller has of one answer. */
+/** The part of one answer that its caller has received. */
 export class DeliveredChat {
-  private unread: Buffer[] = []
+  private unparsed: Buffer[] = []
   private bytes = 0
-  private unreadBytes = 0
+  private unparsedBytes = 0
   private readonly texts: string[] = []
-  private isPlain = true
+  private isPlainText = true
   private firstHead: ChunkMetadata | undefined
   private newestUsage: ReportedUsage | undefined
   private hasFinish = false
 
   constructor(
-    private readonly space: AnswerBufferPool,
-    /** Of the engine that began the answer, as it was stated then. */
+    private readonly pool: AnswerBufferPool,
+    /** Version of the engine that began the answer, as configured at that time. */
     readonly softwareVersion: SoftwareVersion,
   ) {}
 
-  /** An event is passed on. */
+  /** Records a delivered event. */
   append(event: Buffer): void {
-    if (!this.isPlain) return
-    if (!this.space.reserve(event.length)) return this.giveUp()
+    if (!this.isPlainText) return
+    if (!this.pool.reserve(event.length)) return this.giveUp()
     this.bytes += event.length
-    this.unreadBytes += event.length
-    // The memory of an event is that of all the chunk it came in.
-    this.unread.push(Buffer.from(event))
-    if (this.unreadBytes > PARSE_BATCH_BYTES) this.read()
+    this.unparsedBytes += event.length
+    // Copied, because the slice would keep the whole network chunk in memory.
+    this.unparsed.push(Buffer.from(event))
+    if (this.unparsedBytes > PARSE_BATCH_BYTES) this.parsePending()
   }
 
-  /** Whether all that the caller has is known, and is plain text. */
+  /** Whether everything that the caller has is recorded and is plain text. */
   get isReconstructible(): boolean {
-    this.read()
-    return this.isPlain
+    this.parsePending()
+    return this.isPlainText
   }
 
   get text(): string {
-    this.read()
+    this.parsePending()
     return this.texts.join('')
   }
 
@@ -100,23 +101,23 @@
     return this.firstHead ?? {}
   }
 
-  /** Whether the engine said why it generates no more. */
+  /** Whether the engine sent a finish reason. */
   get isFinished(): boolean {
     return this.hasFinish
   }
 
-  /** Tokens of the newest chunk that reports them. */
+  /** The usage that the latest chunk reports; undefined if it reports none. */
   get usage(): ReportedUsage | undefined {
     return this.newestUsage
   }
 
-  /** Gives its memory back; again has no effect. */
+  /** Releases the memory. Further calls have no effect. */
   release(): void {
-    this.isPlain = false
-    this.space.release(this.bytes)
+    this.isPlainText = false
+    this.pool.release(this.bytes)
     this.bytes = 0
-    this.unreadBytes = 0
-    this.unread = []
+    this.unparsedBytes = 0
+    this.unparsed = []
     this.texts.length = 0
   }
 
@@ -124,27 +125,27 @@
     this.release()
   }
 
-  private read(): void {
+  private parsePending(): void {
     const length = this.texts.length
-    for (const event of this.unread.splice(0)) this.readEvent(event.toString('utf8'))
+    for (const event of this.unparsed.splice(0)) this.parseEvent(event.toString('utf8'))
     this.texts.splice(length, this.texts.length, this.texts.slice(length).join(''))
     const added = Buffer.byteLength(this.texts.at(-1) ?? '')
-    const freed = Math.max(0, this.unreadBytes - added)
-    if (this.unreadBytes === 0) return
+    const freed = Math.max(0, this.unparsedBytes - added)
+    if (this.unparsedBytes === 0) return
     this.bytes -= freed
-    this.space.release(freed)
-    this.unreadBytes = 0
+    this.pool.release(freed)
+    this.unparsedBytes = 0
   }
 
-  private readEvent(event: string): void {
-    // A comment keeps the connection open and says nothing.
+  private parseEvent(event: string): void {
+    // A comment only keeps the connection open.
     if (event.startsWith(':')) return
     const parsed = chunkSchema.safeParse(parseChunk(event))
-    if (parsed.success) this.readChunk(parsed.data)
-    else this.isPlain = false
+    if (parsed.success) this.applyChunk(parsed.data)
+    else this.isPlainText = false
   }
 
-  private readChunk(chunk: Chunk): void {
+  private applyChunk(chunk: Chunk): void {
     this.firstHead ??= chunkMetadataOf(chunk)
     const { usage } = chunk
     const [choice] = chunk.choices
@@ -152,13 +153,13 @@
     else if (choice !== undefined) this.newestUsage = undefined
     if (choice === undefined) return
     this.hasFinish ||= typeof choice.finish_reason === 'string'
-    for (const [field, value] of Object.entries(choice.delta ?? {})) this.readDelta(field, value)
+    for (const [field, value] of Object.entries(choice.delta ?? {})) this.applyDelta(field, value)
   }
 
-  private readDelta(field: string, value: unknown): void {
+  private applyDelta(field: string, value: unknown): void {
     if (value === null || value === undefined || field === 'role') return
     if (field === 'content' && typeof value === 'string') this.texts.push(value)
-    else this.isPlain = false
+    else this.isPlainText = false
   }
 }
 
--- a/packages/router/src/engine/endpointClient.ts
+++ b/packages/router/src/engine/endpointClient.ts
@@ -1,6 +1,4 @@
-/**
- * Kept connections to the endpoints of the OpenAI-style kind. Owns one pool for each address.
- */
+/** Persistent connections to the endpoints of the OpenAI-style kind. Owns one pool per address. */
 
 import { Agent, Pool, request as sendRequest } from 'undici'
 import type { Client } from 'undici'
@@ -15,7 +13,7 @@
 import { EndpointExchange, classifyAttemptError } from './endpointExchange.js'
 import { InFlightExchanges } from './inFlightExchanges.js'
 
-/** One exchange with an endpoint. */
+/** One request to an endpoint. */
 export interface EndpointRequest {
   readonly endpointId: EndpointId
   /** Scheme, host and port. */
@@ -26,9 +24,9 @@
   readonly body: string | Readable | undefined
   /** Longest wait for the first bytes of the answer. */
   readonly firstByteMilliseconds: Milliseconds
-  /** Whether the request may run once more; it may where nothing is told. */
+  /** Whether the request may run more than once. Defaults to true. */
   readonly isRepeatable?: boolean
-  /** Aborted when the caller left or the deadline passed; its reason says which. */
+  /** Aborted when the caller leaves or the deadline passes. The reason says which. */
   readonly signal: AbortSignal
 }
 
@@ -39,41 +37,44 @@
   return new EndpointConnection(origin, options as Client.Options)
 }
 
-/** Sends requests to endpoints over kept connections. */
+/** Sends requests to endpoints over persistent connections. */
 export class EndpointClient {
   private readonly agent: Agent
 
-  private readonly space: AnswerBufferPool
-  private readonly open = new InFlightExchanges()
+  private readonly bufferPool: AnswerBufferPool
+  private readonly inFlight = new InFlightExchanges()
 
   constructor(
     private readonly clock: Clock,
     private readonly stallMilliseconds: Milliseconds,
-    holdLimits: AnswerBufferLimits = ANSWER_BUFFER_LIMITS,
+    bufferLimits: AnswerBufferLimits = ANSWER_BUFFER_LIMITS,
   ) {
-    this.space = new AnswerBufferPool(holdLimits)
+    this.bufferPool = new AnswerBufferPool(bufferLimits)
     this.agent = new Agent({
       connections: CONNECTIONS_PER_ENDPOINT,
       pipelining: 1,
-      // The client closes its side itself, once the answer's reader has taken everything in.
+      // The client closes its side itself, once the reader of the answer has received everything.
       connect: { timeout: CONNECT_TIMEOUT_MILLISECONDS, allowHalfOpen: true },
       bodyTimeout: stallMilliseconds,
       factory: (origin, options) => new Pool(origin, { ...options, factory: openConnection }),
     })
   }
 
-  /** Sends, and waits until the answer is whole or goes on as it comes. */
+  /**
+   * Sends the request. Resolves when the answer is complete or is being streamed, or when the
+   * attempt has failed.
+   */
   attempt(call: EndpointRequest): Promise<AttemptResult> {
     if (call.signal.aborted) return Promise.resolve({ kind: 'unsent', reason: 'the caller left' })
     const { endpointId, method, isRepeatable, signal } = call
-    const { space, open, clock } = this
+    const { bufferPool, inFlight, clock } = this
     const exchange = new EndpointExchange({
       endpointId,
       method,
       isRepeatable,
       signal,
-      space,
-      open,
+      bufferPool,
+      inFlight,
       clock,
     })
     const dispatch: EndpointDispatch = {
@@ -94,13 +95,13 @@
     return exchange.result
   }
 
-  /** An endpoint has ended: what waits there is given up. */
+  /** Fails the exchanges at a terminated endpoint that will not be answered. */
   noteTermination(
     endpointId: EndpointId,
     end: KnownTermination,
     endpointHeardAt: Milliseconds,
   ): void {
-    this.open.noteTermination(endpointId, end, endpointHeardAt)
+    this.inFlight.noteTermination(endpointId, end, endpointHeardAt)
   }
 
   /** Fetches a small JSON document, such as a load report. */
@@ -112,7 +113,7 @@
     return response.body.json()
   }
 
-  /** Posts a small JSON document and gives the status of the answer. */
+  /** Posts a small JSON document and returns the status of the answer. */
   async postJson(address: string, path: string, body: unknown, timeout: Milliseconds) {
     const response = await sendRequest(`${address}${path}`, {
       method: 'POST',
--- a/packages/router/src/engine/endpointConnection.ts
+++ b/packages/router/src/engine/endpointConnection.ts
@@ -1,6 +1,8 @@
 /**
- * One kept connection to an endpoint. The client underneath takes any end of a connection for the end of an answer without
- * a length, also a reset, and fails an assertion where its reader is paused then. Owns what the client is told of the end.
+ * A persistent connection to an endpoint. The underlying client treats every end of a connection,
+ * even a reset, as the end of an answer without a length, and an assertion in it fails if the
+ * answer's reader is paused at that time. Owns what the client learns about the end of the
+ * connection.
  */
 
 import type { Socket } from 'node:net'
@@ -8,25 +10,27 @@
 import type { Dispatcher, buildConnector } from 'undici'
 import { socketEnd } from '../socketEnd.js'
 
-/** Who reads an answer from the connection. */
+/** The reader of an answer. */
 export interface ConnectionReader {
   readonly isPaused: boolean
 }
 
-/** What an exchange may ask of its connection. */
+/** The interface of a connection to its exchanges. */
 export interface ConnectionEndGuard {
-  /** The connection carries the reader's answer from here on. */
+  /** Assigns the reader whose answer the connection carries from now on. */
   assignReader(reader: ConnectionReader): void
-  /** The reader goes on, and may be told of an end that came meanwhile. */
+  /**
+   * Called when the reader resumes. Delivers an end that was deferred while the reader was paused.
+   */
   noteResumed(): void
 }
 
-/** A request of an exchange that learns how its connection ends. */
+/** Options of a request whose exchange needs its connection. */
 export interface EndpointDispatch extends Dispatcher.DispatchOptions {
   readonly onConnection?: (end: ConnectionEndGuard) => void
 }
 
-/** A connection that was reset. The client treats the system's own error as a proper end. */
+/** A connection reset. The client treats the system's own error code as a regular end. */
 class ConnectionResetError extends Error {
   readonly code = 'UND_ERR_SOCKET'
 
@@ -35,27 +39,27 @@
   }
 }
 
-/** The end of the connection, as the client may be told of it. */
+/** Controls when the client learns about the end of the connection. */
 class SocketEndGuard implements ConnectionEndGuard {
   private reader: ConnectionReader | undefined
   private socket: Socket | undefined
-  private deliverLate: (() => void) | undefined
+  private deferredEnd: (() => void) | undefined
 
   assignReader(reader: ConnectionReader): void {
     this.reader = reader
   }
 
   noteResumed(): void {
-    const deliver = this.deliverLate
+    const deliver = this.deferredEnd
     if (deliver === undefined || this.reader?.isPaused === true) return
-    this.deliverLate = undefined
+    this.deferredEnd = undefined
     if (this.socket?.destroyed === false) deliver()
   }
 
-  /** Goes between the socket and its listeners: the client reads the socket itself. */
+  /** Intercepts the socket's `emit`, because the client reads from the socket itself. */
   watch(socket: Socket): void {
     this.socket = socket
-    this.deliverLate = undefined
+    this.deferredEnd = undefined
     const emit = socket.emit.bind(socket) as (event: string, ...values: unknown[]) => boolean
     const guarded = (event: string, ...values: unknown[]): boolean => {
       if (event === 'end') return this.noteEnd(socket, () => emit('end'))
@@ -68,7 +72,7 @@
 
   private noteEnd(socket: Socket, deliver: () => void): boolean {
     if (socketEnd(socket) === 'reset') socket.destroy(new ConnectionResetError())
-    else if (this.reader?.isPaused === true) this.deliverLate = deliver
+    else if (this.reader?.isPaused === true) this.deferredEnd = deliver
     else deliver()
     return true
   }
@@ -78,7 +82,7 @@
   return event === 'error' && (error as { code?: string } | undefined)?.code === 'ECONNRESET'
 }
 
-/** A client of one connection, one request at a time. */
+/** A client with a single connection, for one request at a time. */
 export class EndpointConnection extends Client {
   private readonly connectionEnd: ConnectionEndGuard
 
@@ -94,7 +98,7 @@
   }
 }
 
-/** The pool's connector, whose sockets are watched. */
+/** Wraps the pool's connector so that its sockets are guarded. */
 function guardedConnector(
   connect: Client.Options['connect'],
   end: SocketEndGuard,
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -1,6 +1,6 @@
 /**
- * One exchange with an endpoint, from its first byte to its end. Tells a request that was never sent from
- * one that may have run: only the former may be sent again whatever it is.
+ * One exchange with an endpoint, from its first byte to its end. Distinguishes a request that was
+ * never sent from one that may have run, because only the former may always be repeated.
  */
 
 import type { Dispatcher } from 'undici'
@@ -17,7 +17,7 @@
 import type { ConnectionEndGuard, ConnectionReader } from './endpointConnection.js'
 import type { InFlightExchange, InFlightExchanges } from './inFlightExchanges.js'
 
-// Errors that say the connection was never made.
+// Error codes that show that the connection was never established.
 const NEVER_CONNECTED = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -25,28 +25,28 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ])
 const STALLED = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'])
-// Errors that say this instance closes its connections.
+// Error codes that show that this instance closes its connections.
 const STOPPED = new Set(['UND_ERR_DESTROYED', 'UND_ERR_CLOSED'])
 
 type Headers = Record<string, string | string[] | undefined>
 
-/** What is asked of an endpoint, and what an exchange works with. */
+/** Parameters and dependencies of an exchange. */
 export interface ExchangeParts {
   readonly endpointId: EndpointId
   readonly method: string
-  /** Whether the request may run once more; it may where nothing is told. */
+  /** Whether the request may run more than once. Defaults to true. */
   readonly isRepeatable?: boolean
-  /** Aborted when nobody waits any more; its reason says why. */
+  /** Aborted when the answer is no longer needed. The reason says why. */
   readonly signal: AbortSignal
-  readonly space: AnswerBufferPool
-  /** Where it is found while it has not ended. */
-  readonly open: InFlightExchanges
+  readonly bufferPool: AnswerBufferPool
+  /** The registry that lists the exchange until it ends. */
+  readonly inFlight: InFlightExchanges
   readonly clock: Clock
 }
 
 /**
- * One exchange with an endpoint. Chunks go straight from the connection's parser to whoever
- * relays them: a stream object between the two took a third of the time of each token.
+ * One exchange with an endpoint. Chunks go directly from the connection's parser to the consumer,
+ * because a stream object between the two takes a third of the processing time per token.
  */
 export class EndpointExchange
   implements Dispatcher.DispatchHandler, EndpointAnswer, ConnectionReader, InFlightExchange
@@ -60,15 +60,18 @@
   heardAt: Milliseconds | undefined
   firstDoubtedAt: Milliseconds | undefined
   readonly isRepeatable: boolean
-  /** Whether it was there when its endpoint ended; undefined while that is not known to have ended. */
+  /**
+   * Whether the request was in flight when its endpoint terminated; undefined unless the endpoint
+   * is known to have terminated.
+   */
   private wasInFlightAtTermination: boolean | undefined
   private connection: ConnectionEndGuard | undefined
-  private proof: CompletenessCheck | undefined
-  private readonly begun = deferred<AttemptResult>()
+  private bodyCheck: CompletenessCheck | undefined
+  private readonly attemptResult = deferred<AttemptResult>()
   readonly endpointId: EndpointId
   private readonly bufferedChunks: Buffer[] = []
-  private readonly hold: BufferReservation
-  private holdTimer: Timer | undefined
+  private readonly reservation: BufferReservation
+  private bufferTimer: Timer | undefined
   private controller: Dispatcher.DispatchController | undefined
   private consumer: AnswerConsumer | undefined
   private hasBegun = false
@@ -77,18 +80,21 @@
   constructor(private readonly parts: ExchangeParts) {
     this.endpointId = parts.endpointId
     this.isRepeatable = parts.isRepeatable ?? true
-    this.hold = parts.space.openReservation()
+    this.reservation = parts.bufferPool.openReservation()
     parts.signal.addEventListener('abort', this.abandon, { once: true })
   }
 
-  /** Its request goes over this connection, once that is free. */
+  /** Called with the connection that carries the request, as soon as it is free. */
   readonly noteConnection = (connection: ConnectionEndGuard): void => {
     this.connection = connection
   }
 
-  /** Settles when the answer is whole, or so much of it is there that it goes on as it comes, or there will be none. */
+  /**
+   * Settles when the answer is complete, when it is too large or too slow to be buffered and is
+   * streamed instead, or when it has failed.
+   */
   get result(): Promise<AttemptResult> {
-    return this.begun.promise
+    return this.attemptResult.promise
   }
 
   readonly cancel = (): void => {
@@ -100,17 +106,20 @@
   }
 
   get isDelimited(): boolean {
-    return this.framing !== 'connection' || (this.isComplete && this.proof?.state === 'closed')
+    return this.framing !== 'connection' || (this.isComplete && this.bodyCheck?.state === 'closed')
   }
 
   releaseBuffer(): void {
-    this.hold.release()
+    this.reservation.release()
   }
 
-  /** Hands the answer over; nothing was read until now beyond what is held of it and the chunk after that. */
+  /**
+   * Starts to pass the answer to the consumer. Until now at most the buffered part and one further
+   * chunk were read.
+   */
   startReading(consumer: AnswerConsumer): void {
     this.consumer = consumer
-    for (const chunk of this.bufferedChunks.splice(0)) this.pass(chunk)
+    for (const chunk of this.bufferedChunks.splice(0)) this.forward(chunk)
     if (this.failure !== undefined) consumer.fail(this.failure)
     else if (this.isEnded) consumer.end()
     else if (!consumer.isFull) this.resume()
@@ -127,7 +136,7 @@
     this.controller = controller
     this.connection?.assignReader(this)
     this.sentAt = this.parts.clock.monotonic()
-    this.parts.open.add(this)
+    this.parts.inFlight.add(this)
     if (this.parts.signal.aborted) this.abandon()
   }
 
@@ -141,39 +150,39 @@
       transferEncoding: this.headers['transfer-encoding'],
       contentLength: this.headers['content-length'],
     })
-    this.proof = createCompletenessCheck(this.framing, this.headers)
+    this.bodyCheck = createCompletenessCheck(this.framing, this.headers)
     const kind = bufferingModeOf(this.headers)
-    if (kind === 'not') this.hold.close()
-    if (kind === 'for-a-while') this.limitHold()
+    if (kind === 'not') this.reservation.close()
+    if (kind === 'for-a-while') this.limitBuffering()
   }
 
   onResponseData(_: Dispatcher.DispatchController, chunk: Buffer): void {
     this.heardAt = this.parts.clock.monotonic()
-    this.proof?.read(chunk)
-    if (this.consumer !== undefined) return this.pass(chunk)
+    this.bodyCheck?.read(chunk)
+    if (this.consumer !== undefined) return this.forward(chunk)
     this.bufferedChunks.push(chunk)
-    if (this.hold.reserve(chunk.length)) return
+    if (this.reservation.reserve(chunk.length)) return
     this.pause()
     this.begin()
   }
 
   onResponseEnd(): void {
     const end = this.framing === 'connection' ? 'closed' : 'complete'
-    const isBodyTruncated = this.proof?.state === 'open'
+    const isBodyTruncated = this.bodyCheck?.state === 'open'
     const answer: EndedAnswer = { framing: this.framing, end, isBodyTruncated }
     if (isProvenComplete(answer)) this.succeed(end)
     else this.fail(end, new UnfinishedError())
   }
 
   onResponseError(_: Dispatcher.DispatchController, error: Error): void {
-    // What its body proves whole is whole, whatever became of its connection.
-    if (this.proof?.state === 'closed') this.succeed(answerEndOf(error))
+    // An answer whose body proves it complete is complete, however its connection ended.
+    if (this.bodyCheck?.state === 'closed') this.succeed(answerEndOf(error))
     else this.fail(answerEndOf(error), error)
   }
 
-  failByTermination(wasThere: boolean): void {
+  failByTermination(wasInFlight: boolean): void {
     if (this.isEnded) return
-    this.wasInFlightAtTermination = wasThere
+    this.wasInFlightAtTermination = wasInFlight
     this.controller?.abort(new CancelledError('endpoint-ended'))
   }
 
@@ -188,7 +197,7 @@
     this.failure = error
     if (!this.hasBegun) {
       this.releaseBuffer()
-      this.begun.resolve(this.classified(error))
+      this.attemptResult.resolve(this.classified(error))
     }
     this.consumer?.fail(error)
   }
@@ -197,7 +206,7 @@
     return this.end !== undefined
   }
 
-  /** Its signal says that nobody waits for it any more, and why. */
+  /** Aborts the exchange for the reason that its signal gives. */
   private readonly abandon = (): void => {
     const end = (this.parts.signal.reason as AnswerEnd | undefined) ?? 'aborted'
     if (!this.isEnded) this.controller?.abort(new CancelledError(end))
@@ -206,20 +215,25 @@
   private classified(error: Error): AttemptResult {
     const result = classifyAttemptError(error)
     if (result.kind !== 'failed') return result
-    const told =
-      this.wasInFlightAtTermination === undefined ? result : { ...result, ...this.withdrawn() }
-    return this.status === 0 ? told : { ...told, end: this.end, framing: this.framing }
+    const described =
+      this.wasInFlightAtTermination === undefined
+        ? result
+        : { ...result, ...this.terminationDetails() }
+    return this.status === 0 ? described : { ...described, end: this.end, framing: this.framing }
   }
 
-  /** Whether the endpoint ended under it is to be found out only of what was there. */
-  private withdrawn() {
+  /**
+   * Only for a request that was in flight is it still to be found out whether the endpoint
+   * terminated because of it.
+   */
+  private terminationDetails() {
     return {
       reason: 'its endpoint has ended',
       isAttributed: this.wasInFlightAtTermination === false,
     }
   }
 
-  private pass(chunk: Buffer): void {
+  private forward(chunk: Buffer): void {
     this.consumer?.receive(chunk)
     if (this.consumer?.isFull) this.pause()
   }
@@ -230,11 +244,11 @@
     this.controller?.pause()
   }
 
-  /** An answer that may be meant to be read while it arrives is not held for long. */
-  private limitHold(): void {
-    const { clock, space } = this.parts
-    this.holdTimer = clock.after(space.limits.maximumUnsizedMilliseconds, () => {
-      this.hold.close()
+  /** Limits the time for which an answer is buffered that may be meant to be read as it arrives. */
+  private limitBuffering(): void {
+    const { clock, bufferPool } = this.parts
+    this.bufferTimer = clock.after(bufferPool.limits.maximumUnsizedMilliseconds, () => {
+      this.reservation.close()
       if (this.bufferedChunks.length === 0) return
       this.pause()
       this.begin()
@@ -242,22 +256,22 @@
   }
 
   private begin(): void {
-    this.holdTimer?.cancel()
+    this.bufferTimer?.cancel()
     if (this.hasBegun) return
     this.hasBegun = true
-    this.begun.resolve({ kind: 'answering', answer: this })
+    this.attemptResult.resolve({ kind: 'answering', answer: this })
   }
 
   private finish(end: AnswerEnd): void {
     this.end = end
     this.isPaused = false
-    this.parts.open.remove(this)
-    this.holdTimer?.cancel()
+    this.parts.inFlight.remove(this)
+    this.bufferTimer?.cancel()
     this.parts.signal.removeEventListener('abort', this.abandon)
   }
 }
 
-/** Breaks an exchange off on this side. */
+/** The error with which this side aborts an exchange. */
 class CancelledError extends Error {
   readonly code = 'CANCELLED'
 
@@ -266,7 +280,7 @@
   }
 }
 
-/** The body of an answer ended in the middle of its document. */
+/** The error for an answer whose end is missing. */
 class UnfinishedError extends Error {
   readonly code = 'UNFINISHED'
 
@@ -275,14 +289,14 @@
   }
 }
 
-/** What an error before any answer says of the request. */
+/** Classifies an error that occurred before any answer. */
 export function classifyAttemptError(thrown: unknown): AttemptResult {
   const code = errorCode(thrown)
   if (NEVER_CONNECTED.has(code)) return { kind: 'unsent', reason: code }
   return { kind: 'failed', reason: code, stalled: STALLED.has(code), end: answerEndOf(thrown) }
 }
 
-/** What the reading of an answer ended with, by the error that ended it. */
+/** Returns how reading an answer ended, by the error that ended it. */
 export function answerEndOf(thrown: unknown): AnswerEnd {
   if (thrown instanceof CancelledError) return thrown.end
   if (isStall(thrown)) return 'silence'
@@ -294,7 +308,9 @@
   return STALLED.has(errorCode(thrown))
 }
 
-/** The code of an error; connecting to several addresses of a host gives an aggregate. */
+/**
+ * Returns the code of an error. Connecting to several addresses of a host gives an aggregate error.
+ */
 function errorCode(thrown: unknown): string {
   const error = thrown as { code?: string; name?: string; errors?: readonly { code?: string }[] }
   return error.code ?? error.errors?.[0]?.code ?? error.name ?? 'unknown'
--- a/packages/router/src/engine/engineReports.ts
+++ b/packages/router/src/engine/engineReports.ts
@@ -1,6 +1,6 @@
 /**
- * Reads what engines tell of themselves (`GET /load`, `GET /cache-events?after=N`). A malformed report is no report, so that a bad reading is never
- * taken for an idle engine.
+ * Parses the reports of engines about themselves (`GET /load`, `GET /cache-events?after=N`). A
+ * malformed report is treated as missing, so that it is never mistaken for an idle engine.
  */
 
 import * as z from 'zod'
@@ -26,19 +26,19 @@
   ),
 })
 
-/** A model that an engine has in memory. */
+/** A model that an engine has loaded. */
 interface LoadedModel {
   readonly model: string
   readonly version: string
 }
 
-/** A load report with the models behind it. */
+/** A load report with the models that the engine has loaded. */
 export interface ParsedReport {
   readonly report: LoadReport
   readonly loaded: readonly LoadedModel[] | undefined
 }
 
-/** Reads a load report; undefined when it is malformed. */
+/** Parses a load report; undefined if it is malformed. */
 export function parseLoadReport(document: unknown): ParsedReport | undefined {
   const parsed = loadSchema.safeParse(document)
   if (!parsed.success) return undefined
@@ -47,7 +47,7 @@
   return { report: { ...report, loadedModels }, loaded }
 }
 
-/** Reads cache events; undefined when they are malformed. */
+/** Parses cache events; undefined if they are malformed. */
 export function parseCacheEvents(document: unknown): readonly CacheEvent[] | undefined {
   const parsed = cacheEventsSchema.safeParse(document)
   return parsed.success ? parsed.data.events : undefined
--- a/packages/router/src/engine/eventSplitter.ts
+++ b/packages/router/src/engine/eventSplitter.ts
@@ -1,25 +1,25 @@
 /**
- * Cuts a stream into events and recognises the ones that matter to relaying: the report of usage and the
- * end.
+ * Splits a stream into events and recognises the two that matter to delivery: the usage report and
+ * the end marker.
  */
 
 const EVENT_END = Buffer.from('\n\n')
-/** An event longer than this is not one of a model's answer. */
+/** A model's answer has no events longer than this. */
 const MAXIMUM_EVENT_BYTES = 1024 * 1024
 
-/** Thrown when an endpoint sends an event without an end. */
+/** Thrown if an endpoint sends an event without an end. */
 class OversizedEventError extends Error {}
 
 /**
- * Cuts a stream of server-sent events at their ends. Slices share the memory of the chunks;
- * only an event that spans chunks is copied.
+ * Splits a stream of server-sent events. The returned slices share the memory of the chunks; only
+ * an event that spans chunks is copied.
  */
 export class EventSplitter {
-  private rest: Buffer | undefined
+  private incomplete: Buffer | undefined
 
-  /** Whole events in the chunk, as one slice each, the blank line included. */
+  /** Returns the complete events in the chunk, one slice each, including the blank line. */
   split(chunk: Buffer): readonly Buffer[] {
-    const data = this.rest === undefined ? chunk : Buffer.concat([this.rest, chunk])
+    const data = this.incomplete === undefined ? chunk : Buffer.concat([this.incomplete, chunk])
     const events: Buffer[] = []
     let start = 0
     for (;;) {
@@ -28,31 +28,31 @@
       events.push(data.subarray(start, end + EVENT_END.length))
       start = end + EVENT_END.length
     }
-    this.rest = start < data.length ? data.subarray(start) : undefined
-    if ((this.rest?.length ?? 0) > MAXIMUM_EVENT_BYTES) throw new OversizedEventError()
+    this.incomplete = start < data.length ? data.subarray(start) : undefined
+    if ((this.incomplete?.length ?? 0) > MAXIMUM_EVENT_BYTES) throw new OversizedEventError()
     return events
   }
 
-  /** Bytes after the last whole event. */
+  /** Number of bytes after the last complete event. */
   get remainderBytes(): number {
-    return this.rest?.length ?? 0
+    return this.incomplete?.length ?? 0
   }
 
-  /** The bytes after the last whole event, where there are any. */
+  /** The bytes after the last complete event; undefined if there are none. */
   get remainder(): Buffer | undefined {
-    return this.rest
+    return this.incomplete
   }
 }
 
 const DONE = Buffer.from('data: [DONE]')
 const EMPTY_CHOICES = Buffer.from('"choices":[]')
 
-/** The event that ends an answer. */
+/** Whether an event is the end marker of an answer. */
 export function isDoneEvent(event: Buffer): boolean {
   return event.length >= DONE.length && event.subarray(0, DONE.length).equals(DONE)
 }
 
-/** The chunk that only reports usage. */
+/** Whether an event is the chunk that only reports usage. */
 export function isUsageEvent(event: Buffer): boolean {
   return event.includes(EMPTY_CHOICES)
 }
--- a/packages/router/src/engine/inFlightExchanges.ts
+++ b/packages/router/src/engine/inFlightExchanges.ts
@@ -1,50 +1,60 @@
 /**
- * The exchanges with the endpoints of the OpenAI-style kind that have not ended. Owns which they are, so that those at an
- * endpoint can be given up when it is known to have ended; the rule is in decisions/retrying/withdrawal.
+ * Registry of the exchanges in progress with endpoints of the OpenAI-style kind. Allows the
+ * exchanges at an endpoint to fail as soon as the endpoint is known to have terminated; the rule is
+ * in decisions/retrying/withdrawal.
  */
 
 import { judgeWithdrawal } from '@rackwalk/decisions'
 import type { KnownTermination, InFlightAttempt } from '@rackwalk/decisions'
 import type { EndpointId, Milliseconds } from '@rackwalk/shared'
 
-/** An exchange that can be given up. */
+/** An exchange in progress that can be made to fail. */
 export interface InFlightExchange extends InFlightAttempt {
   readonly endpointId: EndpointId
   firstDoubtedAt: Milliseconds | undefined
-  /** Its endpoint has ended; says whether the exchange was there then. */
-  failByTermination(wasThere: boolean): void
+  /**
+   * Fails the exchange because its endpoint terminated. `wasInFlight` says whether it was in flight
+   * then.
+   */
+  failByTermination(wasInFlight: boolean): void
 }
 
-/** What is open now, by endpoint. */
+/** The exchanges in progress, by endpoint. */
 export class InFlightExchanges {
-  private readonly open = new Map<EndpointId, Set<InFlightExchange>>()
+  private readonly byEndpoint = new Map<EndpointId, Set<InFlightExchange>>()
 
   add(exchange: InFlightExchange): void {
-    const there = this.open.get(exchange.endpointId) ?? new Set()
-    this.open.set(exchange.endpointId, there.add(exchange))
+    const exchanges = this.byEndpoint.get(exchange.endpointId) ?? new Set()
+    this.byEndpoint.set(exchange.endpointId, exchanges.add(exchange))
   }
 
   remove(exchange: InFlightExchange): void {
-    const there = this.open.get(exchange.endpointId)
-    there?.delete(exchange)
-    if (there?.size === 0) this.open.delete(exchange.endpointId)
+    const exchanges = this.byEndpoint.get(exchange.endpointId)
+    exchanges?.delete(exchange)
+    if (exchanges?.size === 0) this.byEndpoint.delete(exchange.endpointId)
   }
 
-  /** An endpoint has ended that last told its state at a time: gives up what is there and will not be answered. */
+  /**
+   * Fails the exchanges at a terminated endpoint that will not be answered. `endpointHeardAt` is
+   * the time of the endpoint's latest state report.
+   */
   noteTermination(
     endpointId: EndpointId,
     end: KnownTermination,
     endpointHeardAt: Milliseconds,
   ): void {
-    for (const exchange of [...(this.open.get(endpointId) ?? [])]) {
-      const fate = judgeWithdrawal(exchange, end, endpointHeardAt)
-      if (fate === 'doubted') noteDoubt(exchange, end, endpointHeardAt)
-      else if (fate !== 'none') exchange.failByTermination(fate === 'was-there')
+    for (const exchange of [...(this.byEndpoint.get(endpointId) ?? [])]) {
+      const withdrawal = judgeWithdrawal(exchange, end, endpointHeardAt)
+      if (withdrawal === 'doubted') noteDoubt(exchange, end, endpointHeardAt)
+      else if (withdrawal !== 'none') exchange.failByTermination(withdrawal === 'was-there')
     }
   }
 }
 
-/** A state that was told since an earlier doubt took it away. */
+/**
+ * Records the first doubt about an exchange. A state report since an earlier doubt has resolved
+ * that one.
+ */
 function noteDoubt(
   exchange: InFlightExchange,
   end: KnownTermination,
--- a/packages/router/src/engine/usage.ts
+++ b/packages/router/src/engine/usage.ts
@@ -1,11 +1,9 @@
-/**
- * Finds what an engine reported of a request's tokens in the text of its answer. What is found is billed.
- */
+/** Extracts an engine's usage report from the text of its answer. The result is billed. */
 
 import * as z from 'zod'
 import type { TokenCount } from '@rackwalk/shared'
 
-/** Tokens that an engine reported for one request. */
+/** Token counts that an engine reported for one request. */
 export interface ReportedUsage {
   readonly promptTokens: TokenCount
   readonly generatedTokens: TokenCount
@@ -19,8 +17,8 @@
 const FIELD = '"usage":'
 
 /**
- * Finds the last usage report in a piece of JSON text without parsing the rest; undefined
- * when there is none or it is null.
+ * Returns the last usage report in a piece of JSON text without parsing the rest; undefined if
+ * there is none or if it is null.
  */
 export function findUsage(text: string): ReportedUsage | undefined {
   const start = text.lastIndexOf(FIELD)
@@ -41,7 +39,10 @@
   }
 }
 
-/** Usage objects hold numbers and objects only, so braces in strings do not occur. */
+/**
+ * Returns the position of the closing brace. Usage objects contain only numbers and objects, so
+ * there are no braces in strings.
+ */
 function matchingBrace(text: string, open: number): number | undefined {
   let depth = 0
   for (let position = open; position < text.length; position += 1) {
