--- a/packages/router/src/limits/fairQueue.ts
+++ b/packages/router/src/limits/fairQueue.ts
@@ -1,28 +1,28 @@
 /**
- * Who of those that wait for an endpoint goes next, and who is refused when the room is full? Owns the
- * waiting requests of one model.
+ * A queue of requests that wait for an endpoint: decides which one goes next, and which one is
+ * refused when the queue is full. Owns the waiting requests of one model.
  */
 
 import { ResultCode, deferred } from '@rackwalk/shared'
 import type { Clock, Deferred, Milliseconds, TeamId, Timer } from '@rackwalk/shared'
 
-/** Why a queued request was refused; it was not run. */
+/** Why a queued request was refused. A refused request was not run. */
 export type QueueRefusal = ResultCode.Overloaded | ResultCode.DeadlineUnreachable
 
-/** A place, after how long, or why there is none. */
+/** The outcome of queueing, with the time waited. */
 export type QueueOutcome =
   | { readonly kind: 'admitted'; readonly waited: Milliseconds }
   | { readonly kind: 'refused'; readonly code: QueueRefusal; readonly waited: Milliseconds }
 
-/** A request that wants a place. */
+/** A request to be admitted. */
 export interface QueueRequest {
   readonly teamId: TeamId
   readonly weight: number
   /** Greater is more urgent. */
   readonly priority: number
-  /** Time, suspensions included, after which an admission is useless. */
+  /** Time after which admission is useless, on the clock that includes suspensions. */
   readonly startDeadline: Milliseconds
-  /** Expected cost, in any unit that is the same for all; teams share it by weight. */
+  /** Expected cost, in any unit common to all requests. Teams share it by weight. */
   readonly cost: number
 }
 
@@ -40,20 +40,22 @@
 }
 
 /**
- * Waiting room of one model on this instance. Higher priorities go first; within one, teams
- * share by weight (start-time fair queueing, Goyal 1996). When it is full, a request of the
- * least urgent priority from the team that waits with the most is refused at once.
+ * The queue of one model on this instance. Higher priorities go first; within a priority, teams
+ * share by weight (start-time fair queueing, Goyal 1996). When the queue is full, a request of the
+ * lowest priority is refused at once, from the team with the most waiting requests for its weight.
  */
 export class FairQueue {
   private entries: Entry[] = []
   private virtualTime = 0
-  /** Admitted and not yet at an endpoint. */
+  /** Number of requests that were admitted but have not reached an endpoint yet. */
   private pendingDispatch = 0
   private readonly lastFinish = new Map<TeamId, number>()
 
   constructor(
     private readonly clock: Clock,
-    /** Places that endpoints have free; those just admitted are not seen there yet. */
+    /**
+     * Returns the free slots of the endpoints, in which requests admitted just now do not show yet.
+     */
     private readonly freeCapacity: () => number,
   ) {}
 
@@ -61,7 +63,7 @@
     return this.entries.length
   }
 
-  /** Admits at once when there is capacity and nobody waits, else queues. */
+  /** Admits the request at once if there is capacity and no request waits; queues it otherwise. */
   enqueue(demand: QueueRequest, limits: QueueLimits): Promise<QueueOutcome> {
     if (this.entries.length === 0 && this.hasCapacity) {
       this.pendingDispatch += 1
@@ -75,7 +77,9 @@
     return entry.done.promise
   }
 
-  /** Admits as many as there is capacity for; called whenever a place may have come free. */
+  /**
+   * Admits as many requests as there is capacity for. Called whenever a slot may have become free.
+   */
   admitWaiting(): void {
     while (this.entries.length > 0 && this.hasCapacity) {
       const next = this.entries.reduce(moreUrgent)
@@ -85,7 +89,7 @@
     }
   }
 
-  /** An admitted request is at an endpoint now, or will never be. */
+  /** Records that an admitted request has reached an endpoint or never will. */
   noteDispatched(): void {
     this.pendingDispatch -= 1
   }
@@ -122,7 +126,7 @@
     const leastUrgent = this.entries.filter(entry => entry.priority === lowest)
     const waiting = countByTeam(leastUrgent)
     const share = (entry: Entry) => (waiting.get(entry.teamId) ?? 0) / entry.weight
-    // The newest request of the greediest team: it has waited least.
+    // The newest request of the team with the greatest share: it has waited least.
     const victim = leastUrgent.reduce((worst, entry) =>
       share(entry) >= share(worst) ? entry : worst,
     )
--- a/packages/router/src/limits/outlierEjection.ts
+++ b/packages/router/src/limits/outlierEjection.ts
@@ -1,6 +1,6 @@
 /**
- * Which endpoints are left out because they keep failing? Owns the failures in a row and the times of
- * return.
+ * Ejects endpoints that keep failing. Owns the numbers of consecutive failures and the times at
+ * which ejections end.
  */
 
 import type { Clock, EndpointId, Milliseconds } from '@rackwalk/shared'
@@ -14,10 +14,10 @@
 const FAILURES_BEFORE_EJECTION = 3
 const FIRST_EJECTION_MILLISECONDS = 5_000
 const LONGEST_EJECTION_MILLISECONDS = 60_000
-/** Greatest share of a pool that may be ejected, so that a bad reading cannot empty it. */
+/** Greatest share of a pool that may be ejected, so that a wrong reading cannot empty it. */
 const MAXIMUM_EJECTED_SHARE = 0.34
 
-/** Leaves out endpoints that keep failing, for a while and never too many of them. */
+/** Ejects endpoints that keep failing, for a limited time and never too many of them. */
 export class OutlierEjection {
   private readonly health = new Map<EndpointId, Health>()
 
@@ -30,7 +30,7 @@
     if (health.ejectedUntil <= this.clock.monotonic()) health.ejections = 0
   }
 
-  /** True when this failure ejected the endpoint. */
+  /** Records a failure. Returns true if it ejected the endpoint. */
   noteFailure(endpointId: EndpointId): boolean {
     const health = this.healthOf(endpointId)
     health.consecutiveFailures += 1
@@ -43,29 +43,32 @@
     return true
   }
 
-  /** The endpoints that may be used; over the ceiling, those whose time ends first come back. */
+  /**
+   * Returns the endpoints that may be used. If too many are ejected, those whose ejection ends
+   * first are included.
+   */
   usableEndpoints<Endpoint extends { readonly endpointId: EndpointId }>(
     pool: readonly Endpoint[],
   ): readonly Endpoint[] {
     const ejected = pool.filter(({ endpointId }) => this.isEjected(endpointId))
     if (ejected.length === 0) return pool
     const ceiling = Math.floor(pool.length * MAXIMUM_EJECTED_SHARE)
-    const keptOut = ejected
-      .sort((left, right) => this.until(right.endpointId) - this.until(left.endpointId))
+    const stillEjected = ejected
+      .sort((left, right) => this.ejectionEnd(right.endpointId) - this.ejectionEnd(left.endpointId))
       .slice(0, ceiling)
-    const out = new Set(keptOut)
-    return pool.filter(endpoint => !out.has(endpoint))
+    const excluded = new Set(stillEjected)
+    return pool.filter(endpoint => !excluded.has(endpoint))
   }
 
   isEjected(endpointId: EndpointId): boolean {
-    return this.until(endpointId) > this.clock.monotonic()
+    return this.ejectionEnd(endpointId) > this.clock.monotonic()
   }
 
   forget(endpointId: EndpointId): void {
     this.health.delete(endpointId)
   }
 
-  private until(endpointId: EndpointId): Milliseconds {
+  private ejectionEnd(endpointId: EndpointId): Milliseconds {
     return this.health.get(endpointId)?.ejectedUntil ?? Number.NEGATIVE_INFINITY
   }
 
--- a/packages/router/src/limits/retryBudget.ts
+++ b/packages/router/src/limits/retryBudget.ts
@@ -1,45 +1,45 @@
-/**
- * May a request that failed be tried again, and after how long? Owns the retries that this instance has
- * saved up.
- */
+/** Limits and delays retries. Owns the retries that this instance has accumulated. */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Retries that may be saved up while nothing fails. */
-const MAXIMUM_SAVED = 50
-/** Retries a second that are granted whatever the traffic, so that a quiet fleet retries too. */
+/** Number of retries that may accumulate while nothing fails. */
+const MAXIMUM_AVAILABLE = 50
+/**
+ * Retries per second granted regardless of traffic, so that a fleet with little traffic can retry
+ * too.
+ */
 const BASE_RETRIES_PER_SECOND = 1
 
 /**
- * Limits retries to a share of requests, so that a failing endpoint does not have its load
- * multiplied just when it can bear it least.
+ * Limits retries to a share of requests, so that the load of a failing endpoint is not multiplied
+ * when it can least bear it.
  */
 export class RetryBudget {
-  private saved = 10
+  private available = 10
   private countedAt: Milliseconds
 
   constructor(private readonly clock: Clock) {
     this.countedAt = clock.monotonic()
   }
 
-  /** Each request earns a share of a retry. */
+  /** Adds the share of a retry that each request earns. */
   deposit(share: number): void {
     this.earnByTime()
-    this.saved = Math.min(MAXIMUM_SAVED, this.saved + share)
+    this.available = Math.min(MAXIMUM_AVAILABLE, this.available + share)
   }
 
-  /** Takes one retry, if there is one. */
+  /** Takes one retry. Returns false if none is available. */
   withdraw(): boolean {
     this.earnByTime()
-    if (this.saved < 1) return false
-    this.saved -= 1
+    if (this.available < 1) return false
+    this.available -= 1
     return true
   }
 
   private earnByTime(): void {
     const now = this.clock.monotonic()
     const earned = ((now - this.countedAt) * BASE_RETRIES_PER_SECOND) / 1000
-    this.saved = Math.min(MAXIMUM_SAVED, this.saved + earned)
+    this.available = Math.min(MAXIMUM_AVAILABLE, this.available + earned)
     this.countedAt = now
   }
 }
@@ -47,7 +47,7 @@
 const FIRST_BACKOFF_MILLISECONDS = 20
 const LONGEST_BACKOFF_MILLISECONDS = 500
 
-/** Exponential backoff with full jitter; `chance` is in [0, 1). */
+/** Returns an exponential backoff with full jitter; `chance` is in [0, 1). */
 export function backoffMilliseconds(attempt: number, chance: number): Milliseconds {
   const ceiling = Math.min(LONGEST_BACKOFF_MILLISECONDS, FIRST_BACKOFF_MILLISECONDS * 2 ** attempt)
   return ceiling * chance
--- a/packages/router/src/placement/planner.ts
+++ b/packages/router/src/placement/planner.ts
@@ -1,6 +1,6 @@
 /**
- * Which models should which endpoints load or unload? Pure, so that whoever holds the planner's lease
- * comes to the same orders.
+ * Plans which endpoints load or unload which models. Pure, so that every holder of the planner's
+ * lease arrives at the same orders.
  */
 
 import type { EndpointId, ModelId } from '@rackwalk/shared'
@@ -10,12 +10,14 @@
 export interface PlannerEndpoint {
   readonly endpointId: EndpointId
   readonly spec: ModelEndpointSpec
-  /** Versions in memory, by model; undefined while it has not reported. */
+  /** Loaded versions by model; undefined until the endpoint has reported. */
   readonly loaded: ReadonlyMap<ModelId, string> | undefined
   readonly leaving: boolean
 }
 
-/** What an engine is told to do; it obeys only when the epoch is not older than the last. */
+/**
+ * An order to an engine, which obeys only if the epoch is not older than that of the latest order.
+ */
 export interface PlacementOrder {
   readonly endpointId: EndpointId
   readonly action: 'load' | 'unload'
@@ -25,17 +27,17 @@
   readonly reason: string
 }
 
-/** Bounds of one round of planning. */
+/** Limits of one planning round. */
 export interface PlanLimits {
-  /** Loads that the weight store serves at the same time. */
+  /** Number of loads that the weight store can serve at the same time. */
   readonly maximumLoads: number
 }
 
 /**
- * The orders that bring endpoints closer to the placements. A function of what is
- * configured and reported, so that any planner comes to the same plan. Only endpoints that
- * check epochs are told to unload: one that does not could obey an order of a planner that
- * was replaced long ago.
+ * Returns the orders that bring the endpoints closer to the placements. Depends only on
+ * configuration and reports, so that every planner arrives at the same plan. Only endpoints that
+ * check epochs are ordered to unload: any other endpoint could obey an order of a planner that was
+ * replaced long ago.
  */
 export function planPlacements(
   placements: readonly PlacementSpec[],
@@ -52,15 +54,15 @@
   endpoints: readonly PlannerEndpoint[],
 ): readonly PlacementOrder[] {
   const model = placement.model as ModelId
-  const able = endpoints.filter(
+  const candidates = endpoints.filter(
     endpoint =>
       endpoint.spec.models.includes(model) && !endpoint.leaving && endpoint.loaded !== undefined,
   )
-  const current = able.filter(endpoint => endpoint.loaded?.get(model) === placement.version)
+  const current = candidates.filter(endpoint => endpoint.loaded?.get(model) === placement.version)
   const missing = placement.replicas - current.length
   if (missing > 0) {
-    const rest = able.filter(endpoint => !current.includes(endpoint))
-    return byLoad(rest)
+    const others = candidates.filter(endpoint => !current.includes(endpoint))
+    return byLoad(others)
       .slice(0, missing)
       .map(endpoint => orderFor(endpoint, placement, 'load', `${missing} replicas missing`))
   }
@@ -71,7 +73,7 @@
     .map(endpoint => orderFor(endpoint, placement, 'unload', `${-missing} replicas too many`))
 }
 
-/** Endpoints with the fewest models first, in a stable order. */
+/** Returns the endpoints in a stable order, those with the fewest models first. */
 function byLoad(endpoints: readonly PlannerEndpoint[]): PlannerEndpoint[] {
   const size = (endpoint: PlannerEndpoint) => endpoint.loaded?.size ?? 0
   return [...endpoints].sort(
--- a/packages/router/src/resources/catalogue.ts
+++ b/packages/router/src/resources/catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force, indexed by what the request path asks for. Owns the indexes; a change of the
- * configuration makes them anew.
+ * The configuration in force, indexed for the request path. Owns the indexes, which are rebuilt
+ * after each change of the configuration.
  */
 
 import { createHash } from 'node:crypto'
@@ -23,7 +23,7 @@
   readonly spec: EndpointSpec
 }
 
-/** What an output limit may be for a model. */
+/** Output limits of a model. */
 export interface ModelLimits {
   readonly modelId: ModelId
   readonly maximumOutputTokens: number
@@ -32,7 +32,7 @@
 
 const DEFAULT_POLICY: RoutingPolicySpec = routingPolicySpecSchema.parse({})
 
-/** Looks up the configuration in force, indexed anew after each change. */
+/** Looks up the configuration in force. The indexes are rebuilt after each change. */
 export class Catalogue {
   private teamsByKeyHash = new Map<string, Team>()
   private endpointsById = new Map<EndpointId, ConfiguredEndpoint>()
@@ -47,7 +47,7 @@
     })
   }
 
-  /** The team to which a caller's key belongs. */
+  /** Returns the team that a caller's key belongs to. */
   findTeamByKey(key: string): Team | undefined {
     this.refresh()
     return this.teamsByKeyHash.get(hashApiKey(key))
@@ -63,20 +63,23 @@
     return this.endpointsById.get(endpointId)
   }
 
-  /** The software version that the operator states of an engine. */
+  /** Returns the software version that the operator configured for an engine. */
   softwareVersionOf(endpointId: EndpointId): SoftwareVersion {
     const spec = this.findEndpoint(endpointId)?.spec
     const stated = spec?.kind === 'model' ? spec.softwareVersion : undefined
     return stated === undefined ? UNKNOWN_SOFTWARE_VERSION : asId(stated)
   }
 
-  /** Whether nothing new may be sent to an endpoint, since its failure domain is being emptied. */
+  /**
+   * Whether no new requests may be sent to an endpoint because its failure domain is being
+   * evacuated.
+   */
   isEvacuated({ spec }: ConfiguredEndpoint): boolean {
     this.refresh()
     return spec.failureDomain !== undefined && this.evacuatedDomains.has(spec.failureDomain)
   }
 
-  /** Models that are placed. */
+  /** Models that have a placement. */
   get models(): readonly ModelLimits[] {
     this.refresh()
     return [...this.limitsByModel.values()]
@@ -91,13 +94,13 @@
     return this.endpoints.some(({ spec }) => spec.kind === 'service' && spec.service === service)
   }
 
-  /** The routing policy of a model or service. */
+  /** Returns the routing policy of a model or service. */
   policyFor(target: string): RoutingPolicySpec {
     this.refresh()
     return this.policiesByTarget.get(target) ?? DEFAULT_POLICY
   }
 
-  /** The budgets that teams draw on unless a caller names another. */
+  /** The budgets that teams use unless a caller names another. */
   get teamBudgets(): readonly BudgetId[] {
     this.refresh()
     return [...new Set([...this.teamsByKeyHash.values()].map(team => team.budgetId))]
@@ -115,7 +118,7 @@
   }
 }
 
-/** How a caller's key is stored: never in clear. */
+/** Returns the hash under which a caller's key is stored; keys are never stored in clear text. */
 export function hashApiKey(key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
--- a/packages/router/src/resources/kinds.ts
+++ b/packages/router/src/resources/kinds.ts
@@ -1,4 +1,7 @@
-/** Shapes of everything that operators configure; the API and the settings both check them. */
+/**
+ * Schemas of all resources that operators configure. Both the API and the settings validate against
+ * them.
+ */
 
 import * as z from 'zod'
 import { nameSchema } from './name.js'
@@ -8,16 +11,16 @@
 
 const tokens = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER)
 
-/** A customer of the operator, with the keys its callers show. */
+/** A customer of the operator, with the hashes of its callers' keys. */
 const teamSpecSchema = z.strictObject({
   displayName: z.string().max(200).optional(),
-  /** Budget from which its requests are paid. */
+  /** Budget that pays for the team's requests. */
   budget: nameSchema,
-  /** SHA-256 of each valid key; two at once let a key be rotated without a gap. */
+  /** SHA-256 of each valid key. Two valid keys at a time allow a rotation without a gap. */
   keyHashes: z.array(z.string().regex(HASH_PATTERN, 'SHA-256 in hexadecimal')).max(16),
-  /** Share in the queue relative to other teams. */
+  /** Weight in the queue relative to other teams. */
   weight: z.number().positive().max(1000).default(1),
-  /** Models that it may use; all of them where absent. */
+  /** Models that the team may use; all models if absent. */
   models: z.array(nameSchema).optional(),
 })
 
@@ -35,18 +38,21 @@
     models: z.array(nameSchema).min(1),
     failureDomain: nameSchema.optional(),
     maximumInFlight: z.number().int().positive().max(10_000).default(64),
-    /** Prompt tokens that the engine takes in per second, for the first estimate. */
+    /** Prompt tokens that the engine prefills per second, for the first estimate. */
     prefillTokensPerSecond: z.number().positive().default(8_000),
-    /** Whether the engine compares the epoch of orders; one that does not takes any. */
+    /**
+     * Whether the engine compares the epochs of orders. An engine that does not obeys every order.
+     */
     checksOrders: z.boolean().default(true),
     /**
-     * Whether the engine goes on after the last message of a chat when `continue_final_message` says so; one that does not
-     * would begin anew. Without a default, so that rows are as they were.
+     * Whether the engine continues the last message of a chat if `continue_final_message` is set;
+     * an engine that does not would start over. Has no default, so that stored rows stay as they
+     * are.
      */
     continuesAnswers: z.boolean().optional(),
     /**
-     * Of the engine's software, templates and weights together: another engine goes on with a chat only at the same one. Engines
-     * of which none is stated count as one version.
+     * Version of the engine's software, templates and weights together. Only an engine of the same
+     * version continues a chat. Engines without a configured version count as one version.
      */
     softwareVersion: z.string().min(1).max(100).optional(),
   }),
@@ -65,13 +71,13 @@
   version: z.string().min(1).max(100),
   adapters: z.array(nameSchema).default([]),
   replicas: z.number().int().nonnegative().max(10_000),
-  /** Greatest number of tokens that one answer may have. */
+  /** Maximum number of tokens in one answer. */
   maximumOutputTokens: z.number().int().positive().max(1_000_000).default(4_096),
-  /** Output limit of requests that state none. */
+  /** Output limit of requests that specify none. */
   defaultOutputTokens: z.number().int().positive().max(1_000_000).default(1_024),
 })
 
-/** Names of the ways to choose an endpoint. */
+/** Names of the routing policies. */
 export const ROUTING_POLICY_NAMES = [
   'random',
   'round-robin',
@@ -91,9 +97,12 @@
   retryShare: z.number().min(0).max(1).default(0.1),
 })
 
-/** A failure domain, by the resource's name, whose endpoints get nothing new while the resource is there. */
+/**
+ * The evacuation of a failure domain, which the resource's name identifies. Its endpoints get no
+ * new requests while the resource exists.
+ */
 const evacuationSpecSchema = z.strictObject({
-  /** Why, for whoever asks later. */
+  /** Reason of the evacuation, for later reference. */
   reason: z.string().max(200).optional(),
 })
 
@@ -107,12 +116,12 @@
 export type ModelEndpointSpec = Extract<EndpointSpec, { kind: 'model' }>
 /** A placement as operators write it. */
 export type PlacementSpec = z.infer<typeof placementSpecSchema>
-/** How requests are routed and queued, with defaults filled in. */
+/** A routing policy with its defaults filled in. */
 export type RoutingPolicySpec = z.infer<typeof routingPolicySpecSchema>
-/** The name of a way to choose an endpoint. */
+/** The name of a routing policy. */
 export type RoutingPolicyName = (typeof ROUTING_POLICY_NAMES)[number]
 
-/** Every kind of resource with the schema of its spec. */
+/** All kinds of resources with the schemas of their specs. */
 export const RESOURCE_SCHEMAS = {
   teams: teamSpecSchema,
   budgets: budgetSpecSchema,
@@ -122,14 +131,14 @@
   evacuations: evacuationSpecSchema,
 } as const
 
-/** The kind of a resource, as it stands in paths. */
+/** The kind of a resource, as used in paths. */
 export type ResourceKind = keyof typeof RESOURCE_SCHEMAS
 
 export const RESOURCE_KINDS = Object.keys(RESOURCE_SCHEMAS) as readonly ResourceKind[]
 
 /**
- * Kinds that every instance keeps in memory. Budgets are not among them: there may be
- * hundreds of thousands, and the ledger reads the rows of those in use.
+ * Kinds that every instance keeps in memory. Budgets are not included: there may be hundreds of
+ * thousands, and the ledger reads the rows of those in use.
  */
 export const FOLLOWED_KINDS: readonly ResourceKind[] = [
   'teams',
