--- a/packages/router/src/routing/endpointLinks.ts
+++ b/packages/router/src/routing/endpointLinks.ts
@@ -8,14 +8,14 @@
 import type { Catalogue, ConfiguredEndpoint } from '../resources/catalogue.js'
 import type { MonitoredEndpoint } from './linkMonitor.js'
 
-interface SeenLink {
+interface LinkRecord {
   connectedAt: Milliseconds
   failedAt: Milliseconds
 }
 
 /** The links of an instance of the OpenAI-style kind. */
 export class EndpointLinks {
-  private readonly seen = new Map<EndpointId, SeenLink>()
+  private readonly records = new Map<EndpointId, LinkRecord>()
 
   constructor(
     private readonly catalogue: Pick<Catalogue, 'endpoints' | 'isEvacuated'>,
@@ -47,24 +47,24 @@
   }
 
   private monitored({ endpointId, spec }: ConfiguredEndpoint, service: string): MonitoredEndpoint {
-    const seen = this.seenOf(endpointId)
+    const record = this.recordOf(endpointId)
     const { clock } = this
-    const link: EndpointLink = { ...seen, failureDomain: spec.failureDomain ?? '' }
+    const link: EndpointLink = { ...record, failureDomain: spec.failureDomain ?? '' }
     return {
       service,
       address: new URL(spec.address).host,
       link,
-      noteConnected: () => (seen.connectedAt = clock.monotonic()),
-      noteConnectFailed: () => (seen.failedAt = clock.monotonic()),
+      noteConnected: () => (record.connectedAt = clock.monotonic()),
+      noteConnectFailed: () => (record.failedAt = clock.monotonic()),
     }
   }
 
-  private seenOf(endpointId: EndpointId): SeenLink {
-    const known = this.seen.get(endpointId)
+  private recordOf(endpointId: EndpointId): LinkRecord {
+    const known = this.records.get(endpointId)
     if (known !== undefined) return known
     const never = Number.NEGATIVE_INFINITY
     const created = { connectedAt: never, failedAt: never }
-    this.seen.set(endpointId, created)
+    this.records.set(endpointId, created)
     return created
   }
 }
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -230,7 +230,9 @@
     pool: readonly ConfiguredEndpoint[],
     hashes: readonly PrefixHash[],
   ): readonly EndpointView[] {
-    const open = this.usable(pool).filter(endpoint => this.permits.allows(this.subjectOf(endpoint)))
+    const open = this.usable(pool).filter(endpoint =>
+      this.permits.allows(this.sendTargetOf(endpoint)),
+    )
     return this.ejection.usableEndpoints(open).map(endpoint => this.viewOf(endpoint, hashes))
   }
 
@@ -250,11 +252,11 @@
   private refusalIn(pool: readonly ConfiguredEndpoint[]): SendRefusal | undefined {
     const usable = this.usable(pool)
     return soonestRefusal(
-      usable.flatMap(endpoint => this.permits.refusalOf(this.subjectOf(endpoint)) ?? []),
+      usable.flatMap(endpoint => this.permits.refusalOf(this.sendTargetOf(endpoint)) ?? []),
     )
   }
 
-  private subjectOf({ endpointId, spec }: ConfiguredEndpoint): SendTarget {
+  private sendTargetOf({ endpointId, spec }: ConfiguredEndpoint): SendTarget {
     return {
       // The platform of these endpoints does not distinguish one start from the next.
       start: endpointStart(endpointId, undefined),
--- a/packages/router/src/routing/linkMonitor.ts
+++ b/packages/router/src/routing/linkMonitor.ts
@@ -53,8 +53,8 @@
 /** Monitors the links from one instance to its endpoints. */
 export class LinkMonitor<Endpoint extends MonitoredEndpoint> {
   /** Services whose links are being checked. */
-  private readonly checked = new Set<string>()
-  private readonly cutOff = new Set<string>()
+  private readonly checkedServices = new Set<string>()
+  private readonly unreachableServices = new Set<string>()
   /** Addresses of unreachable endpoints by service, as of the latest check. */
   private readonly unreachableAddresses = new Map<string, ReadonlySet<string>>()
   private readonly connects: (address: string) => Promise<boolean>
@@ -70,12 +70,12 @@
 
   /** Services without any reachable endpoint. */
   get cutOffServices(): readonly string[] {
-    return [...this.cutOff]
+    return [...this.unreachableServices]
   }
 
   /** Whether no endpoint of a service is reachable. */
   isCutOff(service: string): boolean {
-    return this.cutOff.has(service)
+    return this.unreachableServices.has(service)
   }
 
   /** Returns the endpoints of a service that are unreachable. */
@@ -96,10 +96,10 @@
 
   /** Checks the links of a service until none of its endpoints is unreachable. */
   startChecking(service: string): void {
-    if (this.checked.has(service) || this.isStopped) return
-    this.checked.add(service)
+    if (this.checkedServices.has(service) || this.isStopped) return
+    this.checkedServices.add(service)
     void this.checkUntilReached(service).finally(() => {
-      this.checked.delete(service)
+      this.checkedServices.delete(service)
     })
   }
 
@@ -134,7 +134,7 @@
   private async checkOnce(service: string): Promise<void> {
     const chosen = linksToProbe(this.linksOf(service), this.now, this.parts.random.next())
     await Promise.all(chosen.map(link => this.check(link)))
-    this.judge(service)
+    this.updateReachability(service)
   }
 
   private async check({ endpoint }: LinkedEndpoint<Endpoint>): Promise<boolean> {
@@ -149,16 +149,16 @@
    * that look idle, so endpoints that terminate one after the other would look like a cut link to
    * them.
    */
-  private judge(service: string): void {
+  private updateReachability(service: string): void {
     const links = this.linksOf(service)
     const unreached = [...unreachableLinks(links, this.now)].map(({ endpoint }) => endpoint.address)
     if (unreached.length > 0) this.unreachableAddresses.set(service, new Set(unreached))
     else this.unreachableAddresses.delete(service)
-    const isLost = isServiceUnreachable(links, this.now)
-    if (isLost === this.cutOff.has(service)) return
-    if (isLost) this.cutOff.add(service)
-    else this.cutOff.delete(service)
-    this.parts.onCutOff(service, isLost)
+    const isUnreachable = isServiceUnreachable(links, this.now)
+    if (isUnreachable === this.unreachableServices.has(service)) return
+    if (isUnreachable) this.unreachableServices.add(service)
+    else this.unreachableServices.delete(service)
+    this.parts.onCutOff(service, isUnreachable)
   }
 
   private linksOf(service: string): readonly LinkedEndpoint<Endpoint>[] {
