--- a/packages/stores/src/awsErrors.ts
+++ b/packages/stores/src/awsErrors.ts
@@ -1,4 +1,7 @@
-/** What an error of the AWS clients says about a write: refused for certain, or outcome unknown. */
+/**
+ * Classifies errors of the AWS clients by what they say about a write: certainly refused, or
+ * outcome unknown.
+ */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 
@@ -8,7 +11,7 @@
   'RequestLimitExceeded',
   'SlowDown',
 ])
-// The connection was never made, so no byte of the request can have arrived.
+// The connection was never established, so no byte of the request can have arrived.
 const NEVER_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND'])
 
 interface ServiceFailure {
@@ -18,8 +21,8 @@
 }
 
 /**
- * Sorts a client library's error by what it says about the write: a definite refusal,
- * or no knowledge at all (a time limit, a reset, a 5xx).
+ * Classifies a client library's error by what it says about the write: a definite refusal, or an
+ * unknown outcome (a timeout, a reset, a 5xx).
  */
 export function classifyServiceError(thrown: unknown): RackwalkError {
   if (thrown instanceof RackwalkError) return thrown
--- a/packages/stores/src/dynamodbTableService.ts
+++ b/packages/stores/src/dynamodbTableService.ts
@@ -1,4 +1,4 @@
-/** The table service over the DynamoDB API. Owns the connections to it; keeps no rows. */
+/** The table service over the DynamoDB API. Owns the connections to it; caches no rows. */
 
 import {
   DynamoDBClient,
@@ -24,7 +24,7 @@
 } from './tableService.js'
 import { nextRowVersion } from './tableService.js'
 
-/** Where and as whom the table is reached. */
+/** Address of the table and the credentials for it. */
 export interface DynamodbOptions {
   readonly endpoint: string
   readonly region: string
@@ -36,7 +36,7 @@
 
 type Item = Record<string, AttributeValue>
 
-/** The table service through the DynamoDB API (version 2012-08-10). */
+/** The table service over the DynamoDB API (version 2012-08-10). */
 export class DynamodbTableService implements TableService {
   private readonly client: DynamoDBClient
   private readonly tableName: string
@@ -50,7 +50,7 @@
         accessKeyId: options.accessKeyId,
         secretAccessKey: options.secretAccessKey,
       },
-      // A repeat hidden in the client would turn an unknown outcome into a false conflict.
+      // A retry hidden in the client would turn an unknown outcome into a false conflict.
       maxAttempts: 1,
     })
   }
@@ -110,7 +110,7 @@
       ExpressionAttributeNames: { '#partition': 'partition', '#sort': 'sort' },
       ExpressionAttributeValues: {
         ':partition': { S: partition },
-        // BETWEEN includes its ends; the smallest suffix makes the lower one exclusive.
+        // BETWEEN includes its bounds; the smallest suffix makes the lower one exclusive.
         ':after': { S: range.after === undefined ? after : `${after}\u0001` },
         ':before': { S: before },
       },
@@ -188,7 +188,7 @@
     reason.Code === 'ConditionalCheckFailed' ? [position] : [],
   )
   if (conflicts.length > 0) return { committed: false, conflicts }
-  // Cancelled for another reason (throttling, a transaction in progress): nothing applied.
+  // Cancelled for another reason (throttling, a transaction in progress): nothing was applied.
   const detail = reasons.map(reason => reason.Code).join(',')
   throw new RackwalkError(ResultCode.PlatformThrottled, detail, thrown)
 }
--- a/packages/stores/src/framedAnswers.ts
+++ b/packages/stores/src/framedAnswers.ts
@@ -1,6 +1,6 @@
 /**
- * Takes no answer of the platform whose own framing doesn't tell its end: where only the end of the connection would, half an
- * object looks like a whole one.
+ * Rejects answers of the platform whose framing does not mark their end. If only the end of the
+ * connection marks it, half an object looks like a complete one.
  */
 
 import { IncomingMessage } from 'node:http'
@@ -8,12 +8,12 @@
 import { answerFraming } from '@rackwalk/decisions'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 
-/** What the client library has of an answer before it reads the body. */
+/** The client library's raw answer, before its body is read. */
 interface RawAnswer {
   readonly body?: unknown
 }
 
-/** Lets the client fail on answers without a length or a last chunk. */
+/** Makes the client fail on answers without a length and without chunked encoding. */
 export function refuseUnframedAnswers(client: S3Client): void {
   client.middlewareStack.add(
     next => async input => {
--- a/packages/stores/src/index.ts
+++ b/packages/stores/src/index.ts
@@ -1,4 +1,4 @@
-/** The platform as the rest of the system sees it, and a class per protocol. */
+/** Interfaces of the platform's stores, and one implementation per protocol. */
 export {
   MAXIMUM_TRANSACTION_WRITES,
   encodeRowKey,
--- a/packages/stores/src/instanceList.ts
+++ b/packages/stores/src/instanceList.ts
@@ -1,16 +1,16 @@
-/** The platform's list of live and leaving instances, as the rest of the system sees it. */
+/** The platform's list of live and leaving instances. */
 
 import type { InstanceId } from '@rackwalk/shared'
 
-/** One line of the platform's list, which lags behind what happens. */
+/** An entry of the platform's list, which lags behind the actual state. */
 export interface ListedInstance {
   readonly instanceId: InstanceId
-  /** Where the instance's peers reach it, as `host:port`. */
+  /** Address at which peers reach the instance, as `host:port`. */
   readonly peerAddress: string
   readonly state: 'live' | 'leaving'
 }
 
-/** The platform's lagging list of instances. */
+/** The platform's list of instances, which lags behind the actual state. */
 export interface InstanceList {
   list(): Promise<readonly ListedInstance[]>
 }
--- a/packages/stores/src/instanceListFormat.ts
+++ b/packages/stores/src/instanceListFormat.ts
@@ -1,4 +1,4 @@
-/** The object in which the platform publishes its list of instances: its key and its JSON. */
+/** The object in which the platform publishes its list of instances: key and JSON format. */
 
 import * as z from 'zod'
 import { asId } from '@rackwalk/shared'
@@ -16,7 +16,7 @@
 /** Object key under which the platform publishes its list. */
 export const INSTANCE_LIST_KEY = 'platform/instances.json'
 
-/** Decodes the published list; throws on malformed input. */
+/** Decodes the published list. Throws on malformed input. */
 export function parseInstanceList(body: Buffer): readonly ListedInstance[] {
   return listSchema.parse(JSON.parse(body.toString('utf8')))
 }
--- a/packages/stores/src/objectStore.ts
+++ b/packages/stores/src/objectStore.ts
@@ -1,7 +1,7 @@
-/** The platform's object store; errors are those of the table service. */
+/** The platform's object store. Throws the same errors as the table service. */
 export interface ObjectStore {
   put(key: string, body: Buffer): Promise<void>
   get(key: string): Promise<Buffer | undefined>
-  /** Keys with a prefix in order, at most `limit`, after `after`. */
+  /** Returns at most `limit` keys with a prefix, in order, after the key `after`. */
   list(prefix: string, limit: number, after?: string): Promise<readonly string[]>
 }
--- a/packages/stores/src/objectStoreInstanceList.ts
+++ b/packages/stores/src/objectStoreInstanceList.ts
@@ -1,4 +1,4 @@
-/** The list of instances, read anew from the object store each time somebody asks. */
+/** The list of instances, read from the object store on every call. */
 
 import type { InstanceList, ListedInstance } from './instanceList.js'
 import { INSTANCE_LIST_KEY, parseInstanceList } from './instanceListFormat.js'
--- a/packages/stores/src/s3ObjectStore.ts
+++ b/packages/stores/src/s3ObjectStore.ts
@@ -1,4 +1,4 @@
-/** The object store over the S3 API. Owns the connections to it; keeps no objects. */
+/** The object store over the S3 API. Owns the connections to it; caches no objects. */
 
 import {
   GetObjectCommand,
@@ -12,7 +12,7 @@
 import { refuseUnframedAnswers } from './framedAnswers.js'
 import type { ObjectStore } from './objectStore.js'
 
-/** Where and as whom the bucket is reached. */
+/** Address of the bucket and the credentials for it. */
 export interface S3Options {
   readonly endpoint: string
   readonly region: string
@@ -22,7 +22,7 @@
   readonly timeoutMilliseconds: Milliseconds
 }
 
-/** The object store through the S3 API, path style. */
+/** The object store over the S3 API, with path-style addresses. */
 export class S3ObjectStore implements ObjectStore {
   private readonly client: S3Client
 
