--- a/packages/cli/src/commands/context.ts
+++ b/packages/cli/src/commands/context.ts
@@ -1,17 +1,17 @@
-/** What every command of `rackwalk` works with. */
+/** The context of all `rackwalk` commands. */
 
 import type { CommandEnvironment } from '../environment.js'
 import type { OperatorHttpClient } from '../operatorHttpClient.js'
 import type { OutputFormat } from '../output/print.js'
 
-/** What every command gets. */
+/** The context that every command receives. */
 export interface CommandContext {
   readonly environment: CommandEnvironment
   readonly connection: OperatorHttpClient
   readonly format: OutputFormat
 }
 
-/** A resource as the API shows it. */
+/** A resource as the API returns it. */
 export interface ResourceDocument {
   readonly kind: string
   readonly metadata: {
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `rackwalk explain`: why a request was decided as it was. */
+/** `rackwalk explain`: shows why a request was decided as it was. */
 
 import type { Table } from '../output/table.js'
 import { formatCell, printDocument } from '../output/print.js'
@@ -35,7 +35,7 @@
   }[]
 }
 
-/** `explain REQUEST`: why this engine, why this refusal, why this spend. */
+/** `explain REQUEST`: shows why this engine, why this refusal, why this cost. */
 export async function explain(context: CommandContext, requestId: string): Promise<void> {
   const path = `/v1/requests/${encodeURIComponent(requestId)}`
   const decision = (await context.connection.get(path)) as unknown as Decision
--- a/packages/cli/src/commands/fleet.ts
+++ b/packages/cli/src/commands/fleet.ts
@@ -1,4 +1,6 @@
-/** Commands about the fleet: instances, usage, audit, budgets, draining. */
+/**
+ * Commands about the fleet: instances, usage, audit, budgets, draining, evacuations and crashes.
+ */
 
 import { usageError } from '../errors.js'
 import { formatCell, printDocument } from '../output/print.js'
@@ -6,12 +8,12 @@
 
 const MILLISECONDS_PER_DAY = 86_400_000
 const DAYS_PER_WEEK = 7
-/** 1970-01-01 was a Thursday; ISO weeks begin on Monday. */
+/** 1970-01-01 was a Thursday, three days after the Monday on which an ISO week begins. */
 const EPOCH_WEEKDAY = 3
 
 type Row = Readonly<Record<string, unknown>>
 
-/** Prints rows of the same fields. */
+/** Prints rows that share the same fields. */
 function printRows(
   context: CommandContext,
   document: unknown,
@@ -24,7 +26,7 @@
   }))
 }
 
-/** `budget NAME`: where its tokens are. */
+/** `budget NAME`: shows where the tokens of a budget are. */
 export async function budget(context: CommandContext, name: string): Promise<void> {
   const document = await context.connection.get(`/v1/budgets/${name}/allocations`)
   const totals = ['limit', 'settled', 'allocated', 'free', 'stranded']
@@ -45,11 +47,11 @@
 /** Options of `usage`. */
 export interface UsageFlags {
   readonly team?: string
-  /** A date in the week; a week begins on Monday, UTC. */
+  /** A date in the week, which begins on Monday, UTC. */
   readonly week?: string | boolean
 }
 
-/** `usage --team T --week DATE`. */
+/** `usage --team T --week DATE`: shows the usage by team and model. */
 export async function usage(context: CommandContext, flags: UsageFlags): Promise<void> {
   const query = new URLSearchParams()
   if (flags.team !== undefined) query.set('team', flags.team)
@@ -71,7 +73,7 @@
   printRows(context, document, lines, fields)
 }
 
-/** `instances`. */
+/** `instances`: lists the live instances. */
 export async function instances(context: CommandContext): Promise<void> {
   const document = await context.connection.get('/v1/instances')
   const items = document['items'] as readonly Row[]
@@ -87,7 +89,7 @@
   printRows(context, document, items, fields)
 }
 
-/** `addresses`: what a caller would be told. */
+/** `addresses`: shows the addresses that a caller would get. */
 export async function addresses(context: CommandContext): Promise<void> {
   const document = await context.connection.get('/v1/addresses')
   const items = document['addresses'] as readonly string[]
@@ -98,7 +100,7 @@
   printRows(context, document, rows, ['address', 'keepSeconds'])
 }
 
-/** `drain INSTANCE`. */
+/** `drain INSTANCE`: stops an instance from accepting new requests. */
 export async function drain(context: CommandContext, name: string): Promise<void> {
   await context.connection.request('POST', `/v1/instances/${name}/drain`)
   context.environment.print(`${name} takes no new requests`)
@@ -111,7 +113,7 @@
 
 const EVACUATIONS_PATH = '/v1/evacuations'
 
-/** `evacuate DOMAIN`: what runs there ends, nothing new is sent there. */
+/** `evacuate DOMAIN`: sends no new requests to the failure domain; running requests complete. */
 export async function evacuate(
   context: CommandContext,
   domain: string,
@@ -125,7 +127,7 @@
   )
 }
 
-/** `restore DOMAIN`. */
+/** `restore DOMAIN`: ends the evacuation of a failure domain. */
 export async function restore(context: CommandContext, domain: string): Promise<void> {
   await context.connection.request('DELETE', `${EVACUATIONS_PATH}/${domain}`)
   context.environment.print(`${domain} is used again`)
@@ -133,14 +135,14 @@
 
 const CRASHES_PATH = '/v1/crashes'
 
-/** `crashes`: requests under which endpoints ended. */
+/** `crashes`: lists the requests that are suspected or known to crash endpoints. */
 export async function crashes(context: CommandContext): Promise<void> {
   const document = await context.connection.get(CRASHES_PATH)
   const items = document['items'] as readonly Row[]
   printRows(context, document, items, ['fingerprint', 'verdict', 'ends'])
 }
 
-/** `clear FINGERPRINT`: the request is sent on as any other again. */
+/** `clear FINGERPRINT`: clears a request of suspicion, so that it is sent like any other. */
 export async function clearCrashingRequest(
   context: CommandContext,
   fingerprint: string,
@@ -149,14 +151,14 @@
   context.environment.print(`${fingerprint} is sent to endpoints again`)
 }
 
-/** `status`: the instance that answers. */
+/** `status`: shows the state of the instance that answers. */
 export async function status(context: CommandContext): Promise<void> {
   const document = await context.connection.get('/v1/status')
   const rows = Object.entries(document).map(([field, value]) => ({ field, value }))
   printRows(context, document, rows, ['field', 'value'])
 }
 
-/** `audit --from VERSION`: who changed what. */
+/** `audit --from VERSION`: shows who changed what. */
 export async function audit(context: CommandContext, flags: { readonly from?: string }) {
   const document = await context.connection.get(`/v1/audit?from=${flags.from ?? 0}`)
   const items = document['items'] as readonly Row[]
--- a/packages/cli/src/commands/resources.ts
+++ b/packages/cli/src/commands/resources.ts
@@ -35,7 +35,7 @@
   }
 }
 
-/** `get KIND [NAME]`: a list, or one resource. */
+/** `get KIND [NAME]`: shows a list or one resource. */
 export async function get(
   context: CommandContext,
   kind: string,
@@ -58,7 +58,7 @@
   }))
 }
 
-/** `describe KIND NAME`: one resource with where it is in force. */
+/** `describe KIND NAME`: shows one resource and the instances on which it is in force. */
 export async function describe(context: CommandContext, kind: string, name: string): Promise<void> {
   const resource = await read(context, kind, name)
   printDocument(context.environment, context.format, resource, () => ({
@@ -79,7 +79,7 @@
   }))
 }
 
-/** `patch KIND NAME JSON`: merges a patch. */
+/** `patch KIND NAME JSON`: merges a patch into a resource. */
 export async function patch(
   context: CommandContext,
   kind: string,
@@ -95,7 +95,7 @@
   context.environment.print(`${kind}/${name} patched at version ${metadata.version}`)
 }
 
-/** `delete KIND NAME`. */
+/** `delete KIND NAME`: deletes a resource. */
 export async function remove(
   context: CommandContext,
   kind: string,
@@ -107,7 +107,7 @@
   context.environment.print(`${kind}/${name} deleted${flags.dryRun ? ' (dry run)' : ''}`)
 }
 
-/** `diff -f FILE`: what `apply` would change; exits with 8 when there is something. */
+/** `diff -f FILE`: shows what `apply` would change. Exits with 8 if there are differences. */
 export async function diff(context: CommandContext, flags: WriteFlags): Promise<void> {
   const resources = await readResources(context, flags.file)
   let isDifferent = false
@@ -119,7 +119,7 @@
   if (isDifferent) throw new CommandError(ExitCode.Different, '')
 }
 
-/** `watch [KIND]`: changes as they come into force, until interrupted. */
+/** `watch [KIND]`: prints changes as they come into force, until interrupted. */
 export async function watch(
   context: CommandContext,
   kind: string | undefined,
@@ -146,7 +146,7 @@
   resource: ResourceDocument,
 ): Promise<readonly string[]> {
   const id = `${resource.kind}/${resource.metadata.name}`
-  // A dry run fills defaults in, so that only real differences show.
+  // The dry run fills in defaults, so that only real differences are shown.
   const path = `${pathOf(resource)}?dryRun=true`
   const wanted = await context.connection.request('PUT', path, resource)
   const current = await findCurrent(context, resource)
--- a/packages/cli/src/completion.ts
+++ b/packages/cli/src/completion.ts
@@ -1,11 +1,11 @@
-/** Completion scripts for shells. */
+/** Shell completion scripts. */
 
 import { usageError } from './errors.js'
 
 /** Kinds of resources, offered as arguments. */
 const KINDS = ['teams', 'budgets', 'endpoints', 'placements', 'routing-policies', 'evacuations']
 
-/** A completion script for a shell. */
+/** Returns the completion script for a shell. */
 export function completionScript(shell: string, commands: readonly string[]): string {
   const words = [...commands, ...KINDS].join(' ')
   switch (shell) {
--- a/packages/cli/src/environment.ts
+++ b/packages/cli/src/environment.ts
@@ -1,4 +1,4 @@
-/** Everything outside that a command touches, so that tests can stand in for it. */
+/** The outside world as a command sees it, which tests can replace. */
 export interface CommandEnvironment {
   readonly variables: Readonly<Record<string, string | undefined>>
   readonly isTerminal: boolean
--- a/packages/cli/src/errors.ts
+++ b/packages/cli/src/errors.ts
@@ -12,7 +12,7 @@
   }
 }
 
-/** A command line that makes no sense. */
+/** Creates the error for an invalid command line. */
 export function usageError(message: string): CommandError {
   return new CommandError(ExitCode.Usage, message)
 }
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,8 +1,8 @@
-/** Exit codes of `rackwalk`, and which result of the server leads to which. */
+/** Exit codes of `rackwalk`, and their mapping from results of the server. */
 
 import { ResultCode } from '@rackwalk/shared'
 
-/** Exit codes of `rackwalk`; scripts rely on them, so they do not change. */
+/** Exit codes of `rackwalk`. They never change, since scripts rely on them. */
 export enum ExitCode {
   Ok = 0,
   Fault = 1,
@@ -15,7 +15,7 @@
   Different = 8,
 }
 
-/** What each exit code means; a test holds docs/OPERATIONS.md to it. */
+/** Meaning of each exit code. A test checks that docs/OPERATIONS.md agrees. */
 export const EXIT_CODE_MEANINGS: Readonly<Record<ExitCode, string>> = {
   [ExitCode.Ok]: 'done',
   [ExitCode.Fault]: 'unexpected failure',
@@ -42,7 +42,7 @@
   [ResultCode.PlatformAmbiguous]: ExitCode.Unavailable,
 }
 
-/** The exit code for an error that the server answered with. */
+/** Returns the exit code for an error that the server returned. */
 export function exitCodeFor(result: ResultCode): ExitCode {
   return EXIT_CODES_BY_RESULT[result] ?? ExitCode.Fault
 }
--- a/packages/cli/src/operatorHttpClient.ts
+++ b/packages/cli/src/operatorHttpClient.ts
@@ -1,4 +1,4 @@
-/** The operator API of one instance, as the command line speaks it. Owns the connection. */
+/** Client of one instance's operator API. Owns the connection. */
 
 import { request } from 'undici'
 import type { Dispatcher } from 'undici'
@@ -6,7 +6,7 @@
 import { CommandError } from './errors.js'
 import { ExitCode, exitCodeFor } from './exitCodes.js'
 
-/** Any JSON document that the server answers with. */
+/** A JSON document from the server. */
 export type JsonDocument = Readonly<Record<string, unknown>>
 
 interface ErrorDocument {
@@ -19,7 +19,7 @@
   }
 }
 
-/** Speaks the operator API of one instance. */
+/** Sends requests to the operator API of one instance. */
 export class OperatorHttpClient {
   constructor(
     private readonly server: string,
@@ -42,14 +42,14 @@
     return body
   }
 
-  /** Reads a stream of JSON lines until it ends or the reader stops. */
+  /** Reads a stream of JSON lines until it ends or the consumer stops. */
   async *streamDocuments(path: string): AsyncGenerator<JsonDocument> {
     const response = await this.send('GET', path)
     if (response.statusCode >= 400) throw failure((await response.body.json()) as JsonDocument)
-    let rest = ''
+    let partialLine = ''
     for await (const chunk of response.body) {
-      const lines = (rest + String(chunk)).split('\n')
-      rest = lines.pop() ?? ''
+      const lines = (partialLine + String(chunk)).split('\n')
+      partialLine = lines.pop() ?? ''
       for (const line of lines) yield JSON.parse(line) as JsonDocument
     }
   }
--- a/packages/cli/src/output/print.ts
+++ b/packages/cli/src/output/print.ts
@@ -1,4 +1,4 @@
-/** Prints documents as a table, JSON or YAML. */
+/** Prints documents as a table, JSON, YAML or CSV. */
 
 import { stringify } from 'yaml'
 import type { CommandEnvironment } from '../environment.js'
@@ -7,17 +7,17 @@
 import { renderCsv, renderTable } from './table.js'
 
 const OUTPUT_FORMATS = ['table', 'json', 'yaml', 'csv'] as const
-/** How documents are printed. */
+/** Output formats of documents. */
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number]
 
-/** Checks the `--output` option. */
+/** Parses the `--output` option. */
 export function parseOutputFormat(text: string): OutputFormat {
   const format = OUTPUT_FORMATS.find(candidate => candidate === text)
   if (format === undefined) throw usageError(`--output is one of ${OUTPUT_FORMATS.join(', ')}`)
   return format
 }
 
-/** Prints a document in the wanted format; `toTable` is asked for a table only. */
+/** Prints a document in the given format. `toTable` is called only for tables and CSV. */
 export function printDocument(
   environment: CommandEnvironment,
   format: OutputFormat,
@@ -36,7 +36,7 @@
   }
 }
 
-/** A value as a cell: nothing for what is absent. */
+/** Formats a value as a cell; an absent value gives an empty cell. */
 export function formatCell(value: unknown): string {
   if (value === undefined || value === null) return ''
   return typeof value === 'object' ? JSON.stringify(value) : String(value)
--- a/packages/cli/src/output/table.ts
+++ b/packages/cli/src/output/table.ts
@@ -1,8 +1,8 @@
-/** Lays a table of text out in columns. */
+/** Renders tables of text. */
 
 import { colors } from 'consola/utils'
 
-/** A table of text; every row has as many cells as there are headings. */
+/** A table of text. Every row has as many cells as there are headings. */
 export interface Table {
   readonly headings: readonly string[]
   readonly rows: readonly (readonly string[])[]
@@ -10,7 +10,7 @@
 
 const GAP = '  '
 
-/** Lays a table out in columns; headings are emphasized only on a terminal. */
+/** Renders a table in aligned columns. Headings are emphasized only on a terminal. */
 export function renderTable(table: Table, isTerminal: boolean): string {
   const widths = table.headings.map((heading, column) =>
     Math.max(heading.length, ...table.rows.map(row => row[column]?.length ?? 0)),
@@ -23,7 +23,7 @@
   return [isTerminal ? colors.bold(headings) : headings, ...rows].join('\n')
 }
 
-/** Lays a table out as comma-separated values (RFC 4180). */
+/** Renders a table as comma-separated values (RFC 4180). */
 export function renderCsv(table: Table): string {
   return [table.headings, ...table.rows].map(row => row.map(csvCell).join(',')).join('\n')
 }
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -1,4 +1,4 @@
-/** The command line of `rackwalk`: its commands and options. */
+/** The command line of `rackwalk`: commands and options. */
 
 import { cac } from 'cac'
 import type { CAC } from 'cac'
@@ -13,7 +13,7 @@
 import { OperatorHttpClient } from './operatorHttpClient.js'
 import { parseOutputFormat } from './output/print.js'
 
-/** Options that every command takes. */
+/** Options common to all commands. */
 interface CommonFlags {
   readonly server?: string
   readonly tokenFile?: string
@@ -23,7 +23,7 @@
 const DEFAULT_SERVER = 'http://127.0.0.1:8090'
 const TOKEN_VARIABLE = 'RACKWALK_TOKEN'
 
-/** Runs one command line and gives its exit code. */
+/** Runs one command line and returns its exit code. */
 export async function runProgram(
   argv: readonly string[],
   environment: CommandEnvironment,
@@ -145,7 +145,7 @@
     .action(async flags => fleet.audit(await contextOf(flags), flags))
 }
 
-/** What an operator does about endpoints. */
+/** Adds the commands that act on endpoints. */
 function addEndpointCommands(program: CAC, contextOf: ContextOf): void {
   program
     .command('evacuate <domain>', 'Send nothing new to the endpoints of a failure domain')
@@ -178,7 +178,10 @@
   }
 }
 
-/** A token never stands on the command line, where every user of the machine could read it. */
+/**
+ * Reads the operator's token. It is never taken from the command line, where every user of the
+ * machine could read it.
+ */
 async function readToken(environment: CommandEnvironment, file: string | undefined) {
   const fromFile = file === undefined ? undefined : await environment.readFile(file)
   const token = fromFile?.trim() ?? environment.variables[TOKEN_VARIABLE]
