--- a/packages/router/__tests__/answerEnds.spec.ts
+++ b/packages/router/__tests__/answerEnds.spec.ts
@@ -6,15 +6,16 @@
 import type { AnswerScript, ReadAnswer } from './standIns/scriptedAnswer.js'
 
 /**
- * Answers of a real socket, cut into writes anywhere and ended at any moment: one that is taken for whole is, and one that
- * is whole is taken for it.
+ * Answers over a real socket, split into writes at any position and ended at any time. An answer
+ * must be judged complete if and only if it is. The failures guarded against are truncated answers
+ * that are passed on as complete, and complete answers that are rejected.
  */
 
 type Judge = (answer: EndedAnswer) => boolean
 
 const RUNS = 300
 const SEED = 20_261
-/** An answer that has not ended by then has no end. */
+/** Test timeout. An answer that has not ended by then never ends. */
 const ENDLESS_MILLISECONDS = 10_000
 const endpoint = new ScriptedEndpoint()
 
@@ -34,7 +35,10 @@
   abort: fc.constantFrom(undefined, 'deadline', 'caller-left', 'aborted', 'endpoint-ended'),
 })
 
-/** What an endpoint that frames its answer by the connection says to be all of it. */
+/**
+ * Returns the complete body; for framing by connection, that is whatever the endpoint sends before
+ * it closes.
+ */
 function bodyOf(script: AnswerScript): string {
   if (script.framing === 'bodiless') return ''
   const body = script.pieces.join('')
@@ -42,23 +46,24 @@
   return body.slice(0, Math.max(0, body.length - script.missing))
 }
 
-/** Whether the answer is whole at its reader before anything else happens to it. */
-function mustBeWhole(script: AnswerScript): boolean {
+/** Whether the reader must have the complete answer before anything else happens to it. */
+function mustBeComplete(script: AnswerScript): boolean {
   const { framing, missing, ending, splits, isReaderSlow, abort } = script
   if (framing === 'bodiless') return true
   if (framing === 'connection') return ending === 'closes' && abort === undefined
   if (missing > 0) return false
   if (abort === undefined) return true
-  // Bytes that came in one turn are read as one, and a deadline that passes after them is too late.
+  // Bytes that arrive in one turn of the event loop are read at once, so a deadline after them
+  // comes too late.
   return abort === 'deadline' && isReaderSlow && splits.length === 0
 }
 
 function faultOf(script: AnswerScript, answer: ReadAnswer, judge: Judge): string | undefined {
-  const isWhole = judge({ framing: answer.framing, end: answer.end, isBodyTruncated: false })
+  const isComplete = judge({ framing: answer.framing, end: answer.end, isBodyTruncated: false })
   const hasAll = answer.body === bodyOf(script)
   const isReset = script.framing === 'connection' && script.ending !== 'closes'
-  if (isWhole && (!hasAll || isReset)) return 'taken for whole'
-  if (!isWhole && mustBeWhole(script)) return 'taken for broken'
+  if (isComplete && (!hasAll || isReset)) return 'taken for whole'
+  if (!isComplete && mustBeComplete(script)) return 'taken for broken'
   return undefined
 }
 
@@ -73,7 +78,7 @@
   )
 }
 
-/** The rule, wrong in one row. */
+/** Returns the rule with one row inverted. */
 function wrongIn(framing: AnswerFraming, end: AnswerEnd): Judge {
   return answer => {
     const isRow = answer.framing === framing && answer.end === end
--- a/packages/router/__tests__/answerHold.spec.ts
+++ b/packages/router/__tests__/answerHold.spec.ts
@@ -1,7 +1,9 @@
 import { describe, expect, it } from 'vitest'
 import { AnswerBufferPool, bufferingModeOf } from '@rackwalk/router'
 
-/** How much of an answer is held until it is whole. */
+/**
+ * Buffering of answers until they are complete: its memory limits, and which answers are buffered.
+ */
 
 const LIMITS = {
   maximumAnswerBytes: 100,
@@ -11,18 +13,18 @@
 
 describe('the memory of held answers', () => {
   it('has a bound for each answer, and what goes past it is not held any more', () => {
-    const hold = new AnswerBufferPool(LIMITS).openReservation()
-    expect([60, 41, 10].map(bytes => hold.reserve(bytes))).toEqual([true, false, false])
+    const reservation = new AnswerBufferPool(LIMITS).openReservation()
+    expect([60, 41, 10].map(bytes => reservation.reserve(bytes))).toEqual([true, false, false])
   })
 
   it('has a bound for all answers together, and is given back once', () => {
-    const space = new AnswerBufferPool(LIMITS)
-    const holds = [1, 2, 3].map(() => space.openReservation())
-    expect(holds.map(hold => hold.reserve(100))).toEqual([true, true, false])
-    holds[0]?.release()
-    holds[0]?.release()
-    expect(space.usedBytes).toBe(100)
-    expect(space.openReservation().reserve(100)).toBe(true)
+    const pool = new AnswerBufferPool(LIMITS)
+    const reservations = [1, 2, 3].map(() => pool.openReservation())
+    expect(reservations.map(reservation => reservation.reserve(100))).toEqual([true, true, false])
+    reservations[0]?.release()
+    reservations[0]?.release()
+    expect(pool.usedBytes).toBe(100)
+    expect(pool.openReservation().reserve(100)).toBe(true)
   })
 })
 
--- a/packages/router/__tests__/bodyProof.spec.ts
+++ b/packages/router/__tests__/bodyProof.spec.ts
@@ -2,13 +2,16 @@
 import { describe, expect, it } from 'vitest'
 import { JsonCompletenessCheck } from '@rackwalk/router'
 
-/** A JSON document tells by itself whether it is whole. */
+/**
+ * A JSON document shows by itself whether it is complete. Guards against truncated documents that
+ * pass as complete on a connection that ended early.
+ */
 
 const documents = fc
   .oneof(fc.dictionary(fc.string(), fc.jsonValue()), fc.array(fc.jsonValue()), fc.string())
   .map(value => Buffer.from(JSON.stringify(value)))
 
-/** A document cut into pieces, and how many bytes of it come. */
+/** A document with positions at which to split it, and the number of bytes that arrive. */
 const cuts = documents.chain(document =>
   fc.record({
     document: fc.constant(document),
@@ -22,7 +25,7 @@
   return ends.map((end, index) => document.subarray(ends[index - 1] ?? 0, end))
 }
 
-/** Brackets counted without regard to strings: the broken control. */
+/** Negative control: counts brackets without regard to strings. */
 function countsBrackets(document: Buffer): boolean {
   const count = (characters: RegExp) => document.toString('latin1').match(characters)?.length ?? 0
   return document.length > 0 && count(/[[{]/g) === count(/[\]}]/g)
@@ -33,14 +36,14 @@
     fc.assert(
       fc.property(cuts, ({ document, splits, length }) => {
         const arrived = document.subarray(0, length)
-        const proof = new JsonCompletenessCheck()
+        const check = new JsonCompletenessCheck()
         for (const piece of pieces(
           arrived,
           splits.map(split => Math.min(split, length)),
         )) {
-          proof.read(piece)
+          check.read(piece)
         }
-        expect(proof.state).toBe(length === document.length ? 'closed' : 'open')
+        expect(check.state).toBe(length === document.length ? 'closed' : 'open')
       }),
       { seed: 43, numRuns: 2_000 },
     )
@@ -49,8 +52,8 @@
   it('would be taken for whole too early where brackets alone were counted', () => {
     const found = fc.check(
       fc.property(cuts, ({ document, length }) => {
-        const isWhole = length === document.length
-        return countsBrackets(document.subarray(0, length)) === isWhole
+        const isComplete = length === document.length
+        return countsBrackets(document.subarray(0, length)) === isComplete
       }),
       { seed: 43, numRuns: 2_000 },
     )
@@ -69,8 +72,8 @@
     ['a byte order mark', '\uFEFF{"a":1}'],
     ['too many ends', '{"a":1}}'],
   ])('%s', (_, text) => {
-    const proof = new JsonCompletenessCheck()
-    proof.read(Buffer.from(text))
-    expect(proof.state).toMatchSnapshot()
+    const check = new JsonCompletenessCheck()
+    check.read(Buffer.from(text))
+    expect(check.state).toMatchSnapshot()
   })
 })
--- a/packages/router/__tests__/continuedForms.spec.ts
+++ b/packages/router/__tests__/continuedForms.spec.ts
@@ -7,7 +7,10 @@
   DeliveredChat,
 } from '@rackwalk/router'
 
-/** What is kept of a chat's answer, and how the events of its continuation are made a part of it. */
+/**
+ * The record of a chat's delivered answer, and the rewriting of events so that a continuation
+ * becomes part of that answer.
+ */
 
 function event(document: object): Buffer {
   return Buffer.from(`data: ${JSON.stringify(document)}\n\n`)
@@ -18,40 +21,40 @@
   return event({ id: 'one', created: 1, choices: [{ index: 0, delta: { content } }], usage })
 }
 
-function keep(limits = ANSWER_BUFFER_LIMITS) {
-  const space = new AnswerBufferPool(limits)
-  return { space, kept: new DeliveredChat(space, UNKNOWN_SOFTWARE_VERSION) }
+function createRecord(limits = ANSWER_BUFFER_LIMITS) {
+  const pool = new AnswerBufferPool(limits)
+  return { pool, delivered: new DeliveredChat(pool, UNKNOWN_SOFTWARE_VERSION) }
 }
 
 describe('what a caller has of an answer', () => {
   it('is the text of all pieces, also where they are read some at a time', () => {
-    const { space, kept } = keep()
+    const { pool, delivered } = createRecord()
     const texts = Array.from({ length: 2_000 }, (_, number) => `w${number} ü`)
-    texts.forEach((text, index) => kept.append(piece(text, index + 1)))
+    texts.forEach((text, index) => delivered.append(piece(text, index + 1)))
     const text = texts.join('')
-    expect(kept.isReconstructible).toBe(true)
-    expect(kept.text).toBe(text)
-    expect(kept.usage).toEqual({ promptTokens: 9, generatedTokens: 2_000 })
-    expect(space.usedBytes).toBe(Buffer.byteLength(text))
-    for (let time = 0; time < 2; time += 1) kept.release()
-    expect(space.usedBytes).toBe(0)
+    expect(delivered.isReconstructible).toBe(true)
+    expect(delivered.text).toBe(text)
+    expect(delivered.usage).toEqual({ promptTokens: 9, generatedTokens: 2_000 })
+    expect(pool.usedBytes).toBe(Buffer.byteLength(text))
+    for (let time = 0; time < 2; time += 1) delivered.release()
+    expect(pool.usedBytes).toBe(0)
   })
 
-  it('is not kept where there is no room, and holds nothing then', () => {
-    const { space, kept } = keep({ ...ANSWER_BUFFER_LIMITS, maximumTotalBytes: 500 })
-    for (let count = 0; count < 20; count += 1) kept.append(piece('word ', count))
-    expect({ isKnown: kept.isReconstructible, used: space.usedBytes }).toEqual({
+  it('is not recorded where there is no room, and holds no memory then', () => {
+    const { pool, delivered } = createRecord({ ...ANSWER_BUFFER_LIMITS, maximumTotalBytes: 500 })
+    for (let count = 0; count < 20; count += 1) delivered.append(piece('word ', count))
+    expect({ isKnown: delivered.isReconstructible, used: pool.usedBytes }).toEqual({
       isKnown: false,
       used: 0,
     })
   })
 
   it('does not say how many tokens it has where the newest piece does not', () => {
-    const { kept } = keep()
-    kept.append(piece('a', 1))
-    kept.append(piece('b'))
-    expect(kept.isReconstructible).toBe(true)
-    expect(kept.usage).toBeUndefined()
+    const { delivered } = createRecord()
+    delivered.append(piece('a', 1))
+    delivered.append(piece('b'))
+    expect(delivered.isReconstructible).toBe(true)
+    expect(delivered.usage).toBeUndefined()
   })
 
   it.each([
@@ -61,17 +64,17 @@
     ['another choice', { choices: [{ index: 1, delta: { content: 'a' } }] }],
     ['an error', { error: { message: 'no' } }],
   ])('is no plain text with %s', (_, document) => {
-    const { kept } = keep()
-    kept.append(piece('a', 1))
-    kept.append(event(document))
-    expect(kept.isReconstructible).toBe(false)
+    const { delivered } = createRecord()
+    delivered.append(piece('a', 1))
+    delivered.append(event(document))
+    expect(delivered.isReconstructible).toBe(false)
   })
 
   it('is plain text beside comments and fields without a value', () => {
-    const { kept } = keep()
-    kept.append(Buffer.from(': ping\n\n'))
-    kept.append(event({ choices: [{ index: 0, delta: { content: 'a', tool_calls: null } }] }))
-    expect({ isKnown: kept.isReconstructible, text: kept.text }).toEqual({
+    const { delivered } = createRecord()
+    delivered.append(Buffer.from(': ping\n\n'))
+    delivered.append(event({ choices: [{ index: 0, delta: { content: 'a', tool_calls: null } }] }))
+    expect({ isKnown: delivered.isReconstructible, text: delivered.text }).toEqual({
       isKnown: true,
       text: 'a',
     })
--- a/packages/router/__tests__/dispatchFailure.spec.ts
+++ b/packages/router/__tests__/dispatchFailure.spec.ts
@@ -6,7 +6,7 @@
 import { dispatchFailure } from '../src/filters/dispatchFailure.js'
 import type { UnansweredRequest } from '../src/filters/dispatchFailure.js'
 
-/** What a caller is told whose request no endpoint answered. */
+/** The error of a request that no endpoint answered. */
 
 const RESTING = new NotRunError(ResultCode.EndpointsResting, undefined, 4.5)
 const REST = { 'retry-after': '6' }
@@ -43,7 +43,10 @@
   '503 that asks for rest, silence': [answering(503, REST), STALLED],
 }
 
-function told(results: readonly AttemptResult[], more: Partial<UnansweredRequest> = {}): string {
+function summaryOf(
+  results: readonly AttemptResult[],
+  more: Partial<UnansweredRequest> = {},
+): string {
   const error = dispatchFailure({
     results,
     isCallerGone: false,
@@ -53,12 +56,12 @@
     ...more,
   })
   const { httpStatus, execution } = RESULT_TABLE[error.code]
-  const returnAfter = errorHeaders(error)['retry-after'] ?? 'no time'
-  return `${httpStatus} ${error.code} ${execution}, ${returnAfter}`
+  const retryAfter = errorHeaders(error)['retry-after'] ?? 'no time'
+  return `${httpStatus} ${error.code} ${execution}, ${retryAfter}`
 }
 
 function table(more: Partial<UnansweredRequest> = {}): readonly string[] {
-  return Object.entries(RESULTS).map(([name, results]) => `${name} | ${told(results, more)}`)
+  return Object.entries(RESULTS).map(([name, results]) => `${name} | ${summaryOf(results, more)}`)
 }
 
 describe('what a caller is told whose request no endpoint answered', () => {
@@ -95,9 +98,9 @@
   it('is no time to come back at where the caller left, its deadline passed, or it may not ask again', () => {
     const refusal = RESTING
     expect([
-      told([RESET], { refusal, isCallerGone: true }),
-      told([RESET], { refusal, isLate: true }),
-      told([RESET], { refusal, isRepeatable: false }),
+      summaryOf([RESET], { refusal, isCallerGone: true }),
+      summaryOf([RESET], { refusal, isLate: true }),
+      summaryOf([RESET], { refusal, isRepeatable: false }),
     ]).toMatchInlineSnapshot(`
       [
         "499 4005 ran, no time",
--- a/packages/router/__tests__/endpointTable.spec.ts
+++ b/packages/router/__tests__/endpointTable.spec.ts
@@ -3,7 +3,10 @@
 import { VirtualClock, asId } from '@rackwalk/shared'
 import type { EndpointId } from '@rackwalk/shared'
 
-/** What ends that an engine leaves: a report that is older than the answer that said so must not. */
+/**
+ * The end of an endpoint's leaving state. A report that is older than the answer that announced it
+ * must not end it.
+ */
 
 const ENGINE = asId<EndpointId>('engine-1')
 const STAYING = { running: 0, waiting: 0, cacheUse: 0, leaving: false, queuedPromptTokens: 0 }
@@ -39,7 +42,7 @@
 })
 
 describe('an engine', () => {
-  it('is known to have lived when its newest report was asked for, and not when that came', async () => {
+  it('is known to have been alive when its latest report was requested, not when the report arrived', async () => {
     const { clock, table } = create()
     expect(table.lastHeard(ENGINE).askedAt).toBe(Number.NEGATIVE_INFINITY)
     await clock.advance(500)
--- a/packages/router/__tests__/errorBody.spec.ts
+++ b/packages/router/__tests__/errorBody.spec.ts
@@ -3,7 +3,7 @@
 import type { RequestId } from '@rackwalk/shared'
 import { errorBody, errorEvent, errorHeaders } from '@rackwalk/router'
 
-/** What callers get for each numbered result; their programs rest on it. */
+/** Headers and bodies of each result code. Callers' programs depend on them. */
 
 const REQUEST = asId<RequestId>('request-1')
 
@@ -14,8 +14,8 @@
 describe('errors as callers get them', () => {
   it.each(codes())('%i', code => {
     const error = new RackwalkError(code, 'detail')
-    const told = { headers: errorHeaders(error), body: JSON.stringify(errorBody(error)) }
-    expect(told).toMatchSnapshot()
+    const sent = { headers: errorHeaders(error), body: JSON.stringify(errorBody(error)) }
+    expect(sent).toMatchSnapshot()
   })
 
   it('name the request, when to come back and that an earlier attempt may have run', () => {
--- a/packages/router/__tests__/inFlightExchanges.spec.ts
+++ b/packages/router/__tests__/inFlightExchanges.spec.ts
@@ -8,12 +8,17 @@
 import type { EndpointId } from '@rackwalk/shared'
 import { EndpointClient, InFlightExchanges } from '@rackwalk/router'
 
-/** Whom the end of an endpoint reaches. */
+/** The exchanges that fail when an endpoint is known to have terminated. */
 
 const END: KnownTermination = { source: 'look', brokenAt: 100, lookedAt: 200 }
 
-function exchange(open: InFlightExchanges, endpoint: string, sentAt: number, isRepeatable = true) {
-  const withdrawn: boolean[] = []
+function exchange(
+  exchanges: InFlightExchanges,
+  endpoint: string,
+  sentAt: number,
+  isRepeatable = true,
+) {
+  const failures: boolean[] = []
   const entry = {
     endpointId: asId<EndpointId>(endpoint),
     sentAt,
@@ -21,57 +26,58 @@
     isPaused: false,
     isRepeatable,
     firstDoubtedAt: undefined,
-    // As an exchange does that ends by it.
-    failByTermination: (wasThere: boolean) => {
-      withdrawn.push(wasThere)
-      open.remove(entry)
+    // An exchange in progress does the same when it fails.
+    failByTermination: (wasInFlight: boolean) => {
+      failures.push(wasInFlight)
+      exchanges.remove(entry)
     },
   }
-  open.add(entry)
-  return { entry, withdrawn }
+  exchanges.add(entry)
+  return { entry, failures }
 }
 
-describe('the exchanges that are open', () => {
-  it('are given up at the endpoint that has ended, each once, and nowhere else', () => {
-    const open = new InFlightExchanges()
-    const there = [
-      exchange(open, 'one', 50),
-      exchange(open, 'one', 150),
-      exchange(open, 'one', 250),
+describe('exchanges in progress', () => {
+  it('fail once each at a terminated endpoint, and nowhere else', () => {
+    const exchanges = new InFlightExchanges()
+    const atEndpoint = [
+      exchange(exchanges, 'one', 50),
+      exchange(exchanges, 'one', 150),
+      exchange(exchanges, 'one', 250),
     ]
-    const elsewhere = exchange(open, 'two', 50)
-    for (let time = 0; time < 2; time += 1) open.noteTermination(asId<EndpointId>('one'), END, 0)
-    expect(there.map(({ withdrawn }) => withdrawn)).toEqual([[true], [false], []])
-    expect(elsewhere.withdrawn).toEqual([])
+    const elsewhere = exchange(exchanges, 'two', 50)
+    for (let time = 0; time < 2; time += 1)
+      exchanges.noteTermination(asId<EndpointId>('one'), END, 0)
+    expect(atEndpoint.map(({ failures }) => failures)).toEqual([[true], [false], []])
+    expect(elsewhere.failures).toEqual([])
   })
 
-  it('are given up by the second look where they may not be repeated', () => {
-    const open = new InFlightExchanges()
-    const { withdrawn } = exchange(open, 'one', 50, false)
-    const look = (lookedAt: number, heardAt: number) =>
-      open.noteTermination(
+  it('fail at the second probe that finds a termination if they may not be repeated', () => {
+    const exchanges = new InFlightExchanges()
+    const { failures } = exchange(exchanges, 'one', 50, false)
+    const probe = (lookedAt: number, heardAt: number) =>
+      exchanges.noteTermination(
         asId<EndpointId>('one'),
         { source: 'look', brokenAt: 100, lookedAt },
         heardAt,
       )
-    look(200, 0)
-    look(200, 0)
-    look(800, 700)
-    expect(withdrawn).toEqual([])
-    look(1_400, 700)
-    expect(withdrawn).toEqual([true])
+    probe(200, 0)
+    probe(200, 0)
+    probe(800, 700)
+    expect(failures).toEqual([])
+    probe(1_400, 700)
+    expect(failures).toEqual([true])
   })
 
-  it('are not given up once they have ended by themselves', () => {
-    const open = new InFlightExchanges()
-    const { entry, withdrawn } = exchange(open, 'one', 50)
-    open.remove(entry)
-    open.noteTermination(asId<EndpointId>('one'), END, 0)
-    expect(withdrawn).toEqual([])
+  it('do not fail once they are over', () => {
+    const exchanges = new InFlightExchanges()
+    const { entry, failures } = exchange(exchanges, 'one', 50)
+    exchanges.remove(entry)
+    exchanges.noteTermination(asId<EndpointId>('one'), END, 0)
+    expect(failures).toEqual([])
   })
 })
 
-describe('an exchange of which only the head of the answer came', () => {
+describe('an exchange with only the head of its answer', () => {
   const clock = new SystemClock()
   const id = asId<EndpointId>('one')
 
@@ -92,7 +98,7 @@
     return { server, client, result }
   }
 
-  it('has been heard, and is not given up by a look right after', async () => {
+  it('counts as alive, and does not fail by a probe right after the head', async () => {
     const { server, client, result } = await sendTo(async response => {
       response.writeHead(200, { 'content-type': 'application/json', 'content-length': 2 })
       response.flushHeaders()
--- a/packages/router/__tests__/limits.spec.ts
+++ b/packages/router/__tests__/limits.spec.ts
@@ -17,11 +17,11 @@
   }
 }
 
-/** A queue whose places are opened one at a time. */
-class Room {
-  places = 0
+/** A queue whose slots are opened one at a time. */
+class TestQueue {
+  slots = 0
   readonly clock = new VirtualClock()
-  readonly queue = new FairQueue(this.clock, () => this.places)
+  readonly queue = new FairQueue(this.clock, () => this.slots)
   readonly admitted: string[] = []
   readonly refused: [string, ResultCode][] = []
 
@@ -34,9 +34,9 @@
     })
   }
 
-  async open(places: number): Promise<void> {
-    for (let place = 0; place < places; place += 1) {
-      this.places += 1
+  async open(slots: number): Promise<void> {
+    for (let slot = 0; slot < slots; slot += 1) {
+      this.slots += 1
       this.queue.admitWaiting()
       await this.clock.advance(0)
     }
@@ -44,52 +44,52 @@
 }
 
 describe('FairQueue', () => {
-  it('shares places between teams, whoever asked first and most', async () => {
-    const room = new Room()
-    for (const name of ['a1', 'a2', 'a3']) room.enter(name, demand('a'))
-    room.enter('b1', demand('b'))
-    await room.open(2)
-    expect(room.admitted).toContain('b1')
+  it('shares slots between teams, whoever asked first and most', async () => {
+    const testQueue = new TestQueue()
+    for (const name of ['a1', 'a2', 'a3']) testQueue.enter(name, demand('a'))
+    testQueue.enter('b1', demand('b'))
+    await testQueue.open(2)
+    expect(testQueue.admitted).toContain('b1')
   })
 
-  it('admits no more than there is room for, though room is seen taken only later', async () => {
-    const room = new Room()
-    for (const name of ['a1', 'a2', 'a3']) room.enter(name, demand('a'))
-    room.places = 2
-    room.queue.admitWaiting()
-    await room.clock.advance(0)
-    expect(room.admitted).toHaveLength(2)
-    room.queue.noteDispatched()
-    room.queue.admitWaiting()
-    await room.clock.advance(0)
-    expect(room.admitted).toHaveLength(3)
+  it('admits no more than there are free slots, though endpoints show them as taken only later', async () => {
+    const testQueue = new TestQueue()
+    for (const name of ['a1', 'a2', 'a3']) testQueue.enter(name, demand('a'))
+    testQueue.slots = 2
+    testQueue.queue.admitWaiting()
+    await testQueue.clock.advance(0)
+    expect(testQueue.admitted).toHaveLength(2)
+    testQueue.queue.noteDispatched()
+    testQueue.queue.admitWaiting()
+    await testQueue.clock.advance(0)
+    expect(testQueue.admitted).toHaveLength(3)
   })
 
   it('serves urgent requests first', async () => {
-    const room = new Room()
-    room.enter('normal', demand('a'))
-    room.enter('high', demand('a', { priority: 2 }))
-    await room.open(1)
-    expect(room.admitted).toEqual(['high'])
+    const testQueue = new TestQueue()
+    testQueue.enter('normal', demand('a'))
+    testQueue.enter('high', demand('a', { priority: 2 }))
+    await testQueue.open(1)
+    expect(testQueue.admitted).toEqual(['high'])
   })
 
   it('sheds the least urgent request of the greediest team at once when full', async () => {
-    const room = new Room()
-    for (const name of ['a1', 'a2', 'a3']) room.enter(name, demand('a'))
-    room.enter('b1', demand('b'))
-    room.enter('c1', demand('c'))
-    await room.clock.advance(0)
-    expect(room.refused).toEqual([['a3', ResultCode.Overloaded]])
+    const testQueue = new TestQueue()
+    for (const name of ['a1', 'a2', 'a3']) testQueue.enter(name, demand('a'))
+    testQueue.enter('b1', demand('b'))
+    testQueue.enter('c1', demand('c'))
+    await testQueue.clock.advance(0)
+    expect(testQueue.refused).toEqual([['a3', ResultCode.Overloaded]])
   })
 
   it('refuses what waited too long, and earlier what has a deadline', async () => {
-    const room = new Room()
-    room.enter('patient', demand('a'))
-    room.enter('hurried', demand('a', { startDeadline: 100 }))
-    await room.clock.advance(100)
-    expect(room.refused).toEqual([['hurried', ResultCode.DeadlineUnreachable]])
-    await room.clock.advance(900)
-    expect(room.refused.at(-1)).toEqual(['patient', ResultCode.Overloaded])
+    const testQueue = new TestQueue()
+    testQueue.enter('patient', demand('a'))
+    testQueue.enter('hurried', demand('a', { startDeadline: 100 }))
+    await testQueue.clock.advance(100)
+    expect(testQueue.refused).toEqual([['hurried', ResultCode.DeadlineUnreachable]])
+    await testQueue.clock.advance(900)
+    expect(testQueue.refused.at(-1)).toEqual(['patient', ResultCode.Overloaded])
   })
 })
 
--- a/packages/router/__tests__/refusedBodyHandler.spec.ts
+++ b/packages/router/__tests__/refusedBodyHandler.spec.ts
@@ -9,16 +9,19 @@
 import { SystemClock } from '@rackwalk/shared'
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** What callers see of a refusal, and the link of their bodies, whatever the body, its framing and its caller. */
+/**
+ * What callers receive of a refusal, and how much of their bodies is read, for all body sizes,
+ * framings and orders of sending.
+ */
 
 const LINK_BYTES_PER_SECOND = 1_000_000
 const REFUSAL = { status: 503, headers: { 'content-length': '2' }, body: Buffer.from('no') }
-/** Longer than a connection with a refused body is kept. */
+/** Longer than a connection with a refused body is kept open. */
 const SLOW_MILLISECONDS = 3_500
-/** What a socket and the parser hold of a body that is not read on. */
+/** Bytes of an unread body that the socket and the parser may buffer. */
 const BUFFERED_BYTES = 262_144
 
-/** The clock of the process; while it is held, the link carries nothing more. */
+/** The system clock, which can be stopped so that the link's budget earns nothing more. */
 class HoldableClock extends SystemClock {
   heldAt: Milliseconds | undefined
 
@@ -31,18 +34,18 @@
 let server: Server
 let sockets: Socket[]
 let outcomes: RefusedBodyOutcome[]
-let bytesInVain: number
+let discardedBytes: number
 
 beforeEach(async () => {
   sockets = []
   outcomes = []
-  bytesInVain = 0
+  discardedBytes = 0
   const refusedBodies = new RefusedBodyHandler({
     clock,
     link: new LinkBandwidthBudget(LINK_BYTES_PER_SECOND),
     counters: {
       noteRefusedBody: outcome => outcomes.push(outcome),
-      noteDiscardedBytes: bytes => (bytesInVain += bytes),
+      noteDiscardedBytes: bytes => (discardedBytes += bytes),
     },
   })
   server = createServer((request, response) => {
@@ -63,7 +66,7 @@
   server.close()
 })
 
-/** One connection: what came on it, and when it ended. */
+/** One connection: the text received on it and the time at which it ended. */
 class Connection {
   text = ''
   readonly openedAt = performance.now()
@@ -147,7 +150,7 @@
     await connection.untilAnswers(1)
     expect(connection.statuses).toEqual(['503'])
     expect(connection.text).toContain('connection: close')
-    expect(bytesInVain).toBe(0)
+    expect(discardedBytes).toBe(0)
   })
 
   it('leaves 100 Continue to those whose body is read', async () => {
@@ -173,7 +176,7 @@
     clearInterval(sending)
     expect(connection.statuses).toEqual(['503'])
     expect(connection.text.endsWith('no')).toBe(true)
-    expect(bytesInVain).toBeLessThan(BUFFERED_BYTES)
+    expect(discardedBytes).toBeLessThan(BUFFERED_BYTES)
   })
 
   it('cuts no earlier answer of its connection off', async () => {
@@ -197,18 +200,19 @@
     expect(milliseconds).toBeLessThan(5_000)
   })
 
-  it('holds the connections of those who come again at once, and tells the others to leave', async () => {
-    // Each 86 ms in which they arrive would cover one body more.
+  it('holds as many connections as the link covers, and closes the others', async () => {
+    // The clock stands still, because otherwise every 86 ms of arrival time would cover one more
+    // body.
     clock.heldAt = clock.monotonic()
     const connections = Array.from({ length: 80 }, () => new Connection())
     for (const connection of connections) {
       connection.send(head('/refused', lengthOf(30_000)) + 'x'.repeat(30_000))
     }
     await Promise.all(connections.map(connection => connection.untilAnswers(1)))
-    const told = connections.filter(({ text }) => text.includes('connection: close'))
-    expect(outcomes.filter(outcome => outcome === 'closed')).toHaveLength(told.length)
-    // 350,000 bytes a second cover 35 bodies in three seconds.
-    expect(told).toHaveLength(45)
-    await Promise.all(told.map(({ ended }) => ended))
+    const closed = connections.filter(({ text }) => text.includes('connection: close'))
+    expect(outcomes.filter(outcome => outcome === 'closed')).toHaveLength(closed.length)
+    // A budget of 350,000 bytes per second covers 35 bodies in three seconds.
+    expect(closed).toHaveLength(45)
+    await Promise.all(closed.map(({ ended }) => ended))
   })
 })
