--- a/packages/cli/src/commands/resources.ts
+++ b/packages/cli/src/commands/resources.ts
@@ -226,7 +226,8 @@
 function checkResource(value: unknown, place: string): ResourceDocument {
   const resource = value as Partial<ResourceDocument> | null
   const isNamed = typeof resource?.kind === 'string' && resource.metadata?.name !== undefined
-  if (!isNamed) throw new CommandError(ExitCode.Invalid, `${place}: kind and metadata.name needed`)
+  if (!isNamed)
+    throw new CommandError(ExitCode.Invalid, `${place}: kind and metadata.name are required`)
   return resource as ResourceDocument
 }
 
--- a/packages/cli/src/completion.ts
+++ b/packages/cli/src/completion.ts
@@ -19,6 +19,6 @@
         .map(word => `complete -c rackwalk -f -a ${word}`)
         .join('\n')
     default:
-      throw usageError('completion is for bash, zsh or fish')
+      throw usageError('completion supports bash, zsh and fish')
   }
 }
--- a/packages/router/src/engine/endpointConnection.ts
+++ b/packages/router/src/engine/endpointConnection.ts
@@ -104,7 +104,7 @@
   end: SocketEndGuard,
 ): buildConnector.connector {
   if (typeof connect !== 'function')
-    throw new TypeError('a connection needs the connector of its pool')
+    throw new TypeError('expected the connect option to be the connector of a pool')
   return (options, callback) => {
     connect(options, (...[error, socket]) => {
       if (error !== null) return callback(error, null)
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -228,7 +228,7 @@
    */
   private terminationDetails() {
     return {
-      reason: 'its endpoint has ended',
+      reason: 'the endpoint terminated',
       isAttributed: this.wasInFlightAtTermination === false,
     }
   }
@@ -276,7 +276,7 @@
   readonly code = 'CANCELLED'
 
   constructor(readonly end: AnswerEnd) {
-    super(`given up: ${end}`)
+    super(`exchange aborted: ${end}`)
   }
 }
 
@@ -285,7 +285,7 @@
   readonly code = 'UNFINISHED'
 
   constructor() {
-    super('the answer has no end')
+    super('the answer ended before it was complete')
   }
 }
 
