--- a/packages/router/src/engine/chatRequest.ts
+++ b/packages/router/src/engine/chatRequest.ts
@@ -85,8 +85,9 @@
 
 function buildRequest(body: ChatBody, limits: ModelLimits): ChatRequest {
   const prompt = Buffer.from(JSON.stringify([body.messages, body.tools ?? null]))
-  const asked = body.max_completion_tokens ?? body.max_tokens ?? limits.defaultOutputTokens
-  const outputTokenLimit = Math.min(asked, limits.maximumOutputTokens)
+  const requestedOutputTokens =
+    body.max_completion_tokens ?? body.max_tokens ?? limits.defaultOutputTokens
+  const outputTokenLimit = Math.min(requestedOutputTokens, limits.maximumOutputTokens)
   return {
     modelId: limits.modelId,
     isStreamed: body.stream === true,
@@ -108,9 +109,9 @@
 export function relayedChatBody({ body, wantsUsage }: ChatRequest): Record<string, unknown> {
   const options = body['stream_options']
   if (typeof options !== 'object' || options === null) return body
-  const asked: Record<string, unknown> = { ...options, include_usage: wantsUsage }
-  delete asked['continuous_usage_stats']
-  return { ...body, stream_options: asked }
+  const callerOptions: Record<string, unknown> = { ...options, include_usage: wantsUsage }
+  delete callerOptions['continuous_usage_stats']
+  return { ...body, stream_options: callerOptions }
 }
 
 /**
--- a/packages/router/src/errorBody.ts
+++ b/packages/router/src/errorBody.ts
@@ -14,7 +14,7 @@
 import { StandardRetryAfter } from './retryAfter.js'
 import type { RetryAfterFormat } from './retryAfter.js'
 
-const STANDARD_RETURN_TIME = new StandardRetryAfter()
+const STANDARD_RETRY_AFTER = new StandardRetryAfter()
 
 /** The JSON body of every refusal and failure. */
 export interface ErrorBody {
@@ -66,12 +66,12 @@
 export function errorHeaders(
   error: RackwalkError,
   requestId?: RequestId,
-  returnTime: RetryAfterFormat = STANDARD_RETURN_TIME,
+  retryAfterFormat: RetryAfterFormat = STANDARD_RETRY_AFTER,
   leastSeconds = 0,
 ): Record<string, string> {
   const headers: Record<string, string> = { 'content-type': 'application/json' }
   const wait = retryAfterSeconds(error, leastSeconds)
-  if (wait !== undefined) Object.assign(headers, returnTime.retryHeaders(wait))
+  if (wait !== undefined) Object.assign(headers, retryAfterFormat.retryHeaders(wait))
   if (requestId !== undefined) headers['rackwalk-request-id'] = requestId
   return headers
 }
--- a/packages/router/src/filters/answerDelivery.ts
+++ b/packages/router/src/filters/answerDelivery.ts
@@ -10,7 +10,7 @@
   readonly withheldChunks: readonly Buffer[]
   /** Whether the answer contains an end marker, which proves that it is complete. */
   readonly hasEndMarker: boolean
-  /** Whether the answer is complete, provided that its framing does not contradict. */
+  /** Whether the answer is complete if its framing says that it is. */
   readonly isComplete: boolean
   usage(): ReportedUsage
 }
--- a/packages/router/src/filters/answerHeaders.ts
+++ b/packages/router/src/filters/answerHeaders.ts
@@ -15,7 +15,7 @@
  * Returns the headers of an answer that was received completely. Includes its length if the framing
  * proves that nothing is missing.
  */
-export function wholeAnswerHeaders(
+export function completeAnswerHeaders(
   request: DispatchedRequest,
   body: readonly Buffer[],
 ): Record<string, string> {
--- a/packages/router/src/filters/chatRelay.ts
+++ b/packages/router/src/filters/chatRelay.ts
@@ -76,13 +76,13 @@
   async relay(request: ParsedRequest): Promise<RelayOutcome | undefined> {
     const { call } = request
     if (call.kind !== 'chat') return undefined
-    const asked = new Set<IncarnationId>()
+    const tried = new Set<IncarnationId>()
     const outcomes: RelayOutcome[] = []
-    let peer = this.choose(asked)
+    let peer = this.choose(tried)
     while (peer !== undefined && !this.isOver(request)) {
-      asked.add(peer.incarnation)
-      const exchange = this.open(peer, request, call.chat)
-      const next = this.choose(asked)
+      tried.add(peer.incarnation)
+      const exchange = this.openExchange(peer, request, call.chat)
+      const next = this.choose(tried)
       const outcome = await this.forwardAnswer(exchange, request, outcomes, next !== undefined)
       this.noteOutcome(peer, outcome)
       const step = relayStep(outcomes, routeOf(request), next !== undefined)
@@ -131,10 +131,10 @@
     this.parts.onHandedOver(outcome)
   }
 
-  private choose(asked: ReadonlySet<IncarnationId>): ChatRelayPeer | undefined {
+  private choose(tried: ReadonlySet<IncarnationId>): ChatRelayPeer | undefined {
     const { peers, failureDomain, random } = this.parts
     const candidates = peers()
-      .filter(({ incarnation }) => !asked.has(incarnation))
+      .filter(({ incarnation }) => !tried.has(incarnation))
       .map(peer => this.candidateOf(peer))
     return chooseRelayPeer(candidates, failureDomain, random.next())?.peer
   }
@@ -146,7 +146,11 @@
     return { peer, instance: incarnation, failureDomain, isCutOff: false, isOverloaded }
   }
 
-  private open(peer: ChatRelayPeer, request: ParsedRequest, chat: ChatRequest): UpstreamExchange {
+  private openExchange(
+    peer: ChatRelayPeer,
+    request: ParsedRequest,
+    chat: ChatRequest,
+  ): UpstreamExchange {
     const { incoming, deadline, scope } = request
     const { clock, incarnation } = this.parts
     const remaining = Math.max(1, Math.floor(deadline - clock.sinceStart()))
--- a/packages/router/src/filters/complete.ts
+++ b/packages/router/src/filters/complete.ts
@@ -5,7 +5,7 @@
 
 import { DispatchedError, ResultCode } from '@rackwalk/shared'
 import { errorEvent } from '../errorBody.js'
-import { wholeAnswerHeaders } from './answerHeaders.js'
+import { completeAnswerHeaders } from './answerHeaders.js'
 import type { Filter, SettledRequest } from './stages.js'
 
 /**
@@ -32,7 +32,7 @@
     const { caller } = request.incoming
     const { status, isDelimited } = request.answer
     if (caller.hasSentHead) return
-    caller.writeHead(status, wholeAnswerHeaders(request, request.withheldChunks), isDelimited)
+    caller.writeHead(status, completeAnswerHeaders(request, request.withheldChunks), isDelimited)
   }
 
   /**
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -371,7 +371,7 @@
     if (acceptedAnswer(result, request) !== undefined) {
       this.clearSuspicion(request, result)
       request.scope.commit()
-      if (result.kind === 'answering') this.holdAnswer(request, result.answer)
+      if (result.kind === 'answering') this.registerRelease(request, result.answer)
       return
     }
     if (result.kind === 'answering') discard(result.answer)
@@ -399,7 +399,7 @@
    * Registers the release of an answer, which takes effect once: at the end of the request or of
    * the answer.
    */
-  private holdAnswer({ scope }: RoutedRequest, answer: EndpointAnswer): void {
+  private registerRelease({ scope }: RoutedRequest, answer: EndpointAnswer): void {
     let isHeld = true
     const end = () => {
       if (isHeld) this.parts.endpoints.noteRequestEnded(answer.endpointId)
--- a/packages/router/src/requestPipeline.ts
+++ b/packages/router/src/requestPipeline.ts
@@ -72,7 +72,7 @@
 
 /** The path of a request as one list, read from top to bottom. */
 export class RequestPipeline {
-  private open = 0
+  private openRequests = 0
 
   constructor(
     private readonly filters: RequestFilters,
@@ -81,20 +81,20 @@
 
   /** Number of requests in progress. */
   get inFlight(): number {
-    return this.open
+    return this.openRequests
   }
 
   /** Serves one request until it is over. Never throws. */
   async serve(incoming: IncomingRequest): Promise<void> {
     const received = this.receive(incoming)
-    this.open += 1
+    this.openRequests += 1
     try {
       const settled = await this.run(received)
       this.noteEnd(received.record, settled.code)
     } catch (thrown) {
       await this.refuse(received, thrown)
     } finally {
-      this.open -= 1
+      this.openRequests -= 1
       this.finish(received)
     }
   }
@@ -115,8 +115,8 @@
     thrown: unknown,
   ): Promise<{ code: ResultCode }> {
     const { handOver, isCutOff } = this.parts
-    const mayGo = thrown instanceof NotRunError && isCutOff(request.target)
-    if (!mayGo || !handOver.canRelay(request)) throw thrown
+    const isEligible = thrown instanceof NotRunError && isCutOff(request.target)
+    if (!isEligible || !handOver.canRelay(request)) throw thrown
     // The local reservations of the request are released first, because the other instance makes
     // its own.
     request.scope.close()
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -83,7 +83,7 @@
   constructor(
     private readonly catalogue: EndpointCatalogue,
     private readonly clock: Clock,
-    private readonly permits: Pick<SendAdmission, 'allows' | 'refusalOf'>,
+    private readonly sendAdmission: Pick<SendAdmission, 'allows' | 'refusalOf'>,
     private readonly onChange: EndpointListener,
   ) {
     this.prefixes = new PrefixIndex(clock)
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Returns why no endpoint of a model may get a request now. Undefined if the reason is not an
-   * advice of its endpoints.
+   * Returns why no endpoint of a model may get a request now; undefined unless its endpoints' own
+   * advice is the reason.
    */
   modelRefusal(modelId: ModelId): SendRefusal | undefined {
     return this.refusalIn(this.modelPool(modelId))
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Returns why no endpoint of a plain service may get a request now. Undefined if the reason is
-   * not an advice of its endpoints.
+   * Returns why no endpoint of a plain service may get a request now; undefined unless its
+   * endpoints' own advice is the reason.
    */
   serviceRefusal(service: string): SendRefusal | undefined {
     return this.refusalIn(this.servicePool(service))
@@ -230,10 +230,10 @@
     pool: readonly ConfiguredEndpoint[],
     hashes: readonly PrefixHash[],
   ): readonly EndpointView[] {
-    const open = this.usable(pool).filter(endpoint =>
-      this.permits.allows(this.sendTargetOf(endpoint)),
+    const admissible = this.usable(pool).filter(endpoint =>
+      this.sendAdmission.allows(this.sendTargetOf(endpoint)),
     )
-    return this.ejection.usableEndpoints(open).map(endpoint => this.viewOf(endpoint, hashes))
+    return this.ejection.usableEndpoints(admissible).map(endpoint => this.viewOf(endpoint, hashes))
   }
 
   private usable(pool: readonly ConfiguredEndpoint[]): readonly ConfiguredEndpoint[] {
@@ -252,7 +252,7 @@
   private refusalIn(pool: readonly ConfiguredEndpoint[]): SendRefusal | undefined {
     const usable = this.usable(pool)
     return soonestRefusal(
-      usable.flatMap(endpoint => this.permits.refusalOf(this.sendTargetOf(endpoint)) ?? []),
+      usable.flatMap(endpoint => this.sendAdmission.refusalOf(this.sendTargetOf(endpoint)) ?? []),
     )
   }
 
--- a/packages/router/src/routing/routingPolicy.ts
+++ b/packages/router/src/routing/routingPolicy.ts
@@ -104,8 +104,8 @@
   const prefill = ((ahead + uncached) * 1000) / view.prefillTokensPerSecond
   const running = estimatedRequests(view, demand)
   const overCapacity = Math.max(0, running - view.maximumInFlight)
-  const isFullPenalty = overCapacity * OVER_CAPACITY_MILLISECONDS
-  return prefill + running * BATCHING_MILLISECONDS + isFullPenalty
+  const overCapacityPenalty = overCapacity * OVER_CAPACITY_MILLISECONDS
+  return prefill + running * BATCHING_MILLISECONDS + overCapacityPenalty
 }
 
 /** Milliseconds that each request above an engine's capacity adds to the wait for a slot. */
@@ -115,8 +115,8 @@
   const reported = view.report?.queuedPromptTokens ?? 0
   const waiting = (view.report?.waiting ?? 0) * ASSUMED_PROMPT_TOKENS
   const drained = (view.reportAgeMilliseconds * view.prefillTokensPerSecond) / 1000
-  const others = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
-  const sentSince = view.promptTokensSinceReport * others
+  const sendingFactor = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
+  const sentSince = view.promptTokensSinceReport * sendingFactor
   return Math.max(0, Math.max(reported, waiting) + sentSince - drained)
 }
 
@@ -126,8 +126,8 @@
 /** Returns the estimated number of requests that an endpoint has now. */
 export function estimatedRequests(view: EndpointView, demand: RoutedDemand): number {
   if (view.report === undefined) return view.inFlight * demand.instances
-  const others = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
-  const sentSince = view.sentSinceReport * others
+  const sendingFactor = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
+  const sentSince = view.sentSinceReport * sendingFactor
   return Math.max(view.inFlight, view.report.running + view.report.waiting + sentSince)
 }
 
