--- a/packages/router/src/filters/continueAnswer.ts
+++ b/packages/router/src/filters/continueAnswer.ts
@@ -149,8 +149,8 @@
 }
 
 /**
- * Returns the body that requests the remaining output. Before any text was delivered, the chat is
- * sent again as it was.
+ * Returns the body that requests the remaining output. If no text was delivered yet, the chat is
+ * sent again with the remaining output limit.
  */
 function bodyOf({ body }: ChatRequest, { text }: DeliveredChat, outputTokens: number) {
   return text === ''
