--- a/packages/cli/src/completion.ts
+++ b/packages/cli/src/completion.ts
@@ -1,11 +1,11 @@
-/** Completion scripts for shells. */
+/** Shell completion scripts. */
 
 import { usageError } from './errors.js'
 
 /** Kinds of resources, offered as arguments. */
 const KINDS = ['teams', 'budgets', 'endpoints', 'placements', 'routing-policies', 'evacuations']
 
-/** A completion script for a shell. */
+/** Returns the completion script for a shell. */
 export function completionScript(shell: string, commands: readonly string[]): string {
   const words = [...commands, ...KINDS].join(' ')
   switch (shell) {
@@ -19,6 +19,6 @@
         .map(word => `complete -c rackwalk -f -a ${word}`)
         .join('\n')
     default:
-      throw usageError('completion is for bash, zsh or fish')
+      throw usageError('completion supports bash, zsh and fish')
   }
 }
--- a/packages/router/src/routing/endpointLinks.ts
+++ b/packages/router/src/routing/endpointLinks.ts
@@ -1,6 +1,6 @@
 /**
- * The links to configured endpoints, by what new connections have shown. Owns when a connection to each came up last, and
- * when one last did not.
+ * The links to configured endpoints. Owns the times of the latest successful and the latest failed
+ * connection to each endpoint.
  */
 
 import type { EndpointLink } from '@rackwalk/decisions'
@@ -8,60 +8,63 @@
 import type { Catalogue, ConfiguredEndpoint } from '../resources/catalogue.js'
 import type { MonitoredEndpoint } from './linkMonitor.js'
 
-interface SeenLink {
+interface LinkRecord {
   connectedAt: Milliseconds
   failedAt: Milliseconds
 }
 
 /** The links of an instance of the OpenAI-style kind. */
 export class EndpointLinks {
-  private readonly seen = new Map<EndpointId, SeenLink>()
+  private readonly records = new Map<EndpointId, LinkRecord>()
 
   constructor(
     private readonly catalogue: Pick<Catalogue, 'endpoints' | 'isEvacuated'>,
     private readonly clock: Clock,
   ) {}
 
-  /** The endpoints of a model or service. */
+  /** Returns the endpoints of a model or service. */
   endpointsOf(target: string): readonly MonitoredEndpoint[] {
     const { catalogue } = this
     const serving = catalogue.endpoints.filter(
       endpoint => serves(endpoint, target) && !catalogue.isEvacuated(endpoint),
     )
-    return serving.map(endpoint => this.watched(endpoint, target))
+    return serving.map(endpoint => this.monitored(endpoint, target))
   }
 
-  /** Endpoints of everything else. */
+  /** Returns the endpoints of all other models and services. */
   endpointsOfOthers(target: string): readonly MonitoredEndpoint[] {
     const others = this.catalogue.endpoints.filter(endpoint => !serves(endpoint, target))
-    return others.map(endpoint => this.watched(endpoint, target))
+    return others.map(endpoint => this.monitored(endpoint, target))
   }
 
-  /** An endpoint as it is listed for a model or service; undefined where it is not. */
+  /**
+   * Returns an endpoint as listed for a model or service; undefined if the catalogue does not list
+   * it.
+   */
   find(target: string, endpointId: EndpointId): MonitoredEndpoint | undefined {
     const endpoint = this.catalogue.endpoints.find(other => other.endpointId === endpointId)
-    return endpoint && this.watched(endpoint, target)
+    return endpoint && this.monitored(endpoint, target)
   }
 
-  private watched({ endpointId, spec }: ConfiguredEndpoint, service: string): MonitoredEndpoint {
-    const seen = this.seenOf(endpointId)
+  private monitored({ endpointId, spec }: ConfiguredEndpoint, service: string): MonitoredEndpoint {
+    const record = this.recordOf(endpointId)
     const { clock } = this
-    const link: EndpointLink = { ...seen, failureDomain: spec.failureDomain ?? '' }
+    const link: EndpointLink = { ...record, failureDomain: spec.failureDomain ?? '' }
     return {
       service,
       address: new URL(spec.address).host,
       link,
-      noteConnected: () => (seen.connectedAt = clock.monotonic()),
-      noteConnectFailed: () => (seen.failedAt = clock.monotonic()),
+      noteConnected: () => (record.connectedAt = clock.monotonic()),
+      noteConnectFailed: () => (record.failedAt = clock.monotonic()),
     }
   }
 
-  private seenOf(endpointId: EndpointId): SeenLink {
-    const known = this.seen.get(endpointId)
+  private recordOf(endpointId: EndpointId): LinkRecord {
+    const known = this.records.get(endpointId)
     if (known !== undefined) return known
     const never = Number.NEGATIVE_INFINITY
     const created = { connectedAt: never, failedAt: never }
-    this.seen.set(endpointId, created)
+    this.records.set(endpointId, created)
     return created
   }
 }
