--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -93,10 +93,7 @@
         if (isLastAttempt) throw thrown
       }
     }
-    throw new RackwalkError(
-      ResultCode.PlatformThrottled,
-      'too many concurrent configuration writes',
-    )
+    throw new RackwalkError(ResultCode.PlatformThrottled, 'too many racing writes')
   }
 
   async read(kind: string, name: string): Promise<Resource | undefined> {
--- a/packages/router/src/engine/chatRequest.ts
+++ b/packages/router/src/engine/chatRequest.ts
@@ -79,7 +79,7 @@
   try {
     return JSON.parse(raw.toString('utf8'))
   } catch {
-    throw new NotRunError(ResultCode.MalformedRequest, 'the body is not JSON')
+    throw new NotRunError(ResultCode.MalformedRequest, 'not JSON')
   }
 }
 
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -228,7 +228,7 @@
    */
   private terminationDetails() {
     return {
-      reason: 'the endpoint terminated',
+      reason: 'its endpoint has ended',
       isAttributed: this.wasInFlightAtTermination === false,
     }
   }
@@ -276,7 +276,7 @@
   readonly code = 'CANCELLED'
 
   constructor(readonly end: AnswerEnd) {
-    super(`exchange aborted: ${end}`)
+    super(`given up: ${end}`)
   }
 }
 
@@ -285,7 +285,7 @@
   readonly code = 'UNFINISHED'
 
   constructor() {
-    super('the answer ended before it was complete')
+    super('the answer has no end')
   }
 }
 
--- a/packages/router/src/filters/chatRelay.ts
+++ b/packages/router/src/filters/chatRelay.ts
@@ -91,10 +91,7 @@
       peer = next
     }
     if (!outcomes.some(({ kind }) => kind === 'failed')) return undefined
-    throw new DispatchedError(
-      ResultCode.EndpointFailed,
-      'no answer from the instance that the request was relayed to',
-    )
+    throw new DispatchedError(ResultCode.EndpointFailed, 'the instance that it was handed to')
   }
 
   /** Whether the caller has left or the deadline has passed. */
--- a/packages/router/src/filters/deduplicate.ts
+++ b/packages/router/src/filters/deduplicate.ts
@@ -53,10 +53,7 @@
     case 'running':
       throw new DispatchedError(ResultCode.KeyInUse, `request ${registration.requestId}`)
     case 'mismatch':
-      throw new NotRunError(
-        ResultCode.MalformedRequest,
-        'the Idempotency-Key belongs to another request',
-      )
+      throw new NotRunError(ResultCode.MalformedRequest, 'Idempotency-Key of another request')
     case 'ended':
       if (registration.complete && !repeatable) {
         throw new DispatchedError(ResultCode.AlreadyRan, `request ${registration.requestId}`)
--- a/packages/router/src/filters/delivery.ts
+++ b/packages/router/src/filters/delivery.ts
@@ -141,7 +141,7 @@
     const { endpointId, status } = request.answer
     if (!delivery.isComplete) {
       this.parts.endpoints.noteFailure(endpointId)
-      return { code: ResultCode.EndpointBrokeOff, detail: 'the answer ended without an end marker' }
+      return { code: ResultCode.EndpointBrokeOff, detail: 'the answer has no end' }
     }
     this.parts.endpoints.noteSuccess(endpointId)
     if (status >= 500) return { code: ResultCode.EndpointError, detail: `status ${status}` }
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -251,7 +251,7 @@
     { result, ...sent }: SentAttempt,
   ): Promise<AttemptResult> {
     if (result.kind !== 'answering' || !isServerError(result.answer.status)) return result
-    const reason = `status ${result.answer.status} from the proxy of the endpoint`
+    const reason = `status ${result.answer.status} of its front`
     const failed = { kind: 'failed', reason, stalled: false } as const
     const hasTerminated = await this.noteReset(request, endpointId, { ...sent, result: failed })
     if (!hasTerminated) return result
--- a/packages/router/src/readBody.ts
+++ b/packages/router/src/readBody.ts
@@ -39,7 +39,7 @@
     })
     body.once('error', () => {
       finish()
-      reject(new NotRunError(ResultCode.MalformedRequest, 'the body was interrupted'))
+      reject(new NotRunError(ResultCode.MalformedRequest, 'the body broke off'))
     })
   })
 }
