--- a/packages/decisions/src/retrying/attemptOutcome.ts
+++ b/packages/decisions/src/retrying/attemptOutcome.ts
@@ -5,28 +5,28 @@
  * the request. Without that distinction, a request that must run only once could run twice.
  */
 
-/** The outcome of an attempt. The kind determines whether the endpoint may have run the request. */
+/** The outcome of an attempt. The kind determines whether the endpoint may have run the request (see `mayHaveRun`). */
 export type AttemptOutcome =
   /** No connection could be established, so the request was not sent. */
   | { readonly kind: 'connect-failed'; readonly reason: string }
-  /** The endpoint guarantees that it did not run the request and never will. */
+  /** The endpoint answered with the guarantee that it has not run the request and never will. */
   | { readonly kind: 'refused'; readonly status: number }
-  /** The request was sent, at least in part, and no answer arrived, so it may have run. */
+  /** A connection was established, so the request may have been sent, and no answer arrived. The request may have run. */
   | { readonly kind: 'failed'; readonly reason: string }
   /** The answer belongs to another request or lacks its endpoint's signature, so the request may have run. */
   | {
       readonly kind: 'not-trusted'
       readonly problem: 'answer to another request' | 'unsigned answer'
     }
-  /** The endpoint answered. A status of 500 or more means that the request ran and failed. */
+  /** The endpoint answered. With a status of 500 or more, the request is taken to have run and failed. */
   | { readonly kind: 'answered'; readonly status: number }
-  /** The answer was interrupted. `events` counts the complete events of the request's answer over all attempts. */
+  /** The answer was interrupted. `events` counts the complete events that the caller has from all attempts together. */
   | { readonly kind: 'broke-off'; readonly events: number }
 
 /** The text and label of an attempt that is still in progress. */
 const IN_PROGRESS = 'sent'
 
-/** Whether the endpoint ran the request or may have run it. */
+/** Whether the endpoint may have run the request. */
 export function mayHaveRun({ kind }: AttemptOutcome): boolean {
   return kind !== 'connect-failed' && kind !== 'refused'
 }
@@ -71,7 +71,7 @@
   }
 }
 
-/** Returns the first word of a reason. Reasons are error codes or sentences, and the first word keeps the labels few. */
+/** Returns the first word of a reason. Reasons are error codes or sentences; their first words are few enough for labels. */
 function firstWord(reason: string): string {
   return reason.split(' ')[0] ?? reason
 }
--- a/packages/decisions/src/retrying/fleetRetryBudget.ts
+++ b/packages/decisions/src/retrying/fleetRetryBudget.ts
@@ -3,11 +3,13 @@
  * bound, retries would multiply the load of a service that fails.
  *
  * Inputs: the requests and retries that this instance counted, the bounds from the settings, and the number of
- * instances that share them. Windows are in milliseconds and times are monotonic.
+ * instances that share the bounds. Windows are in milliseconds and times are monotonic.
  *
- * Each request that this instance receives earns it a part of a retry. The fixed extra is divided by all instances that
- * could be running, so that the sum holds without any communication between them. Both are counted in a sliding window.
- * Requests of the OpenAI-style kind are bounded by a token bucket instead (router/limits/retryBudget.ts), since no
+ * Each request that this instance receives earns it a fraction of a retry (`ratio`). A fixed number of retries (`extra`) is
+ * divided by the number of instances that could be running, so that the sum over the fleet holds without any communication
+ * between the instances. Requests and retries are counted in a sliding window.
+ *
+ * Limits: requests of the OpenAI-style kind are bounded by a token bucket instead (router/limits/retryBudget.ts), since no
  * window and no extra are set for them.
  */
 
@@ -18,15 +20,21 @@
 export interface RetryBounds {
   /** Retries allowed per request. */
   readonly ratio: number
-  /** Retries allowed beyond the ratio, for all instances together. */
+  /** Number of retries allowed beyond the ratio in each window, for all instances together. */
   readonly extra: number
   /** Length of the window in which both bounds hold. */
   readonly windowMilliseconds: Milliseconds
 }
 
-/** Share of the bound that is used, since whoever checks the bound counts requests at slightly different moments. */
+/**
+ * Share of the bound that this instance uses. An observer that checks the bound counts the same requests at
+ * slightly different moments, so its window may hold more retries or fewer requests than the window counted here.
+ */
 const USED_SHARE = 0.8
-/** Number of slices of the window. A count leaves the window with its slice, so up to a twentieth is lost. */
+/**
+ * Number of slices of the window. All counts of a slice leave the window at once, so the effective window is up to one
+ * slice, a twentieth, shorter than the set one.
+ */
 const SLICES = 20
 
 /** This instance's share of the fleet's retry budget for one service. */
@@ -39,16 +47,19 @@
     this.retries = new SlidingCount(bounds.windowMilliseconds, SLICES)
   }
 
-  /** Records that a request arrived. `now` is monotonic. */
+  /** Records that this instance received a request of the service. `now` is monotonic. */
   noteRequest(now: Milliseconds): void {
     this.requests.add(now)
   }
 
-  /** Takes one retry and returns whether there was one. `instances` is the number of instances that share the extra. */
+  /**
+   * Takes one retry from the budget and returns whether one was left. `now` is monotonic; `instances` is the number of
+   * instances that share the fixed extra.
+   */
   take(now: Milliseconds, instances: number): boolean {
     const earned = this.bounds.ratio * this.requests.at(now)
-    const share = this.bounds.extra / Math.max(1, instances)
-    if (this.retries.at(now) + 1 > USED_SHARE * (earned + share)) return false
+    const extraShare = this.bounds.extra / Math.max(1, instances)
+    if (this.retries.at(now) + 1 > USED_SHARE * (earned + extraShare)) return false
     this.retries.add(now)
     return true
   }
--- a/packages/decisions/src/retrying/isolationEndpoint.ts
+++ b/packages/decisions/src/retrying/isolationEndpoint.ts
@@ -2,25 +2,28 @@
  * Decides which endpoint gets a request that may crash endpoints, or that shares a suspected prompt part.
  *
  * Load pattern: such a request is reset, and its instance is too busy to find out whether the endpoint has terminated. If
- * the request then went to the next endpoint of its rendezvous order, each of its attempts would cost one more endpoint and
- * leave no crash mark.
+ * the request then went to the next endpoint of its rendezvous order (the order by a hash of the request and the endpoint,
+ * the same at every instance), each of its attempts would cost one more endpoint and leave no crash mark (the record that an
+ * endpoint crashed under the request).
  *
- * Inputs: the candidate endpoints, and per request which endpoints were tried, which reset it only once, and which are
- * suspect.
+ * Inputs: the candidate endpoints, and per request which endpoints were tried, which of them reset the request exactly once,
+ * and which are suspect.
  *
- * | endpoint                                               | eligible                                                  |
- * | ------------------------------------------------------ | --------------------------------------------------------- |
- * | not tried                                              | yes                                                       |
- * | reset the request once, its state is unknown           | yes: this costs no other endpoint, and it is probed again |
- * | reset the request twice, its state is unknown          | no: the caller is to be served while others are free      |
- * | no connection was established                          | no: nothing ran there                                     |
- * | reset the request, and a probe showed that it is alive | no: it reset the request for a reason of its own          |
- * | known to have terminated                               | no: it is not among the candidates                        |
+ * | endpoint                                           | eligible                                                     |
+ * | -------------------------------------------------- | ------------------------------------------------------------ |
+ * | not tried                                          | yes                                                          |
+ * | reset the request once, its state is unknown       | yes: no other endpoint is lost, and this one is probed again |
+ * | reset the request twice, its state is unknown      | no: the caller is to be served by another endpoint           |
+ * | no connection was established                      | no: nothing ran there                                        |
+ * | reset the request; a probe showed that it is alive | no: the endpoint reset the request for another reason        |
+ * | known to have terminated                           | no: the caller leaves it out of the candidates               |
  *
- * So the next attempt chooses the same endpoint as all other instances do.
+ * Of the eligible endpoints the first in the rendezvous order is chosen. So while the state of the first
+ * attempt's endpoint is unknown, the second attempt goes to the same endpoint, which all other instances choose as well.
  *
- * Limits: the caller of this rule bounds the number of attempts and their time. Behind a front that accepts connections and
- * stays silent, an attempt waits until a probe shows the termination, or as long as the request's caller allows.
+ * Limits: the caller of this rule bounds the number of attempts and their time. Behind a front (a proxy or load balancer in
+ * front of the engine) that accepts connections and stays silent, an attempt waits until a probe shows the termination, or
+ * as long as the request's caller allows.
  */
 
 import type { PromptPartKey, RequestFingerprint } from '@rackwalk/shared'
@@ -28,16 +31,17 @@
 
 /** What the attempts of a request have shown about the endpoints so far. */
 export interface IsolationAttempts<Candidate> {
+  /** Endpoints that this request was sent to, or that could not be connected to for it. */
   readonly tried: ReadonlySet<Candidate>
-  /** Endpoints that reset the request, and only once. */
+  /** Endpoints that reset this request exactly once. */
   readonly resetOnce: ReadonlySet<Candidate>
-  /** Whether an endpoint reset a request and it is not yet known whether it has terminated. */
+  /** Whether an endpoint reset this or another request a moment ago, and no probe has shown since that it is alive. */
   readonly isSuspect: (candidate: Candidate) => boolean
 }
 
 /**
- * Returns the endpoint that all instances choose for a request, or for all requests that share a prompt part. Returns
- * undefined if no endpoint is eligible.
+ * Returns the endpoint that all instances choose for a request (given its fingerprint) or for all requests that share a
+ * prompt part (given the part's key). Returns undefined if no endpoint is eligible.
  */
 export function chooseIsolationEndpoint<Candidate extends string>(
   subject: RequestFingerprint | PromptPartKey,
--- a/packages/decisions/src/retrying/quarantineVerdict.ts
+++ b/packages/decisions/src/retrying/quarantineVerdict.ts
@@ -1,14 +1,23 @@
 /**
- * The verdicts on a request that may crash endpoints, whatever evidence they rest on, and their order by strictness.
- * Several rules judge the same request; without a common order a lenient verdict could override a strict one.
+ * The verdicts on a request that may crash endpoints, and their order by strictness.
+ *
+ * Several rules judge the same request by different evidence: crash marks of the request itself, unconfirmed resets, and
+ * its prompt parts. Without a common order a lenient verdict could override a strict one.
  */
 
-/** Whether to send a request normally, to isolate it on one endpoint, or to refuse it. */
-export type QuarantineVerdict = 'send' | 'isolate' | 'refuse'
+/** What to do with a request. */
+export type QuarantineVerdict =
+  /** Send the request to the best endpoint. */
+  | 'send'
+  /** Send the request only to the one endpoint that all instances choose for it. */
+  | 'isolate'
+  /** Send the request to no endpoint and return an error to the caller. */
+  | 'refuse'
 
+/** The higher a verdict's number, the fewer endpoints it puts at risk. */
 const STRICTNESS: Readonly<Record<QuarantineVerdict, number>> = { send: 0, isolate: 1, refuse: 2 }
 
-/** Returns the verdict that puts fewer endpoints at risk. */
+/** Returns the stricter of two verdicts, the one that puts fewer endpoints at risk. */
 export function strictestVerdict(
   left: QuarantineVerdict,
   right: QuarantineVerdict,
--- a/packages/decisions/src/retrying/relayStep.ts
+++ b/packages/decisions/src/retrying/relayStep.ts
@@ -1,12 +1,12 @@
 /**
  * Decides the next step after a request was relayed to another instance: pass that instance's answer on, relay the
- * request to one more instance, or give up and return an error.
+ * request to one more instance, or give up and return an error. Also decides whether a request may be relayed at all.
  *
- * Inputs: the outcomes of all relays of the request so far, the route's settings, and whether an untried instance is left.
- * Without this rule, a request that must run only once could run at two instances, or its caller could be told "not run"
- * wrongly.
+ * Inputs: the outcomes of the endpoint attempts and of all relays of the request so far, the route's settings, and whether
+ * an untried instance is left. Without this rule, a request that must run only once could run at two instances, or its
+ * caller could be told "not run" wrongly.
  *
- * | outcome                                                 | may have run | next step                                     |
+ * | outcome of the newest relay                             | may have run | next step                                     |
  * | ------------------------------------------------------- | ------------ | --------------------------------------------- |
  * | no connection                                           | no           | another instance                              |
  * | the instance refused the request as not run             | no           | another instance (503), else its answer       |
@@ -14,8 +14,11 @@
  * | an answer                                               | as it says   | the answer is passed on                       |
  * | no answer or an invalid one, after the request was sent | unknown      | another instance if the request may run twice |
  *
- * Limits: at most two instances, since each costs the caller time. The instance that takes the request holds its budget and
- * makes the attempts, so a second relay costs no retry of the fleet's budget here.
+ * If no other instance may be tried, the refusal of the second row is passed on, and any other missing answer becomes an
+ * error.
+ *
+ * Limits: a request is relayed to at most two instances, since each costs the caller time. The instance that takes the
+ * request holds the budget and makes the attempts, so a second relay takes no retry from the fleet's retry budget here.
  */
 
 import type { AttemptOutcome } from './attemptOutcome.js'
@@ -24,25 +27,42 @@
 
 /** The outcome of relaying a request to an instance. */
 export type RelayOutcome =
+  /** No connection to the instance was established. */
   | { readonly kind: 'not-sent' }
-  /** The other instance itself answered that the request has not run. */
+  /** The instance itself answered that the request has not run. */
   | { readonly kind: 'refused'; readonly status: number }
+  /** The instance returned an answer to the request. */
   | { readonly kind: 'answered'; readonly status: number }
+  /** The request was sent, and its answer is missing, incomplete or invalid. */
   | { readonly kind: 'failed'; readonly reason: string }
 
 /** What to do after a relay. */
-export type RelayStep = 'pass-on' | 'ask-another' | 'give-up'
+export type RelayStep =
+  /** Pass the instance's answer or refusal on to the caller. */
+  | 'pass-on'
+  /** Relay the request to one more instance. */
+  | 'ask-another'
+  /** Return an error of this instance. */
+  | 'give-up'
 
+/** Maximum number of instances that one request is relayed to, since each costs the caller time. */
 const MAXIMUM_RELAYS = 2
 const STATUS_UNAVAILABLE = 503
 
-/** Whether no endpoint can have run the request, because no connection was established. Such a request may be relayed. */
+/**
+ * Whether this instance could not connect to any endpoint for a request, so that no endpoint can have run the request and
+ * the request may be relayed. `history` holds the outcomes of all attempts. `isCutOff` says whether this instance has no
+ * connection to any endpoint of the service; a request without an attempt counts only then.
+ */
 export function wasNeverSent(history: readonly AttemptOutcome[], isCutOff: boolean): boolean {
   const isUnconnected = history.every(({ kind }) => kind === 'connect-failed')
   return isUnconnected && (history.length > 0 || isCutOff)
 }
 
-/** Returns the next step after the newest of these outcomes. */
+/**
+ * Returns the next step after the newest of these outcomes, which are ordered from the oldest to the newest. `hasAnother`
+ * says whether an untried instance is left.
+ */
 export function relayStep(
   outcomes: readonly RelayOutcome[],
   route: RepeatableRoute,
@@ -52,19 +72,19 @@
   if (newest?.kind === 'answered') return 'pass-on'
   const mayAsk = hasAnother && outcomes.length < MAXIMUM_RELAYS
   if (mayAsk && mayRelayAgain(newest, route)) return 'ask-another'
-  // Another instance may have run the request before this one refused it, so "not run" must not be passed on.
+  // Another instance may have run the request before the newest one refused it, so "not run" must not be passed on.
   const mayHaveRun = outcomes.some(({ kind }) => kind === 'failed')
   return newest?.kind === 'refused' && !mayHaveRun ? 'pass-on' : 'give-up'
 }
 
-/** Whether the request has not run, or may run twice, so that it may be relayed again. */
+/** Whether the newest outcome allows one more relay, because the request has not run there or may run twice. */
 function mayRelayAgain(outcome: RelayOutcome | undefined, route: RepeatableRoute): boolean {
   if (outcome?.kind === 'refused') return outcome.status === STATUS_UNAVAILABLE
   if (outcome?.kind === 'failed') return canRepeat({ route, isReplyStarted: false })
   return true
 }
 
-/** Returns the outcome as written to the request's log line. */
+/** Returns the outcome as written to the request's log line. The outcome is undefined while the relay is in progress. */
 export function relayOutcomeText(outcome: RelayOutcome | undefined): string {
   switch (outcome?.kind) {
     case undefined:
--- a/packages/decisions/src/retrying/requestQuarantine.ts
+++ b/packages/decisions/src/retrying/requestQuarantine.ts
@@ -6,30 +6,30 @@
  * endpoint, and each of them again after its restart.
  *
  * Inputs: crash marks (request fingerprint, endpoint start, and whether the request was isolated) and clearances, from this
- * instance and from others. The rule uses no times.
+ * instance and from others. An endpoint start is one run of an endpoint: its id and start time. The rule uses no times.
  *
  * A crash has many possible causes, and many harmless requests run at the same endpoint. So a single crash only makes
  * those requests suspect that had no part of an answer yet. A suspect request is still served, but at the one endpoint
  * that all instances choose for it by hash, so that concurrent attempts from several instances cost one endpoint and
  * not several. A crash under an isolated request is the proof: the request is refused everywhere from then on. Any part
- * of an answer clears the request.
+ * of an answer clears the request of the crashes known by then.
  *
- * | crashes while the request was unanswered | verdict | goes to                                        |
- * | ---------------------------------------- | ------- | ---------------------------------------------- |
- * | none                                     | send    | the best endpoint                              |
- * | one or more, sent normally               | isolate | the endpoint that its hash selects             |
- * | one or more, sent in isolation           | refuse  | none, until an answer or an operator clears it |
+ * | uncleared crashes while the request was unanswered | verdict | goes to                                        |
+ * | -------------------------------------------------- | ------- | ---------------------------------------------- |
+ * | none                                               | send    | the best endpoint                              |
+ * | one or more, all sent normally                     | isolate | the endpoint that its hash selects             |
+ * | one or more sent in isolation                      | refuse  | none, until an answer or an operator clears it |
  *
  * Limits: several crashes at once (a rack without power) prove nothing, since the request was not isolated at any of
  * them. A request whose answer had begun is not suspected. The crashes and clearances of a request are sets that only
- * grow, so instances that learn of them in any order reach the same verdict.
+ * grow, so instances that learn of them in any order reach the same verdict, up to the maximum numbers held.
  */
 
 import type { EndpointStart, PromptPartKey, RequestFingerprint } from '@rackwalk/shared'
 import type { QuarantineVerdict } from './quarantineVerdict.js'
 import type { PartCrash } from './promptPartQuarantine.js'
 
-/** Says that an endpoint crashed while a request was there and had no part of an answer. */
+/** Records that an endpoint crashed while a request was there and had no part of an answer. */
 export interface CrashMark {
   readonly fingerprint: RequestFingerprint
   readonly start: EndpointStart
@@ -43,36 +43,40 @@
   readonly starts: readonly EndpointStart[]
 }
 
-/** What an instance has found out about crashes, for all other instances. */
+/** A gossip message: what an instance has found out about crashes, for all other instances. */
 export interface CrashGossip {
   readonly marks: readonly CrashMark[]
   readonly cleared: readonly ClearedRequest[]
-  /** Requests that were reset by endpoints which are being probed. */
+  /** Requests that were reset by endpoints which the sender is probing. */
   readonly suspected?: readonly CrashMark[]
-  /** Terminated starts at whose address a front listens that did not answer a moment ago. */
+  /**
+   * Terminated starts whose address still accepts connections and did not answer a moment ago. A front (a proxy or load
+   * balancer in front of the engine) listens there.
+   */
   readonly away?: readonly EndpointStart[]
-  /** Starts that were probed for a reset and are alive. */
+  /** Starts that were probed after a reset and are alive. */
   readonly lives?: readonly EndpointStart[]
-  /** Crashes, with the prompt parts that were unanswered there. */
+  /** Crashes, each with the prompt parts that were unanswered at the endpoint. */
   readonly partEnds?: readonly PartCrash[]
   /** Prompt parts that are refused from now on. */
   readonly deadlyParts?: readonly PromptPartKey[]
-  /** Prompt parts that are cleared because a request with them was answered. */
+  /** Prompt parts that are cleared because an answer to a request with them has begun. */
   readonly soundParts?: readonly PromptPartKey[]
   /** Refused prompt parts of which a request is sent as a trial, to see whether they still crash endpoints. */
   readonly triedParts?: readonly PromptPartKey[]
 }
 
+/** What is held about one request. */
 interface SuspectRequest {
   /** For each start that crashed: whether the request was isolated there. */
   readonly crashes: Map<EndpointStart, boolean>
-  /** Starts of whose crashes the request was cleared. They are kept, since gossip of those crashes may arrive late. */
+  /** Starts of whose crashes the request was cleared. They are kept, since gossip about those crashes may arrive late. */
   readonly cleared: Set<EndpointStart>
 }
 
 /**
  * Maximum number of requests held, so that a caller who sends many different ones cannot fill the memory. Beyond it an
- * instance forgets the oldest, requests that are only suspected first.
+ * instance forgets the least recently updated request that is not refused, or else the least recently updated of all.
  */
 const MAXIMUM_REQUESTS = 4_096
 /**
@@ -80,17 +84,20 @@
  * its path and team are under suspicion, since hashing takes time.
  */
 export const SCOPE_PREFIX_LENGTH = 6
-/** Maximum number of crashes held per request. A refused request usually has two or three. */
+/**
+ * Maximum number of crashes held per request, and of clearances. A refused request usually has two or three crashes. Cleared
+ * crashes are included: a request with this many crashes takes no mark of a further start.
+ */
 const MAXIMUM_CRASHES = 16
 
 /** The crash marks and verdicts of requests that one instance holds. */
 export class RequestQuarantine {
-  /** Ordered from the least to the most recently touched request. */
+  /** Ordered by the newest mark or clearance, the least recent first. */
   private readonly requests = new Map<RequestFingerprint, SuspectRequest>()
-  /** Suspected and refused requests, by the scope prefix of their fingerprints. */
+  /** Isolated and refused requests, by the scope prefix of their fingerprints. */
   private readonly scopes = new Map<string, Set<RequestFingerprint>>()
 
-  /** Whether a request with this scope prefix may be suspected. Otherwise the caller need not hash its body. */
+  /** Whether an isolated or refused request has this scope prefix. If none has, the caller need not hash the body. */
   hasSuspectsInScope(scope: string): boolean {
     return this.scopes.has(scope)
   }
@@ -100,7 +107,7 @@
     return this.fingerprints.filter(fingerprint => this.verdict(fingerprint) === 'refuse').length
   }
 
-  /** Fingerprints of all requests held, the least recently touched first. */
+  /** Fingerprints of all requests held, including cleared ones, the least recently updated first. */
   get fingerprints(): readonly RequestFingerprint[] {
     return [...this.requests.keys()]
   }
@@ -112,14 +119,17 @@
     return crashes.some(([, wasIsolated]) => wasIsolated) ? 'refuse' : 'isolate'
   }
 
-  /** Returns the marks of the crashes of which a request is not cleared. */
+  /** Returns the crash marks of which a request is not cleared. */
   openMarksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
     return this.unclearedCrashes(fingerprint).map(([start, wasIsolated]) => {
       return { fingerprint, start, wasIsolated }
     })
   }
 
-  /** Records a crash mark. Marks may arrive in any order. Returns false if the mark adds nothing. */
+  /**
+   * Records a crash mark. Marks may arrive in any order. Returns false if the mark is known already, says less than a known
+   * one, or exceeds the maximum number of crashes.
+   */
   noteMark({ fingerprint, start, wasIsolated }: CrashMark): boolean {
     const { crashes } = this.touch(fingerprint)
     const known = crashes.get(start)
@@ -130,13 +140,14 @@
     return true
   }
 
-  /** Clears a request of the crashes of these starts, because a part of it was answered or an operator cleared it. */
+  /** Clears a request of the crashes of these starts, because its answer has begun or an operator cleared the request. */
   clear(fingerprint: RequestFingerprint, starts: readonly EndpointStart[]): void {
     const { cleared } = this.touch(fingerprint)
     for (const start of starts) if (cleared.size < MAXIMUM_CRASHES) cleared.add(start)
     this.updateScope(fingerprint)
   }
 
+  /** Updates `scopes` after the verdict on a request may have changed. */
   private updateScope(fingerprint: RequestFingerprint): void {
     const scope = fingerprint.slice(0, SCOPE_PREFIX_LENGTH)
     const suspects = this.scopes.get(scope) ?? new Set()
@@ -152,6 +163,7 @@
     return [...known.crashes].filter(([start]) => !known.cleared.has(start))
   }
 
+  /** Returns a request as the most recent one, and creates its entry if there is none. */
   private touch(fingerprint: RequestFingerprint): SuspectRequest {
     const known = this.requests.get(fingerprint) ?? { crashes: new Map(), cleared: new Set() }
     this.requests.delete(fingerprint)
@@ -160,7 +172,7 @@
     return known
   }
 
-  /** Forgets the oldest request that is not refused, or else the oldest of all. */
+  /** Forgets the least recently updated request that is not refused, or else the least recently updated of all. */
   private forgetOne(): void {
     const { fingerprints } = this
     const unrefused = fingerprints.find(candidate => this.verdict(candidate) !== 'refuse')
--- a/packages/decisions/src/retrying/streamResumption.ts
+++ b/packages/decisions/src/retrying/streamResumption.ts
@@ -1,12 +1,13 @@
 /**
- * Decides at which software version a stream is resumed when its caller reconnects.
+ * Decides at which software version a stream is resumed when its caller reconnects. Also decides whether other instances
+ * must be asked for that version, and whether they must remember it.
  *
  * Load pattern: a new version of the endpoints' software is rolled out through a service while endpoints and instances
  * terminate under their streams. Callers reconnect at any instance, mostly not the one that served them. The output of two
  * versions does not fit together, so a stream resumed at the wrong version would be corrupt.
  *
- * Inputs: the origins of the stream (service and software version where it began) that this instance and its peers
- * remember, the versions that served recently, and whether the store or a peer has confirmed them.
+ * Inputs: the origins of the stream (service and software version where the stream began) that this instance and its peers
+ * remember, the versions that served recently, and whether the store or a peer has confirmed these versions.
  *
  * | remembered origins         | versions that served recently | confirmed by   | the stream is resumed at |
  * | -------------------------- | ----------------------------- | -------------- | ------------------------ |
@@ -17,9 +18,9 @@
  * | none                       | several                       | any or none    | nowhere                  |
  * | none                       | none                          | any or none    | nowhere                  |
  *
- * Limits: an instance that hears from neither the store nor peers does not know which versions were added since, so it
- * resumes only streams whose origin it remembers itself. A version counts as recent for as long as a caller may come
- * back to a stream.
+ * Limits: an instance that hears from neither the store nor its peers does not know which versions were added since its
+ * last contact, so it resumes only streams whose origin it remembers itself. A version counts as recent for as long as a
+ * caller may come back to a stream.
  */
 
 import type { Milliseconds, SoftwareVersion } from '@rackwalk/shared'
@@ -32,18 +33,26 @@
 
 /** What this instance and the peers that answered it know about a stream to be resumed. */
 export interface ResumptionKnowledge {
-  /** Every remembered origin of the stream, possibly the same one several times. */
+  /** Every origin of the stream that this instance or a peer remembers, possibly the same one several times. */
   readonly origins: readonly StreamOrigin[]
-  /** Software versions of the service that served recently. */
+  /** Software versions of the service that served recently, possibly the same one several times. */
   readonly versions: readonly SoftwareVersion[]
-  /** Whether the store reported endpoints a moment ago or another instance answered. */
+  /** Whether this instance read the list of endpoints from the store a moment ago, or another instance answered it. */
   readonly isConfirmed: boolean
 }
 
 /** How the origin became known, or why it is unknown. */
-export type OriginSource = 'remembered' | 'only-version' | 'contradictory' | 'unknown'
+export type OriginSource =
+  /** This instance or a peer remembers the origin. */
+  | 'remembered'
+  /** Only one software version has served recently, so the stream must have begun there. */
+  | 'only-version'
+  /** Several different origins are remembered. */
+  | 'contradictory'
+  /** No origin is remembered, and no single confirmed version is known. */
+  | 'unknown'
 
-/** Where a stream is resumed. Without an origin it is not resumed. */
+/** Where a stream is resumed. A stream whose origin is undefined is not resumed. */
 export interface Resumption {
   readonly origin: StreamOrigin | undefined
   readonly source: OriginSource
@@ -51,18 +60,18 @@
 
 /** What one instance knows about the software versions of a service. */
 export interface ServiceVersions {
-  /** The versions that served recently. */
+  /** The versions that served recently, each once. */
   readonly versions: readonly SoftwareVersion[]
-  /** Time since the service was first seen. */
+  /** Time since this instance first learned of the service. */
   readonly knownForMilliseconds: Milliseconds
-  /** Whether the store reported endpoints a moment ago. */
+  /** Whether this instance read the list of endpoints from the store a moment ago. */
   readonly isFresh: boolean
 }
 
-/** Time for which a caller may come back to a stream. */
+/** Time for which a caller may come back to a stream after its connection broke. Versions count as recent for this time. */
 export const RESUMPTION_WINDOW_MILLISECONDS: Milliseconds = 30_000
 
-/** Returns where a stream of a service is resumed. */
+/** Returns where a stream of a service is resumed, according to the table in the module head. */
 export function resolveResumption(service: string, knowledge: ResumptionKnowledge): Resumption {
   const { versions, isConfirmed } = knowledge
   const [origin, other] = differentOrigins(knowledge.origins)
@@ -74,7 +83,11 @@
   return { origin: { service, softwareVersion }, source: 'only-version' }
 }
 
-/** Whether all resumable streams of a service began at the same software version, as far as can be known. */
+/**
+ * Whether all resumable streams of a service must have begun at the same software version, so that no other instance need
+ * be asked. The one version must be confirmed by the store, and the service must have been known for longer than a caller
+ * may come back to a stream.
+ */
 export function hasSingleVersion({
   versions,
   knownForMilliseconds,
@@ -83,11 +96,12 @@
   return versions.length === 1 && isFresh && knownForMilliseconds >= RESUMPTION_WINDOW_MILLISECONDS
 }
 
-/** Whether several versions serve, so that other instances must remember at which one a stream began. */
+/** Whether several versions have served recently, so that other instances must remember at which one a stream began. */
 export function hasMixedVersions(versions: readonly SoftwareVersion[]): boolean {
   return versions.length > 1
 }
 
+/** Returns the origins without repetitions. */
 function differentOrigins(origins: readonly StreamOrigin[]): readonly StreamOrigin[] {
   return origins.filter((origin, index) => {
     return origins.findIndex(other => isSameOrigin(origin, other)) === index
--- a/packages/decisions/src/retrying/terminationSigns.ts
+++ b/packages/decisions/src/retrying/terminationSigns.ts
@@ -1,43 +1,57 @@
 /**
- * Decides which exchanges with an endpoint start are terminated by a sign that the start may be over, and which signs make
- * this instance probe the endpoint's state.
+ * Decides what follows from a sign that an endpoint start (one run of an endpoint: its id and start time) may be over:
+ * - which exchanges with the start are terminated (`isTerminatedBy`),
+ * - whether this instance probes the endpoint's state (`isAsked`), how often (`requiresAnotherProbe`), and which sign the
+ *   results give (`signOfProbes`),
+ * - which exchanges may have caused the crash (`wasInFlightAtCrash`).
  *
- * Load pattern: an engine terminates behind a front that holds the requests sent to it. Nothing resets these exchanges,
- * so without this rule each of them waits until its deadline although no answer can come. On the other hand, a draining
- * endpoint may close its listener or lose its row and still serve, and a slow or full one fails a short probe while it
- * works.
+ * Load pattern: an engine terminates behind a front (a proxy or load balancer in front of the engine) that holds the
+ * requests sent to the engine. Nothing resets these exchanges, so without this rule each of them waits until its deadline
+ * although no answer can come. On the other hand, a draining endpoint may close its listener or lose its row and still
+ * serve, and a slow or full one fails a short probe while it works.
  *
- * Inputs: the sign, the state of each exchange, when the probe (or the proof) took place, and when the endpoint was last
- * heard from. All times are monotonic milliseconds.
+ * Inputs: the sign, the state of each exchange, the results of the state probes and their age, when the newest probe began
+ * (or when a proof was seen), and when the endpoint was last heard from. All times are monotonic milliseconds.
  *
- * | sign                                                                | retryable  | final      | started    | probe |
- * | ------------------------------------------------------------------- | ---------- | ---------- | ---------- | ----- |
- * | `replaced`: the endpoint's row names a new start                    | terminated | terminated | terminated |       |
- * | `misdirected`: another server answers at the address                | terminated | terminated | terminated |       |
- * | `silent`: the state probe is held or fails                          | terminated |            |            |       |
- * | `still-silent`: the same for longer, or twice without gossip        | terminated | terminated |            |       |
- * | `cut-off`: not listed, and no connection can be established, twice  | terminated |            |            |       |
- * | `away`: another instance's short probes found the engine gone       |            |            |            | yes   |
- * | `broke-off`: the endpoint interrupted an answer that had begun      |            |            |            | yes   |
- * | `unlisted`: the endpoint's row is gone without announcement         |            |            |            | yes   |
- * | `nobody-listens`: seen by a probe or by a new connection            |            |            |            |       |
- * | `turned-away`: the endpoint closes or resets the probe's connection |            |            |            |       |
+ * | sign                                                                    | retryable  | final      | started    | probe |
+ * | ----------------------------------------------------------------------- | ---------- | ---------- | ---------- | ----- |
+ * | `replaced`: the endpoint's row names a new start                        | terminated | terminated | terminated |       |
+ * | `misdirected`: another server answers at the address                    | terminated | terminated | terminated |       |
+ * | `silent`: a state probe failed or was held for 200 ms                   | terminated |            |            |       |
+ * | `still-silent`: the newest one failed or was held for 500 ms (see text) | terminated | terminated |            |       |
+ * | `cut-off`: unlisted; no connection in the second probe                  | terminated |            |            |       |
+ * | `away`: gossip that short probes got no answer from the engine          |            |            |            | yes   |
+ * | `broke-off`: the endpoint interrupted an answer that had begun          |            |            |            | yes   |
+ * | `unlisted`: the endpoint's row is gone without announcement             |            |            |            | yes   |
+ * | `nobody-listens`: a probe or a new connection was refused               |            |            |            |       |
+ * | `turned-away`: the probe's connection was closed or reset               |            |            |            |       |
  *
  * "Retryable": the request may be repeated or resumed elsewhere. "Final": it may not, and its caller has received nothing.
  * "Started": it may not, and its caller has a part of the answer. "Probe": the sign itself terminates nothing, and this
- * instance probes the endpoint's state.
+ * instance probes the endpoint's state if at least one exchange in flight is retryable or final.
  *
- * Gossip carries no time, so gossip terminates nothing. The probe that follows it is made by this instance and
- * terminates only exchanges that were sent before that probe. An engine that is back between another instance's probe
- * and its gossip answers the probe. A dead process resets its own connections, so `nobody-listens` needs no action.
+ * `replaced` and `misdirected` are proofs: they hold whatever arrives later. Every other sign terminates an exchange only
+ * if nothing has arrived in the exchange or from the endpoint since the probe began. A paused exchange, whose caller accepts
+ * no data at present, is terminated by no sign, not even by a proof: its whole answer may already have arrived unread.
  *
- * Limits: a host without power whose row is still listed is not probed. A stream that cannot be resumed is cut only by a
- * proof, since a long silence may be the prefill of a long prompt.
+ * A state probe asks the endpoint for its state without taking a slot. It fails if the answer is an error, and is held if
+ * the connection is established and no answer arrives. `still-silent` takes one probe after `away`, and two after
+ * `broke-off` or `unlisted`. The second probe follows if the first one failed, was held or, after `unlisted`, got no
+ * connection. Only the result of the newest probe counts, so after `unlisted` one probe without a connection and one that
+ * failed or was held can give `still-silent` as well as `cut-off`, depending on their order.
+ *
+ * Gossip (messages that instances send each other) carries no time, so gossip terminates nothing. The probe that gossip
+ * causes is made by this instance and terminates only exchanges that were sent before that probe. An engine that came back
+ * between another instance's probe and its gossip answers the probe. A dead process resets its own connections, so
+ * `nobody-listens` needs no action. A full endpoint may close or reset a probe's connection, so `turned-away` has no effect.
+ *
+ * Limits: a host without power whose row is still listed is not probed. A stream that cannot be resumed is terminated only
+ * by a proof, since a long silence may be the prefill of a long prompt.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** A sign that an endpoint start is over, or may be. */
+/** An observation which shows, or may show, that an endpoint start is over. The module head lists what each one causes. */
 export type TerminationSign =
   | 'replaced'
   | 'misdirected'
@@ -53,13 +67,14 @@
 /** The result of a state probe so far. */
 export type StateProbeResult =
   | 'lives'
-  /** The endpoint answers with an error, so there is no engine behind it. */
+  /** The address answers with a server error (status 500 or more), so the front has no working engine behind it. */
   | 'fails'
-  /** The endpoint closes or resets the connection. */
+  /** The connection was established, then closed or reset without an answer. */
   | 'turned-away'
   | 'nobody-listens'
-  /** The connection is established, and no answer arrives. */
+  /** The connection is established, and no answer has arrived yet. */
   | 'held'
+  /** No connection has been established, and the address did not refuse one. */
   | 'no-connection'
 
 /** An exchange whose answer is not complete. */
@@ -76,33 +91,48 @@
   readonly isPaused: boolean
 }
 
-/** When a sign was seen and when the endpoint was last heard from. */
+/** When the evidence behind a sign was requested or seen, and when the endpoint was last heard from. */
 export interface SignEvidenceTimes {
-  /** Monotonic time at which the state probe began, or of the proof. */
+  /** Monotonic time at which the state probe behind the sign began. For a proof, the time at which the proof was seen. */
   readonly askedAt: Milliseconds
   /** Monotonic time at which anything last arrived from the endpoint. */
   readonly heardAt: Milliseconds
 }
 
-type ExchangeClass = 'goes-on' | 'refused' | 'cut'
+/** What becomes of an exchange's request and caller if the exchange is terminated. */
+type ExchangeClass =
+  /** "Retryable": the request is repeated or resumed at another endpoint. */
+  | 'goes-on'
+  /** "Final": the caller gets an error in place of an answer. */
+  | 'refused'
+  /** "Started": the answer that the caller has begun to receive stays incomplete. */
+  | 'cut'
 
 interface SignRule {
   /** The classes of exchanges that the sign terminates. */
   readonly terminates: readonly ExchangeClass[]
-  /** Whether the sign proves the termination, whatever was received since. */
+  /** Whether the sign proves the termination, so that data received since `askedAt` does not cancel the sign. */
   readonly isProof: boolean
+  /** Whether the sign makes this instance probe the endpoint's state. */
   readonly requiresProbe: boolean
 }
 
-/** A usual engine answers a state probe within this time. */
+/** Time within which an engine usually answers a state probe. A probe that is held for longer gives the sign `silent`. */
 export const PROBE_TIMEOUT_MILLISECONDS: Milliseconds = 200
-/** A slow engine answers a state probe within this time as well. */
+/** Time within which even a slow engine answers a state probe. A probe held for longer can give the sign `still-silent`. */
 export const LONG_PROBE_TIMEOUT_MILLISECONDS: Milliseconds = 500
-/** Number of probes of an unlisted endpoint that must get no connection before it counts as cut off. */
+/** Number of probes of an unlisted endpoint after which a newest probe without a connection gives the sign `cut-off`. */
 const UNCONNECTED_PROBES = 2
-/** Number of unanswered probes in a row required without gossip. An instance that sends gossip has already probed twice. */
+/**
+ * Number of probes that must have been made for the sign `still-silent` if no gossip triggered them. After gossip one
+ * probe is enough, since the instance that sent the gossip has already probed twice.
+ */
 const PROBES_WITHOUT_GOSSIP = 2
-/** Time from the termination of an engine to the gossip of it: two probes and the transmission. */
+/**
+ * Time from the termination of an engine to the arrival of gossip about the termination. The sender's crash detector makes
+ * two liveness probes first, about 25 ms apart. Each is held for up to 100 ms, less than the state probes of this module.
+ * The rest is for the transmission.
+ */
 const GOSSIP_DELAY_MILLISECONDS: Milliseconds = 300
 
 const NO_EFFECT: SignRule = { terminates: [], isProof: false, requiresProbe: false }
@@ -125,7 +155,10 @@
   'turned-away': NO_EFFECT,
 }
 
-/** Whether this sign makes the instance probe the endpoint's state, given the exchanges in flight there. */
+/**
+ * Whether a sign makes this instance probe the endpoint's state. No probe is made if every exchange in flight there is
+ * "started", since no probe result could terminate those.
+ */
 export function isAsked(sign: TerminationSign, exchanges: readonly InFlightState[]): boolean {
   return (
     SIGN_RULES[sign].requiresProbe &&
@@ -133,7 +166,10 @@
   )
 }
 
-/** Whether a sign terminates an exchange. */
+/**
+ * Whether a sign terminates an exchange. A sign that is no proof terminates nothing if anything arrived after
+ * `times.askedAt`, either in the exchange or from its endpoint.
+ */
 export function isTerminatedBy(
   exchange: InFlightState,
   sign: TerminationSign,
@@ -151,8 +187,8 @@
 }
 
 /**
- * Returns the sign that follows from the newest of all probes that one sign has triggered. `elapsed` is the time since
- * the newest probe was sent.
+ * Returns the sign that follows from the probes which one sign (`trigger`) has caused, or undefined if none follows yet.
+ * `probes` holds their results, the newest last. `elapsed` is the time since the newest probe was sent, in milliseconds.
  */
 export function signOfProbes(
   trigger: TerminationSign,
@@ -178,7 +214,7 @@
   return hasFailed || elapsed >= PROBE_TIMEOUT_MILLISECONDS ? 'silent' : undefined
 }
 
-/** Whether one more probe follows these. */
+/** Whether one more probe follows those that `trigger` has caused so far. `probes` holds their results, the newest last. */
 export function requiresAnotherProbe(
   trigger: TerminationSign,
   probes: readonly StateProbeResult[],
@@ -191,14 +227,15 @@
   return isUnanswered && probes.length < requiredProbes(trigger)
 }
 
-/** Returns how many probes must go unanswered before requests that may run only once are terminated. */
+/** Returns how many probes must have been made before exchanges whose requests may run only once are terminated. */
 function requiredProbes(trigger: TerminationSign): number {
   return trigger === 'away' ? 1 : PROBES_WITHOUT_GOSSIP
 }
 
 /**
- * Whether an exchange was at its endpoint when that crashed, and was not sent to its front afterwards. Only such an
- * exchange can have caused the crash. `brokenAt` is when the first reset was seen here, or undefined if none was.
+ * Whether an exchange may have been at its endpoint when the endpoint crashed. An exchange that was sent later reached
+ * only the front, and cannot have caused the crash. `brokenAt` is when this instance saw the endpoint's first reset, or
+ * undefined if this instance saw none. `knownAt` is when the termination became known, and is used only in the latter case.
  */
 export function wasInFlightAtCrash(
   { sentAt }: Pick<InFlightState, 'sentAt'>,
