--- a/packages/decisions/src/stopping/answerCompleteness.ts
+++ b/packages/decisions/src/stopping/answerCompleteness.ts
@@ -1,12 +1,13 @@
 /**
- * Decides whether an endpoint's answer is proven complete, and what becomes of an answer that is not.
+ * Decides whether an endpoint's answer is proven complete, what becomes of an answer that is not, and whether the end of an
+ * incomplete answer counts as a failure of its endpoint.
  *
  * Inputs: how the answer is framed, how reading it ended, whether its body is truncated, whether the route allows the
  * request to run again, and whether the caller has a part of the answer.
  *
- * An answer is complete only if its own framing says so, and never merely because it ended without an error. A complete
- * answer is passed on whatever happens afterwards, and nothing else is framed as complete. Without this rule a caller
- * could take a truncated answer for a complete one.
+ * An answer is complete only if its own framing says so and its body is not truncated, and never merely because reading it
+ * ended without an error. A complete answer is passed on whatever happens afterwards, and no other answer is framed as
+ * complete. Without this rule a caller could take a truncated answer for a complete one.
  */
 
 import type { RepeatableRoute } from '../retrying/retryStep.js'
@@ -14,16 +15,16 @@
 
 /** How an answer indicates its end. */
 export type AnswerFraming =
-  /** By a content length in bytes. */
+  /** The Content-Length header field says how many bytes the body has. */
   | 'length'
-  /** By a last chunk. */
+  /** The body is sent in chunks and ends with the last chunk. */
   | 'chunks'
-  /** By the closing of its connection. */
+  /** The body ends when the endpoint closes the connection. */
   | 'connection'
-  /** The status or the method says that no body follows. */
+  /** No body follows, because of the status or the request's method. */
   | 'bodiless'
 
-/** The event that ended the reading of an answer, whichever happened first. */
+/** The event that ended the reading of an answer. If several happened, the first one. */
 export type AnswerEnd =
   /** All bytes of the content length, or the last chunk, have arrived. */
   | 'complete'
@@ -31,41 +32,45 @@
   | 'closed'
   /** The connection was reset, or its bytes were no valid answer. */
   | 'reset'
-  /** Nothing arrived for too long. */
+  /** No data arrived for too long. */
   | 'silence'
   /** The endpoint is known to have terminated, and nothing reset the connection. */
   | 'endpoint-ended'
-  /** This instance gave the answer up while the caller waits. */
+  /** This instance gave the answer up while the caller still waits. */
   | 'aborted'
+  /** The request's deadline passed. */
   | 'deadline'
+  /** The caller disconnected. */
   | 'caller-left'
+  /** This instance stopped. */
   | 'instance-stopped'
+  /** New settings replaced those under which the answer was read. */
   | 'settings-replaced'
 
 /** An answer whose reading has ended. */
 export interface EndedAnswer {
   readonly framing: AnswerFraming
   readonly end: AnswerEnd
-  /** Whether the content of the body is incomplete: the end of an event or the event that closes its stream is missing. */
+  /** Whether a body of events is incomplete: the end of an event, or the event that closes the stream, is missing. */
   readonly isBodyTruncated: boolean
 }
 
 /** What becomes of an answer and its request. */
 export type AnswerDisposition =
-  /** Passed on and framed as complete. */
+  /** The answer is passed on and framed as complete. */
   | 'whole'
   /** Another endpoint resumes after the last event that the caller has. */
   | 'continued'
   /** Another endpoint runs the request from its beginning. */
   | 'repeated'
-  /** Broken off, so that the caller can see that it is incomplete. */
+  /** The answer to the caller is broken off, so that the caller can see that it is incomplete. */
   | 'cut'
   /** The caller gets an error in place of the answer. */
   | 'refused'
-  /** No caller waits for it. */
+  /** The answer is discarded, since its caller has disconnected. */
   | 'dropped'
 
-/** The only end that proves an answer complete, by its framing. */
+/** For each framing, the only end that proves an answer complete. */
 const COMPLETE_ENDS: Readonly<Record<AnswerFraming, AnswerEnd>> = {
   length: 'complete',
   chunks: 'complete',
@@ -73,13 +78,10 @@
   bodiless: 'complete',
 }
 
-/**
- * Ends after which no other endpoint is tried, since no caller waits any more or this instance cannot deliver an
- * answer.
- */
+/** Ends after which no other endpoint is tried, since no caller waits any more or this instance cannot deliver an answer. */
 const FINAL_ENDS: ReadonlySet<AnswerEnd> = new Set(['deadline', 'caller-left', 'instance-stopped'])
 
-/** Ends that this instance or its caller caused. */
+/** Ends that this instance, its settings, the deadline or the caller caused, and not the endpoint. */
 const LOCAL_ENDS: ReadonlySet<AnswerEnd> = new Set([
   'aborted',
   'deadline',
@@ -88,7 +90,7 @@
   'settings-replaced',
 ])
 
-/** Whether an incomplete answer counts as a failure of its endpoint. */
+/** Whether the end of an incomplete answer counts as a failure of its endpoint. */
 export function isEndpointFailure({ end }: EndedAnswer): boolean {
   return !LOCAL_ENDS.has(end)
 }
@@ -98,7 +100,10 @@
   return end === COMPLETE_ENDS[framing] && !isBodyTruncated
 }
 
-/** Returns what becomes of an answer, as far as the attempts, the endpoints and the retry budget allow. */
+/**
+ * Returns what becomes of an answer and its request. `'continued'` and `'repeated'` say what the route allows. Whether
+ * another endpoint is in fact tried also depends on the attempts so far, the endpoints left and the retry budget.
+ */
 export function answerDisposition(
   answer: EndedAnswer,
   request: { readonly route: RepeatableRoute; readonly isReplyStarted: boolean },
--- a/packages/decisions/src/stopping/answerFraming.ts
+++ b/packages/decisions/src/stopping/answerFraming.ts
@@ -3,11 +3,13 @@
  *
  * Inputs: the request's method, and the answer's status and framing header fields. Without the framing a truncated answer
  * cannot be told from a complete one.
+ *
+ * Limits: the answer to a CONNECT request, which has no body if its status is 2xx, is not treated in a special way.
  */
 
 import type { AnswerFraming } from './answerCompleteness.js'
 
-/** The head of an answer and the method of its request. */
+/** The parts of an answer's head that determine its framing, and the method of its request. */
 export interface AnswerHead {
   readonly method: string
   readonly status: number
@@ -17,14 +19,15 @@
   readonly contentLength: string | undefined
 }
 
+/** Lowest status of a final answer. Interim answers have lower ones and no body. */
 const STATUS_OK = 200
 const STATUS_NO_CONTENT = 204
 const STATUS_NOT_MODIFIED = 304
 const LAST_CODING_CHUNKED = /(^|,)\s*chunked\s*$/i
 
 /**
- * Returns the framing of an answer. A transfer coding takes precedence over a content length. Unless its last coding is
- * chunked, it does not indicate the end.
+ * Returns the framing of an answer. A Transfer-Encoding field takes precedence over a content length. Unless the last coding
+ * in that field is chunked, the answer ends with its connection. The value of a content length is not checked here.
  */
 export function answerFraming(head: AnswerHead): AnswerFraming {
   const { transferEncoding, contentLength } = head
@@ -35,6 +38,7 @@
   return contentLength === undefined ? 'connection' : 'length'
 }
 
+/** Whether no body follows: after HEAD, and for status 204, 304 or one below 200. */
 function isBodiless({ method, status }: AnswerHead): boolean {
   if (method === 'HEAD' || status < STATUS_OK) return true
   return status === STATUS_NO_CONTENT || status === STATUS_NOT_MODIFIED
--- a/packages/decisions/src/stopping/finalError.ts
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -5,8 +5,9 @@
  * has passed. Waiting times are in milliseconds.
  *
  * The error says "not run" only if no attempt can have run the request, since a caller may safely send such a request
- * again. If several attempts failed, the newest of those that may have run the request determines the error. Without
- * this rule a request that must run only once could run twice.
+ * again. A disconnected caller or a passed deadline determines the error before anything else, then the reason for which
+ * no endpoint was chosen. After that, the newest failed attempt that may have run the request determines the error, or else
+ * the newest answered one. Without this rule a request that must run only once could run twice.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -17,6 +18,7 @@
 import { mayHaveRun } from '../retrying/attemptOutcome.js'
 import { claimsNotExecuted } from '../retrying/retryStep.js'
 
+/** The result code for each reason for which an endpoint may receive nothing from this instance. */
 const CODE_OF_REFUSAL = {
   cold: ResultCode.WarmingUp,
   rate: ResultCode.RateNamed,
@@ -25,11 +27,13 @@
 
 /** Why no endpoint was chosen. */
 export type NoEndpointReason =
+  /** No endpoint of the service is listed. */
   | { readonly kind: 'none-listed' }
+  /** Endpoints of the service are listed, but none has room. */
   | { readonly kind: 'none-with-room' }
   /**
-   * No endpoint with room may receive requests from this instance now. `refusal` is the one that ends first; `chance` in
-   * [0, 1) spreads the callers' returns.
+   * No endpoint with room may receive requests from this instance now. `refusal` is the endpoints' refusal that ends first.
+   * `chance` is a random number in [0, 1) that spreads the times at which callers return.
    */
   | { readonly kind: 'none-permitted'; readonly refusal: SendRefusal; readonly chance: number }
   /** Endpoints crashed under the request, and it is not sent to another one. */
@@ -38,12 +42,16 @@
 /** A request that ended without a complete answer. */
 export interface EndedRequest {
   readonly service: string
-  /** Outcomes of all attempts, the newest last. An attempt that was in progress when the request ended has none. */
+  /** Outcomes of all attempts, the newest last. An attempt that was in progress when the request ended is left out. */
   readonly history: readonly AttemptOutcome[]
+  /** Whether the caller has disconnected. */
   readonly isCallerGone: boolean
   /** Whether the deadline has passed. */
   readonly isLate: boolean
-  /** Why no endpoint was chosen before any attempt had reached one, or undefined if one was chosen. */
+  /**
+   * Why no endpoint was chosen, if no attempt can have run the request. Undefined if an endpoint was chosen, or if the
+   * outcomes of the attempts give the better error.
+   */
   readonly noChoice: NoEndpointReason | undefined
 }
 
@@ -54,6 +62,10 @@
   return errorAfter(request)
 }
 
+/**
+ * Returns the error after the deadline. It says "not run" only if no attempt got a connection; an attempt that the endpoint
+ * refused as not run counts as sent here.
+ */
 function lateError({ history }: EndedRequest): RackwalkError {
   const wasSent = history.some(({ kind }) => kind !== 'connect-failed')
   if (wasSent) return new DispatchedError(ResultCode.DeadlinePassed)
@@ -87,7 +99,8 @@
 
 /**
  * Returns the error for the case that no endpoint with room may receive requests from this instance now. Callers who are
- * refused together must not return together, so `chance` in [0, 1) spreads their returns.
+ * refused together must not return together, so `chance`, a random number in [0, 1), makes the time after which a caller is
+ * asked to return (Retry-After) one to two times the refusal's wait.
  */
 export function allRefusedError(
   service: string,
@@ -98,11 +111,12 @@
   return new NotRunError(CODE_OF_REFUSAL[refusal.kind], service, returnAfter)
 }
 
-/** Whether an outcome is a failure. An answer is one only if it must not be passed on. */
+/** Whether an outcome is a failure. An answer is a failure only if its status forbids passing it on. */
 function isFailure(outcome: AttemptOutcome): boolean {
   return outcome.kind !== 'answered' || claimsNotExecuted(outcome.status)
 }
 
+/** Returns the error after an attempt that may have run the request. */
 function errorOfRun(outcome: AttemptOutcome): RackwalkError {
   switch (outcome.kind) {
     case 'broke-off':
