--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * The rules by which requests are placed, admitted, retried and given up. They are pure functions and small state machines
- * over plain snapshots, without I/O, timers or logging. docs/decisions.md lists them.
+ * The rules by which requests are placed, admitted, retried and given up, and by which an instance shuts down. They are pure
+ * functions and small state machines over plain data, without I/O, timers or logging; callers pass the time and random
+ * numbers in. docs/decisions.md lists the rules.
  */
 export { rankEndpoints } from './choosing/endpointChoice.js'
 export type { EndpointSnapshot } from './choosing/endpointChoice.js'
