--- a/packages/decisions/src/admitting/abandonedRequests.ts
+++ b/packages/decisions/src/admitting/abandonedRequests.ts
@@ -1,22 +1,25 @@
 /**
- * Decides how long an instance waits before it sends a request on, so that requests whose callers
- * have already given up are not sent.
+ * Decides how long an instance waits before it sends a request to an endpoint, so that requests
+ * whose callers have already left are not sent.
  *
- * Load pattern: all callers of a busy team stay with one weak instance. Once requests queue at the
- * instance for longer than their callers wait, each request is read after its caller has left. If
- * the instance sends these requests on all the same, they take the processor, the link and an
- * endpoint's time, and the callers try again. Served work then falls while offered work rises, down
- * to none of a hundred requests a second. The process learns that a caller has left only one turn
- * of the event loop after it has read the request.
+ * Load pattern: all callers of a busy team stay with one instance whose processor or link is too
+ * slow for them. Once requests queue at the instance for longer than their callers wait, the
+ * instance reads each request after its caller has left. If it sends these requests all the same,
+ * they take its processor, its link and an endpoint's time, and the callers try again. The rate of
+ * served requests then falls while the offered rate rises, in the worst case from a hundred a
+ * second to none. The process learns that a caller has left only one turn of the event loop after
+ * it has read the request.
  *
- * Inputs: for each request, the time at which it was read and, where its caller left, the delay
- * from reading the request to noticing that, in milliseconds on a monotonic clock. Only callers
- * that leave within `ABANDONED_BEFORE_READ_MILLISECONDS` count. While their share is above
- * `SUSPECT_SHARE`, each request waits for the usual delay of such a notice before it is sent on,
- * and `ProcessorLoadShedder` takes the share as a sign of a queue and admits less.
+ * Inputs: the time at which each request was read and, where its caller left, the delay from
+ * reading the request to noticing that the caller had left, in milliseconds on a monotonic clock.
+ * Only callers that are noticed to have left within `ABANDONED_BEFORE_READ_MILLISECONDS` count.
+ * While their share is above `ELEVATED_SHARE`, each request waits a little longer than that notice
+ * usually takes, but at most `LONGEST_CONFIRMATION_MILLISECONDS`, before it is sent to an endpoint.
+ * `ProcessorLoadShedder` takes the same share as a sign of a queue and admits less.
  *
- * Limits: a few callers in each second leave of their own accord, which does no harm. An instance
- * that reads few requests does not collapse, so the share is 0 below `MINIMUM_REQUESTS`.
+ * Limits: under normal load a few callers leave just after they have sent a request. Their share
+ * stays below `ELEVATED_SHARE`, so no request waits for them. An instance that reads few requests
+ * is not overloaded, so the share is 0 while fewer than `MINIMUM_REQUESTS` are in the window.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -24,8 +27,8 @@
 import { SlidingShare } from '../slidingCount.js'
 
 /**
- * A caller that leaves within this time of its request being read had given up before; the time
- * covers a few round trips to any caller.
+ * A caller that leaves within this time after its request was read is taken to have left before
+ * that. The time covers a few round trips to any caller.
  */
 const ABANDONED_BEFORE_READ_MILLISECONDS: Milliseconds = 100
 /**
@@ -35,22 +38,30 @@
 const WINDOW_MILLISECONDS: Milliseconds = 1_000
 /** Parts of the window; a count expires together with its part. */
 const WINDOW_PARTS = 10
-/** Fewer requests in the window say nothing: a collapsing instance reads dozens a second. */
+/**
+ * With fewer requests in the window, the share is taken as 0: a collapsing instance reads dozens a
+ * second.
+ */
 const MINIMUM_REQUESTS = 8
-/** Above this share requests are delayed; fewer callers leave of their own accord. */
-const SUSPECT_SHARE = 0.05
+/** Above this share requests are delayed; under normal load a smaller share of callers leaves. */
+const ELEVATED_SHARE = 0.05
 /**
- * Weights that make `leaveDelay` follow the 90th percentile: a delay above the known value counts
- * nine times as much as one below it.
+ * Weights of a delay above the estimate `leaveDelay` and of one below it. A difference upwards
+ * counts nine times as much, so the estimate settles among the longer delays, in general below
+ * their 90th percentile.
  */
 const DELAY_WEIGHTS = { above: 0.18, below: 0.02 }
-/** Factor on that delay, and the longest wait. */
+/** Factor on `leaveDelay` that gives the wait: some delays are longer than the estimate. */
 const DELAY_MARGIN = 1.25
+/**
+ * Longest wait before a request is sent to an endpoint; the wait delays requests of all callers.
+ */
 const LONGEST_CONFIRMATION_MILLISECONDS: Milliseconds = 60
 
 /** Measures the share of requests whose callers had left before the requests were read. */
 export class AbandonedRequests {
   private readonly requests = new SlidingShare(WINDOW_MILLISECONDS, WINDOW_PARTS, MINIMUM_REQUESTS)
+  /** Estimated delay until a caller is noticed to have left; undefined before the first one. */
   private leaveDelay: Milliseconds | undefined
 
   /** Counts a request that was read; `now` is monotonic. */
@@ -58,26 +69,29 @@
     this.requests.note(now)
   }
 
-  /** Counts a caller that left `delay` after its request was read. */
+  /**
+   * Counts a caller that was noticed to have left `delay` after its request was read; one that left
+   * later than `ABANDONED_BEFORE_READ_MILLISECONDS` is ignored. `now` is monotonic.
+   */
   noteLeft(delay: Milliseconds, now: Milliseconds): void {
     if (delay > ABANDONED_BEFORE_READ_MILLISECONDS) return
     this.requests.noteCounted(now)
     this.leaveDelay = trackQuantile(this.leaveDelay, delay, DELAY_WEIGHTS)
   }
 
-  /** Returns the share of recently read requests whose callers had left, in [0, 1]. */
+  /** Returns the share of requests read in the last second whose callers had left, in [0, 1]. */
   share(now: Milliseconds): number {
     return this.requests.at(now)
   }
 
-  /** Whether so many callers have left that a request just read may have no caller any more. */
+  /** Whether the share is so high that the caller of a request just read may have left. */
   isElevated(now: Milliseconds): boolean {
-    return this.share(now) > SUSPECT_SHARE
+    return this.share(now) > ELEVATED_SHARE
   }
 
   /**
-   * Returns how long to wait for a notice that the caller has left before its request is sent on; 0
-   * while the share is not elevated.
+   * Returns how long a request waits for a notice that its caller has left, before it is sent to an
+   * endpoint; 0 while the share is not elevated.
    */
   confirmationMilliseconds(now: Milliseconds): Milliseconds {
     if (!this.isElevated(now)) return 0
--- a/packages/decisions/src/admitting/configurationStaleness.ts
+++ b/packages/decisions/src/admitting/configurationStaleness.ts
@@ -1,34 +1,35 @@
 /**
  * Decides whether an instance may serve requests by its copy of the operator's and the endpoints'
- * rows, or whether that copy is too old.
+ * rows, or has to refuse them because the copy is too old. Also decides when peers (other
+ * instances) are asked for newer rows, and how long a query for changes may wait at the store.
  *
- * Load pattern: the callers of a busy team fill the link or the processor of a weak instance, or
- * its one connection to the store has fallen silent. The instance then goes on serving by a
- * configuration that was replaced seconds ago: it accepts keys that were revoked, uses routes that
- * were deleted and sends requests to endpoints that are leaving.
+ * Load pattern: the callers of a busy team fill the link or the processor of an instance that is
+ * too slow for them, or the instance's one connection to the store has fallen silent. The instance
+ * then goes on serving by a configuration that was replaced seconds ago: it accepts keys that were
+ * revoked, uses routes that were deleted and sends requests to endpoints that are leaving.
  *
- * Inputs: for each table of rows its age, the bound from the settings and the age of the last
- * confirmation by a peer; and the time since the store and another instance were last in contact
- * with this one. All are in milliseconds.
+ * Inputs: for each table of rows its age, its bound from the settings and the time since this
+ * instance sent the newest query that a peer answered with nothing newer; and the times since the
+ * store last answered and since a peer's message last arrived. All are in milliseconds.
  *
- * | copy older than 0.9 of its bound, and         | requests    |
- * | --------------------------------------------- | ----------- |
- * | a peer confirmed lately that nothing is newer | are served  |
- * | the store or a peer was in contact lately     | are refused |
- * | neither the store nor any peer was            | are served  |
+ * | copy older than 0.9 of its bound, and                                   | requests    |
+ * | ----------------------------------------------------------------------- | ----------- |
+ * | a peer answered a query sent within 0.4 of the bound with nothing newer | are served  |
+ * | else the store or a peer was in contact within 0.25 of the bound        | are refused |
+ * | neither                                                                 | are served  |
  *
- * Age alone is not enough to refuse: while the store is out of reach for all instances, none can
- * have newer rows, and an instance that refused by age would refuse for the whole outage. A peer
- * that answers sends either newer rows or says that it has none. Where no peer answers, an instance
- * that got an answer of the store to another call, or a message of a peer, is not cut off: it is
- * itself late, and refuses. An instance in contact with no other is cut off, and serves by the
- * copy it has.
+ * Age alone is not enough to refuse: while no instance reaches the store, none can have newer rows,
+ * and an instance that refused by age would refuse for the whole outage. A peer that answers either
+ * sends newer rows or says that it has none. Where no peer answers, but the store has answered
+ * another call or a peer has sent another message, this instance is still connected. Then its copy
+ * is late because of its own load, and it refuses. An instance in contact with nobody is cut off,
+ * that is, without a connection to the store and the peers; it serves by the copy that it has.
  *
  * Limits: the margin before the bound covers the time in which a request reaches its endpoint.
  * Peers are asked well before the bound, so that their answers have arrived by then. A peer's
- * answer counts from the time at which the question was sent, however late it arrives: a full link
- * delays an answer by more than the peer took, and an instance that gave up early would take a peer
- * that answers for one that does not.
+ * answer counts from the time at which the query was sent, however late the answer arrives: a full
+ * link delays an answer by more than the peer took. An instance that stopped waiting early would
+ * treat a peer that answers as one that does not.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -42,17 +43,17 @@
   /** Time within which a change has to take effect; from the settings. */
   readonly boundMilliseconds: Milliseconds
   /**
-   * Time since this instance sent the newest question that a peer answered with nothing newer;
-   * infinite where there is none.
+   * Time since this instance sent the newest query that a peer answered with nothing newer;
+   * infinite if no peer has done so.
    */
   readonly confirmedAgoMilliseconds: Milliseconds
 }
 
-/** Times since this instance was last in contact with others. */
+/** Times since this instance was last in contact with the store and with peers. */
 export interface ContactAges {
   /** Time since the store last answered any call. */
   readonly answeredAgoMilliseconds: Milliseconds
-  /** Time since a message of another instance last arrived. */
+  /** Time since a message of any other instance last arrived. */
   readonly heardAgoMilliseconds: Milliseconds
 }
 
@@ -62,26 +63,26 @@
  */
 const MARGIN_SHARE = 0.1
 /**
- * Part of a bound after which peers are asked. A question for changes waits for half a bound at the
+ * Part of a bound after which peers are asked. A query for changes waits for half a bound at the
  * store and is repeated after a quarter of a second, so an active instance asks no peer while the
- * store answers. The time left until the bound is for answers that are delayed by a full link.
+ * store answers. The time left until the bound is for answers that a full link delays.
  */
 const PEER_QUERY_SHARE = 0.64
 /**
  * Contact with the store or a peer within this part of a bound shows that this instance is not cut
- * off. If a cut begins while a question waits at the store, the last contact is older than this by
- * the time the bound is reached.
+ * off. If this instance loses its connections while a query waits at the store, the last contact is
+ * older than this part by the time the bound is reached.
  */
 const CONTACT_SHARE = 0.25
 /**
- * A peer's answer is valid for this part of a bound, counted from its question. A peer that follows
- * the store may itself be late by the time for which a question waits, so both together stay within
- * the bound less its margin.
+ * A peer's answer is valid for this part of a bound, counted from the time of the query. The rows
+ * of a peer that follows the store may be late by the time for which a query waits at the store
+ * (`FEED_WAIT_SHARE`), and both together stay within the bound less its margin.
  */
 const CONFIRMATION_SHARE = 0.4
 /**
- * Part of a bound for which a question for changes may wait at the store, so that the age of a copy
- * reveals a store that does not answer.
+ * Part of a bound for which a query for changes may wait at the store. The store answers at the
+ * latest then, so a copy that is much older shows that the store does not answer.
  */
 const FEED_WAIT_SHARE = 0.5
 
@@ -90,19 +91,22 @@
   return ageMilliseconds > PEER_QUERY_SHARE * boundMilliseconds
 }
 
-/** Returns the longest time for which a question for changes may wait at the store. */
+/** Returns the longest time for which a query for changes may wait at the store. */
 export function maximumFeedWait(boundMilliseconds: Milliseconds): Milliseconds {
   return Math.floor(FEED_WAIT_SHARE * boundMilliseconds)
 }
 
-/** Returns how long a peer's answer is valid, and so how long it is worth waiting for. */
+/**
+ * Returns how long a peer's answer is valid after its query was sent; waiting longer for the answer
+ * is useless.
+ */
 export function confirmationLifetime(boundMilliseconds: Milliseconds): Milliseconds {
   return CONFIRMATION_SHARE * boundMilliseconds
 }
 
 /**
- * Whether requests have to be refused because these rows may have changed longer ago than their
- * bound.
+ * Whether requests have to be refused because these rows may have been changed longer ago than
+ * their bound, while the store or a peer is in contact with this instance.
  */
 export function isTooStale(rows: RowStaleness, contacts: ContactAges): boolean {
   const { ageMilliseconds, boundMilliseconds, confirmedAgoMilliseconds } = rows
--- a/packages/decisions/src/admitting/listenerPause.ts
+++ b/packages/decisions/src/admitting/listenerPause.ts
@@ -1,41 +1,43 @@
 /**
- * Decides whether an overloaded instance stops accepting new connections for a moment, and for how
+ * Decides when an overloaded instance stops accepting new connections for a moment, and for how
  * long.
  *
- * Load pattern: all callers of a team stay with one weak instance. A refusal with a status does not
- * make them move, and each refused request has cost the instance a connection, a request head and a
- * part of its link, so the requests it serves fall to next to nothing while other instances have
- * room. A connection that is not established costs the instance nothing: a caller that knows other
- * addresses connects to one of them, and a caller that does not leaves the instance time to serve
- * the rest.
+ * Load pattern: all callers of a team stay with one instance whose processor or link is too slow
+ * for them. A refusal with a status does not make them connect elsewhere, and each refused request
+ * has cost the instance a connection, a request head and a part of its link. So the instance serves
+ * next to no requests while other instances have room. A connection that is not established costs
+ * the instance nothing: a caller that knows other addresses connects to one of them, and a caller
+ * that knows none leaves the instance time for the other requests.
  *
- * The listener is closed in short pauses between open windows; the larger the share of refused
- * requests, the longer the pauses. Open connections are served as before.
+ * The listener is closed in short pauses with open windows between them. The larger the share of
+ * refused requests, the longer the pauses: the listener is to be closed for the same share of the
+ * time, but no pause exceeds a limit that begins at `SHORTEST_PAUSE_MILLISECONDS` and doubles with
+ * each pause. Open connections are served as before.
  *
- * Inputs: the share of requests that this instance refuses for reasons of its own, in [0, 1], and
- * how many of the other active instances are heard of and report overload. Times are monotonic
- * milliseconds.
+ * Inputs: one sample before each possible pause: the share of requests that this instance refuses
+ * for reasons of its own, in [0, 1], the number of other active instances that are heard of and how
+ * many of them report overload, and a random number in [0, 1). Times are monotonic milliseconds.
  *
  * Limits: each pause is far shorter than the time after which callers and readiness checks consider
  * an instance lost. An instance keeps its listener open while it hears of no other instance, or
- * while more than half of those it hears of are overloaded themselves, since callers that it
- * rejected would be served nowhere. It waits long enough to hear whether others are overloaded
- * before its first pause, begins with short pauses, and varies pauses and windows, so that
- * instances do not all close at the same time.
+ * while more than half of those it hears of are overloaded, since no other instance would serve the
+ * callers that it rejects. Before its first pause the instance waits for reports of others that are
+ * overloaded. Windows vary at random, and so do pauses that are longer than the shortest one and
+ * shorter than their limit, so that instances do not all close at the same time.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** An instance that refuses this share of its requests is overloaded. */
+/** An instance that refuses this share of its requests or more becomes overloaded. */
 const OVERLOADED_SHARE = 0.2
 /**
- * Pauses end below this share: hysteresis keeps the listener from closing and opening with each
- * burst.
+ * While the instance is overloaded, there are no pauses below this share. The share is lower than
+ * `OVERLOADED_SHARE`, so that pauses do not begin and end with each burst.
  */
 const RELIEVED_SHARE = 0.05
 /**
- * An instance counts as overloaded for this long after the last sample that showed it, since a
- * pause relieves it for a moment.
+ * An instance counts as overloaded for this long after the last sample that showed overload: a
+ * pause lowers the share for a moment, which does not show that the overload is over.
  */
 const OVERLOADED_MILLISECONDS: Milliseconds = 2_000
 /**
@@ -43,33 +45,37 @@
  * overloaded instances arrive first.
  */
 const ONSET_MILLISECONDS: Milliseconds = 500
-/** Mean time for which the listener is open between two pauses. */
+/** Mean time for which the listener is open before a sample, and so between two pauses at least. */
 const WINDOW_MILLISECONDS: Milliseconds = 250
-/**
- * The first pause lasts no longer than this, and each later one at most `GROWTH` times the one
- * before it.
- */
+/** Shortest pause, and the limit of the first pause of an overload. */
 const SHORTEST_PAUSE_MILLISECONDS: Milliseconds = 100
-const GROWTH = 2
+/** Factor by which the limit grows with every pause of an overload, whatever the pause's length. */
+const PAUSE_LIMIT_GROWTH = 2
+/** Longest limit of a pause. */
 const LONGEST_PAUSE_MILLISECONDS: Milliseconds = 1_000
-/** Windows and pauses are up to this share longer or shorter. */
+/** Windows, and pauses before they are limited, are up to this share longer or shorter. */
 const SPREAD = 0.25
-/** The listener stays open where more than this share of the other instances is overloaded too. */
-const LARGEST_OVERLOADED_FLEET = 0.5
+/** The listener stays open while more than this share of the other instances is overloaded. */
+const MAXIMUM_OVERLOADED_PEER_SHARE = 0.5
 
 /** The other active instances that this one hears of. */
 export interface PeerOverload {
+  /** Number of these instances. */
   readonly count: number
-  /** Instances that lately reported overload. */
+  /** Number of those that lately reported overload. */
   readonly overloaded: number
 }
 
 /** Decides when an instance closes its listener, and for how long. */
 export class ListenerPause {
+  /** Time of the last sample that showed overload. */
   private overloadedAt: Milliseconds = Number.NEGATIVE_INFINITY
+  /** Begin of the present or last overload. */
   private overloadedSince: Milliseconds = Number.POSITIVE_INFINITY
-  private longestPause = SHORTEST_PAUSE_MILLISECONDS
-  private share = 0
+  /** Limit of the next pause. */
+  private pauseLimit = SHORTEST_PAUSE_MILLISECONDS
+  /** Share of refused requests in the last sample. */
+  private refusedShare = 0
 
   /** Records one sample: the share of requests that this instance refuses. `now` is monotonic. */
   noteRefusedShare(share: number, now: Milliseconds): void {
@@ -77,7 +83,7 @@
     const limit = wasOverloaded ? RELIEVED_SHARE : OVERLOADED_SHARE
     if (share >= limit && !wasOverloaded) this.beginOverload(now)
     if (share >= limit) this.overloadedAt = now
-    this.share = share
+    this.refusedShare = share
   }
 
   /** Whether this instance is overloaded. */
@@ -86,38 +92,47 @@
   }
 
   /**
-   * Whether overload lasts and callers that are rejected here would be served by other instances.
+   * Whether the overload lasts and enough other instances are left that can serve the callers that
+   * this one rejects.
    */
   mayPause({ count, overloaded }: PeerOverload, now: Milliseconds): boolean {
     const isLasting = this.isOverloaded(now) && now - this.overloadedSince >= ONSET_MILLISECONDS
-    return isLasting && count > 0 && overloaded <= LARGEST_OVERLOADED_FLEET * count
+    return isLasting && count > 0 && overloaded <= MAXIMUM_OVERLOADED_PEER_SHARE * count
   }
 
-  /** Returns how long to close the listener now; 0 where it stays open. `chance` is in [0, 1). */
-  pauseMilliseconds(others: PeerOverload, now: Milliseconds, chance: number): Milliseconds {
-    if (!this.mayPause(others, now) || this.share < RELIEVED_SHARE) return 0
-    const mean = (WINDOW_MILLISECONDS * this.share) / Math.max(Number.EPSILON, 1 - this.share)
-    const pause = Math.max(SHORTEST_PAUSE_MILLISECONDS, spread(mean, chance))
+  /**
+   * Returns how long to close the listener now; 0 where it stays open. The call doubles the limit
+   * of the next pause if it returns a pause. `randomFraction` is a random number in [0, 1).
+   */
+  pauseMilliseconds(others: PeerOverload, now: Milliseconds, randomFraction: number): Milliseconds {
+    if (!this.mayPause(others, now) || this.refusedShare < RELIEVED_SHARE) return 0
+    // A window followed by such a pause is closed for the share of time given by `refusedShare`.
+    const mean =
+      (WINDOW_MILLISECONDS * this.refusedShare) / Math.max(Number.EPSILON, 1 - this.refusedShare)
+    const pause = Math.max(SHORTEST_PAUSE_MILLISECONDS, spread(mean, randomFraction))
     return this.limitPause(pause)
   }
 
   private limitPause(pause: Milliseconds): Milliseconds {
-    const limit = this.longestPause
-    this.longestPause = Math.min(LONGEST_PAUSE_MILLISECONDS, GROWTH * limit)
+    const limit = this.pauseLimit
+    this.pauseLimit = Math.min(LONGEST_PAUSE_MILLISECONDS, PAUSE_LIMIT_GROWTH * limit)
     return Math.min(limit, pause)
   }
 
   private beginOverload(now: Milliseconds): void {
     this.overloadedSince = now
-    this.longestPause = SHORTEST_PAUSE_MILLISECONDS
+    this.pauseLimit = SHORTEST_PAUSE_MILLISECONDS
   }
 }
 
-/** Returns how long the listener stays open before the next sample; `chance` is in [0, 1). */
-export function listenerOpenMilliseconds(chance: number): Milliseconds {
-  return spread(WINDOW_MILLISECONDS, chance)
+/**
+ * Returns how long the listener stays open before the next sample; `randomFraction` is a random
+ * number in [0, 1).
+ */
+export function listenerOpenMilliseconds(randomFraction: number): Milliseconds {
+  return spread(WINDOW_MILLISECONDS, randomFraction)
 }
 
-function spread(mean: Milliseconds, chance: number): Milliseconds {
-  return mean * (1 - SPREAD + 2 * SPREAD * chance)
+function spread(mean: Milliseconds, randomFraction: number): Milliseconds {
+  return mean * (1 - SPREAD + 2 * SPREAD * randomFraction)
 }
--- a/packages/decisions/src/admitting/localRefusals.ts
+++ b/packages/decisions/src/admitting/localRefusals.ts
@@ -1,25 +1,28 @@
 /**
- * Measures which share of its requests an instance refuses for reasons of its own.
+ * Measures the share of its requests that an instance refuses for reasons of its own, that is,
+ * requests that another instance would have served.
  *
- * Load pattern: all callers of a team stay with one weak instance. Its processor or its link is
- * full, or their load keeps rows of the store from reaching it, while other instances would serve
+ * Load pattern: all callers of a team stay with one instance. Its processor or its link is full, or
+ * their load keeps the store's rows from reaching the instance, while other instances would serve
  * the same requests. Without this share the instance could not decide to make callers connect
  * elsewhere (`ListenerPause`).
  *
  * Inputs: the result code of each request that ended, with a monotonic time in milliseconds.
  *
- * Limits: refusals that any other instance would give as well, as for a used-up budget or a full
- * service, count as requests that were not refused. The share is 0 while there are fewer than
- * `MINIMUM_REQUESTS`.
+ * Limits: refusals that any other instance would give as well, such as for a used-up budget or a
+ * service without room, count as requests that were not refused. The share is 0 while fewer than
+ * `MINIMUM_REQUESTS` are in the window.
  */
 
 import { ResultCode } from '@rackwalk/shared'
 import type { Milliseconds } from '@rackwalk/shared'
 import { SlidingShare } from '../slidingCount.js'
 
+/** Time over which requests are counted. */
 const WINDOW_MILLISECONDS: Milliseconds = 1_000
+/** Parts of the window; a count expires together with its part. */
 const WINDOW_PARTS = 10
-/** Fewer requests in the window say nothing. */
+/** With fewer requests in the window, the share would be left to chance and is taken as 0. */
 const MINIMUM_REQUESTS = 8
 
 /** Result codes of requests that another instance would have served. */
@@ -42,7 +45,7 @@
     if (LOCAL_REFUSAL_CODES.has(code)) this.requests.noteCounted(now)
   }
 
-  /** Returns the share of such refusals among the requests that ended lately, in [0, 1]. */
+  /** Returns the share of these refusals among the requests of the last second, in [0, 1]. */
   share(now: Milliseconds): number {
     return this.requests.at(now)
   }
--- a/packages/decisions/src/admitting/refusedBody.ts
+++ b/packages/decisions/src/admitting/refusedBody.ts
@@ -1,43 +1,48 @@
 /**
- * Decides what happens to the body of a request that is refused before the body was read, and to
- * its connection.
+ * Decides what happens to the body of a request that is refused before its body was read, and to
+ * the connection.
  *
- * Load pattern: callers with kept connections are refused and retry at once, each time with a whole
- * body. Discarded bodies fill the link as much as admitted ones, and answers of the store and of
- * other instances queue behind them.
+ * Load pattern: callers that keep their connections open are refused and retry at once, each time
+ * with a whole body. Discarded bodies fill the link as much as admitted ones, and answers of the
+ * store and of other instances queue behind them.
  *
  * Inputs: what is known of the body (size in bytes, how much has arrived), the time in milliseconds
- * after which the link's budget has covered it (`LinkBandwidthBudget`), and the number of other
- * unread bodies.
+ * after which the link's budget has covered the body (`LinkBandwidthBudget`), and the number of
+ * other unread bodies.
  *
- * Limits: the refusal itself is sent at once. The connection is read again once the link's budget
- * has covered the body, which holds back a caller that retries at once. A caller that would be held
- * for too long is told to close the connection instead, so that no answer waits long behind a
- * refused body. The connection also ends where the end of the body is unknown, where the body is
- * larger than keeping a connection is worth, or where the caller sends the body only when asked to.
+ * Limits: the refusal itself is sent at once. The connection is read again only once the link's
+ * budget has covered the body, which holds back a caller that retries at once. In these cases the
+ * connection is closed instead:
+ *
+ * - The connection would be left unread for longer than `MAXIMUM_HOLD_MILLISECONDS`, and the next
+ *   request on it with it.
+ * - Too many other refused bodies are unread, and this one has not arrived or is not covered.
+ * - Reading the body was stopped midway, or the size of a body that is arriving is unknown or
+ *   larger than keeping the connection is worth.
+ * - The caller sends the body only when asked to, or the connection ends in any case.
  */
 
 import type { Bytes, Milliseconds } from '@rackwalk/shared'
 
-/** Longest time for which a connection is left unread: a caller may send another request on it. */
-const MAXIMUM_HOLD_MILLISECONDS: Milliseconds = 3_000
 /**
- * Connections that are held, or whose refused bodies are being read, at a time, so that slow
- * callers cannot take up all connections.
+ * Longest time for which a connection is left unread: its caller may send another request on the
+ * connection, which then waits as well.
  */
-const MAXIMUM_UNREAD_BODIES = 512
+const MAXIMUM_HOLD_MILLISECONDS: Milliseconds = 3_000
 /**
- * Larger bodies that are still arriving are not read to keep their connections, however much the
- * link carries.
+ * Largest number of connections that are left unread, or whose refused bodies are being read, at a
+ * time, so that slow callers cannot take up all connections.
  */
+const MAXIMUM_UNREAD_BODIES = 512
+/** Connections are not kept for larger bodies that are still arriving, however fast the link is. */
 const MAXIMUM_READ_BYTES: Bytes = 262_144
 
 /**
- * Time within which a refused body has to end, and a caller that was told to close its connection
- * has to close it.
+ * Time within which a refused body has to end, and within which a caller that was told to close its
+ * connection has to do so.
  */
 export const REFUSED_BODY_MILLISECONDS: Milliseconds = 3_000
-/** Bytes that are read of a body whose connection ends. */
+/** Largest number of bytes that are read of a body whose connection is to be closed. */
 export const REFUSED_BODY_BYTES: Bytes = 65_536
 
 /** The body of a request that is refused. */
@@ -58,13 +63,16 @@
   readonly waitMilliseconds: Milliseconds
 }
 
-/** Whether the connection of a refused body is read again after a time, or closed. */
+/**
+ * What happens to the connection of a refused body: the connection is read again after
+ * `holdMilliseconds`, or closed.
+ */
 export type RefusedBodyDisposition =
   { readonly kind: 'read'; readonly holdMilliseconds: Milliseconds } | { readonly kind: 'close' }
 
 /**
- * Decides on one body; `unreadBodies` counts other connections that are held or whose refused
- * bodies are being read.
+ * Returns what happens to the connection of one refused body. `unreadBodies` is the number of other
+ * connections that are left unread or whose refused bodies are being read.
  */
 export function refusedBodyDisposition(
   body: RefusedBody,
@@ -78,7 +86,7 @@
   return { kind: 'read', holdMilliseconds: waitMilliseconds }
 }
 
-/** Whether the rest of the body may be read, so that its connection can be kept. */
+/** Whether the rest of the body may be read, so that the connection can be kept. */
 function isWorthReading(body: RefusedBody): boolean {
   if (body.isPartlyRead || body.expectsContinue) return false
   return body.hasArrived || (body.isSizeKnown && body.bytes <= MAXIMUM_READ_BYTES)
--- a/packages/decisions/src/admitting/starvedTeams.ts
+++ b/packages/decisions/src/admitting/starvedTeams.ts
@@ -1,20 +1,24 @@
 /**
- * Decides which teams get next to none of their requests served by an instance.
+ * Decides which teams are starved, that is, get next to none of their requests served by an
+ * instance.
  *
- * Load pattern: all callers of one team stay with an instance that is too weak for them, or that
- * refuses for reasons of its own. The fleet as a whole serves well, so no sum over all teams shows
- * it.
+ * Load pattern: all callers of one team stay with an instance that is too slow for them, or that
+ * refuses their requests for reasons of its own. The fleet as a whole serves well, so no sum over
+ * all teams shows that this team is not served.
  *
- * Inputs: the team, the result code and whether it was served, for each request that ended, with a
- * monotonic time in milliseconds.
+ * Inputs: the team, the result code and whether the request was served, for each request that
+ * ended, with a monotonic time in milliseconds.
  *
  * A team's served requests are compared with all of its own requests, not with what other teams are
- * served: a team that uses an instance alone has no other to compare with, and an instance that
- * refuses all teams would starve none of them. No team is served more than all of its requests, so
- * a team that gets less than a quarter of what others get is found as well.
+ * served: a team that uses an instance alone has no other team to compare with, and an instance
+ * that refuses all teams would starve none of them by such a comparison. Since no team is served
+ * more than all of its requests, a team that gets less than a quarter of what others get is found
+ * as well.
  *
- * Limits: only teams with requests in the window are kept in memory. Few requests say nothing. A
- * starved team has to be served twice the share that starved it before it counts as recovered.
+ * Limits: only teams with requests in the window, and those that are starved, are kept in memory. A
+ * team with few requests does not become starved. A starved team has to be served twice the share
+ * below which it became starved, or to send no requests for a whole window, before it counts as
+ * recovered.
  */
 
 import type { Milliseconds, ResultCode, TeamId } from '@rackwalk/shared'
@@ -26,26 +30,30 @@
   readonly isServed: boolean
 }
 
-/** A team that became starved, or no longer is. */
+/** A team that has become starved, or has recovered. */
 export interface StarvationChange {
   readonly team: TeamId
   readonly isStarved: boolean
-  /** Requests that ended within the window, and those of them that were served. */
+  /** Requests that ended within the window. */
   readonly requests: number
+  /** Requests of these that were served. */
   readonly served: number
   /** The most common code of the requests that were not served; undefined where all were. */
   readonly commonestCode: ResultCode | undefined
 }
 
+/** Time over which requests are counted. */
 const WINDOW_MILLISECONDS = 5_000
-/** Parts of the window: with more parts fewer counts are lost when a part expires. */
+/**
+ * Parts of the window, the present one included. With more parts, each expires with fewer counts.
+ */
 const PARTS = 5
 const PART_MILLISECONDS = WINDOW_MILLISECONDS / PARTS
-/** Fewer requests within the window say nothing of a team. */
+/** With fewer requests within the window, a team does not become starved: chance would decide. */
 const MINIMUM_REQUESTS = 10
 /** A team is starved where less than this share of its requests is served. */
 const STARVED_SHARE = 0.25
-/** A starved team recovers once this share of its requests is served. */
+/** A starved team recovers once this share of its requests or more is served. */
 const RECOVERED_SHARE = 0.5
 
 /** Counts of one team's requests within a part of the window. */
@@ -61,7 +69,7 @@
  * monotonic.
  */
 export class StarvedTeams {
-  /** By index of the part, then by team. */
+  /** Counts by index of the part of the window, then by team. */
   private readonly parts = new Map<number, Map<TeamId, TeamCount>>()
   private readonly starved = new Set<TeamId>()
 
@@ -70,16 +78,17 @@
     return this.starved.size
   }
 
-  /** Number of teams that are kept in memory. */
+  /** Number of teams with requests in the window. */
   get trackedTeams(): number {
     return new Set([...this.parts.values()].flatMap(teams => [...teams.keys()])).size
   }
 
+  /** Whether a team was starved at the last call of `takeChanges`. */
   isStarved(team: TeamId): boolean {
     return this.starved.has(team)
   }
 
-  /** Counts a request of a team that has ended. */
+  /** Counts a request that has ended; `now` is monotonic. */
   note({ team, code, isServed }: TeamOutcome, now: Milliseconds): void {
     const count = this.countAt(team, now)
     count.requests += 1
