--- a/packages/decisions/src/admitting/abandonedRequests.ts
+++ b/packages/decisions/src/admitting/abandonedRequests.ts
@@ -23,7 +23,7 @@
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
-import { trackQuantile } from '../choosing/trackQuantile.js'
+import { updateAsymmetricMean } from '../choosing/asymmetricMean.js'
 import { SlidingShare } from '../slidingCount.js'
 
 /**
@@ -76,7 +76,7 @@
   noteLeft(delay: Milliseconds, now: Milliseconds): void {
     if (delay > ABANDONED_BEFORE_READ_MILLISECONDS) return
     this.requests.noteCounted(now)
-    this.leaveDelay = trackQuantile(this.leaveDelay, delay, DELAY_WEIGHTS)
+    this.leaveDelay = updateAsymmetricMean(this.leaveDelay, delay, DELAY_WEIGHTS)
   }
 
   /** Returns the share of requests read in the last second whose callers had left, in [0, 1]. */
--- a/packages/decisions/src/admitting/linkBudget.ts
+++ b/packages/decisions/src/admitting/linkBudget.ts
@@ -19,7 +19,7 @@
  */
 
 import type { Bytes, Milliseconds } from '@rackwalk/shared'
-import { trackQuantile } from '../choosing/trackQuantile.js'
+import { updateAsymmetricMean } from '../choosing/asymmetricMean.js'
 
 /**
  * Part of the link that the bodies of requests may take up as they arrive. Each body takes as much
@@ -83,7 +83,7 @@
   noteBodyRead(bytes: Bytes, now: Milliseconds): void {
     this.refill(now)
     this.spend(bytes)
-    this.meanBytes = trackQuantile(this.meanBytes, bytes, MEAN_WEIGHTS)
+    this.meanBytes = updateAsymmetricMean(this.meanBytes, bytes, MEAN_WEIGHTS)
   }
 
   /**
--- a/packages/decisions/src/choosing/endpointChoice.ts
+++ b/packages/decisions/src/choosing/endpointChoice.ts
@@ -3,10 +3,12 @@
  *
  * Inputs: snapshots of the endpoints that may take the request: the requests in progress there from
  * this instance and, as last reported by datagrams, from the others; the load in the endpoint's
- * newest answer; and how much of this prompt the endpoint would have to read. The score is the
- * expected wait, expressed as the number of prompt tokens that are read before the request's turn;
- * the smallest score wins. A choice by the number of requests alone would not show how much prompt
- * has to be read before the request's turn. Trials of the weights: docs/design/gateway-routing.md.
+ * newest answer; and how much of this prompt the endpoint would have to read. Each endpoint gets a
+ * score in prompt tokens, and the smallest score wins. The score is the number of prompt tokens
+ * that the endpoint would read in the expected wait of the request, plus costs for the harm to
+ * other streams, for failures and for endpoints outside this instance's subset, minus two small
+ * bonuses. A choice by the number of requests alone would not show how much prompt has to be read
+ * before the request's turn. Trials of the weights: docs/design/gateway-routing.md.
  *
  * The OpenAI-style kind has its own rule (router/routing/routingPolicy.ts): its engines publish
  * what they have cached and how much prompt is waiting, and operators select a policy in a
@@ -19,22 +21,23 @@
 import type { InterferenceWeights } from './prefillInterference.js'
 import { rendezvousChoice } from './rendezvous.js'
 
-/** What an instance knows of one endpoint when it places a request. */
+/** What an instance knows of one endpoint when it chooses the endpoint of a request. */
 export interface EndpointSnapshot {
   readonly id: string
   readonly failureDomain: string
   /** Requests in progress from all instances, as far as this one knows. */
   readonly running: number
-  /** Requests that the endpoint works on at once; further ones wait there. */
+  /** Requests that the endpoint works on at once; further requests wait at the endpoint. */
   readonly slots: number
-  /** Prompt tokens of requests from all instances that have not had their first event. */
+  /** Prompt tokens of requests, from all instances, that have not had their first event. */
   readonly pendingTokens: TokenCount
   /** Tokens of this request's prompt that the endpoint has probably not cached. */
   readonly uncachedTokens: TokenCount
   /** Tokens of long prompts that all instances have sent there lately, decaying with time. */
   readonly recentTokens: TokenCount
   /**
-   * Time that the endpoint takes for a token of an answer, relative to a usual endpoint; 1 or more.
+   * Time that the endpoint takes for an event of an answer, relative to a usual endpoint of its
+   * service (`slowness.ts`); 1 or more.
    */
   readonly slowness: number
   /** The load in the endpoint's newest answer; undefined where it never reported any. */
@@ -57,44 +60,47 @@
 
 /** Inputs of the choice. */
 export interface ChoiceInputs {
-  /** Endpoints with room that this request was not sent to yet. */
+  /** Endpoints with room to which this request was not sent yet. */
   readonly open: readonly EndpointSnapshot[]
   /** Ids of all endpoints of the service, over which shared prompts are spread. */
   readonly serviceIds: readonly string[]
-  /** The longest part of the prompt that other requests share; undefined where there is none. */
+  /**
+   * The longest part of the prompt that other requests share; undefined where no part is shared.
+   */
   readonly sharedPartId: string | undefined
   /** The most tokens that the answer may have; 0 where there is no model. */
   readonly answerTokens: TokenCount
   /**
-   * How far long prompts stretch the pauses between events of concurrent streams: the longest
-   * pauses, relative to what callers accept; undefined until that was observed.
+   * How far long prompts stretch the pauses between events of concurrent streams: the longer
+   * pauses, relative to what callers accept; undefined until such pauses were observed.
    */
   readonly pauseStretch: number | undefined
   /** Failure domain of this instance. */
   readonly failureDomain: string
   /**
-   * In [0, 1); breaks ties, so that instances with equal knowledge do not all choose the same
-   * endpoint.
+   * A random number in [0, 1) that breaks ties, so that instances with equal knowledge do not all
+   * choose the same endpoint.
    */
   readonly chance: number
 }
 
-/** An endpoint and its expected wait, in prompt tokens; smaller is better. */
+/** An endpoint and its score in prompt tokens; smaller is better. */
 export interface EndpointScore {
   readonly id: string
   readonly score: number
 }
 
-/** Cost of one request in progress for the next one, in prompt tokens. */
+/** Cost of each request in progress, which delays the next one; in prompt tokens, as all costs. */
 const RUNNING_COST: TokenCount = 60
 /**
- * Weight of a token that is read for this request: reading it delays the request and all that run
- * beside it.
+ * Weight of a token that is read for this request. The weight is above 1 because reading the token
+ * delays the request and all requests in progress at the endpoint.
  */
 const PREFILL_WEIGHT = 2
 /**
- * Exponent of the slowness: a slow endpoint reads for longer and stretches each pause of concurrent
- * streams, so even short prompts do harm there.
+ * Exponent of the slowness where interference counts in full; the exponent is 1 where interference
+ * does not count. A slow endpoint reads for longer and stretches each pause of concurrent streams,
+ * so even short prompts do harm there.
  */
 const SLOWNESS_EXPONENT = 4
 /**
@@ -108,20 +114,18 @@
  * price.
  */
 const SAME_DOMAIN_BONUS: TokenCount = 60
-/** Cost of an endpoint where all recent requests failed. */
+/** Cost of an endpoint where all recent requests failed; falls with the square of their share. */
 const FAILURE_COST: TokenCount = 12_000
-/**
- * An endpoint where more than this share of requests fails is left out while there is another one.
- */
+/** An endpoint where this share of requests or more fails is left out while others fail less. */
 const EJECTED_FAILURE_SHARE = 0.6
 /**
- * Cost of each request that would wait for a slot before this one: what an endpoint reads until one
- * of its slots becomes free.
+ * Cost of each request, this one included, that exceeds the endpoint's slots: what an endpoint
+ * reads until one of its slots becomes free.
  */
 const SLOT_WAIT_COST: TokenCount = 6_000
-/** Time for which a reported load counts; loads change within a few events. */
+/** Time in milliseconds for which a reported load counts; loads change within a few events. */
 const REPORT_TTL_MILLISECONDS = 400
-/** Cost of a request that waits at the endpoint, in addition to a running one. */
+/** Cost of each request that the endpoint reports as waiting. */
 const WAITING_COST: TokenCount = 400
 
 /**
@@ -136,23 +140,24 @@
     .sort((left, right) => left.score - right.score)
 }
 
-/** Leaves out endpoints that fail often, unless all do. */
+/** Leaves out endpoints where requests fail often, unless that leaves none. */
 function withoutEjected(open: readonly EndpointSnapshot[]): readonly EndpointSnapshot[] {
   const healthy = open.filter(endpoint => endpoint.failureShare < EJECTED_FAILURE_SHARE)
   return healthy.length > 0 ? healthy : open
 }
 
 /**
- * Rotates the items by chance: the sort is stable, so the order before it decides between equal
- * scores.
+ * Rotates the items by a random number: `rankEndpoints` sorts them afterwards, and the sort is
+ * stable, so the order of the items decides between equal scores.
  */
-function rotated<Item>(items: readonly Item[], chance: number): readonly Item[] {
-  const offset = Math.floor(chance * Math.max(1, items.length))
+function rotated<Item>(items: readonly Item[], randomFraction: number): readonly Item[] {
+  const offset = Math.floor(randomFraction * Math.max(1, items.length))
   return [...items.slice(offset), ...items.slice(0, offset)]
 }
 
 /** Inputs that are the same for all scored endpoints. */
 interface ScoreContext extends ChoiceInputs {
+  /** Endpoint to which all instances send the prompt's shared part. */
   readonly affinityEndpoint: string | undefined
   readonly weights: InterferenceWeights
 }
@@ -171,7 +176,7 @@
   return prefillCost(endpoint, context.weights) + load + harm + failing + outside - affinity - near
 }
 
-/** Returns the cost of the prompts that are read before this request's turn, its own included. */
+/** Returns the cost of the prompts that are read before the answer begins, this one included. */
 function prefillCost(
   endpoint: EndpointSnapshot,
   { stretch, room }: InterferenceWeights,
@@ -186,7 +191,7 @@
   return reported.ageMilliseconds < REPORT_TTL_MILLISECONDS ? reported : undefined
 }
 
-/** Returns the endpoint to which all instances send a shared part, by highest hash. */
+/** Returns the endpoint to which all instances send the prompt's shared part, by highest hash. */
 function affinityEndpointOf({ sharedPartId, serviceIds }: ChoiceInputs): string | undefined {
   return sharedPartId === undefined ? undefined : rendezvousChoice(sharedPartId, serviceIds)
 }
--- a/packages/decisions/src/choosing/endpointReachability.ts
+++ b/packages/decisions/src/choosing/endpointReachability.ts
@@ -1,26 +1,29 @@
 /**
- * Decides whether this instance can reach an endpoint's failure domain, or a service at all.
+ * Decides whether this instance can reach the endpoints of a failure domain, or of a whole service,
+ * and which endpoints are probed after a failed connection. A probe opens a new connection.
  *
  * Load pattern: an instance loses its links to endpoints while callers, peers and the store still
  * reach it. Each of its requests tries one endpoint after the other and is then refused, although
  * other instances serve the same requests at that moment. Connections that were open before may
- * live on, so answers prove nothing; only the outcome of a new connection says something about a
- * link.
+ * stay usable, so answers do not show that a link works; only the outcome of a new connection does.
  *
- * | newest connections to                                      | unreachable                    |
- * | ---------------------------------------------------------- | ------------------------------ |
- * | one endpoint failed                                        | none: the endpoint may be down |
- * | two of a failure domain failed, none succeeded there since | the failure domain             |
- * | three of a service failed, none succeeded since            | the service: it is cut off     |
+ * | newest connections to                                       | unreachable                    |
+ * | ----------------------------------------------------------- | ------------------------------ |
+ * | one endpoint failed                                         | none: the endpoint may be down |
+ * | two of a failure domain failed, none succeeded there since  | the failure domain             |
+ * | three of a service failed, none succeeded there since       | the service                    |
  *
- * Where there are fewer endpoints than that, all have to fail.
+ * A service with fewer than three endpoints is unreachable if all of them failed. A failure domain
+ * with one endpoint is never unreachable by itself. An instance that reaches no endpoint of a
+ * service is cut off from the service.
  *
  * Inputs: for each endpoint its failure domain and the monotonic times, in milliseconds, at which a
- * new connection last succeeded and last failed.
+ * new connection last succeeded and last failed; for the choice of probes a random number.
  *
- * Limits: endpoints that are all down look the same from here. So the result only leads to another
- * instance that may reach them, and never counts as a sign that an endpoint has ended. It expires
- * unless new failures renew it, so links have to be probed.
+ * Limits: endpoints that are all down look the same to this instance as a lost link. So the result
+ * only leads to another instance that may reach the endpoints, and never counts as a sign that an
+ * endpoint has ended. A failure counts for `FAILURE_TTL_MILLISECONDS`, so links have to be probed
+ * again for a result to last.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -34,34 +37,37 @@
   readonly failedAt: Milliseconds
 }
 
-/** Time for which a failure counts; up to three probes may be lost in it. */
+/**
+ * Time for which a failure counts: longer than four intervals between probes, so that a result
+ * lasts although up to three probes in a row are missing.
+ */
 const FAILURE_TTL_MILLISECONDS: Milliseconds = 2_000
-/** Endpoints of a failure domain that have to fail for the domain to count as unreachable. */
+/** Number of endpoints of a failure domain that have to fail for the domain to be unreachable. */
 const DOMAIN_FAILURE_THRESHOLD = 2
 /**
- * Endpoints of a service that have to fail for the service to count as unreachable: in a large
+ * Number of endpoints of a service that have to fail for the service to be unreachable: in a large
  * service several endpoints may end at the same time.
  */
 const SERVICE_FAILURE_THRESHOLD = 3
-/** Links that are probed at once: enough to show that a service is unreachable. */
+/** Number of links that are probed at once: enough to show that a service is unreachable. */
 const PROBED_LINKS = 4
 
-/** Whether the newest connection to an endpoint failed a moment ago. */
+/** Whether the newest connection to an endpoint failed, and that failure still counts. */
 function hasFailed({ connectedAt, failedAt }: EndpointLink, now: Milliseconds): boolean {
   return failedAt > connectedAt && now - failedAt < FAILURE_TTL_MILLISECONDS
 }
 
 /**
- * Whether this instance reaches no endpoint of a service, given the links to all that may take
- * requests.
+ * Whether this instance reaches no endpoint of a service. `links` are the links to all endpoints of
+ * the service that may take requests.
  */
 export function isServiceUnreachable(links: readonly EndpointLink[], now: Milliseconds): boolean {
   return areUnreachable(links, SERVICE_FAILURE_THRESHOLD, now)
 }
 
 /**
- * Returns the links of a service that are unreachable with their failure domain or all together,
- * including links that were not tried.
+ * Returns all links of a service that is unreachable, or else those of its unreachable failure
+ * domains, in both cases including links that were not tried.
  */
 export function unreachableLinks<Link extends EndpointLink>(
   links: readonly Link[],
@@ -90,16 +96,17 @@
 }
 
 /**
- * Returns the links to probe after a failure, spread over failure domains. Links that did not fail
- * come first, since a connection that succeeds distinguishes the end of one endpoint from a cut.
- * `chance` in [0, 1) spreads instances over the endpoints.
+ * Returns the links to probe after a failure: one of each failure domain before a second one of
+ * any, and among these first the links that did not fail, since a connection that succeeds shows
+ * that an endpoint has ended and not a link. `randomFraction`, a random number in [0, 1), makes
+ * instances probe different endpoints.
  */
 export function linksToProbe<Link extends EndpointLink>(
   links: readonly Link[],
   now: Milliseconds,
-  chance: number,
+  randomFraction: number,
 ): readonly Link[] {
-  const offset = Math.floor(chance * links.length)
+  const offset = Math.floor(randomFraction * links.length)
   const rotated = [...links.slice(offset), ...links.slice(0, offset)]
   const notFailed = rotated.filter(link => !hasFailed(link, now))
   const failed = rotated.filter(link => hasFailed(link, now))
--- a/packages/decisions/src/choosing/prefillInterference.ts
+++ b/packages/decisions/src/choosing/prefillInterference.ts
@@ -1,30 +1,32 @@
 /**
- * Decides how much the prefill of a prompt at an endpoint interferes with the streams that run
- * there.
+ * Decides how much the prefill of a prompt (an endpoint reading it) interferes with the streams
+ * that run at the endpoint.
  *
  * Load pattern: long prompts among running streams. An engine reads a prompt in pieces, between the
- * tokens of all answers in progress. So a long prompt stretches the pauses of every concurrent
- * stream beyond what callers accept, although each first event is early.
+ * tokens of all answers in progress. So a long prompt stretches the pauses between events of every
+ * concurrent stream beyond what callers accept, although each first event is early.
  *
- * The interference is expressed in prompt tokens, as is the rest of the choice, and has two parts:
- * the streams that a new prompt would slow down, and the prompts lately read where a new stream
- * would run. Together they lead long prompts to endpoints with few streams and keep streams away
- * from those endpoints. How many endpoints read long prompts then follows from how much there is to
- * read.
+ * The interference is expressed in prompt tokens, as are the other costs of the choice, and has two
+ * parts: the streams that a new prompt would slow down, and the prompts lately read where a new
+ * stream would run. Together they lead long prompts to endpoints with few streams and keep streams
+ * away from those endpoints. How many endpoints read long prompts then follows from how much there
+ * is to read. A cost for each running stream (`CROWDING_COST`) is added, so that streams do not
+ * gather where nothing is read.
  *
- * Inputs: running requests and prompt tokens of each endpoint, and the longest observed pauses
- * relative to what callers accept.
+ * Inputs: running requests and prompt tokens of each endpoint, the length of the new answer, and
+ * the longer of the observed pauses relative to what callers accept.
  *
- * Limits: interference counts only as far as streams beside long prompts are observed to pause for
- * longer than their callers accept; otherwise separating them only overloads some endpoints. Where
- * most endpoints have much to read, separation is no longer possible, and long prompts that gather
- * at few endpoints only wait for each other: interference then counts for less, down to nothing.
+ * Limits: all of these costs count only as far as streams beside long prompts are observed to pause
+ * for longer than their callers accept; otherwise separating them only overloads some endpoints.
+ * Where most endpoints have much to read, separation is no longer possible, and long prompts that
+ * gather at few endpoints only wait for each other: interference, but not the cost for each stream,
+ * then counts for less, down to nothing.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
-import { trackQuantile } from './trackQuantile.js'
+import { updateAsymmetricMean } from './asymmetricMean.js'
 
-/** What is known of one endpoint, as far as prefill is concerned. */
+/** The load of one endpoint, as far as prefill is concerned. */
 export interface PrefillLoad {
   /** Requests in progress from all instances. */
   readonly running: number
@@ -35,52 +37,58 @@
   /** Tokens of long prompts sent there lately, decaying with time. */
   readonly recentTokens: TokenCount
   /**
-   * Time that the endpoint takes for a token of an answer, relative to a usual endpoint; 1 or more.
+   * Time that the endpoint takes for an event of an answer, relative to a usual endpoint of its
+   * service (`slowness.ts`); 1 or more.
    */
   readonly slowness: number
 }
 
-/** Tokens that a usual endpoint reads without stretching a pause too far. */
+/** Tokens that a usual endpoint reads without stretching a pause beyond what callers accept. */
 const HARMLESS_TOKENS: TokenCount = 5_000
-/** Tokens beyond `HARMLESS_TOKENS` at which all streams are slowed too far. */
+/**
+ * Range of tokens beyond `HARMLESS_TOKENS` over which the share of slowed streams rises from none
+ * to all.
+ */
 const INTERFERENCE_RANGE_TOKENS: TokenCount = 6_000
 /**
- * Cost of one stream that is slowed too far: about what an ordinary streamed answer costs its team.
+ * Cost of one stream whose pauses become longer than its caller accepts: about what an ordinary
+ * streamed answer costs its team.
  */
 const SLOWED_STREAM_COST: TokenCount = 1_000
 /**
- * Cost of a recently read token for a long answer that is placed there. A much larger weight would
- * send all streams to one endpoint after the other.
+ * Cost of a token of long prompts recently sent to an endpoint, for a long answer of that endpoint.
+ * A much larger weight would send all streams to one endpoint after the other.
  */
 const EXPOSURE_WEIGHT = 2
 /**
- * An answer of this length or more is exposed in full; it is the mean length of answers to short
- * questions.
+ * Long prompts count in full for answers of this length or more, and in proportion for shorter
+ * ones. The value is the mean length of answers to short questions.
  */
 const LONG_ANSWER_TOKENS: TokenCount = 300
 /** An endpoint with fewer pending tokens than this has little to read. */
 const LOW_PREFILL_TOKENS: TokenCount = 3_000
-/** Share of endpoints with little to read from which on interference counts in full. */
+/** From this share of endpoints with little to read on, interference counts in full. */
 const FULL_ROOM_SHARE = 0.5
 
 /**
- * Cost of each stream at an endpoint for the next one, in addition to its cost elsewhere, since
- * streams gather where nothing is read and lengthen each other's answers there.
+ * Cost of each stream at an endpoint for the next one, in addition to the cost of a running request
+ * in `endpointChoice.ts`, since streams gather where nothing is read and lengthen each other's
+ * answers there.
  */
 const CROWDING_COST: TokenCount = 180
-/** A pause counts as one beside a long prompt where there were this many tokens to read. */
+/** A pause counts as one beside a long prompt where the endpoint had this many tokens to read. */
 const LONG_PREFILL_TOKENS: TokenCount = 6_000
 /**
- * Weights of a pause that is longer than the known value, and of one that is not: the known value
- * follows about the 90th percentile.
+ * Weights of a pause that is longer than the estimate, and of one that is not: the estimate settles
+ * among the longer pauses, in general below their 90th percentile.
  */
 const STRETCH_WEIGHTS = { above: 0.2, below: 0.02 }
 /**
- * Longest pauses beside long prompts, relative to what callers accept: at `ACCEPTED_STRETCH` some
- * streams begin to be late by their pauses and interference begins to count; at `HARMFUL_STRETCH`
- * all such pauses are too long and it counts in full.
+ * Estimated pauses beside long prompts, relative to what callers accept, above which interference
+ * begins to count: some streams begin to pause for too long.
  */
 const ACCEPTED_STRETCH = 0.8
+/** The same ratio from which on interference counts in full: all such pauses are too long. */
 const HARMFUL_STRETCH = 1
 
 /** Whether a pause at an endpoint with `pendingTokens` shows what long prompts do to streams. */
@@ -89,24 +97,26 @@
 }
 
 /**
- * Returns how far long prompts stretch pauses after one more observation: the longest pauses beside
- * them, relative to what callers accept.
+ * Returns the estimate of how far long prompts stretch pauses, after one more observation: the
+ * longer pauses beside such prompts, relative to what callers accept.
  */
 export function nextPauseStretch(known: number | undefined, observed: number): number {
-  return trackQuantile(known, observed, STRETCH_WEIGHTS)
+  return updateAsymmetricMean(known, observed, STRETCH_WEIGHTS)
 }
 
-/** How much interference counts at present, each in [0, 1]. */
+/** Factors on the costs of interference at present, each in [0, 1]. */
 export interface InterferenceWeights {
-  /** How far pauses beside long prompts are longer than callers accept. */
+  /** 0 while pauses beside long prompts are accepted by callers, 1 while all are too long. */
   readonly stretch: number
-  /** How far there are endpoints left to separate long prompts from streams. */
+  /**
+   * 1 while enough endpoints have little to read to separate streams from long prompts, down to 0.
+   */
   readonly room: number
 }
 
 /**
- * Returns the weights of interference among these endpoints. `stretch` is how far long prompts
- * stretch pauses; undefined until that was observed, in which case full interference is assumed.
+ * Returns the weights of interference among these endpoints. `stretch` is the estimate of
+ * `nextPauseStretch`. Until a pause was observed, `stretch` is undefined and taken as harmful.
  */
 export function interferenceWeights(
   endpoints: readonly Pick<PrefillLoad, 'pendingTokens'>[],
@@ -123,7 +133,10 @@
   }
 }
 
-/** Returns the cost of sending a request there whose answer has at most `answerTokens`. */
+/**
+ * Returns the cost of interference if a request whose answer has at most `answerTokens` is sent to
+ * the endpoint.
+ */
 export function prefillInterference(
   endpoint: PrefillLoad,
   answerTokens: TokenCount,
@@ -134,7 +147,7 @@
   return stretch * (CROWDING_COST * endpoint.running + room * interference)
 }
 
-/** Returns the cost of a new prompt for the streams that run at an endpoint. */
+/** Returns the cost of a new prompt for the streams that already run at an endpoint. */
 function interferenceWithOthers({
   pendingTokens,
   uncachedTokens,
@@ -147,7 +160,8 @@
 }
 
 /**
- * Returns the expected cost of an endpoint's prefill for a new answer of at most `answerTokens`.
+ * Returns the cost of the long prompts lately sent to an endpoint for a new answer there of at most
+ * `answerTokens`.
  */
 function interferenceFromOthers(
   { recentTokens }: PrefillLoad,
@@ -158,8 +172,8 @@
 }
 
 /**
- * Returns the share of the streams at an endpoint that are slowed too far while it reads this many
- * tokens.
+ * Returns the share of the streams at an endpoint whose pauses become too long while the endpoint
+ * reads this many tokens.
  */
 function slowedStreamShare(tokens: TokenCount, slowness: number): number {
   const beyond = tokens - HARMLESS_TOKENS / slowness
--- a/packages/decisions/src/choosing/rateQuota.ts
+++ b/packages/decisions/src/choosing/rateQuota.ts
@@ -3,29 +3,31 @@
  * endpoint.
  *
  * Load pattern: an endpoint that has just started, or returned, is empty and so looks best to every
- * instance at once, but can take only a few requests a second; an overloaded endpoint names the
- * rate that it can take in its answers. At that moment the instances may be cut off from each other
- * and from the store. A weight, as proxies use for slow start, bounds nothing then, and a rate that
- * each instance keeps by itself is exceeded as many times as there are instances.
+ * instance at once, but can take only a few requests a second; an overloaded endpoint states in its
+ * answers the rate that it can take. At that moment the instances may be cut off from each other
+ * and from the store. A weight, as proxies use for slow start, bounds nothing then, and if each
+ * instance kept to the whole rate by itself, the fleet would exceed the rate as many times as there
+ * are instances.
  *
- * So the rate is divided beforehand: for each start of an endpoint a few instances hold a quota.
- * They are the first ones in an order by hash over all recorded instances, whether or not these are
- * heard from at present; instances with callers come before the others. Each quota is a whole
- * request a second or more. No message is needed, so the sum holds while all instances are cut off
- * from each other.
+ * So the rate is divided beforehand: for each run (start) of an endpoint a few instances hold a
+ * quota, as many as the rate has whole requests a second, but at least one. The holders are the
+ * first in an order by hash over all recorded instances, whether or not these are heard of at
+ * present; instances with callers come before the others. Each quota is at least one whole request
+ * a second, or the whole rate where the rate is lower. The division needs no message, so the sum of
+ * the quotas holds while all instances are cut off from each other.
  *
- * Requests have to go on to an endpoint that named a rate, or no instance would learn that it can
- * take more again. The holders of quotas may have crashed, or get no callers. So while no answer or
- * gossip about the endpoint arrives, further instances of the order may send to it, each
- * `SUBSTITUTE_AFTER_MILLISECONDS` after the one before it.
+ * Requests have to go on to an endpoint that stated a rate, or no instance would learn that it can
+ * take more again. The holders of quotas may have crashed, or may get no callers. So while no
+ * answer of the endpoint and no gossip about it (reports of other instances) arrives, further
+ * instances of the order may send to it: one more after each `SUBSTITUTE_AFTER_MILLISECONDS`.
  *
- * Inputs: the rate in requests a second, the recorded instances and, in milliseconds, the time
- * since an answer or gossip about the endpoint last arrived.
+ * Inputs: the rate in requests a second, the recorded instances and the time in milliseconds since
+ * an answer of the endpoint or gossip about it last arrived.
  *
- * Limits: quotas add up to what the endpoint can take, and the bound that operators of callers set
- * is higher than that; the difference covers instances that learn of others a moment earlier or
- * later, and substitutes. An instance that is not recorded yet, or does not know the others yet,
- * has no quota. Requests beyond the quota go to other endpoints.
+ * Limits: quotas add up to at most what the endpoint can take, and the bound that operators of
+ * callers set is higher than that; the difference covers substitutes, and instances that learn of
+ * others a moment earlier or later. An instance that is not recorded yet, or does not know the
+ * other instances yet, has no quota. Requests beyond the quota go to other endpoints.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -39,41 +41,46 @@
   readonly durationMilliseconds: Milliseconds
 }
 
-/** Requests that one instance may send to one endpoint in any window of this length. */
+/** Requests that one instance may send to one endpoint in any window of a certain length. */
 export interface RateQuota {
   readonly requests: number
   readonly windowMilliseconds: Milliseconds
 }
 
-/** The quota of each holder, and the number of holders. */
+/** How a rate is divided: the number of holders, and the quota of each of them. */
 export interface RateShares {
   readonly holders: number
   readonly quota: RateQuota
 }
 
-/** Rates are in requests a second. */
 const SECOND_MILLISECONDS: Milliseconds = 1_000
 /**
- * Largest number of requests in one quota's window, since each send to an endpoint is remembered.
+ * Largest number of requests in one quota's window, since the time of each of them is kept in
+ * memory; a higher rate gets a shorter window.
  */
 const MAXIMUM_QUOTA_REQUESTS = 32
 /**
- * Time without answers or gossip about an endpoint after which one more instance may send to it.
+ * Time without answers of an endpoint and gossip about it after which one more instance may send to
+ * the endpoint.
  */
 const SUBSTITUTE_AFTER_MILLISECONDS: Milliseconds = 4_000
-/** Quota of a substitute. */
+/** Quota of an instance that may send because the holders of quotas are silent. */
 const SUBSTITUTE_QUOTA: RateQuota = {
   requests: 1,
   windowMilliseconds: SUBSTITUTE_AFTER_MILLISECONDS,
 }
 
 /**
- * Quota of each instance for an endpoint after its rest, until the endpoint has accepted a request:
- * requests that waited for the end of the rest are sent all at once.
+ * Quota of each instance for an endpoint after its backoff (Retry-After), until the endpoint has
+ * accepted a request: without it, all requests that waited for the end of the backoff would be sent
+ * at once.
  */
 export const RECOVERY_QUOTA: RateQuota = { requests: 1, windowMilliseconds: 500 }
 
-/** Divides a rate among recorded instances; there is at least one holder. */
+/**
+ * Divides a rate among this many recorded instances; there is at least one holder. The window of a
+ * quota is at least as long as the rate requires, so the quotas do not exceed the rate.
+ */
 export function divideRate(requestsPerSecond: number, instances: number): RateShares {
   const holders = Math.max(1, Math.min(instances, Math.floor(requestsPerSecond)))
   const requestsPerHolder = Math.max(1, Math.floor(requestsPerSecond / holders))
@@ -89,13 +96,13 @@
 /** An instance, as recorded in the store. */
 export interface RecordedInstance {
   readonly instance: string
-  /** Whether the instance has callers, by its own row. */
+  /** Whether the instance has callers, according to its own row. */
   readonly isWorking: boolean
 }
 
 /**
- * Returns the rank of an instance among all recorded ones, in the order that belongs to one start
- * of an endpoint; 0 is first. Undefined where the instance is not recorded.
+ * Returns the rank of an instance among all recorded ones, in the order that belongs to `start`,
+ * one run of an endpoint; 0 is first. Undefined where the instance is not recorded.
  */
 export function quotaRank(
   instance: string,
@@ -113,8 +120,8 @@
 }
 
 /**
- * Returns the quota of an instance at this rank while no answer or gossip about the endpoint
- * arrived for `silenceMilliseconds`; undefined where it may send nothing.
+ * Returns the quota of an instance at this rank, where no answer of the endpoint and no gossip
+ * about it has arrived for `silenceMilliseconds`; undefined where the instance may send nothing.
  */
 export function quotaAtRank(
   rank: number,
--- a/packages/decisions/src/choosing/rendezvous.ts
+++ b/packages/decisions/src/choosing/rendezvous.ts
@@ -1,11 +1,14 @@
-/** Choices that all instances make the same way without communication, by hashing. */
+/**
+ * Rendezvous (highest random weight) hashing: all instances make the same choice for a key without
+ * communication.
+ */
 
 import { hash } from 'node:crypto'
 
 /**
- * Orders candidates by rendezvous (highest random weight) hashing: every instance that knows the
- * same candidates picks the same one first, and a candidate that leaves moves only its own keys.
- * The choice is for efficiency; two instances that choose differently do no harm.
+ * Returns the candidates with the highest weight for the key first. Every instance that knows the
+ * same candidates gets the same order, and a candidate that leaves moves only its own keys. The
+ * order is for efficiency; two instances with different orders do no harm.
  */
 export function rendezvousOrder<Candidate extends string>(
   key: string,
@@ -17,19 +20,19 @@
     .map(({ candidate }) => candidate)
 }
 
-/** Largest number of weights that are cached: more than there are instances in a region. */
+/** Largest number of weights that are cached: more than a region has instances. */
 const CACHED_WEIGHTS = 2_000
 
 /**
- * Caches the weights of candidates under one key, each hashed once: hashing all of them for each
- * comparison would be a large part of what an idle instance computes.
+ * Compares candidates for one key and caches their weights: hashing the candidates for each
+ * comparison would be a large part of the work of an idle instance.
  */
 export class RendezvousWeights {
   private readonly weights = new Map<string, string>()
 
   constructor(private readonly key: string) {}
 
-  /** Compares as `rendezvousOrder` orders: negative where `left` comes first. */
+  /** Returns a negative number where `left` comes before `right` in `rendezvousOrder`. */
   compare(left: string, right: string): number {
     return compareWeights(this.weightOf(right), this.weightOf(left))
   }
@@ -44,7 +47,7 @@
   }
 }
 
-/** Returns the candidate that the key belongs to; undefined where there are no candidates. */
+/** Returns the first candidate by `rendezvousOrder`; undefined where there are no candidates. */
 export function rendezvousChoice<Candidate extends string>(
   key: string,
   candidates: readonly Candidate[],
@@ -61,7 +64,8 @@
 }
 
 /**
- * Uses the one-shot `hash`, which is cheaper than a hash object; each choice weighs all candidates.
+ * Returns the weight of a candidate for a key. Each choice hashes all candidates, so this uses the
+ * one-shot `hash`, which is cheaper than a hash object.
  */
 function weightOf(key: string, candidate: string): string {
   return hash('sha1', `${key}\0${candidate}`, 'hex')
--- a/packages/decisions/src/choosing/slowness.ts
+++ b/packages/decisions/src/choosing/slowness.ts
@@ -1,27 +1,28 @@
 /**
  * Decides how slow an endpoint is relative to the others of its service.
  *
- * Load pattern: endpoints of different speed, or one that becomes slow. What counts is the interval
- * between an answer's events at its shortest, when no prompt is read concurrently, so that load
- * does not look like slowness. Without this factor, a slow endpoint would get as many requests as a
- * fast one with the same load.
+ * Load pattern: endpoints of different speed, or one that becomes slow. The speed of an endpoint is
+ * the shorter of the intervals between an answer's events, those during which no prompt is read, so
+ * that load does not look like slowness. Without this factor, a slow endpoint would get as many
+ * requests as a fast one with the same load.
  *
- * Inputs: intervals in milliseconds an event; the result is a factor.
+ * Inputs: intervals between events, in milliseconds an event; the result is a factor.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
-import { trackQuantile } from './trackQuantile.js'
+import { updateAsymmetricMean } from './asymmetricMean.js'
 
 /**
- * Share of the endpoints that are faster than the baseline; most endpoints may be slow for a while.
+ * Share of the endpoints that are faster than the baseline. The share is below a half because most
+ * endpoints may be slow for a while.
  */
 const BASELINE_QUANTILE = 0.25
 
 /**
- * Weights of an interval that is longer than the known one, and of one that is shorter. Prefill
- * beside a stream lengthens most of its intervals, so the known value follows about the shortest
- * tenth. An endpoint with five streams a second that becomes slow is known to be so in about two
- * seconds.
+ * Weights of an interval that is longer than the estimate, and of one that is not. Prefill beside a
+ * stream lengthens most of its intervals, so the estimate settles among the shortest ones, in
+ * general above their tenth percentile. An endpoint with five streams a second that becomes slow is
+ * known to be slow after about two seconds.
  */
 const INTERVAL_WEIGHTS = { above: 0.03, below: 0.3 }
 
@@ -32,10 +33,10 @@
   known: Milliseconds | undefined,
   observed: Milliseconds,
 ): Milliseconds {
-  return trackQuantile(known, observed, INTERVAL_WEIGHTS)
+  return updateAsymmetricMean(known, observed, INTERVAL_WEIGHTS)
 }
 
-/** Returns the interval of a usual endpoint among these; undefined where none is known. */
+/** Returns the interval of a usual endpoint among these; undefined where `intervals` is empty. */
 export function baselineEventInterval(
   intervals: readonly Milliseconds[],
 ): Milliseconds | undefined {
@@ -43,7 +44,10 @@
   return sorted[Math.floor(BASELINE_QUANTILE * sorted.length)]
 }
 
-/** Returns how many times as long as usual an endpoint takes; 1 for one that is fast or unknown. */
+/**
+ * Returns how many times as long as a usual endpoint this one takes for an event; 1 if it is not
+ * slower, or if either interval is unknown.
+ */
 export function slownessFactor(
   interval: Milliseconds | undefined,
   baseline: Milliseconds | undefined,
