--- a/packages/decisions/src/placing/activeInstances.ts
+++ b/packages/decisions/src/placing/activeInstances.ts
@@ -1,15 +1,17 @@
 /**
- * Decides which instances are active, that is, take callers; the others stand by.
+ * Decides which instances are active, that is, named to callers by the directory; the others are on
+ * standby.
  *
  * Each active instance holds part of every budget and knows at once only of its own requests. With
  * more active instances than the load needs, budgets would be split into small holdings and each
- * instance would see less of the load. So a fleet uses no more of them than its load needs.
+ * instance would see less of the load. So a region uses no more active instances than its load and
+ * the least number in each failure domain require.
  *
- * Inputs: what members publish of themselves in their rows, which are up to a second old, three
- * seconds for standby instances: region, failure domain, and the requests a second that they can
- * take and take at present; and the bounds from the settings. Each instance decides for itself. Two
- * instances that decide differently do no harm, since a standby instance serves every caller that
- * sends it a request. Alternatives and figures:
+ * Inputs: what instances publish in their rows, which are up to a second old, those of standby
+ * instances up to three seconds: region, failure domain, the requests a second that the instance
+ * can take and those that it takes at present; and the bounds from the settings. Each instance
+ * decides for itself. Two instances that decide differently do no harm, since a standby instance
+ * serves every caller that sends it a request. Alternatives and figures:
  * docs/design/platform-deployment.md#active-instances.
  */
 
@@ -32,26 +34,27 @@
 export interface ActiveBounds {
   /** Least number of active instances in each failure domain. */
   readonly minimumInDomain: number
-  /** Factor on the present load that all active instances together can take. */
+  /** Factor on the load: all active instances together can take at least so much. */
   readonly headroom: number
 }
 
-/** Half-life with which the highest load seen decays. */
+/** Half-life in milliseconds with which the highest load of a region decays. */
 const LOAD_HALF_LIFE_MILLISECONDS = 15_000
-/** Key of the hash that orders instances of equal capacity, since their names imply no order. */
+/** Key of the hash that orders instances of equal capacity; their names imply no preference. */
 const ORDER_HASH_KEY = 'active'
 
 /**
- * Chooses the active instances, and remembers the load, so that the choice follows a rise at once
- * and a fall slowly.
+ * Chooses the active instances, and remembers the highest load of each region, so that the choice
+ * follows a rise of the load at once and a fall slowly.
  */
 export class ActiveInstances {
+  /** By region: the highest load in requests a second, and when it last decayed. */
   private readonly loads = new Map<string, { load: number; at: Milliseconds }>()
   private readonly order = new RendezvousWeights(ORDER_HASH_KEY)
 
   constructor(private readonly bounds: ActiveBounds) {}
 
-  /** Returns the candidates that should be active, region by region; `now` is monotonic. */
+  /** Returns the candidates that are to be active, region by region; `now` is monotonic. */
   choose<Candidate extends ActiveCandidate>(
     candidates: readonly Candidate[],
     now: Milliseconds,
@@ -74,9 +77,10 @@
 }
 
 /**
- * Returns the fewest instances that can take the load with headroom. They are taken from each
- * failure domain in turn, the best of each first, so that all domains get the same number as far as
- * they have as many. `order` may be kept between calls.
+ * Returns as many candidates of one region as can take the load with headroom. In each round the
+ * next best candidate of every failure domain is added, so that all domains get the same number as
+ * far as they have as many. The rounds end once the capacity suffices and each domain has its least
+ * number, or when no candidate is left. `order` caches hashes and may be kept between calls.
  */
 export function chooseActive<Candidate extends ActiveCandidate>(
   candidates: readonly Candidate[],
@@ -100,8 +104,8 @@
 
 /**
  * An instance that takes more than this many times its capacity has callers that do not follow the
- * directory. Other instances of its capacity are preferred, since further callers would cost it the
- * callers that it has.
+ * directory. Other instances of the same capacity are preferred: the instance could not serve
+ * further callers without failing those it has.
  */
 const OVERLOADED_FACTOR = 2
 
@@ -109,6 +113,7 @@
   return requestsPerSecond > OVERLOADED_FACTOR * capacity
 }
 
+/** Sorts by capacity, the largest first; then puts overloaded instances last; then by hash. */
 function byCapacity<Candidate extends ActiveCandidate>(
   members: readonly Candidate[],
   order: RendezvousWeights,
--- a/packages/decisions/src/placing/budgetSharers.ts
+++ b/packages/decisions/src/placing/budgetSharers.ts
@@ -1,39 +1,42 @@
 /**
- * Decides which instances share a budget with this one, and which of them it asks for tokens.
+ * Decides which other instances share a prepaid budget with this one, and which of them it asks for
+ * tokens.
  *
- * Inputs: the instances that serve callers by the membership, the instances whose rows in the store
- * show demand for the budget, and the age of those rows in milliseconds.
+ * Inputs: the instances that serve callers according to the list of members, the instances whose
+ * rows in the store show demand for the budget, and the age of those rows in milliseconds.
  *
- * The membership shows only seconds later that callers have moved to a standby instance, and rows
- * that were read long ago do not show which instances hold tokens now. Both errors leave tokens at
- * instances whose callers do not ask for them.
+ * The list of members shows only seconds later that callers have moved to a standby instance, and
+ * rows that were read long ago do not show which instances hold tokens now. In both cases, without
+ * these rules, tokens would stay at instances whose callers do not ask for them, while other
+ * instances refuse requests.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
 /**
- * A holder whose row shows demand shares the budget for this long after the row was written: longer
- * than any time between two records, so that a late record does not end its share.
+ * Time in milliseconds after a row was written for which its holder shares the budget, if the row
+ * shows demand. The time is longer than any interval between two records of a holding, so that a
+ * late record does not end the holder's share.
  */
 const DEMAND_TTL_MILLISECONDS = 15_000
 /**
- * An instance that holds nothing by rows older than this may hold something now; an active instance
- * reads the rows a few times in this span.
+ * Age in milliseconds from which on rows are not trusted to show all holders: an instance without a
+ * holding in them may hold tokens now. An active instance reads the rows a few times in this time.
  */
 const TRUSTED_ROWS_AGE_MILLISECONDS = 5_000
 
 /**
- * Returns the store's time from which on the demand in a row counts; infinite before any time of
- * the store is known.
+ * Returns the time by the store's clock from which on a row has to be written for its demand to
+ * count; infinite, so that no row counts, before any time of the store is known.
  */
 export function demandValidSince(storeTime: Milliseconds | undefined): Milliseconds {
   return (storeTime ?? Number.POSITIVE_INFINITY) - DEMAND_TTL_MILLISECONDS
 }
 
 /**
- * Returns the other instances with which this one shares a budget: those that serve callers, and
- * those whose rows show demand. Without the latter, a team whose callers all come to a standby
- * instance would be refused tokens that the others hold.
+ * Returns the other instances with which this one shares a budget: `serving`, which serve callers,
+ * and `requesters`, whose rows show demand. Without the latter, a team whose callers all come to a
+ * standby instance would be refused although other instances hold tokens of its budget.
  */
 export function budgetSharers(
   serving: readonly string[],
@@ -44,9 +47,9 @@
 
 /**
  * Returns the instances to ask for tokens, in this order. `knownHolders` are those that held tokens
- * when the rows were last read, the largest holding first. Where that was too long ago, as on an
- * instance that stood by until the store was out of reach, any other instance may hold tokens by
- * now.
+ * when the rows were last read, the largest holding first. Where the rows were never read or are
+ * too old, any other sharer may hold tokens now and is asked as well. This happens on an instance
+ * that was on standby until the store was out of reach.
  */
 export function budgetLenders(
   knownHolders: readonly string[],
--- a/packages/decisions/src/placing/fleetShares.ts
+++ b/packages/decisions/src/placing/fleetShares.ts
@@ -8,18 +8,19 @@
  *
  * So a bound is divided among the instances that use it: the active ones, and those whose reports
  * show work at endpoints. An instance that does not use the bound yet takes the part that it would
- * have if all instances did, which limits the sum while many begin to use it at once.
+ * have if all instances that serve callers used the bound, which limits the sum while many of them
+ * begin to use it at once.
  *
- * Inputs: counts of instances, as this one knows them; the result is a number of instances.
+ * Inputs: numbers of instances, as this one knows them; the result is a number of instances.
  */
 
-/** Which instances use a bound, as one instance knows it. */
+/** How many instances use a bound, as far as one instance knows. */
 export interface FleetUsage {
   /** Whether this instance is active or has work at endpoints. */
   readonly isSelfUsing: boolean
-  /** Other instances that are active or have work at endpoints. */
+  /** Number of other instances that are active or have work at endpoints. */
   readonly usingOthers: number
-  /** Other instances that serve callers, whether or not they use the bound. */
+  /** Number of other instances that serve callers, whether or not they use the bound. */
   readonly others: number
 }
 
@@ -29,8 +30,10 @@
 }
 
 /**
- * Returns the same for a bound that must hold while parts of the fleet cannot communicate: each
- * part then chooses active instances of its own, so at least half of all instances may be active.
+ * Returns the number of instances that share a bound which must hold while parts of the fleet
+ * cannot communicate. Each part then chooses active instances of its own, and this instance does
+ * not know those of the other parts, so the number is at least half of all instances that serve
+ * callers.
  */
 export function partitionSafeShareCount(usage: FleetUsage): number {
   return Math.max(fleetShareCount(usage), Math.ceil((1 + usage.others) / 2))
--- a/packages/decisions/src/placing/holdingPolicy.ts
+++ b/packages/decisions/src/placing/holdingPolicy.ts
@@ -1,10 +1,11 @@
 /**
- * Decides how many tokens of a budget an instance should hold, and how many stay in the pool.
+ * Decides how many tokens of a prepaid budget an instance should hold, and how many stay in the
+ * budget's pool, the tokens that no instance holds.
  *
  * The policies are pure functions of a view of the budget, in tokens and tokens a second; the
  * setting `budgets.policy` selects one. A holding that is too small makes requests wait for the
- * store or be refused while the store is out of reach; one that is too large keeps tokens from
- * other instances, and a crash of its holder loses them.
+ * store, or be refused while the store is out of reach. A holding that is too large keeps tokens
+ * from other instances, and a crash of its holder loses them.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
@@ -15,12 +16,11 @@
   readonly free: TokenCount
   /** Tokens that this instance holds and has neither spent nor reserved. */
   readonly ownUnspent: TokenCount
+  /** Tokens a second that callers ask this instance for. */
   readonly ownDemandPerSecond: number
-  /** The other live instances; those without a holding count with zeros. */
+  /** The other instances that share the budget; those without a holding count with zeros. */
   readonly others: readonly { readonly unspent: TokenCount; readonly demandPerSecond: number }[]
-  /**
-   * Whether this instance is on standby; it then holds tokens only for demand that it gets itself.
-   */
+  /** Whether this instance is on standby: it then holds tokens only for its own demand. */
   readonly isStandby: boolean
   /** The largest request that this instance has seen lately. */
   readonly largestRequest: TokenCount
@@ -30,11 +30,13 @@
 export interface HoldingPolicy {
   /** Unspent tokens that this instance should hold. */
   target(view: BudgetView): TokenCount
-  /** Tokens that stay in the pool, so that any instance can cover a large request from it. */
+  /** Tokens that stay in the pool, so that any instance can cover a large request from them. */
   poolFloor(view: BudgetView): TokenCount
 }
 
-/** Gives every instance the same holding, whatever the demand; the baseline for measurements. */
+/**
+ * Gives every active instance the same holding, whatever the demand; the baseline for measurements.
+ */
 export class EqualHoldingPolicy implements HoldingPolicy {
   target(view: BudgetView): TokenCount {
     if (view.isStandby) return 0
@@ -47,32 +49,31 @@
 }
 
 /**
- * Share of the mean demand that every instance gets on top of its own demand while tokens are
- * scarce, so that demand that shifts to it finds tokens there.
+ * While tokens are scarce, the weight of each instance is its own demand plus this share of the
+ * mean demand of all instances, so that demand that shifts to the instance finds tokens there.
  */
 const SCARCE_BASE_SHARE = 0.35
-/** The same while tokens are plentiful: every instance can then cover a shift of demand. */
+/** The same share while tokens are plentiful: every instance can then cover a shift of demand. */
 const PLENTY_BASE_SHARE = 1
 /**
- * A budget that lasts `SCARCE_SECONDS` at the present demand is scarce, and one that lasts
- * `PLENTY_SECONDS` is plentiful. The limits trade normal operation, which needs tokens at hand,
- * against crashes, which lose held tokens.
+ * A budget that lasts no longer than this at the present demand is scarce. This limit and
+ * `PLENTY_SECONDS` trade normal operation, in which instances need tokens at hand, against crashes,
+ * which lose held tokens.
  */
 const SCARCE_SECONDS = 15
+/** A budget that lasts at least this long at the present demand is plentiful. */
 const PLENTY_SECONDS = 50
-/** A standby instance holds at most what its callers ask for in this time. */
+/** A standby instance holds at most what its callers ask for in this time, in seconds. */
 const STANDBY_SECONDS = 40
-/**
- * The pool keeps this many times the largest request, but not more than a share of the unspent
- * tokens.
- */
+/** The pool keeps tokens for this many requests of the largest size. */
 const POOL_FLOOR_REQUESTS = 2
+/** The pool keeps no more than this share of the budget's unspent tokens. */
 const POOL_FLOOR_SHARE = 0.25
 
 /**
- * Holdings follow demand. While tokens are plentiful, nearly all of a budget is held, so that an
- * instance that is cut off from the store refuses no request. Towards the end of a budget a growing
- * part stays in the pool, where any instance gets it with one transaction.
+ * Divides a budget by demand. While tokens are plentiful, nearly all of the budget is held, so that
+ * an instance that is cut off from the store refuses no request. Towards the end of a budget a
+ * growing part stays in the pool, from which any instance gets tokens with one transaction.
  */
 export class DemandHoldingPolicy implements HoldingPolicy {
   target(view: BudgetView): TokenCount {
@@ -87,8 +88,8 @@
     const totalWeight = sum + base * count
     if (!view.isStandby)
       return Math.floor((holdable * (view.ownDemandPerSecond + base)) / totalWeight)
-    // A standby instance gets a share of observed demand only, and 40 s of it at most, because the
-    // directory sends it no new callers.
+    // A standby instance gets a share for its own demand only, and no more than this demand needs
+    // in `STANDBY_SECONDS`, because the directory sends it no new callers.
     const share = (holdable * view.ownDemandPerSecond) / totalWeight
     return Math.floor(Math.min(share, STANDBY_SECONDS * view.ownDemandPerSecond))
   }
@@ -100,8 +101,9 @@
 }
 
 /**
- * Returns how long a budget will last at the present demand, from 0 (scarce: where its tokens are
- * held matters) to 1 (plentiful: it does not matter).
+ * Returns how plentiful a budget is at the present demand: 0 up to `SCARCE_SECONDS` (it matters
+ * which instances hold the tokens), 1 from `PLENTY_SECONDS` on (it does not matter), and linear in
+ * between.
  */
 export function budgetPlenty(view: BudgetView): number {
   const position = (secondsToExhaustion(view) - SCARCE_SECONDS) / (PLENTY_SECONDS - SCARCE_SECONDS)
--- a/packages/decisions/src/placing/recordInterval.ts
+++ b/packages/decisions/src/placing/recordInterval.ts
@@ -1,25 +1,28 @@
 /**
- * Decides how often an instance records what it has spent of a holding.
+ * Decides how often an instance records what it has spent of a holding, its part of a prepaid
+ * budget.
  *
  * Load pattern: hundreds of instances, dozens of budgets, and a dozen instances that hold tokens.
  * Spending that is not recorded is lost at a crash and unknown to other instances, so records are
  * written as often as the store accepts them from all holders together. If all serving instances
- * counted as holders, a holding would be recorded so rarely that the tokens which a refused caller
- * needs would be at instances whose rows are seconds old.
+ * counted as holders, each holding would be recorded too rarely. The tokens that a refused caller
+ * needs would then be at instances whose rows are seconds old.
  *
  * Inputs: the numbers of recorded holdings, and the writes a second that the store accepts; the
  * result is in milliseconds.
  *
  * Limits: all records together use a part of the store's writes, and those of one budget a part of
- * what its partition accepts. The rest is for requests that cannot be covered without a write.
+ * what the budget's partition of the store accepts. The rest is for requests that cannot be covered
+ * without a write.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Numbers of holdings that all instances together record. */
 export interface RecordedHoldings {
+  /** Holdings of all budgets. */
   readonly inAll: number
-  /** Holdings of the budget that the most instances hold. */
+  /** Holdings of the budget that is held by the largest number of instances. */
   readonly inOneBudget: number
 }
 
@@ -29,9 +32,9 @@
   readonly partitionWritesPerSecond: number
 }
 
-/** Shortest time between two records of one holding. */
+/** Shortest time in milliseconds between two records of one holding. */
 const SHORTEST_RECORD_MILLISECONDS = 500
-/** Share of the store's writes that periodic records may take. */
+/** Share of the writes, of the store and of each partition, that periodic records may take. */
 const RECORD_SHARE = 0.3
 
 /** Returns the time between two records of one holding. */
--- a/packages/decisions/src/slidingCount.ts
+++ b/packages/decisions/src/slidingCount.ts
@@ -1,15 +1,22 @@
-/** Counts events over a sliding window of time. Owns one count for each slice of the window. */
+/**
+ * Counts events over a sliding window of time, which is divided into slices of equal length. Keeps
+ * one count for each slice with events.
+ */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
-/** A count of events over a sliding window. Events leave the count together with their slice. */
+/**
+ * A count of events over a sliding window. The window ends with the present slice, which has not
+ * passed yet, and events leave the count together with their slice. So the count covers between
+ * `(slices - 1) / slices` of the window and the whole window.
+ */
 export class SlidingCount {
-  /** Event counts by slice number. */
+  /** Event counts by slice number; slices are numbered from time 0 of the clock. */
   private readonly counts = new Map<number, number>()
 
   constructor(
     private readonly windowMilliseconds: Milliseconds,
-    /** Number of slices. The more slices, the fewer events leave the count at once. */
+    /** Number of slices in the window. With more slices, fewer events leave the count at once. */
     private readonly slices: number,
   ) {}
 
@@ -20,7 +27,7 @@
     for (const old of this.counts.keys()) if (old <= slice - this.slices) this.counts.delete(old)
   }
 
-  /** Returns the number of events in the window that ends at `now`. */
+  /** Returns the number of events in the window that ends at `now`, which is monotonic. */
   at(now: Milliseconds): number {
     const oldest = this.sliceAt(now) - this.slices
     let sum = 0
@@ -41,24 +48,27 @@
   constructor(
     windowMilliseconds: Milliseconds,
     slices: number,
-    /** With fewer events in the window, the share is taken as 0. */
+    /** With fewer events of any kind in the window, the share is taken as 0. */
     private readonly minimumEvents: number,
   ) {
     this.all = new SlidingCount(windowMilliseconds, slices)
     this.counted = new SlidingCount(windowMilliseconds, slices)
   }
 
-  /** Adds an event of any kind. */
+  /** Adds an event of any kind; `now` is monotonic. */
   note(now: Milliseconds): void {
     this.all.add(now)
   }
 
-  /** Marks one of the noted events as being of the counted kind. */
+  /**
+   * Counts one of the noted events as being of the counted kind, at the time of this call. The
+   * event may have been noted earlier and have left the window by now.
+   */
   noteCounted(now: Milliseconds): void {
     this.counted.add(now)
   }
 
-  /** Returns the share, in [0, 1]; 0 if the window has too few events. */
+  /** Returns the share of counted events, in [0, 1]; 0 if the window has too few events. */
   at(now: Milliseconds): number {
     const all = this.all.at(now)
     return all < this.minimumEvents ? 0 : Math.min(1, this.counted.at(now) / all)
