--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,44 +1,45 @@
-/** Time as an interface, so that tests and simulations can control it. */
+/** Clocks and timers behind an interface, so that tests and simulations can control time. */
 
 import { uptime } from 'node:os'
 import type { Milliseconds } from './quantities.js'
 
-/** A pending timer; cancelling one that has fired has no effect. */
+/** A pending timer; cancelling a timer that has fired has no effect. */
 export interface Timer {
   cancel(): void
 }
 
 /**
- * Sources of time. Code that orders or expires something uses `monotonic` or `sinceStart`, which
- * never go back: a wall clock that is set back would revive what had expired. The two differ where
- * the machine was suspended.
+ * Sources of time. Code that orders events or lets data expire uses `monotonic` or `sinceStart`,
+ * which never go back: with a wall clock that is set back, expired data would count again. The two
+ * differ by the time for which the machine was suspended.
  */
 export interface Clock {
   /**
-   * Milliseconds since an arbitrary start, not counting suspensions of the machine. For whatever
-   * allows more as time passes: spending, retries, requests to an endpoint that is warming up.
+   * Milliseconds since an arbitrary start, not counting suspensions of the machine. For limits that
+   * allow more as time passes: spending, retries, requests to an endpoint that is warming up.
    */
   monotonic(): Milliseconds
   /**
-   * Milliseconds since an arbitrary start, counting suspensions, whatever is done to the time of
-   * day. For whatever must not be trusted or awaited for too long: ages of rows, leases, deadlines.
+   * Milliseconds since an arbitrary start, counting suspensions and unaffected by changes to the
+   * time of day. For data that must not be trusted, and events that must not be awaited, for too
+   * long: ages of rows, leases, deadlines. Suspensions below half a second may be missed.
    */
   sinceStart(): Milliseconds
   /** Milliseconds since 1970, for records that people read. */
   wallTime(): Milliseconds
-  /** Calls `run` once the delay has passed by `monotonic`, never earlier. */
+  /** Calls `run` once, after the delay has passed by `monotonic`, never earlier. */
   after(delay: Milliseconds, run: () => void): Timer
 }
 
-/** Where a clock reads time from. */
+/** The sources from which `SystemClock` reads time, in milliseconds. */
 export interface TimeSources {
-  /** Never goes back, and stops while the machine is suspended. */
+  /** Time that never goes back and stops while the machine is suspended. */
   steady(): Milliseconds
-  /** Continues while the machine is suspended; may be set forward or back. */
+  /** Time that continues while the machine is suspended and may be set forward or back. */
   timeOfDay(): Milliseconds
   /**
-   * Continues while the machine is suspended, and is never set; a read costs more than one of the
-   * others.
+   * Time that continues while the machine is suspended and is never set. A read costs more than a
+   * read of the other sources.
    */
   sinceBoot(): Milliseconds
 }
@@ -52,22 +53,24 @@
 }
 
 /**
- * The time of day must have advanced by this much more than the steady clock between two reads for
- * a suspension to be assumed. Slewing of the time of day never does that, and no age here needs to
- * be exact to half a second.
+ * Shortest suspension that is detected: between two reads, the time of day has to advance by at
+ * least this much more than the steady clock. Slewing of the time of day never advances it so much,
+ * and no age of rows, lease or deadline needs to be exact to half a second.
  */
 const SUSPENSION_MILLISECONDS: Milliseconds = 500
 
 /**
  * The clock of the process. The steady clock of Node.js does not count suspensions. The time of day
- * continues during one, but also jumps when it is set, so the time since boot tells the two cases
- * apart. It is read only after a jump, since reading it is a system call.
+ * continues during a suspension, but also jumps when it is set; the time since boot distinguishes
+ * the two cases. The time since boot is read only after a forward jump of the time of day, since
+ * reading it is a system call.
  */
 export class SystemClock implements Clock {
+  /** Total length of the suspensions that were detected. */
   private suspended: Milliseconds = 0
-  /** The time of day minus the steady clock, at the last read. */
+  /** The time of day minus the steady clock, at the last read of `sinceStart`. */
   private dayTimeOffset: Milliseconds
-  /** The time since boot minus the steady clock, at the last jump of the time of day. */
+  /** The time since boot minus the steady clock, at the last forward jump of the time of day. */
   private bootTimeOffset: Milliseconds
 
   constructor(private readonly sources: TimeSources = PROCESS_TIME) {
@@ -89,7 +92,8 @@
   }
 
   /**
-   * Returns the time for which the machine was suspended since the last jump of the time of day.
+   * Returns the time for which the machine was suspended since the last forward jump of the time of
+   * day; 0 if that is too short to count as a suspension.
    */
   private takeSuspension(): Milliseconds {
     const bootTimeOffset = this.sources.sinceBoot() - this.sources.steady()
@@ -109,13 +113,14 @@
   }
 }
 
-/** The longest delay that Node.js accepts; it fires a timer with a longer one at once. */
+/** The longest delay that Node.js accepts; a timer with a longer delay would fire at once. */
 const MAXIMUM_TIMEOUT_MILLISECONDS: Milliseconds = 2 ** 31 - 1
 
 /**
- * Timers of Node.js count whole milliseconds and may fire up to two milliseconds early. Code that
- * then read the clock would find that the deadline has not been reached, and attribute an end by
- * deadline to another cause. So a timer that fires early waits for the rest.
+ * A timer that never fires early. Timers of Node.js count whole milliseconds and may fire up to two
+ * milliseconds early. Code that then read the clock would find that a deadline has not been
+ * reached, and would report another cause for a request that ended at its deadline. So this timer
+ * waits again if it is not due yet. A delay that Node.js does not accept is waited for in parts.
  */
 class SystemTimer implements Timer {
   private handle: NodeJS.Timeout | undefined
@@ -131,6 +136,7 @@
     clearTimeout(this.handle)
   }
 
+  /** Waits until the timer is due, or for the longest delay that Node.js accepts. */
   readonly wait = (): void => {
     this.handle = setTimeout(this.fire, Math.min(this.remaining(), MAXIMUM_TIMEOUT_MILLISECONDS))
   }
--- a/packages/shared/src/deferred.ts
+++ b/packages/shared/src/deferred.ts
@@ -1,4 +1,4 @@
-/** A promise together with the functions that settle it. */
+/** A promise and the functions that settle it. */
 export interface Deferred<Value> {
   readonly promise: Promise<Value>
   resolve(value: Value): void
@@ -6,7 +6,8 @@
 }
 
 /**
- * Returns a promise with its resolvers, as `Promise.withResolvers` does, which Node.js 20 lacks.
+ * Returns a promise and the functions that settle it, in the same way as `Promise.withResolvers`,
+ * which Node.js 20 lacks.
  */
 export function deferred<Value>(): Deferred<Value> {
   let resolve: (value: Value) => void = () => {}
--- a/packages/shared/src/errors.ts
+++ b/packages/shared/src/errors.ts
@@ -1,12 +1,17 @@
 /**
- * Errors that carry a numbered result code, in three classes: any code, codes of requests that were
- * not run, and codes of requests that may have run.
+ * Errors that carry a numbered result code. `RackwalkError` accepts any code, `NotRunError` only
+ * codes of requests that were not run, and `DispatchedError` only codes of requests that may have
+ * run.
  */
 
 import type { DispatchedCode, NotRunCode } from './resultCodes.js'
 import { RESULT_TABLE, ResultCode } from './resultCodes.js'
 
-/** An error with a numbered code; `cause` is kept for the log and never shown to callers. */
+/**
+ * An error with a numbered code. Its message consists of the code's text, the detail and the
+ * cause's message. The cause is meant for the log; for the code `Internal`, callers get neither
+ * detail nor cause (router/errorBody.ts).
+ */
 export class RackwalkError extends Error {
   static {
     // Set on the prototype, so that the stack begins with this name.
@@ -17,9 +22,9 @@
 
   constructor(code: ResultCode, detail?: string, cause?: Error) {
     const { stackTraceLimit } = Error
-    // Captures no stack trace for an error without a cause. Such an error is an answer whose code
-    // says what happened, and an overloaded instance creates hundreds a second; their traces would
-    // take a noticeable part of the processor.
+    // An error without a cause gets no stack trace. Such an error is an answer to a caller, and its
+    // code says what happened. An overloaded instance creates hundreds of them a second, and their
+    // traces would take a noticeable part of the processor's time.
     if (cause === undefined) Error.stackTraceLimit = 0
     super(messageOf(code, detail, cause), cause && { cause })
     Error.stackTraceLimit = stackTraceLimit
@@ -34,9 +39,8 @@
 }
 
 /**
- * The request was not run. The constructor accepts only codes of that class. The error is created
- * before dispatch, or where no attempt was sent or all attempts were rejected, so that "not run"
- * stays true.
+ * The error of a request that was not run. It is created before the request is dispatched, or where
+ * no attempt was sent or all attempts were rejected, so that "not run" is true.
  */
 export class NotRunError extends RackwalkError {
   constructor(
@@ -48,7 +52,9 @@
   }
 }
 
-/** The request reached an endpoint, or may have. */
+/**
+ * The error of a request that this or an earlier attempt sent, or may have sent, to an endpoint.
+ */
 export class DispatchedError extends RackwalkError {
   constructor(
     override readonly code: DispatchedCode,
@@ -59,7 +65,9 @@
   }
 }
 
-/** Converts any thrown value to a numbered error. */
+/**
+ * Returns a `RackwalkError` as it is, and any other thrown value as the cause of an internal error.
+ */
 export function toRackwalkError(thrown: unknown): RackwalkError {
   if (thrown instanceof RackwalkError) return thrown
   const cause = thrown instanceof Error ? thrown : new Error(String(thrown))
--- a/packages/shared/src/groupBy.ts
+++ b/packages/shared/src/groupBy.ts
@@ -1,4 +1,7 @@
-/** Groups items by key, in the order in which the keys first appear. */
+/**
+ * Groups items by key. Groups are in the order in which their keys first appear, and items within a
+ * group in their original order.
+ */
 export function groupBy<Item, Key>(
   items: readonly Item[],
   keyOf: (item: Item) => Key,
--- a/packages/shared/src/ids.ts
+++ b/packages/shared/src/ids.ts
@@ -22,16 +22,16 @@
 /** Identifies one model engine or plain service that serves requests. */
 export type EndpointId = Branded<'EndpointId'>
 /**
- * Identifies one start of an endpoint, which may return under the same endpoint id. What is known
- * of one start does not apply to the next.
+ * Identifies one run (start) of an endpoint: an endpoint that ended may start again under the same
+ * endpoint id. What an instance has learned about one run does not apply to the next.
  */
 export type EndpointStart = Branded<'EndpointStart'>
 /**
- * Identifies the version of the software that an endpoint runs, not of the model weights, which
- * have their own versions. Output of two software versions cannot be joined in one stream.
+ * Identifies the version of the software that an endpoint runs. Model weights have versions of
+ * their own. Output of two software versions cannot be joined in one stream.
  */
 export type SoftwareVersion = Branded<'SoftwareVersion'>
-/** Identifies a stream of events by the caller's attempt that delivered its first event. */
+/** Identifies a stream of events by the caller's attempt that delivered the first event. */
 export type StreamKey = Branded<'StreamKey'>
 /** Identifies a model that endpoints load and callers ask for. */
 export type ModelId = Branded<'ModelId'>
@@ -44,31 +44,35 @@
 export type RequestFingerprint = Branded<'RequestFingerprint'>
 /** Identifies a part of prompts to one service or model that several requests share. */
 export type PromptPartKey = Branded<'PromptPartKey'>
-/** Chosen by the caller; together with the team it identifies a bill. */
+/** A key that the caller chooses for a request; together with the team it identifies a bill. */
 export type IdempotencyKey = Branded<'IdempotencyKey'>
 /** Identifies one conditional write, so that its outcome can be queried after a lost answer. */
 export type TransactionId = Branded<'TransactionId'>
 /** Identifies one transfer of tokens between two instances. */
 export type TransferId = Branded<'TransferId'>
 
-/** Endpoints that report no software version count as one version of their own. */
+/** The version of all endpoints that report none; they count as running the same software. */
 export const UNKNOWN_SOFTWARE_VERSION: SoftwareVersion = asId('')
 
 /**
- * Returns the id of an endpoint's start at this time; `bornAt` is undefined where the platform
- * gives each start its own endpoint id.
+ * Returns the id of one run of an endpoint. `discriminator` is a number that distinguishes the runs
+ * under the same endpoint id, such as the start time; undefined where the platform gives each run
+ * its own endpoint id, or where the runs are not distinguished.
  */
-export function endpointStart(endpoint: string, bornAt: number | undefined): EndpointStart {
-  return asId(bornAt === undefined ? endpoint : `${endpoint}@${bornAt}`)
+export function endpointStart(endpoint: string, discriminator: number | undefined): EndpointStart {
+  return asId(discriminator === undefined ? endpoint : `${endpoint}@${discriminator}`)
 }
 
-/** Returns the endpoint of a start that was created by `endpointStart`. */
+/**
+ * Returns the endpoint of a run whose id was created by `endpointStart`. An endpoint id that
+ * contains `@` is returned whole only if the run's id has a discriminator.
+ */
 export function endpointOf(start: EndpointStart): EndpointId {
   const end = start.lastIndexOf('@')
   return asId(end < 0 ? start : start.slice(0, end))
 }
 
-/** Brands a string; the only place that casts. */
+/** Brands a string as an identifier, without checking it; the only cast to these types. */
 export function asId<Id extends Branded<string>>(value: string): Id {
   return value as Id
 }
--- a/packages/shared/src/quantities.ts
+++ b/packages/shared/src/quantities.ts
@@ -1,10 +1,10 @@
 /** Units of quantities that cross module boundaries. */
 
-/** Whole model tokens, of prompts and of generated text alike. */
+/** A number of model tokens, of prompts or of generated text. */
 export type TokenCount = number
 /** A duration, or a point in time on a particular clock. */
 export type Milliseconds = number
 /** A size in memory or on the wire. */
 export type Bytes = number
-/** Number of changes of one configuration or row; a greater one is newer. */
+/** Version of a configuration or row, which grows with each change: the greater one is newer. */
 export type Version = number
--- a/packages/shared/src/randomSource.ts
+++ b/packages/shared/src/randomSource.ts
@@ -1,20 +1,26 @@
-/** Randomness and unique ids as an interface, so that tests and simulations can repeat a run. */
+/**
+ * Random numbers and unique ids behind an interface, so that tests and simulations can repeat a
+ * run.
+ */
 
 import { randomInt, randomUUID } from 'node:crypto'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 
-/** Source of the random choices in decisions; seeded in tests and benches. */
+/** Source of the random numbers for decisions; seeded in tests and benches. */
 export interface RandomSource {
   /** Returns a number in [0, 1). */
   next(): number
-  /** Returns an identifier that no other call returns. */
+  /** Returns an identifier that no other call on this source returns. */
   uniqueId(): string
 }
 
+/**
+ * Number of values in [0, 1) that `SystemRandom` can return; below 2 ** 48, as `randomInt` needs.
+ */
 const FRACTION_STEPS = 2 ** 40
 
-/** Random numbers of the operating system. */
+/** Random numbers and ids from the operating system; ids are unique across processes. */
 export class SystemRandom implements RandomSource {
   next(): number {
     return randomInt(FRACTION_STEPS) / FRACTION_STEPS
@@ -25,7 +31,7 @@
   }
 }
 
-/** Repeatable random numbers: the same seed produces the same sequence. */
+/** Repeatable random numbers and ids: the same seed produces the same sequences. */
 export class SeededRandom implements RandomSource {
   private readonly generator
   private issued = 0
@@ -44,7 +50,7 @@
   }
 }
 
-/** Returns a whole number in [0, bound). */
+/** Returns a random whole number in [0, bound). */
 export function randomBelow(random: RandomSource, bound: number): number {
   return Math.floor(random.next() * bound)
 }
--- a/packages/shared/src/resultCodes.ts
+++ b/packages/shared/src/resultCodes.ts
@@ -1,7 +1,7 @@
 /**
- * All numbered results that may appear to a caller, an operator or in a log. The table beside the
- * enum states whether the request ran, whether it may be repeated unchanged, and after how many
- * seconds; docs/result-codes.md is checked against it.
+ * All numbered results that are returned to a caller or an operator, or written to a log.
+ * `RESULT_TABLE` states for each of them whether the request ran, whether it may be repeated
+ * unchanged, and after how many seconds. A check compares docs/result-codes.md with the table.
  */
 export enum ResultCode {
   Ok = 0,
@@ -76,7 +76,10 @@
 /** Whether an endpoint ran the request. */
 export type Execution = 'not-run' | 'ran' | 'unknown'
 
-/** Codes that may be returned only before the first byte was sent to an endpoint. */
+/**
+ * Codes of requests that were not run: nothing was sent to an endpoint, or every endpoint that got
+ * the request rejected it.
+ */
 export type NotRunCode =
   | ResultCode.MalformedRequest
   | ResultCode.BodyTooLarge
@@ -112,7 +115,7 @@
   | ResultCode.OriginUnknown
   | ResultCode.NoEndpointOfVersion
 
-/** Codes for a request that this or an earlier attempt may have run. */
+/** Codes of requests that this or an earlier attempt ran or may have run. */
 export type DispatchedCode =
   | ResultCode.Ok
   | ResultCode.AlreadyRan
@@ -128,11 +131,15 @@
 
 /** Properties of one result code. */
 export interface ResultDescription {
+  /** Status of an HTTP answer with this code. */
   readonly httpStatus: number
-  /** Undefined where no request is concerned, as for settings. */
+  /** Undefined for codes that do not concern a request, such as those of settings. */
   readonly execution?: Execution
+  /** Whether the same request may be sent again unchanged. */
   readonly repeatable: boolean
+  /** Seconds after which the request may be repeated; undefined where no time is known. */
   readonly retryAfterSeconds?: number
+  /** Text for callers and logs. */
   readonly message: string
 }
 
@@ -146,7 +153,7 @@
   return { httpStatus, execution, repeatable, message, retryAfterSeconds }
 }
 
-/** The message table; result messages are defined nowhere else. */
+/** Properties of all result codes; messages of results are defined nowhere else. */
 export const RESULT_TABLE: Readonly<Record<ResultCode, ResultDescription>> = {
   [ResultCode.Ok]: row(200, 'ran', false, 'done'),
 
@@ -322,7 +329,7 @@
   [ResultCode.Internal]: row(500, undefined, false, 'internal error'),
 }
 
-/** Returns the name of a code in the enum, for tables and metrics. */
+/** Returns the name of a code in the enum, for metrics and for tables of codes. */
 export function resultName(code: ResultCode): string {
   return ResultCode[code]
 }
--- a/packages/shared/src/task.ts
+++ b/packages/shared/src/task.ts
@@ -1,5 +1,6 @@
-/** Lifecycle of a task, which owns its sockets, timers and state between start and stop. */
+/** A part of the process that owns sockets, timers and state between its start and its stop. */
 export interface Task {
+  /** Begins the task's work. */
   start(): Promise<void>
   /** Finishes work in progress and accepts nothing new. */
   drain(): Promise<void>
--- a/packages/shared/src/virtualClock.ts
+++ b/packages/shared/src/virtualClock.ts
@@ -1,19 +1,25 @@
 /**
- * A clock for tests and simulations: hours pass in milliseconds, and timers fire in a fixed order.
+ * A clock for tests and simulations: hours of simulated time take milliseconds, and timers fire in
+ * a fixed order.
  */
 
 import TinyQueue from 'tinyqueue'
 import type { Clock, Timer } from './clock.js'
 import type { Milliseconds } from './quantities.js'
 
+/** A timer that has not fired yet. */
 interface ScheduledTimer {
   readonly due: Milliseconds
+  /** Number of the call of `after`, which orders timers that are due at the same time. */
   readonly order: number
   readonly run: () => void
   isCancelled: boolean
 }
 
-/** A clock that advances only on request; tests and benches run the production code on it. */
+/**
+ * A clock that advances only on request; tests and benches run the production code on it. All three
+ * times begin at 0.
+ */
 export class VirtualClock implements Clock {
   private now: Milliseconds = 0
   private suspended: Milliseconds = 0
@@ -32,7 +38,7 @@
     return this.now + this.suspended
   }
 
-  /** Simulates a suspension of the machine for this long, which no timer counts. */
+  /** Simulates a suspension of the machine for this long, during which no timer advances. */
   suspend(duration: Milliseconds): void {
     this.suspended += duration
   }
@@ -49,7 +55,10 @@
     }
   }
 
-  /** Advances time; runs due timers in order and lets promises settle between them. */
+  /**
+   * Advances time and runs the timers that become due, also those that are set meanwhile, in order
+   * of their due times; lets promises settle before and after each of them.
+   */
   async advance(duration: Milliseconds): Promise<void> {
     const end = this.now + duration
     await settlePromises()
@@ -70,6 +79,7 @@
   return left.due - right.due || left.order - right.order
 }
 
+/** Resolves after all promise callbacks that are ready have run. */
 function settlePromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve))
 }
