--- a/packages/decisions/src/admitting/configurationStaleness.ts
+++ b/packages/decisions/src/admitting/configurationStaleness.ts
@@ -22,8 +22,9 @@
  * and an instance that refused by age would refuse for the whole outage. A peer that answers either
  * sends newer rows or says that it has none. Where no peer answers, but the store has answered
  * another call or a peer has sent another message, this instance is still connected. Then its copy
- * is late because of its own load, and it refuses. An instance in contact with nobody is cut off,
- * that is, without a connection to the store and the peers; it serves by the copy that it has.
+ * is late because of its own load, and it refuses requests. An instance in contact with nobody is
+ * cut off, that is, without a connection to the store and the peers; it serves by the copy that it
+ * has.
  *
  * Limits: the margin before the bound covers the time in which a request reaches its endpoint.
  * Peers are asked well before the bound, so that their answers have arrived by then. A peer's
--- a/packages/decisions/src/admitting/spendingBound.ts
+++ b/packages/decisions/src/admitting/spendingBound.ts
@@ -103,8 +103,9 @@
  */
 export const DISCONNECTED_AFTER_MILLISECONDS = 2_000
 /**
- * Number of intervals between two records that the strict window covers at least: more than one,
- * since the write that is due at the end of an interval takes a part of the next.
+ * Number of intervals between two records that the strict window covers at least, up to
+ * `DISCONNECTED_AFTER_MILLISECONDS`: more than one, since the write that is due at the end of an
+ * interval takes a part of the next.
  */
 const COVERED_RECORD_INTERVALS = 1.5
 /**
@@ -113,7 +114,7 @@
  * are spent after the cut.
  */
 const NEAR_EXHAUSTION_SECONDS = 8
-/** A budget that lasts at least this long is not near exhaustion: neither applies. */
+/** A budget that lasts at least this long is not near exhaustion: neither reason applies to it. */
 const FAR_FROM_EXHAUSTION_SECONDS = 14
 
 /**
--- a/packages/decisions/src/choosing/endpointAdvice.ts
+++ b/packages/decisions/src/choosing/endpointAdvice.ts
@@ -30,7 +30,7 @@
 
 /** Header fields of an answer, mapped from the names that a platform gives them. */
 export interface AdviceHeaders {
-  /** All rates for requests of the whole fleet; empty where the answer names none. */
+  /** All rates for requests of the whole fleet; empty where the answer states none. */
   readonly rates: readonly RateHeader[]
   /** Whether the endpoint is leaving, as the text of a yes or no. */
   readonly leaving: string | undefined
--- a/packages/decisions/src/choosing/endpointChoice.ts
+++ b/packages/decisions/src/choosing/endpointChoice.ts
@@ -33,20 +33,22 @@
   readonly pendingTokens: TokenCount
   /** Tokens of this request's prompt that the endpoint has probably not cached. */
   readonly uncachedTokens: TokenCount
-  /** Tokens of long prompts that all instances have sent there lately, decaying with time. */
+  /**
+   * Tokens of long prompts that all instances have sent to the endpoint lately, decaying with time.
+   */
   readonly recentTokens: TokenCount
   /**
    * Time that the endpoint takes for an event of an answer, relative to a usual endpoint of its
    * service (`slowness.ts`); 1 or more.
    */
   readonly slowness: number
-  /** The load in the endpoint's newest answer; undefined where it never reported any. */
+  /** The load in the endpoint's newest answer; undefined where the endpoint never reported any. */
   readonly reported: ReportedLoad | undefined
-  /** Share of recent requests that failed there, in [0, 1]. */
+  /** Share of recent requests that failed at the endpoint, in [0, 1]. */
   readonly failureShare: number
   /**
    * Whether the endpoint is in this instance's subset, so that this instance learns at once what
-   * others send there.
+   * others send to the endpoint.
    */
   readonly isInSubset: boolean
 }
@@ -68,7 +70,7 @@
    * The longest part of the prompt that other requests share; undefined where no part is shared.
    */
   readonly sharedPartId: string | undefined
-  /** The most tokens that the answer may have; 0 where there is no model. */
+  /** The most tokens that the answer may have; 0 where the request declares no tokens. */
   readonly answerTokens: TokenCount
   /**
    * How far long prompts stretch the pauses between events of concurrent streams: the longer
@@ -100,18 +102,18 @@
 /**
  * Exponent of the slowness where interference counts in full; the exponent is 1 where interference
  * does not count. A slow endpoint reads for longer and stretches each pause of concurrent streams,
- * so even short prompts do harm there.
+ * so even short prompts do harm at a slow endpoint.
  */
 const SLOWNESS_EXPONENT = 4
 /**
- * Bonus that makes instances send a shared prompt to the same endpoint without communicating. It is
- * small, since too much affinity overloads an endpoint, which costs far more than reading a shared
- * part again.
+ * Bonus that makes instances send a shared prompt to the same endpoint without communicating. The
+ * bonus is small, since too much affinity overloads an endpoint, which costs far more than reading
+ * a shared part again.
  */
 const AFFINITY_BONUS: TokenCount = 200
 /**
- * Bonus of an endpoint in the own failure domain, since traffic between failure domains has a
- * price.
+ * Bonus of an endpoint in this instance's failure domain, since traffic between failure domains has
+ * a price.
  */
 const SAME_DOMAIN_BONUS: TokenCount = 60
 /** Cost of an endpoint where all recent requests failed; falls with the square of their share. */
@@ -129,7 +131,8 @@
 const WAITING_COST: TokenCount = 400
 
 /**
- * Returns the scores of the endpoints that may take the request, best first; empty where none may.
+ * Returns the scores of the endpoints that may take the request, best first; empty where no
+ * endpoint may take it.
  */
 export function rankEndpoints(inputs: ChoiceInputs): readonly EndpointScore[] {
   const candidates = withoutEjected(inputs.open)
--- a/packages/decisions/src/choosing/prefillInterference.ts
+++ b/packages/decisions/src/choosing/prefillInterference.ts
@@ -34,7 +34,7 @@
   readonly pendingTokens: TokenCount
   /** Tokens of the new prompt that the endpoint would have to read. */
   readonly uncachedTokens: TokenCount
-  /** Tokens of long prompts sent there lately, decaying with time. */
+  /** Tokens of long prompts sent to the endpoint lately, decaying with time. */
   readonly recentTokens: TokenCount
   /**
    * Time that the endpoint takes for an event of an answer, relative to a usual endpoint of its
@@ -72,8 +72,8 @@
 
 /**
  * Cost of each stream at an endpoint for the next one, in addition to the cost of a running request
- * in `endpointChoice.ts`, since streams gather where nothing is read and lengthen each other's
- * answers there.
+ * in `endpointChoice.ts`, since streams gather at endpoints that read nothing and lengthen each
+ * other's answers.
  */
 const CROWDING_COST: TokenCount = 180
 /** A pause counts as one beside a long prompt where the endpoint had this many tokens to read. */
@@ -160,8 +160,8 @@
 }
 
 /**
- * Returns the cost of the long prompts lately sent to an endpoint for a new answer there of at most
- * `answerTokens`.
+ * Returns the cost of the long prompts lately sent to an endpoint for a new answer of the same
+ * endpoint with at most `answerTokens`.
  */
 function interferenceFromOthers(
   { recentTokens }: PrefillLoad,
--- a/packages/decisions/src/placing/holdingPolicy.ts
+++ b/packages/decisions/src/placing/holdingPolicy.ts
@@ -50,7 +50,7 @@
 
 /**
  * While tokens are scarce, the weight of each instance is its own demand plus this share of the
- * mean demand of all instances, so that demand that shifts to the instance finds tokens there.
+ * mean demand of all instances, so that the instance holds tokens for demand that shifts to it.
  */
 const SCARCE_BASE_SHARE = 0.35
 /** The same share while tokens are plentiful: every instance can then cover a shift of demand. */
--- a/packages/decisions/src/placing/rebalanceTolerance.ts
+++ b/packages/decisions/src/placing/rebalanceTolerance.ts
@@ -29,7 +29,7 @@
 const LOWEST_TOLERANCE = 0.12
 /**
  * The same share while the budget is far from exhaustion. The value is larger because each move
- * changes the pool's row, and moves that conflict there have to be repeated.
+ * changes the pool's row, and moves that conflict on that row have to be repeated.
  */
 const HIGHEST_TOLERANCE = 0.4
 
