--- a/packages/router/src/gateway/attemptOutcomes.ts
+++ b/packages/router/src/gateway/attemptOutcomes.ts
@@ -1,11 +1,14 @@
-/** Classifies outcomes of attempts with respect to their endpoint. Owns nothing. */
+/**
+ * Decides what the outcome of an attempt says about its endpoint: success, proxy error or termination. Owns
+ * nothing.
+ */
 
 import { isServerError } from '@rackwalk/decisions'
 import type { AttemptOutcome } from '@rackwalk/decisions'
 
 /**
- * Whether a proxy in front of the endpoint gave the answer: a server error that the endpoint did not sign.
- * The endpoint may have terminated.
+ * Whether a proxy or load balancer in front of the engine gave the answer: a server error that is unsigned or
+ * belongs to another request. The endpoint may have terminated.
  */
 export function isProxyError(status: number, { kind }: AttemptOutcome): boolean {
   return kind === 'not-trusted' && isServerError(status)
@@ -16,7 +19,7 @@
   return outcome.kind === 'answered' && !isServerError(outcome.status)
 }
 
-/** Outcome of an exchange that was ended because its endpoint terminated. */
+/** Returns the outcome of an exchange that was ended because its endpoint terminated. */
 export function terminatedOutcome(kind: 'failed' | 'not-sent', reason: string): AttemptOutcome {
   return { kind: kind === 'failed' ? kind : 'connect-failed', reason }
 }
--- a/packages/router/src/gateway/attemptedRequest.ts
+++ b/packages/router/src/gateway/attemptedRequest.ts
@@ -26,14 +26,17 @@
   readonly priority: number | undefined
   readonly method: string
   readonly rawHeaders: readonly string[]
-  /** Time, suspensions included, at which the caller or the route gives up. */
+  /** Time, on the clock that includes suspensions of the host, at which the caller or the route gives up. */
   readonly deadlineAt: Milliseconds
   readonly reply: CallerReply
   /** Takes one retry from the service's budget, if one is left. */
   readonly takeRetry: () => boolean
-  /** Whether another instance may serve it if no connection can be established. */
+  /** Whether another instance may serve the request if no connection to an endpoint can be established. */
   readonly mayRelay: boolean
-  /** Origin of the stream that it resumes; undefined if it resumes none. */
+  /**
+   * Service and software version that began the stream that the request resumes; undefined if it resumes
+   * none.
+   */
   readonly origin: StreamOrigin | undefined
 }
 
@@ -43,12 +46,13 @@
   readonly mayHaveRun: boolean
   /** Whether the caller received any part of an endpoint's answer. */
   readonly hasDelivered: boolean
+  /** Complete events received from endpoints, over all attempts. */
   readonly events: number
-  /** Whether the last answer was complete. */
+  /** Whether a complete answer was delivered. */
   readonly isWhole: boolean
   /**
-   * Whether no connection was established and the caller has no part of an answer, so that another instance
-   * may serve the request.
+   * Whether no connection to an endpoint was established and the caller has neither an answer nor a refusal,
+   * so that another instance may serve the request.
    */
   readonly isUnsent: boolean
 }
--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -15,7 +15,10 @@
 export class CallerReply {
   private started = false
   private ended = false
-  /** Whether the caller can detect the end of the answer without the end of the connection. */
+  /**
+   * Whether a length or chunks mark the end of the answer, so that its end differs from the connection's
+   * end.
+   */
   private isFramed = true
   private hasLeft = false
   private readonly leaveListeners: (() => void)[] = []
@@ -32,6 +35,7 @@
     response.on('error', () => this.noteClose())
   }
 
+  /** Whether the head of an answer or a refusal was sent. */
   get isStarted(): boolean {
     return this.started
   }
@@ -41,6 +45,7 @@
     return this.hasLeft
   }
 
+  /** Adds a listener that is called once if the caller leaves before the answer is complete. */
   onLeave(listener: () => void): void {
     this.leaveListeners.push(listener)
   }
--- a/packages/router/src/gateway/connectionEnd.ts
+++ b/packages/router/src/gateway/connectionEnd.ts
@@ -1,6 +1,7 @@
 /**
- * Determines how the connection of one answer ended: closed in order, or reset. Owns its listener on the
- * socket.
+ * Determines how the endpoint ended the connection of one answer: closed in order, or reset. Without this,
+ * an answer whose end is marked only by the end of its connection could be truncated unnoticed. Owns its
+ * listener on the socket.
  */
 
 import type { Socket } from 'node:net'
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -1,6 +1,6 @@
 /**
- * Requests and answers independent of how their headers are spelled. A dialect translates between the two;
- * the gateway uses only these types.
+ * Metadata of requests and answers, independent of how a platform spells their headers. A dialect translates
+ * headers to these types and back; the gateway uses only these types.
  */
 
 import type { AdviceHeaders } from '@rackwalk/decisions'
@@ -32,10 +32,13 @@
   readonly firstRequestId: string | undefined
 }
 
-/** Metadata that the gateway adds for an endpoint to what the caller sent. */
+/** Metadata that the gateway adds to a caller's headers for an endpoint. */
 export interface ForwardMetadata {
   readonly remainingMilliseconds: Milliseconds
-  /** Id of the endpoint that must answer; any other one refuses without running the request. */
+  /**
+   * Id of the endpoint that must answer; any other endpoint at the address refuses without running the
+   * request.
+   */
   readonly endpoint: string
   readonly team: string | undefined
   /** 0 is the most urgent; undefined if the service does not order requests. */
--- a/packages/router/src/gateway/endpointAgent.ts
+++ b/packages/router/src/gateway/endpointAgent.ts
@@ -9,6 +9,7 @@
 const DEFAULT_IDLE_MILLISECONDS = 400
 /** An idle connection is closed this long before the endpoint would close it. */
 const IDLE_MARGIN_MILLISECONDS = 600
+/** Lower bound of an idle connection's lifetime, for endpoints that state less than a second. */
 const SHORTEST_IDLE_MILLISECONDS = 200
 
 /**
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the listed endpoints of all services. Owns which endpoints exist, which failure domains are
- * evacuated, and the timers of lapsed entries.
+ * Keeps the listed endpoints of all services, and ends or probes open exchanges when an endpoint
+ * terminates or may have. Owns which endpoints exist, which failure domains are evacuated (get no new
+ * requests), and the timers of lapsed entries: entries that are missing from the list and may reappear.
  */
 
 import { slownessFactor, baselineEventInterval } from '@rackwalk/decisions'
@@ -28,8 +29,9 @@
   readonly maximumConnections: (service: string) => number
   /** How long endpoints of a service stay cold after a start; 0 if they never are. */
   readonly coldMilliseconds: (service: string) => Milliseconds
-  /** Whether a start announced in an answer that it leaves. */
+  /** Whether one run (start) of an endpoint announced in an answer that it leaves. */
   readonly saysLeaving?: (start: EndpointStart) => boolean
+  /** An endpoint's entry changed; `change` describes how, for the log. */
   readonly onChange: (endpoint: EndpointRecord, change: string) => void
   /** A start was replaced: another one is listed under its id. */
   readonly onReplaced?: (start: EndpointStart) => void
@@ -37,7 +39,7 @@
   readonly ask?: (address: string, path: string) => StateProbe
 }
 
-/** The baseline event interval of a service is computed again after this time: it changes within seconds. */
+/** Time for which a service's baseline event interval is reused. The interval changes only within seconds. */
 const BASELINE_MILLISECONDS = 200
 
 interface CachedBaseline {
@@ -52,7 +54,7 @@
   private readonly lapsed = new Map<string, Timer>()
   /** Evacuated failure domains: no new request is sent there. */
   private readonly evacuated = new Set<string>()
-  /** Baseline event intervals, by service. */
+  /** Event interval of a usual endpoint, by service. */
   private readonly baselineIntervals = new Map<string, CachedBaseline>()
 
   /** Ends open exchanges with endpoints that have terminated. */
@@ -80,7 +82,7 @@
     known.update(record)
   }
 
-  /** An endpoint restarted under its id: nothing that was known of the earlier start applies any more. */
+  /** An endpoint restarted under its id. Nothing known of the earlier start applies to the new one. */
   private replace(known: EndpointState, record: EndpointRecord): void {
     this.unlist(record.id)
     known.hasEnded = true
@@ -92,9 +94,9 @@
 
   /**
    * Evacuates or restores a failure domain. No new request is sent to the endpoints of an evacuated domain;
-   * requests that run there continue. After a restore, its endpoints may have turned cold while nothing was
-   * sent to them, and their rows show that up to a heartbeat later. So they count as cold until they would be
-   * warm.
+   * requests that run there continue. When a domain is restored, its endpoints may have turned cold while no
+   * request was sent to them, and their rows show that up to a heartbeat later. So they count as cold for the
+   * time that their service needs to warm up.
    */
   setEvacuated(failureDomain: string, isEvacuated: boolean): void {
     if (isEvacuated) this.evacuated.add(failureDomain)
@@ -134,7 +136,10 @@
     this.parts.onChange(known.record, 'replaced')
   }
 
-  /** The address of this start refuses connections. */
+  /**
+   * This start has terminated or its engine does not respond, as this or another instance found or a stored
+   * record says.
+   */
   noteUnreachable(start: EndpointStart): void {
     for (const endpoint of this.endpoints.values()) {
       if (endpoint.record.start === start) endpoint.noteUnreachable()
@@ -142,8 +147,8 @@
   }
 
   /**
-   * The engine of this start does not respond while its address accepts connections, as probes here or at a
-   * peer found.
+   * The engine of this start does not respond while its address accepts connections, as probes of this or
+   * another instance found.
    */
   noteUnresponsive(start: EndpointStart): void {
     for (const endpoint of this.endpoints.values()) {
@@ -152,8 +157,8 @@
   }
 
   /**
-   * An endpoint interrupted an answer. That does not prove a termination for its other exchanges, so it only
-   * raises a suspicion.
+   * An endpoint interrupted an answer. The interruption does not prove that the endpoint has terminated, so
+   * the endpoint is probed before other exchanges are ended. An endpoint whose shutdown is planned is not.
    */
   noteInterrupted(endpoint: EndpointState): void {
     if (!endpoint.isPlannedShutdown) this.terminator.noteSuspicion(endpoint, 'broke-off')
@@ -161,7 +166,7 @@
 
   /**
    * An endpoint is no longer listed. Its running requests may finish, unless a probe shows that it has
-   * terminated.
+   * terminated. An endpoint that announced its shutdown is not probed.
    */
   remove(id: string): void {
     const known = this.unlist(id)
@@ -179,7 +184,9 @@
     return known
   }
 
-  /** The entry of an endpoint is missing. The endpoint is removed unless it is listed again in time. */
+  /**
+   * The entry of an endpoint is missing. The endpoint is removed unless it is listed again within this time.
+   */
   removeAfter(id: string, milliseconds: Milliseconds): void {
     const known = this.endpoints.get(id)
     if (known === undefined || this.lapsed.has(id)) return
@@ -195,12 +202,15 @@
     return [...this.endpoints.keys()]
   }
 
-  /** Endpoints of a service to which new requests may be sent. */
+  /**
+   * Endpoints of a service to which new requests may be sent: neither leaving, terminated nor unreachable,
+   * and not in an evacuated failure domain.
+   */
   available(service: string): readonly EndpointState[] {
     return this.listed(service).filter(({ isUnreachable }) => !isUnreachable)
   }
 
-  /** Like `available`, including endpoints that recently refused a connection. */
+  /** Like `available`, including endpoints that count as unreachable. */
   listed(service: string): readonly EndpointState[] {
     return [...this.endpoints.values()].filter(endpoint => {
       const { record, hasEnded, isLeaving } = endpoint
@@ -209,6 +219,7 @@
     })
   }
 
+  /** Endpoints of all other services that are not known to have terminated. */
   listedElsewhere(service: string): readonly EndpointState[] {
     return [...this.endpoints.values()].filter(endpoint => {
       return endpoint.service !== service && !endpoint.hasEnded
@@ -252,7 +263,10 @@
     return this.endpoints.get(id)?.record.service
   }
 
-  /** Requests in progress from here, by endpoint of the wanted services; idle endpoints are left out. */
+  /**
+   * Requests in progress from this instance, by endpoint of the wanted services; idle endpoints are left
+   * out.
+   */
   loads(isWanted: (service: string) => boolean): ReadonlyMap<string, InstanceLoad> {
     const loads = new Map<string, InstanceLoad>()
     for (const [id, { running, pendingTokens, record }] of this.endpoints) {
@@ -276,8 +290,8 @@
 }
 
 /**
- * A running process does not change its software, so another version is another start, even if the platform
- * reports no start time.
+ * Whether two records describe different runs of an endpoint. A running process does not change its software,
+ * so another known version means another start, even if the platform reports no start time.
  */
 function isOtherStart(before: EndpointRecord, after: EndpointRecord): boolean {
   const versions = [before.softwareVersion, after.softwareVersion]
--- a/packages/router/src/gateway/endpointExchanges.ts
+++ b/packages/router/src/gateway/endpointExchanges.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the open exchanges with one start of an endpoint. Owns these exchanges; the rule is in
- * decisions/retrying/terminationSigns.
+ * Keeps this instance's open exchanges with one run (start) of an endpoint, and ends those that a sign of the
+ * endpoint's termination concerns. Without it, exchanges whose connections nobody resets would wait until
+ * their deadlines. Owns these exchanges; the rule is in decisions/retrying/terminationSigns.
  */
 
 import { isAsked, isTerminatedBy, wasInFlightAtCrash } from '@rackwalk/decisions'
@@ -11,9 +12,12 @@
 export interface TerminableExchange {
   /** Current state. */
   readonly open: InFlightState
-  /** Path that reports the endpoint's state without using a slot; undefined if there is none. */
+  /** Path that reports the endpoint's state without using a request slot; undefined if there is none. */
   readonly statePath: string | undefined
-  /** The exchange was in flight without any part of an answer when its endpoint terminated. */
+  /**
+   * Notes that the exchange was in flight without any part of an answer when its endpoint may have
+   * terminated, so that its request may have crashed the endpoint.
+   */
   suspect(): void
   /**
    * Ends the exchange because its endpoint has terminated: its request continues elsewhere, or its caller
@@ -39,7 +43,10 @@
     if (this.firstResetAt === undefined || heardAt > this.firstResetAt) this.firstResetAt = now
   }
 
-  /** Path at which this sign requires a state probe of the endpoint; undefined if it requires none. */
+  /**
+   * Path of the state probe that this sign requires; undefined if the sign requires none or no path is
+   * known.
+   */
   probePath(sign: TerminationSign): string | undefined {
     const all = [...this.exchanges]
     if (
@@ -53,8 +60,8 @@
   }
 
   /**
-   * The endpoint may have terminated: exchanges that were in flight without any part of an answer may have
-   * crashed it.
+   * The endpoint has terminated or may have, as known since `knownAt` (monotonic). Marks the exchanges that
+   * were in flight then without any part of an answer, since their requests may have crashed the endpoint.
    */
   suspect(knownAt: Milliseconds): void {
     const known = { brokenAt: this.firstResetAt, knownAt }
--- a/packages/router/src/gateway/endpointSelector.ts
+++ b/packages/router/src/gateway/endpointSelector.ts
@@ -1,7 +1,9 @@
 /**
- * Chooses the endpoint of each attempt at one request: collects the state of the endpoints that may be sent a
- * request now and applies the rules. Owns the reason why no endpoint was chosen and the verdict on the
- * request at the newest choice.
+ * Chooses the endpoint of each attempt at one request. Leaves out endpoints that were tried, that have no
+ * free connection, that may not be sent a request now, or to which this instance has lost its links; ranks
+ * the others by load, or sends a request that may crash endpoints to one endpoint for all instances
+ * (isolates it). The rules are in packages/decisions. Owns the reason why no endpoint was chosen and the
+ * quarantine verdict on the request at the newest choice.
  */
 
 import {
@@ -58,7 +60,7 @@
 
 /** Constraints that earlier attempts put on a choice. */
 export interface SelectionConstraints {
-  /** Starts to which the request was sent. */
+  /** Endpoint starts (runs of endpoints) that the request was attempted at. */
   readonly tried: ReadonlySet<EndpointStart>
   /** Software version that must give the answer; undefined if any may. */
   readonly softwareVersion: SoftwareVersion | undefined
@@ -77,10 +79,12 @@
   /** Quarantine verdict on the request as of the newest choice. */
   verdict: QuarantineVerdict = 'send'
   /**
-   * Why no endpoint was chosen; undefined if one was, or if the outcome of an attempt is the better reason.
+   * Why no endpoint was chosen. Set if the first choice found none, if the request was refused as
+   * crash-inducing before it may have run, or if all endpoints rejected it; otherwise undefined, and the
+   * outcome of the last attempt is the reason.
    */
   noChoice: NoEndpointReason | undefined
-  /** Prefix of the fingerprint: everything that is known without the body. */
+  /** Prefix of the fingerprint, which depends on team and path only and so is known without the body. */
   private readonly scope: string
 
   constructor(
@@ -91,7 +95,10 @@
     this.scope = requestScope(request)
   }
 
-  /** Returns the best endpoint, or undefined if none may take the request. */
+  /**
+   * Returns the best endpoint, or undefined if none may take the request. `mayHaveRun`: whether an earlier
+   * attempt may have run the request.
+   */
   choose(mayHaveRun: boolean): ChosenEndpoint | undefined {
     const { tried } = this.constraints
     const { available } = this
@@ -112,8 +119,8 @@
   }
 
   /**
-   * Every endpoint rejected the request. Records why no other endpoint may be tried, so that the caller knows
-   * when to retry.
+   * The newest attempt was rejected, and no attempt ran the request. If no available endpoint may be sent a
+   * request now, records the shortest wait until one may, so that the caller knows when to retry.
    */
   noteAllRejected(): void {
     const { available } = this
@@ -125,14 +132,19 @@
     if (why.kind === 'none-permitted' && !hasOpen) this.noChoice = why
   }
 
-  /** Whether an untried endpoint may be sent the request now. */
+  /**
+   * Whether an untried endpoint may be sent the request now, leaving aside free connections and lost links.
+   */
   get hasUntried(): boolean {
     return this.available.some(
       endpoint => !this.constraints.tried.has(endpoint.start) && this.mayReceive(endpoint),
     )
   }
 
-  /** Endpoints of the service that may give the answer or the rest of it. */
+  /**
+   * Available endpoints of the service. Once an answer has begun, only those of the software version that
+   * began it.
+   */
   private get available(): readonly EndpointState[] {
     const { softwareVersion } = this.constraints
     const all = this.parts.directory.available(this.request.service.name)
@@ -140,7 +152,7 @@
     return all.filter(({ record }) => record.softwareVersion === softwareVersion)
   }
 
-  /** Whether the request may be suspected, judged by what is known without its body. */
+  /** Whether any request of the same team and path is suspected. Needs no body. */
   get isSuspect(): boolean {
     return this.parts.crashes.hasSuspectsInScope(this.scope)
   }
@@ -159,7 +171,7 @@
     return strictestVerdict(ofRequest, crashes.promptParts.verdict(this.promptPartKeys))
   }
 
-  /** Identifies the request, whichever try of it this is. */
+  /** Identifies the request; equal for each try that the caller makes of it. */
   get fingerprint(): RequestFingerprint {
     const { path, team, body, record } = this.request
     record.fingerprint ??= requestFingerprint({ path, team, body })
@@ -182,13 +194,13 @@
     return { start, service, slots, running: all }
   }
 
-  /** The endpoints without those to which this instance has lost its links. */
+  /** Returns the endpoints without those to which this instance has lost its links. */
   private withoutUnreachable(open: readonly EndpointState[]): readonly EndpointState[] {
     const unreached = this.parts.links.unreachableEndpoints(this.request.service.name)
     return open.filter(endpoint => !unreached.has(endpoint))
   }
 
-  /** The endpoints without those that are probed for a crash, if others are left. */
+  /** Returns the endpoints that are not suspected to have crashed, or all if each one is suspected. */
   private preferUnsuspected(open: readonly EndpointState[]): readonly EndpointState[] {
     const trusted = open.filter(({ start }) => !this.parts.crashes.isSuspect(start))
     return trusted.length > 0 ? trusted : open
@@ -216,17 +228,20 @@
     return { endpoint, score: best.score, compared: ranked.length }
   }
 
-  /** The endpoint to which all instances send a suspected request. */
+  /**
+   * Returns the endpoint that rendezvous hashing assigns to a suspected request. All instances with the same
+   * open endpoints choose the same one.
+   */
   private chooseIsolated(open: readonly EndpointState[]): ChosenEndpoint | undefined {
     const ids = open.map(({ record }) => record.id)
-    // All requests that contain the same suspected part cost one endpoint together.
+    // The part selects the endpoint, so that all requests that contain it crash at most this one.
     const part = this.parts.crashes.promptParts.isolationKey(this.promptPartKeys)
     const id = rendezvousChoice(part ?? this.fingerprint, ids)
     const endpoint = open.find(({ record }) => record.id === id)
     return endpoint && { endpoint, score: 0, compared: open.length }
   }
 
-  /** Why no endpoint was open, given the available endpoints and those of them that have room. */
+  /** Why no endpoint was chosen, given the available endpoints and those of them with a free connection. */
   private noChoiceReason(
     available: readonly EndpointState[],
     free: readonly EndpointState[],
@@ -238,7 +253,10 @@
     return { kind: 'none-permitted', refusal, chance: random.next() }
   }
 
-  /** A pause never harms callers that accept any pause. */
+  /**
+   * How long pauses during long prompts are, relative to the longest pause that the route accepts; 0 if the
+   * route accepts any pause, undefined until observed.
+   */
   private get pauseStretch(): number | undefined {
     const { route, service } = this.request
     if (route.pauseGoalMilliseconds === undefined) return 0
--- a/packages/router/src/gateway/endpointSnapshots.ts
+++ b/packages/router/src/gateway/endpointSnapshots.ts
@@ -6,15 +6,15 @@
 import type { InstanceLoad } from './peerLoads.js'
 import type { EndpointState } from './endpointState.js'
 
-/** State of endpoints beyond this instance's own requests. */
+/** Knowledge of endpoints that covers the requests of all instances. */
 export interface FleetKnowledge {
-  /** Requests in progress there from other instances. */
+  /** Requests of other instances in progress at an endpoint. */
   ofPeers(endpoint: string): InstanceLoad
-  /** Tokens of long prompts recently sent there, decaying with time. */
+  /** Uncached tokens of long prompts recently sent to an endpoint, decaying with time. */
   recentTokens(endpoint: string): TokenCount
-  /** Factor by which it is slower than usual for its service; at least 1. */
+  /** Factor by which an endpoint is slower than usual for its service; at least 1. */
   slowness(endpoint: EndpointState): number
-  /** Whether it is in this instance's subset, so that peers report at once what they send there. */
+  /** Whether an endpoint is in this instance's subset, so that peers report at once what they send there. */
   isInSubset(endpoint: string): boolean
   /** Tokens of a prompt that it would have to read. */
   uncachedTokens(
@@ -51,8 +51,8 @@
       ageMilliseconds: now - endpoint.loadAt,
     },
     failureShare: endpoint.failures,
-    // A request without a prompt costs nothing that the load reported by the endpoint does not show, so it
-    // may be sent there without hearing the peers.
+    // The load that the endpoint itself reports covers a request without a prompt, so no urgent reports of
+    // peers are needed and any endpoint counts as part of the subset.
     isInSubset: prompt.tokens === undefined || fleet.isInSubset(id),
   }
 }
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -1,7 +1,9 @@
 /**
- * State of one start of an endpoint: its record, and what this instance knows of it. Owns the requests in
- * progress from here, the connections, the recent failures, and until when the endpoint is cold. All of it
- * ends with the start.
+ * State of one run (start) of an endpoint, identified by the endpoint's id and start time: its record, and
+ * what this instance knows of the run. Owns this instance's requests in progress at the endpoint, its
+ * connections to the endpoint, the share of recent failures, and until when the endpoint is cold, which means
+ * that it accepts only few requests after its start. A later run gets a new state, so nothing here carries
+ * over to it.
  */
 
 import { nextEventInterval } from '@rackwalk/decisions'
@@ -32,112 +34,132 @@
   readonly softwareVersion: SoftwareVersion
   readonly slots: number
   readonly isLeaving: boolean
-  /** Time for which it still accepts only few requests; 0 once it is warm. */
+  /** Time for which the endpoint still accepts only few requests; 0 once it is warm. */
   readonly coldMilliseconds: Milliseconds
 }
 
-/** Weight of the newest outcome in the failure share. */
+/**
+ * Weight of the newest outcome in the failure share, in [0, 1]; the rest is the weight of all earlier ones.
+ */
 const FAILURE_WEIGHT = 0.3
-/** Half-life of the failure share while no request is sent there. */
+/** Half-life of the failure share since the newest outcome. */
 const FAILURE_HALF_LIFE_MILLISECONDS = 2_500
 /**
- * An endpoint that refused a connection gets no request for this long: its row may stay listed for longer,
- * and each instance would find out with requests of its own. An endpoint that recovers in the meantime is
- * missed for this long at most.
+ * An endpoint that refused a connection, left a state probe unanswered or was reported as crashed gets no
+ * request for this long: its row may stay listed for longer, and each instance would detect the termination
+ * with requests of its own. An endpoint that recovers in the meantime is unused for this long at most.
  */
 const UNREACHABLE_MILLISECONDS = 1_000
+
 /** A request in progress at an endpoint. */
 export interface RequestInProgress {
-  /** The first event arrived, so the prompt has been read; may be called again. */
+  /**
+   * The first event arrived (the first bytes of an answer that is no stream), so the prompt has been read; may
+   * be called again.
+   */
   noteBegun(): void
   /** The request has ended; call it once. */
   end(): void
 }
 
-/** State of one start of an endpoint. */
+/** State of one run of an endpoint. */
 export class EndpointState {
+  /** Requests in progress there from this instance. */
   running = 0
-  /** Prompt tokens of requests whose first event has not arrived. */
+  /** Uncached prompt tokens of those requests of this instance whose answers have not begun to arrive. */
   pendingTokens: TokenCount = 0
+  /** Load that the endpoint reported in its newest answer with a load. */
   load: EndpointLoad | undefined
+  /** Monotonic time at which `load` was received. */
   loadAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Milliseconds per event of its answers, following the quickest ones; undefined until timed. */
+  /** Estimated milliseconds per event of its answers, near the shortest intervals; undefined until timed. */
   pace: Milliseconds | undefined
   /**
    * Whether another endpoint answered at its address or another start replaced it: this start has terminated,
    * whatever is listed.
    */
   hasEnded = false
-  /** Monotonic time at which data was last received from it. */
+  /** Monotonic time at which this instance last received data from the endpoint. */
   heardAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Open exchanges with it from this instance. */
+  /** Open exchanges of this instance with the endpoint. */
   readonly exchanges = new EndpointExchanges()
-  /** False once its entry was removed. */
+  /** False once the endpoint's entry was removed from the directory. */
   isListed = true
-  /** Monotonic time until which it is cold according to its row. */
+  /** Monotonic time until which the endpoint is cold according to its newest row. */
   private coldUntil: Milliseconds
-  /** Monotonic time until which it may be cold, having turned so since its newest row. */
+  /** Monotonic time until which `assumeCold` counts the endpoint as cold, whatever a newer row says. */
   private assumedColdUntil: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Requests sent there from here. */
+  /** Times at which this instance sent requests to the endpoint. */
   private readonly sends: SendHistory
-  /** Monotonic time until which it is not tried again after it refused a connection. */
+  /** Monotonic time until which the endpoint counts as unreachable. */
   private unreachableUntil: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Monotonic time at which a new connection was last established. */
+  /** Monotonic time at which this instance last established a new connection to the endpoint. */
   private connectedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Monotonic time at which establishing a connection last failed. */
+  /** Monotonic time at which this instance last failed to connect to the endpoint. */
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  private failureShare = 0
-  private failureAt: Milliseconds = 0
-  private connections: EndpointAgent | undefined
+  /** Failure share as of `lastOutcomeAt`, in [0, 1]. */
+  private lastFailureShare = 0
+  /** Monotonic time of the newest outcome. */
+  private lastOutcomeAt: Milliseconds = 0
+  /** Created at the first use of `agent`. */
+  private ownAgent: EndpointAgent | undefined
 
   constructor(
     public record: EndpointRecord,
     private readonly clock: Clock,
     private readonly connectionLimit: () => number,
-    private readonly saysLeaving: (start: EndpointStart) => boolean = () => false,
+    private readonly hasAnnouncedLeaving: (start: EndpointStart) => boolean = () => false,
   ) {
     this.coldUntil = clock.monotonic() + record.coldMilliseconds
     this.sends = new SendHistory(clock)
   }
 
-  /** Applies a newer record of the same start. */
+  /** Applies a newer record of the same run. */
   update(record: EndpointRecord): void {
     this.record = withVersionOf(this.record, record)
     this.coldUntil = this.clock.monotonic() + record.coldMilliseconds
   }
 
-  /** Whether it announced that it leaves, in its row or in an answer: a row may arrive late or never. */
+  /**
+   * Whether the endpoint announced that it leaves, in its row or in an answer. Both count, since the row may
+   * arrive late or never.
+   */
   get isLeaving(): boolean {
-    return this.record.isLeaving || this.saysLeaving(this.record.start)
+    return this.record.isLeaving || this.hasAnnouncedLeaving(this.record.start)
   }
 
-  /** Whether its termination was announced: it is leaving, or its entry was removed before it terminated. */
+  /**
+   * Whether a termination of the endpoint counts as planned: the endpoint is leaving, or its entry was
+   * removed and no proof of its termination (`hasEnded`) is known.
+   */
   get isPlannedShutdown(): boolean {
     return this.isLeaving || (!this.isListed && !this.hasEnded)
   }
 
-  /** Its address refuses connections. */
+  /** The endpoint refuses connections, does not answer probes or was reported as crashed. */
   noteUnreachable(): void {
     this.unreachableUntil = this.clock.monotonic() + UNREACHABLE_MILLISECONDS
   }
 
-  /** Whether it recently refused a connection. */
+  /** Whether the endpoint was noted as unreachable within the last `UNREACHABLE_MILLISECONDS`. */
   get isUnreachable(): boolean {
     return this.clock.monotonic() < this.unreachableUntil
   }
 
-  /** Whether it currently accepts only few requests. */
+  /** Whether the endpoint currently accepts only few requests. */
   get isCold(): boolean {
     return this.coldMilliseconds > 0
   }
 
-  /** Time until it is warm; 0 if it is warm. */
+  /** Time until the endpoint is warm; 0 if it is warm. */
   get coldMilliseconds(): Milliseconds {
     const until = Math.max(this.coldUntil, this.assumedColdUntil)
     return Math.max(0, until - this.clock.monotonic())
   }
 
-  /** It may have turned cold unnoticed; it counts as cold for this long. */
+  /**
+   * Counts the endpoint as cold for this long from now, since it may have turned cold without a newer row.
+   */
   assumeCold(milliseconds: Milliseconds): void {
     this.assumedColdUntil = this.clock.monotonic() + milliseconds
   }
@@ -154,23 +176,30 @@
     return this.record.address
   }
 
-  /** Time until the sends from here to it are below the quota's limit for its window; 0 if they are now. */
+  /**
+   * Time until this instance's sends to the endpoint are below the quota's limit for its window; 0 if they
+   * are now.
+   */
   waitFor(quota: RateQuota): Milliseconds {
     return this.sends.waitFor(quota)
   }
 
+  /** Agent that keeps this instance's connections to the endpoint, with the current connection limit. */
   get agent(): EndpointAgent {
     const limit = this.connectionLimit()
-    this.connections ??= new EndpointAgent(limit)
-    this.connections.maxSockets = limit
-    return this.connections
+    this.ownAgent ??= new EndpointAgent(limit)
+    this.ownAgent.maxSockets = limit
+    return this.ownAgent
   }
 
+  /** Whether this instance may open one more connection to the endpoint. */
   get hasRoom(): boolean {
     return this.running < this.connectionLimit()
   }
 
-  /** A request is sent there; `tokens` of its prompt are not cached and have to be read. */
+  /**
+   * This instance sends the endpoint a request, of whose prompt `tokens` are uncached and have to be read.
+   */
   beginRequest(tokens: TokenCount): RequestInProgress {
     let pending = tokens
     this.sends.note()
@@ -187,28 +216,31 @@
     return { noteBegun, end }
   }
 
-  /** What attempts to connect from here have shown of the link to it. */
+  /** When this instance last connected to the endpoint and when it last failed to. */
   get link(): EndpointLink {
     const { connectedAt, failedAt } = this
     return { failureDomain: this.record.failureDomain, connectedAt, failedAt }
   }
 
-  /** A new connection to it was established. */
+  /** This instance established a new connection to the endpoint. */
   noteConnected(): void {
     this.connectedAt = this.clock.monotonic()
   }
 
-  /** A new connection to it could not be established. */
+  /** This instance could not establish a new connection to the endpoint. */
   noteConnectFailed(): void {
     this.failedAt = this.clock.monotonic()
   }
 
-  /** Data was received from it, so it is alive. */
+  /** This instance received data from the endpoint, so the endpoint is alive. */
   noteHeard(): void {
     this.heardAt = this.clock.monotonic()
   }
 
-  /** One of its answers ran at this pace for a while; milliseconds per event. */
+  /**
+   * Updates the estimated interval with the mean interval over some events of one answer; milliseconds per
+   * event.
+   */
   notePace(pace: Milliseconds): void {
     this.pace = nextEventInterval(this.pace, pace)
   }
@@ -218,25 +250,26 @@
     this.loadAt = this.clock.monotonic()
   }
 
-  /** Records whether a request sent there was answered. */
+  /** Records whether an attempt at the endpoint succeeded. */
   noteOutcome(succeeded: boolean): void {
     const share = this.failures
-    this.failureShare = share + FAILURE_WEIGHT * ((succeeded ? 0 : 1) - share)
-    this.failureAt = this.clock.monotonic()
+    this.lastFailureShare = share + FAILURE_WEIGHT * ((succeeded ? 0 : 1) - share)
+    this.lastOutcomeAt = this.clock.monotonic()
   }
 
-  /** Share of recent requests that failed there, in [0, 1], decaying with time. */
+  /** Weighted share of recent attempts at the endpoint that failed, in [0, 1], decaying with time. */
   get failures(): number {
-    const age = this.clock.monotonic() - this.failureAt
-    return this.failureShare * 0.5 ** (age / FAILURE_HALF_LIFE_MILLISECONDS)
+    const age = this.clock.monotonic() - this.lastOutcomeAt
+    return this.lastFailureShare * 0.5 ** (age / FAILURE_HALF_LIFE_MILLISECONDS)
   }
 
+  /** Closes all connections to the endpoint. */
   close(): void {
-    this.connections?.destroy()
+    this.ownAgent?.destroy()
   }
 }
 
-/** A row without a version does not clear the version already known for the same start. */
+/** Returns the new record; if it has no version, with the version already known for the same run. */
 function withVersionOf(before: EndpointRecord, after: EndpointRecord): EndpointRecord {
   if (after.softwareVersion !== UNKNOWN_SOFTWARE_VERSION) return after
   return { ...after, softwareVersion: before.softwareVersion }
--- a/packages/router/src/gateway/eventDelivery.ts
+++ b/packages/router/src/gateway/eventDelivery.ts
@@ -1,6 +1,6 @@
 /**
- * Parses a stream of events as it passes through: counts the events and remembers the last id. Owns the
- * incomplete event at the end.
+ * Splits the streams of all answers to one request into complete events, counts the events and remembers the
+ * last event id, so that another endpoint can resume after it. Owns the incomplete event at the end.
  */
 
 import { EventSplitter } from '../engine/eventSplitter.js'
@@ -33,7 +33,7 @@
     return this.count
   }
 
-  /** Id of the last complete event. */
+  /** Id of the last complete event that has one; undefined if none has. */
   get lastEventId(): string | undefined {
     return this.lastId
   }
--- a/packages/router/src/gateway/exchangeTerminator.ts
+++ b/packages/router/src/gateway/exchangeTerminator.ts
@@ -1,7 +1,9 @@
 /**
- * Ends open exchanges with starts of endpoints that have terminated. A proof ends them at once; at other
- * results the endpoint's state is probed first. Owns the probes in progress; the rule is in
- * decisions/retrying/terminationSigns.
+ * Ends open exchanges with runs (starts) of endpoints that have terminated. A proof (the endpoint's row names
+ * a new start, or another server answers at its address) ends them at once. At other signs the endpoint's
+ * state is probed first: this instance requests its state path and judges whether and when an answer arrives.
+ * Without it, exchanges whose connections nobody resets would wait until their deadlines. Owns the probes in
+ * progress; the rule is in decisions/retrying/terminationSigns.
  */
 
 import {
@@ -23,7 +25,7 @@
   readonly ask: (address: string, path: string) => StateProbe
 }
 
-/** Times after which an unanswered probe is a sign of termination. */
+/** Times after a probe was written at which it is judged if it is still unanswered. */
 const PROBE_TIMEOUTS_MILLISECONDS: readonly Milliseconds[] = [
   PROBE_TIMEOUT_MILLISECONDS,
   LONG_PROBE_TIMEOUT_MILLISECONDS,
@@ -35,14 +37,16 @@
 
   constructor(private readonly parts: ExchangeTerminatorParts) {}
 
-  /** A start has certainly terminated. */
+  /**
+   * A start has certainly terminated: its exchanges end, except for those that are paused by slow callers.
+   */
   noteTerminated(endpoint: EndpointState, proof: 'replaced' | 'misdirected'): void {
     const askedAt = this.parts.clock.monotonic()
     endpoint.exchanges.suspect(askedAt)
     endpoint.exchanges.end(proof, { askedAt, heardAt: endpoint.heardAt })
   }
 
-  /** A start may have terminated; it is probed if exchanges are open there. */
+  /** A start may have terminated. It is probed if the rule requires that for its open exchanges. */
   noteSuspicion(endpoint: EndpointState, cause: TerminationSign): void {
     const path = endpoint.exchanges.probePath(cause)
     if (path === undefined || this.probed.has(endpoint)) return
@@ -64,7 +68,9 @@
     } while (isKnown && requiresAnotherProbe(cause, results))
   }
 
-  /** Resolves with whether the probe gave a result. */
+  /**
+   * Probes once. Resolves with whether the probe was conclusive; a blocked event loop makes it inconclusive.
+   */
   private async probeOnce(
     endpoint: EndpointState,
     { cause, path, results }: { cause: TerminationSign; path: string; results: StateProbeResult[] },
@@ -81,7 +87,10 @@
     return isKnown
   }
 
-  /** Judges a probe after each of its timeouts and when it is answered. */
+  /**
+   * Judges a probe at each of its timeouts until it is answered, and once more when it has a result. Resolves
+   * with false if this process was too busy to tell whether an answer arrived in time.
+   */
   private async waitForAnswer(
     probe: StateProbe,
     judge: (elapsed: Milliseconds) => void,
@@ -105,6 +114,7 @@
     return true
   }
 
+  /** Ends the exchanges that the sign terminates, unless the endpoint was heard since the probe began. */
   private applySign(endpoint: EndpointState, sign: TerminationSign, askedAt: Milliseconds): void {
     const { heardAt } = endpoint
     if (heardAt > askedAt) return
--- a/packages/router/src/gateway/findStreamOrigin.ts
+++ b/packages/router/src/gateway/findStreamOrigin.ts
@@ -1,6 +1,7 @@
 /**
- * Filter for resumed streams: finds the software version that began the stream, or refuses the request before
- * tokens are reserved for it. Owns nothing; the rule is in decisions/retrying/streamResumption.
+ * Finds the service and software version that began a stream which a caller resumes, or refuses the request
+ * before tokens are reserved for it. Without it, a stream could mix the output of two versions. Owns nothing;
+ * the rule is in decisions/retrying/streamResumption.
  */
 
 import type { StreamOrigin } from '@rackwalk/decisions'
@@ -12,7 +13,7 @@
 import type { GatewayRoute, GatewayTeam } from './gatewayConfiguration.js'
 import type { GatewayRecord } from './gatewayRecord.js'
 
-/** Dependencies of the filter. */
+/** Dependencies of the search. */
 export interface ResumedStreamParts {
   readonly streams: StreamOrigins
   readonly directory: EndpointDirectory
@@ -28,8 +29,9 @@
 }
 
 /**
- * Returns where the stream continues; undefined if the request begins a new one. Throws if the stream can't
- * be continued.
+ * Returns the service and version at which the stream continues; undefined if the request resumes none or its
+ * route allows no resumption. Throws if the origin is unknown, is no target of the route or has no available
+ * endpoint.
  */
 export async function findStreamOrigin(
   { streams, directory }: ResumedStreamParts,
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -1,6 +1,7 @@
 /**
- * Tracks what the whole fleet has in progress at the endpoints and which prompts it sent there. Owns the
- * peers' reports and the estimate of prompt caches; relies on the directory for this instance's own requests.
+ * Tracks the requests that all instances have in progress at the endpoints and the prompts that they sent
+ * there, and builds this instance's reports to its peers (the other instances). Owns the peers' reports and
+ * the estimate of prompt caches; relies on the directory for this instance's own requests.
  */
 
 import { EndpointSubsets } from '@rackwalk/decisions'
@@ -42,7 +43,7 @@
   private readonly reporter: LoadReporter
   private readonly prefills: PrefillTracker
   private readonly subsets = new EndpointSubsets()
-  /** Monotonic time at which a report of this instance last contained work. */
+  /** Monotonic time at which a report of this instance last contained requests in progress. */
   private workedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: FleetLoadParts) {
@@ -61,12 +62,12 @@
     return this.peers.at(endpoint)
   }
 
-  /** Tokens of a prompt that an endpoint would have to read. */
+  /** Tokens of a prompt that are not cached at an endpoint, which would have to read them. */
   uncachedTokens(endpoint: string, prompt: TokenCount, parts: readonly PromptPart[]): TokenCount {
     return Math.max(0, prompt - this.caches.cachedTokens(endpoint, parts))
   }
 
-  /** Tokens of long prompts that all instances recently sent to an endpoint, decaying with time. */
+  /** Uncached tokens of long prompts that all instances recently sent to an endpoint, decaying with time. */
   recentTokens(endpoint: string): TokenCount {
     return this.prefills.recentTokens(endpoint)
   }
@@ -76,7 +77,7 @@
     return this.parts.directory.slownessOf(endpoint)
   }
 
-  /** A prompt is sent from here, of which the endpoint has to read `uncachedTokens`. */
+  /** This instance sends a request, of whose prompt the endpoint has to read `uncachedTokens`. */
   noteSent(endpoint: string, parts: readonly PromptPart[], uncachedTokens: TokenCount): void {
     this.prefills.note(endpoint, uncachedTokens)
     this.caches.noteSent(endpoint, parts, this.capacityAt(endpoint))
@@ -99,7 +100,10 @@
     }
   }
 
-  /** Returns the next report to peers; undefined if nothing has changed and no heartbeat is due. */
+  /**
+   * Returns the next report to peers; undefined if nothing has changed and neither a heartbeat nor a full
+   * report is due.
+   */
   nextReport(isHeartbeatDue: boolean): PeerLoadReport | undefined {
     const report = this.reporter.next(isHeartbeatDue)
     if (this.reporter.hasWork) this.workedAt = this.parts.clock.monotonic()
@@ -123,7 +127,7 @@
     return reports
   }
 
-  /** A full report of what was already reported, for an instance that received no reports before. */
+  /** A full report of the loads as last reported, for an instance that received no reports before. */
   fullReport(): PeerLoadReport {
     return this.reporter.fullReport()
   }
@@ -133,22 +137,22 @@
     return this.reporter.heartbeatReport()
   }
 
-  /** Whether an instance was heard recently. */
+  /** Whether a report of an instance was received and the instance was not forgotten as silent since. */
   hasRecentHeartbeat(instance: string): boolean {
     return this.peers.hears(instance)
   }
 
-  /** Time since any instance was last heard. */
+  /** Time since the newest report of any other instance. */
   get heardAgoMilliseconds(): Milliseconds {
     return this.peers.heardAgoMilliseconds
   }
 
-  /** Whether an instance recently reported work at endpoints. */
+  /** Whether an instance reported requests in progress at endpoints, now or recently. */
   isUsing(instance: string): boolean {
     return this.peers.isUsing(instance)
   }
 
-  /** Whether this instance recently reported work to its peers. */
+  /** Whether this instance recently reported requests in progress to its peers. */
   get isSelfUsing(): boolean {
     return this.parts.clock.monotonic() - this.workedAt < USING_MILLISECONDS
   }
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -1,6 +1,8 @@
 /**
- * Serves requests of the gateway: identifies, reads, reserves, attempts, settles and records each one. Owns
- * the retry budget of each service and the count of requests in progress.
+ * Serves requests of the gateway. Each request is matched with a route and a team, admitted, read, charged
+ * to the team's prepaid budget at its largest possible cost, sent to endpoints or relayed to another
+ * instance, settled at its actual cost, and recorded. Owns the retry budget of each service and the count of
+ * requests in progress.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -50,7 +52,7 @@
   readonly instances: () => number
   /** Throws if this instance's knowledge is too stale to serve requests. */
   readonly checkKnowledge: () => void
-  /** Whether connections close after their next answer. */
+  /** Whether callers' connections close after their next answer. */
   readonly isDraining: () => boolean
   /** Whether new requests are refused. */
   readonly isRefusing: () => boolean
@@ -93,6 +95,7 @@
   readonly origin: StreamOrigin | undefined
 }
 
+/** Result of attempts that threw before an outcome was known; the reservation is settled by it. */
 const NOT_RUN: AttemptsResult = {
   mayHaveRun: false,
   hasDelivered: false,
@@ -103,7 +106,7 @@
 
 /** Serves requests, each from its arrival to its end. */
 export class Gateway {
-  /** By service. */
+  /** By service name. */
   private readonly retryBudgets = new Map<string, FleetRetryBudget>()
   private readonly admission: InstanceAdmission
   private running = 0
@@ -117,7 +120,7 @@
     return this.running
   }
 
-  /** Usage of this instance's capacity. */
+  /** Shares of this instance's processor and link capacity that are used or refused. */
   get admissionState(): AdmissionState {
     return this.admission.state
   }
@@ -184,8 +187,8 @@
   }
 
   /**
-   * A resumed stream continues at the service that began it, whichever target of the route is chosen for new
-   * streams.
+   * Returns the service that began a resumed stream, whichever target of the route is chosen for new streams;
+   * the chosen service if the request resumes none or the configuration no longer has the other one.
    */
   private serviceOf(origin: StreamOrigin | undefined, { service }: ReadRequest): GatewayService {
     if (origin === undefined) return service
@@ -227,7 +230,10 @@
     throw new NotRunError(ResultCode.NoEndpoint, 'no connection')
   }
 
-  /** Refuses a crash-inducing request before tokens are reserved for it. */
+  /**
+   * Refuses a request that crashes endpoints, or contains a prompt part that does, before tokens are
+   * reserved.
+   */
   private refuseCrashing(
     { team, service, metadata: { promptParts } }: IdentifiedRequest,
     path: string,
@@ -246,6 +252,7 @@
     throw new NotRunError(ResultCode.EndsEndpoints)
   }
 
+  /** Records why the answer was late for its caller, if it was. */
   private noteLateness(route: GatewayRoute, record: GatewayRecord): void {
     const lateness = latenessCause(route, {
       firstByteMilliseconds: record.firstByteMilliseconds,
@@ -323,7 +330,10 @@
     return body
   }
 
-  /** Reserves the largest possible cost if the team has a prepaid budget. */
+  /**
+   * Reserves the largest possible cost if the team has a prepaid budget and the request states its tokens.
+   * Throws if the budget refuses.
+   */
   private async reserve(
     { metadata, team, route, deadlineAt }: IdentifiedRequest,
     record: GatewayRecord,
@@ -354,6 +364,7 @@
     return new NotRunError(ResultCode.BudgetUnavailable, undefined, returnAfter)
   }
 
+  /** Replaces the reservation by the tokens that were spent. */
   private settle(
     { metadata, service }: IdentifiedRequest,
     reservation: PrepaidReservation | undefined,
--- a/packages/router/src/gateway/gatewayAnswerDelivery.ts
+++ b/packages/router/src/gateway/gatewayAnswerDelivery.ts
@@ -1,7 +1,8 @@
 /**
- * Delivers the body of an endpoint's answer to the caller: streams by complete events as they arrive, other
- * answers once they are complete, or as they arrive if they are large. Owns the part of one answer that is
- * held back; relies on the exchange to tell a complete answer from an interrupted one.
+ * Delivers the head and body of an endpoint's answer to the caller: streams by complete events as they
+ * arrive, other answers once they are complete, or from `MAXIMUM_HELD_BYTES` on as they arrive. Ends the
+ * caller's answer only if the endpoint's answer is proven complete. Owns the part of one answer that is held
+ * back; relies on the exchange to tell a complete answer from an interrupted one.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -23,13 +24,13 @@
   readonly onStart: () => void
   /** Complete events arrived from the endpoint; the first ones show that it has read the prompt. */
   readonly onEvents: (count: number) => void
-  /** Bytes of an answer arrived that is no stream. */
+  /** Bytes arrived of an answer that is no stream. */
   readonly onBytes: () => void
 }
 
 /**
- * Answers up to this size are held until they are complete, so that the request can be repeated if the answer
- * is interrupted.
+ * An answer that is no stream is held until it is complete or reaches this size, so that the request can be
+ * repeated if the answer is interrupted.
  */
 const MAXIMUM_HELD_BYTES = 256 * 1024
 
@@ -53,7 +54,7 @@
     return { framing, end, events: this.eventCount, withheldBytes }
   }
 
-  /** Delivers complete events as they arrive; an incomplete rest is never delivered. */
+  /** Delivers complete events as they arrive; an incomplete event at the end is never delivered. */
   deliverEvents(): Promise<EndedAnswer> {
     const { events } = this.parts
     this.isStream = true
--- a/packages/router/src/gateway/gatewayConfiguration.ts
+++ b/packages/router/src/gateway/gatewayConfiguration.ts
@@ -22,11 +22,13 @@
   readonly isStreaming: boolean
   /** Whether an interrupted stream may be continued at another endpoint. */
   readonly isResumable: boolean
+  /** Whether requests need no key. */
   readonly isAnonymous: boolean
   readonly targets: readonly RouteTarget[]
   /** Maximum number of endpoints to which one request is sent. */
   readonly maximumAttempts: number
   readonly timeoutMilliseconds: Milliseconds
+  /** Time to the first byte after which an answer counts as late. */
   readonly goalMilliseconds: Milliseconds
   /** The longest pause between events that callers accept; undefined if they accept any. */
   readonly pauseGoalMilliseconds: Milliseconds | undefined
@@ -104,7 +106,7 @@
     return this.configuration.version
   }
 
-  /** Returns the route with the longest prefix that matches the path; `host` may contain a port. */
+  /** Returns the host's route with the longest prefix of the path; `host` may contain a port. */
   match(host: string, path: string): GatewayRoute | undefined {
     const name = host.toLowerCase().replace(/:\d+$/, '')
     return this.routesByHost.get(name)?.find(route => path.startsWith(route.pathPrefix))
@@ -119,7 +121,7 @@
   }
 }
 
-/** Picks a service by the weights of a route; `chance` is in [0, 1). */
+/** Picks a service by the weights of a route's targets; `chance` is uniform in [0, 1). */
 export function chooseService(route: GatewayRoute, chance: number): string | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0)
   let position = chance * total
--- a/packages/router/src/gateway/gatewayRecord.ts
+++ b/packages/router/src/gateway/gatewayRecord.ts
@@ -32,10 +32,11 @@
   readonly score: number
   /** Number of endpoints that were compared. */
   readonly compared: number
+  /** Time from the arrival of the request to the choice of the endpoint. */
   readonly waitedMilliseconds: Milliseconds
   /** Prompt tokens of other requests that the endpoint had to read when it was chosen. */
   readonly pendingTokens: TokenCount
-  /** Tokens of this request's prompt that it had to read. */
+  /** Tokens of this request's prompt that the endpoint had to read. */
   readonly uncachedTokens: TokenCount
   /** Undefined until the attempt has ended. */
   outcome: AttemptOutcome | undefined
@@ -50,7 +51,7 @@
 /** One relay: another instance to which the request was sent. */
 export interface RelayRecord {
   readonly instance: string
-  /** Undefined until it is known. */
+  /** Undefined until the other instance has answered or failed. */
   outcome: RelayOutcome | undefined
 }
 
@@ -62,7 +63,7 @@
   readonly resumption?: StreamResumption | undefined
   /** How the origin of that stream was determined, or why it was not. */
   originSource?: OriginSource
-  /** Undefined if no decision needed it. */
+  /** Undefined if no decision needed the fingerprint. */
   fingerprint?: RequestFingerprint
   configurationVersion?: number
   route?: string
--- a/packages/router/src/gateway/instanceAdmission.ts
+++ b/packages/router/src/gateway/instanceAdmission.ts
@@ -1,8 +1,9 @@
 /**
- * Refuses requests at once that exceed the capacity of this instance's link or processor, holds back requests
- * whose callers may have left, and handles the bodies of refused requests. Owns the remaining capacity of
- * link and processor, the timer that samples how long ready work waits, and the count of callers that had
- * left; the rules are in decisions/admitting.
+ * Refuses requests at once that exceed the capacity of this instance's network link or processor, holds back
+ * requests whose callers may have left, and handles the bodies of refused requests. Without it, an overloaded
+ * instance would serve requests so late that their callers have left. Owns the remaining capacity of link and
+ * processor, the timer that samples the event loop's delay and the wait of new connections, the count of
+ * callers that had left, and the share of refused requests; the rules are in decisions/admitting.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -25,16 +26,16 @@
 export interface InstanceAdmissionParts {
   readonly clock: Clock
   readonly random: RandomSource
-  /** How long new connections wait to be accepted. A call occasionally costs a connection. */
+  /** How long new connections wait to be accepted. To find out, a call may open a connection. */
   readonly acceptMilliseconds: () => Milliseconds
   /** Capacity of this instance's link. */
   readonly linkBytesPerSecond: number
   readonly refusedBodyCounters: RefusedBodyCounters
 }
 
-/** Usage of this instance's capacity; each value is in [0, 1]. */
+/** Shares of this instance's processor and link capacity that are used or refused; each is in [0, 1]. */
 export interface AdmissionState {
-  /** Share of requests that is refused because the processor is saturated. */
+  /** Share of requests that are refused at present because the processor is saturated. */
   readonly refusedPart: number
   /** Share of recently read requests whose callers had already left. */
   readonly abandonedShare: number
@@ -43,14 +44,14 @@
 }
 
 /**
- * With fewer requests in progress than this, an instance has no accept queue. The wait for it is not sampled
- * then, so that sampling costs no connection.
+ * With fewer requests in progress than this, an instance has no queue of connections to accept. The wait
+ * of new connections is then taken as 0 and not sampled, since sampling may open a connection.
  */
 const MINIMUM_SAMPLED_REQUESTS = 8
 
 /** Admits requests within the capacity of link and processor. */
 export class InstanceAdmission {
-  /** Sends refusals within the link's capacity. */
+  /** Sends refusals and reads the bodies of refused requests within the link's capacity. */
   readonly refusedBodies: RefusedBodyHandler
   private readonly link: LinkBandwidthBudget
   private readonly processor = new ProcessorLoadShedder()
@@ -72,7 +73,7 @@
     })
   }
 
-  /** Throws if the request exceeds the capacity; none of its body has been read then. */
+  /** Throws if the request exceeds the capacity. Called before any of its body is read. */
   admit(request: IncomingMessage, rank: ShedRank): void {
     this.scheduleSample()
     if (!this.processor.admits(rank, this.parts.random.next())) {
@@ -101,15 +102,19 @@
     return this.refusals.share(this.parts.clock.monotonic())
   }
 
-  /** Accounts for the part of a body that was read, to its end or until reading was given up. */
+  /**
+   * Charges the link for a body without a declared size by the bytes that were read, to its end or until
+   * reading was given up. A declared size was already charged at admission.
+   */
   noteBody(request: IncomingMessage, bytes: Bytes): void {
     if (declaredBodyBytes(request) !== undefined) return
     this.link.noteBodyRead(bytes, this.parts.clock.monotonic())
   }
 
   /**
-   * The request has been read. Waits if callers of other requests had left before these were read, and throws
-   * if this caller has left, since nobody waits for the answer.
+   * The request has been read completely. While many callers turn out to have left before their requests were
+   * read, waits until this caller's departure would have been noticed. Throws if the caller has left, since
+   * nobody waits for the answer.
    */
   async confirmCaller(reply: CallerReply): Promise<void> {
     const { clock } = this.parts
@@ -131,7 +136,10 @@
     throw new NotRunError(ResultCode.LinkFull, undefined, toRetryAfterSeconds(wait))
   }
 
-  /** Samples the event loop delay while there is work; an idle instance wakes up for nothing. */
+  /**
+   * Takes the next sample after the interval, and further ones while requests are in progress or refused. An
+   * idle instance takes none, so that no timer wakes it up.
+   */
   private scheduleSample(): void {
     if (this.isSampling) return
     this.isSampling = true
--- a/packages/router/src/gateway/lateness.ts
+++ b/packages/router/src/gateway/lateness.ts
@@ -1,4 +1,4 @@
-/** Decides whether and why an answer was late for its caller. */
+/** Decides whether and why an answer was late for its caller, by the goals of its route. */
 
 import type { Milliseconds } from '@rackwalk/shared'
 import type { GatewayRoute } from './gatewayConfiguration.js'
--- a/packages/router/src/gateway/loadReporter.ts
+++ b/packages/router/src/gateway/loadReporter.ts
@@ -7,7 +7,10 @@
 import type { PromptCaches } from './promptCaches.js'
 import type { EndpointDirectory } from './endpointDirectory.js'
 
-/** Number of reports per full report. A full report makes up for lost ones. */
+/**
+ * Each call of `next` with this number or a multiple of it builds a full report, which makes up for lost
+ * ones.
+ */
 const FULL_REPORT_INTERVAL = 12
 
 /** Builds load reports: changes only, and at intervals everything. */
@@ -31,7 +34,10 @@
     return this.lastReported.size > 0
   }
 
-  /** Returns the next report; undefined if nothing has changed, unless a heartbeat is due. */
+  /**
+   * Returns the next report; undefined if nothing has changed, unless a heartbeat is due or this is the turn
+   * of a full report.
+   */
   next(isHeartbeatDue: boolean): PeerLoadReport | undefined {
     this.sequence += 1
     this.reports += 1
@@ -54,7 +60,7 @@
     return { ...this.identity, sequence: this.sequence, isWhole, loads }
   }
 
-  /** Endpoints whose load has grown since the last report or the last call. */
+  /** Returns the endpoints whose load has grown since the last report or the last call. */
   takeGrown(): readonly EndpointReport[] {
     const current = this.directory.loads(this.isTold)
     const grown = [...current].filter(([endpoint, { running, pendingTokens }]) => {
@@ -83,9 +89,9 @@
   }
 
   /**
-   * Builds a report for instances that get no load reports. It names one endpoint in use, if there is one,
-   * and so shows that this instance uses endpoints. Otherwise two standby instances with callers of their own
-   * would never learn of each other, and their prompts would queue behind each other's.
+   * Builds a report for instances that get no load reports. The report names one endpoint in use, if there
+   * is one, and so shows that this instance uses endpoints. Otherwise two standby instances with callers of
+   * their own would never learn of each other, and their prompts would queue behind each other's.
    */
   heartbeatReport(): PeerLoadReport {
     const [used] = this.lastReported
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -20,7 +20,9 @@
   readonly incarnation: string
   /** Increases within one run of the instance; a report that arrives out of order is dropped. */
   readonly sequence: number
-  /** Whether unnamed endpoints have no requests in progress from this instance. */
+  /**
+   * Whether the reporting instance has no requests in progress at endpoints that the report does not name.
+   */
   readonly isWhole: boolean
   readonly loads: readonly EndpointReport[]
 }
@@ -39,9 +41,9 @@
 }
 
 /**
- * An instance that reported work at an endpoint within this time counts as using endpoints. With one request
- * per second it keeps receiving load reports, even between two heartbeats in a large fleet; with an
- * occasional stray request it does not.
+ * An instance that reported requests in progress at an endpoint within this time counts as using endpoints
+ * and receives load reports. An instance with one request per second keeps receiving them, even between two
+ * heartbeats in a large fleet; one with an occasional stray request does not.
  */
 export const USING_MILLISECONDS = 4_000
 
@@ -49,7 +51,7 @@
   incarnation: string
   sequence: number
   heardAt: Milliseconds
-  /** Time at which it last reported work, suspensions included. */
+  /** Time, on the clock that includes suspensions, of the newest report that named an endpoint. */
   workedAt: Milliseconds
   readonly loads: Map<string, InstanceLoad>
 }
@@ -66,7 +68,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Time since any peer was last heard. */
+  /** Time since the newest report of any peer. */
   get heardAgoMilliseconds(): Milliseconds {
     return this.clock.sinceStart() - this.lastHeardAt
   }
@@ -92,17 +94,17 @@
     return growths
   }
 
-  /** Requests in progress at an endpoint from all peers that are not silent. */
+  /** Requests in progress at an endpoint from all peers that were not forgotten as silent. */
   at(endpoint: string): InstanceLoad {
     return this.sums.get(endpoint) ?? NO_LOAD
   }
 
-  /** Whether an instance was heard recently. */
+  /** Whether a report of an instance was received and the instance was not forgotten as silent since. */
   hears(instance: string): boolean {
     return this.peers.has(instance)
   }
 
-  /** Whether an instance recently reported work at endpoints. */
+  /** Whether an instance has requests in progress at endpoints, or reported some recently. */
   isUsing(instance: string): boolean {
     const peer = this.peers.get(instance)
     if (peer === undefined) return false
@@ -124,7 +126,7 @@
     }
   }
 
-  /** The state of the run of the instance that reports; an earlier run has terminated. */
+  /** Returns the state of the reporting run of an instance. The state of an earlier run is dropped. */
   private peerOf({ instance, incarnation }: PeerLoadReport): PeerState {
     const known = this.peers.get(instance)
     if (known?.incarnation === incarnation) return known
--- a/packages/router/src/gateway/peerRelay.ts
+++ b/packages/router/src/gateway/peerRelay.ts
@@ -1,7 +1,7 @@
 /**
- * Relays one request to another instance, which serves it as its own: it admits the request, reserves its
- * budget and makes the attempts. Owns the exchange in progress; the rules are in decisions/choosing/relayPeer
- * and decisions/retrying/relayStep.
+ * Relays one request, which this instance can't send to any endpoint, to another instance. That instance
+ * serves the request as its own: it admits the request, reserves its budget and makes the attempts. Owns the
+ * exchange in progress; the rules are in decisions/choosing/relayPeer and decisions/retrying/relayStep.
  */
 
 import type { Agent, IncomingMessage } from 'node:http'
@@ -27,7 +27,7 @@
 
 /** Chooses among the instances that serve requests of this instance's callers. */
 export interface RelayPeers {
-  /** The instance to ask next for a service; undefined if there is none besides those already asked. */
+  /** The instance to relay to next for a service; undefined if there is none besides those already asked. */
   choose(service: string, asked: ReadonlySet<string>): RelayPeer | undefined
 }
 
@@ -50,7 +50,7 @@
   readonly path: string
   readonly rawHeaders: readonly string[]
   readonly body: Buffer
-  /** Time, suspensions included, at which the caller or the route gives up. */
+  /** Time, on the clock that includes suspensions of the host, at which the caller or the route gives up. */
   readonly deadlineAt: Milliseconds
   readonly reply: CallerReply
   readonly record: GatewayRecord
@@ -59,7 +59,10 @@
 /** Header that names the relaying instance; a request that carries it is never relayed again. */
 export const RELAYED_BY = 'rackwalk-relayed-by'
 
-/** The other instance refuses at the deadline by itself; its answer is awaited for this much longer. */
+/**
+ * The other instance enforces the deadline itself, so its answer is awaited for this long after the
+ * deadline.
+ */
 const DEADLINE_SLACK_MILLISECONDS: Milliseconds = 120
 const STATUS_OK = 200
 const STATUS_ERROR = 400
@@ -77,8 +80,8 @@
   ) {}
 
   /**
-   * Relays the request. Resolves with whether the caller has an answer; false if nothing was sent to any
-   * instance.
+   * Relays the request. Resolves with true if the caller has an answer or an error, or has left; with
+   * false if the caller has nothing yet and no instance may have run the request.
    */
   async run(): Promise<boolean> {
     const { reply, deadlineAt } = this.request
@@ -120,7 +123,9 @@
     return this.parts.relayPeers.choose(this.request.service, this.asked)
   }
 
-  /** Resolves with whether the caller received the answer, or as much of it as there is. */
+  /**
+   * Resolves with whether the caller received the answer, or as much of the answer as arrived, or an error.
+   */
   private async ask(peer: RelayPeer): Promise<boolean> {
     this.asked.add(peer.instance)
     const relayRecord: RelayRecord = { instance: peer.instance, outcome: undefined }
@@ -188,7 +193,10 @@
     return this.endInterrupted(ended, relayRecord)
   }
 
-  /** The answer was interrupted: what the caller already has can't be completed from here. */
+  /**
+   * The answer was interrupted. An answer that the caller has begun to receive can't be completed by this
+   * instance, and the request is given up. Resolves with whether the caller has its result.
+   */
   private endInterrupted(ended: EndedAnswer, relayRecord: RelayRecord): boolean {
     this.outcomes.pop()
     const outcome: RelayOutcome = { kind: 'failed', reason: `broke off: ${ended.end}` }
@@ -227,7 +235,7 @@
   }
 }
 
-/** Records a refusal by the other instance, which is one for this instance's caller as well. */
+/** Records a refusal by the other instance, which was passed on to this instance's caller. */
 function noteRefusal(record: GatewayRecord, outcome: RelayOutcome | undefined): void {
   if (outcome?.kind !== 'refused') return
   record.code = ResultCode.RelayRefused
--- a/packages/router/src/gateway/prefillTracker.ts
+++ b/packages/router/src/gateway/prefillTracker.ts
@@ -1,12 +1,12 @@
 /**
- * Tracks the tokens of long prompts that were recently sent to each endpoint. Owns an exponentially decaying
- * sum for each endpoint. The sum predicts where prompts will be read next; pending tokens describe only the
- * present.
+ * Tracks the uncached tokens of long prompts that were recently sent to each endpoint. Owns an exponentially
+ * decaying sum for each endpoint. The sum predicts at which endpoints long prompts will be read next; pending
+ * tokens describe only the present.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Shorter uncached prompts disturb other requests only briefly and are not counted. */
+/** Prompts with fewer uncached tokens disturb other requests only briefly and are not counted. */
 const LONG_TOKENS: TokenCount = 2_000
 /**
  * Half-life of a sum. It is not longer because tokens read seconds ago say little about an endpoint that
@@ -32,7 +32,7 @@
     this.totals.set(endpoint, { tokens: total, at: this.clock.monotonic() })
   }
 
-  /** Tokens of long prompts recently sent to the endpoint, decaying with time. */
+  /** Uncached tokens of long prompts recently sent to the endpoint, decaying with time. */
   recentTokens(endpoint: string): TokenCount {
     const total = this.totals.get(endpoint)
     if (total === undefined) return 0
--- a/packages/router/src/gateway/promptCaches.ts
+++ b/packages/router/src/gateway/promptCaches.ts
@@ -1,7 +1,7 @@
 /**
- * Estimates which prompt parts the endpoints have cached. Endpoints are not asked: the estimate follows from
- * the prompts that this instance and its peers sent, and from the fact that an endpoint evicts the least
- * recently used parts. Owns the estimate.
+ * Estimates which prompt parts the endpoints have cached. Endpoints do not report their caches: the estimate
+ * follows from the prompts that this instance and its peers sent, and from the assumption that an endpoint
+ * evicts the least recently used parts first. Owns the estimate.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
@@ -9,7 +9,7 @@
 
 /** Share of an endpoint's memory that holds cached parts; running requests take the rest. */
 const CACHE_SHARE = 0.6
-/** Memory of an endpoint whose configuration states none. */
+/** Memory, in tokens, of an endpoint whose configuration states none. */
 const DEFAULT_CAPACITY: TokenCount = 100_000
 
 class EndpointCache {
@@ -63,7 +63,7 @@
     return tokens
   }
 
-  /** The endpoint was removed; the next one at its address has an empty cache. */
+  /** The endpoint was removed or restarted. A new start has an empty cache. */
   forget(endpoint: string): void {
     this.endpoints.delete(endpoint)
   }
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -1,8 +1,8 @@
 /**
- * Sends one request of the gateway to endpoints until one answers. The rules in packages/decisions determine
- * which endpoint is tried, whether another one follows after a failure, and what the caller receives in the
- * end; this module collects their inputs, acts on them, and records the outcomes. Owns the exchange in
- * progress and the outcomes of the attempts.
+ * Sends one request of the gateway to one endpoint after another, until an answer is delivered or the request
+ * is given up. The rules in packages/decisions determine which endpoint is tried, whether another one follows
+ * after a failure, and what the caller receives in the end; this module collects their inputs, acts on them,
+ * and records the outcomes. Owns the exchange in progress and the outcomes of the attempts.
  */
 
 import type { IncomingMessage } from 'node:http'
@@ -38,34 +38,37 @@
 import { ENDPOINT_ENDED, UpstreamExchange } from './upstreamExchange.js'
 import type { HeadOutcome } from './upstreamExchange.js'
 
-/** What follows an attempt; `done`: a complete answer was delivered. */
+/** The next step after an attempt; `done` means that a complete answer was delivered. */
 type AttemptEnd = 'done' | Exclude<RetryStep, 'pass-on'>
 
-/** An endpoint stops working at the deadline by itself; its answer is awaited for this much longer. */
+/** Endpoints enforce the deadline themselves, so an answer is awaited for this long after the deadline. */
 const DEADLINE_SLACK_MILLISECONDS = 80
 /**
- * If the endpoint of a suspected request refuses the connection, another try of the same request may just
- * have crashed it. The gossip about that crash is awaited for this long before the next endpoint is put at
- * risk.
+ * If the endpoint of an isolated request refuses the connection, another try of the same request may just
+ * have crashed it. The message with which another instance reports that crash (gossip) is awaited for this
+ * long before the next endpoint is put at risk.
  */
 const GOSSIP_WAIT_MILLISECONDS = 100
 /** No process listens at the address. */
 const CONNECTION_REFUSED = 'ECONNREFUSED'
 const STATUS_OK = 200
-/** Statuses below this one are successes, which an endpoint signs. */
+/** An answer with a status below this one is trusted only if its endpoint signed it. */
 const STATUS_REDIRECT = 300
 
 /** The attempts at one request. */
 export class RequestAttempts implements SelectionConstraints {
   readonly tried = new Set<EndpointStart>()
-  /** Set with the first event: the output of two software versions must not be mixed in one stream. */
+  /**
+   * Version that must give the rest of the stream, since the output of two versions must not be mixed. Set by
+   * the origin of a resumed stream or with the first event.
+   */
   softwareVersion: SoftwareVersion | undefined
   private readonly events = new EventDelivery()
   private readonly history: AttemptOutcome[] = []
   private exchange: UpstreamExchange | undefined
-  /** Monotonic time at which data was last received in the exchange, or at which it began. */
+  /** Monotonic time at which data was last received in the exchange, or at which the exchange began. */
   private lastReceivedAt: Milliseconds = 0
-  /** Removes the exchange from its endpoint's open exchanges, whatever follows. */
+  /** Removes the exchange from its endpoint's open exchanges; may be called again. */
   private closeExchange = () => {}
   private hasDelivered = false
   private isDeadlinePassed = false
@@ -83,7 +86,8 @@
   }
 
   /**
-   * Serves the request to its end. When this resolves, the caller has an answer or a refusal, unless the
+   * Serves the request to its end. When this resolves, the caller has a complete answer, an interrupted
+   * one or a refusal, or has left. Only if the result is `isUnsent`, the caller has nothing yet and the
    * request is to be relayed.
    */
   async run(): Promise<AttemptsResult> {
@@ -107,7 +111,7 @@
   }
 
   private get isOver(): boolean {
-    // The timer does not run during a suspension.
+    // The timer stands still while the host is suspended; `sinceStart` does not.
     this.isDeadlinePassed ||= this.parts.clock.sinceStart() >= this.abortAt
     return this.isDeadlinePassed || this.request.reply.isCallerGone
   }
@@ -131,6 +135,7 @@
     return false
   }
 
+  /** Whether another instance may serve the request, since no endpoint was connected. */
   private get canRelay(): boolean {
     const { isOver, history, selector, request } = this
     const isCutOff = this.parts.links.isCutOff(request.service.name)
@@ -178,7 +183,7 @@
     }
   }
 
-  /** Registers an exchange with its endpoint, so that a termination of the endpoint ends it. */
+  /** Registers an exchange with its endpoint, so that a termination of the endpoint ends the exchange. */
   private registerExchange(endpoint: EndpointState, exchange: UpstreamExchange): void {
     const { route, reply, service } = this.request
     const { sentAt } = this
@@ -217,8 +222,9 @@
   }
 
   /**
-   * The endpoint reset the request before any part of an answer. Before the request is sent to another
-   * endpoint, it must be known whether it crashed this one.
+   * The endpoint reset the request before the first event of its answer (the first bytes of an answer that is
+   * no stream), or a proxy or load balancer in front of the engine answered with an error. Before the request
+   * is sent to another endpoint, it must be known whether it crashed this one.
    */
   private async endReset(endpoint: EndpointState, outcome: AttemptOutcome): Promise<AttemptEnd> {
     const { heardAt } = endpoint
@@ -231,8 +237,8 @@
   }
 
   /**
-   * The endpoint reset the request or terminated before any part of an answer. Resolves once it is known
-   * which.
+   * The endpoint reset the request or terminated before the answer had begun. Resolves, after probes, with
+   * whether the endpoint is known to have terminated; undefined if the request is over.
    */
   private noteReset(endpoint: EndpointState): Promise<boolean> | undefined {
     if (this.isOver) return undefined
@@ -245,7 +251,7 @@
     return this.parts.crashes.noteReset(suspect, { fingerprint, wasIsolated, sentAt, parts })
   }
 
-  /** Tokens of the prompt that an endpoint would have to read. */
+  /** Tokens of the request's prompt that are not cached at an endpoint. */
   private uncachedTokens(endpoint: string): TokenCount {
     const { tokens, promptParts } = this.request.metadata
     return this.parts.fleetLoad.uncachedTokens(endpoint, tokens?.prompt ?? 0, promptParts)
@@ -297,7 +303,7 @@
     if (outcome.kind === 'refused' && isMisdirected(status)) {
       this.parts.directory.noteEnded(endpoint.record)
     }
-    // An endpoint that refuses is full, not failing.
+    // An endpoint that rejects a request without running it is full, not failing.
     if (outcome.kind !== 'refused') endpoint.noteOutcome(isSuccessful(outcome))
     if (isProxyError(status, outcome)) {
       exchange.abort('aborted')
@@ -369,7 +375,7 @@
     if (disposition === 'whole') return 'done'
     if (!isEndpointFailure(answer)) return 'give-up'
     endpoint.noteOutcome(false)
-    // The attempt was recorded as answered; its outcome is now known to be another one.
+    // The outcome was recorded as answered by the head; the interruption replaces it.
     this.history.pop()
     const outcome = { kind: 'broke-off', events: this.events.events } as const
     if (answer.end === ENDPOINT_ENDED) return this.endAttempt(outcome)
@@ -384,7 +390,7 @@
     return isStream ? delivery.deliverEvents() : delivery.deliverWhole()
   }
 
-  /** The rest of a stream must come from the software version that wrote its first event. */
+  /** Records complete events. With the first event of the request, the software version is fixed. */
   private noteEvents({ record }: EndpointState, pace: StreamPace, count: number): void {
     if (this.events.events === count) this.noteBegun(record)
     pace.noteEvents(count)
@@ -397,7 +403,10 @@
     if (begun !== undefined) parts.streams.noteStarted(begun)
   }
 
-  /** The endpoint interrupted an answer that had begun, so this request did not crash it. */
+  /**
+   * The endpoint interrupted an answer whose body had begun. The request gets no crash mark, but the endpoint
+   * is probed for the sake of its other exchanges.
+   */
   private endInterrupted(endpoint: EndpointState, outcome: AttemptOutcome): AttemptEnd {
     this.parts.directory.noteInterrupted(endpoint)
     return this.endAttempt(outcome)
@@ -408,7 +417,7 @@
     if (attempt !== undefined) attempt.answer = delivery.record
   }
 
-  /** An endpoint has begun to answer, so this request does not crash endpoints that begin to run it. */
+  /** An endpoint has begun to answer, which clears the request and its prompt parts of crash evidence. */
   private noteAnswered(): void {
     const { selector } = this
     const { crashes } = this.parts
@@ -433,7 +442,7 @@
     this.parts.fleetLoad.pauses.note(service.name, longestPause, goal)
   }
 
-  /** Records an outcome after which nothing can be delivered. */
+  /** Records an outcome without an answer that could be delivered, and returns the next step. */
   private endAttempt(outcome: AttemptOutcome): AttemptEnd {
     const step = this.note(outcome)
     return step === 'pass-on' ? 'give-up' : step
@@ -461,12 +470,13 @@
     record.firstByteMilliseconds = this.parts.clock.sinceStart() - record.receivedAt
   }
 
-  /** Whether every endpoint that received the request says that it did not run it. */
+  /** Whether the newest attempt was rejected and no attempt may have run the request. */
   private get isRejected(): boolean {
     const { history } = this
     return history.at(-1)?.kind === 'refused' && !history.some(mayHaveRun)
   }
 
+  /** Ends the request with an error: as a refusal, or by interrupting an answer that has begun. */
   private giveUp(): void {
     const { reply, record, service } = this.request
     if (this.isRejected) this.selector.noteAllRejected()
@@ -485,7 +495,13 @@
   }
 }
 
-/** Ends an exchange whose answer is not delivered; its connection is kept if that is safe. */
+/**
+ * Ends an exchange whose answer is not delivered. The answer is read to its end, so that the connection
+ * can be reused, if the endpoint rejected the request, or answered it and another endpoint is tried.
+ * Otherwise the exchange is aborted, except for an answer that is given up for another reason than its
+ * status of "not executed", such as the wrong status for the rest of a stream: its exchange is left as it
+ * is.
+ */
 function discard(exchange: UpstreamExchange, outcome: AttemptOutcome, step: RetryStep): void {
   if (outcome.kind === 'refused') return exchange.drain()
   if (outcome.kind === 'answered' && step === 'try-another') return exchange.drain()
--- a/packages/router/src/gateway/stateProbe.ts
+++ b/packages/router/src/gateway/stateProbe.ts
@@ -1,6 +1,7 @@
 /**
- * Requests the state of an endpoint, without a time limit of its own. Sends no request that an engine would
- * run.
+ * Requests the state of an endpoint (a state probe). The probe has no time limit; `settlesWithin` applies
+ * the caller's limits and recognizes waits that a busy process makes inconclusive. Sends no request that an
+ * engine would run.
  */
 
 import { request } from 'node:http'
@@ -28,16 +29,17 @@
   cancel(): void
 }
 
-/** After this many timers that prove nothing a wait is inconclusive. */
+/** After this many timers that fired at the wrong time, a wait is inconclusive. */
 const MAXIMUM_INCONCLUSIVE_WAITS = 5
-/** A timer that fires later than this was delayed by its own event loop. */
+/** A timer that fires more than this late was delayed by this process's own event loop. */
 const LATE_MILLISECONDS: Milliseconds = 25
 /** Node.js timers count whole milliseconds and may fire this much early. */
 const EARLY_MILLISECONDS: Milliseconds = 1
 
 /**
- * Whether a timer that fired after `waited` proves that the other side did not answer. A late timer only
- * shows that its event loop was blocked, and one armed at the end of a long turn of the loop fires early.
+ * Whether a timer of `delay` that fired after `waited` proves that the other side did not answer. A late
+ * timer only shows that this process's event loop was blocked, and a timer armed at the end of a long turn
+ * of the loop fires early.
  */
 function isTimely(waited: Milliseconds, delay: Milliseconds): boolean {
   return waited >= delay - EARLY_MILLISECONDS && waited <= delay + LATE_MILLISECONDS
@@ -81,7 +83,7 @@
   }
 }
 
-/** Whether an event of a probe occurs within a time; undefined where this process was too busy to know. */
+/** Whether an event of a probe occurs within `delay`; undefined if this process was too busy to know. */
 export async function settlesWithin(
   probe: StateProbe,
   event: Promise<void>,
--- a/packages/router/src/gateway/streamPace.ts
+++ b/packages/router/src/gateway/streamPace.ts
@@ -1,16 +1,20 @@
 /**
  * Times the events of one stream as they arrive from its endpoint: the longest pause, with the prompt tokens
- * read meanwhile, and the pace while none were read. Owns those figures.
+ * that the endpoint had to read meanwhile, and the pace (milliseconds per event) while it had few to read.
+ * Owns these figures.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Events over which a pace is averaged, so that several events in one packet do not look fast. */
+/**
+ * Least number of events over which a pace is averaged, so that several events in one packet do not look
+ * fast.
+ */
 const PACE_EVENTS = 8
 
 /**
- * With more pending prompt tokens than this, the pace reflects the reading of prompts and not the endpoint
- * itself.
+ * With this many pending prompt tokens or more, the pace reflects the reading of prompts and not the endpoint
+ * itself, and is not reported.
  */
 const CALM_TOKENS: TokenCount = 500
 
@@ -27,7 +31,7 @@
 /** Dependencies and callbacks of a stream's timing. */
 export interface StreamPaceParts {
   readonly clock: Clock
-  /** Prompt tokens that its endpoint currently has to read. */
+  /** Prompt tokens that the stream's endpoint currently has to read. */
   readonly pendingTokens: () => TokenCount
   /** The stream ran at this pace for a while; milliseconds per event. */
   readonly onPace: (pace: Milliseconds) => void
--- a/packages/router/src/gateway/suspectEndpoint.ts
+++ b/packages/router/src/gateway/suspectEndpoint.ts
@@ -4,7 +4,7 @@
 import type { EndpointState } from './endpointState.js'
 import type { GatewayService } from './gatewayConfiguration.js'
 
-/** The endpoint as known at this moment. */
+/** Returns the endpoint as known now; `heard` stays live, and no state reports are read by the gateway. */
 export function suspectEndpointOf(
   endpoint: EndpointState,
   { engine }: GatewayService,
--- a/packages/router/src/gateway/upstreamExchange.ts
+++ b/packages/router/src/gateway/upstreamExchange.ts
@@ -1,6 +1,7 @@
 /**
- * Sends one request to one endpoint and reads the head and body of its answer. Owns the use of the
- * connection; tells a complete answer from an interrupted one.
+ * Sends one request to one endpoint (or to another instance) and reads the head and body of the answer. Owns
+ * the use of the connection; determines how reading the answer ended, so that a complete answer can be told
+ * from an interrupted one.
  */
 
 import { request as httpRequest } from 'node:http'
@@ -84,6 +85,7 @@
     this.call.end(request.body)
   }
 
+  /** Resolves with the head of the answer, or with why there is none. */
   awaitAnswer(): Promise<HeadOutcome> {
     return this.head
   }
@@ -121,8 +123,8 @@
   }
 
   /**
-   * Stops reading until `resume`. Has no effect once the rest of the answer is being flushed after its
-   * deadline.
+   * Stops reading until `resume`. Has no effect once the deadline has passed and the rest of a received
+   * answer is being passed on.
    */
   pause(): void {
     if (!this.mustFlush) this.response?.pause()
@@ -138,10 +140,10 @@
   }
 
   /**
-   * Ends the exchange and its connection, upon which the endpoint drops the request. A deadline does not end
-   * an answer that was received completely: the rest is passed on at once, since a caller that has stopped
-   * reading would otherwise hold its request forever. A termination of the endpoint does not affect such an
-   * answer either.
+   * Ends the exchange and its connection, so that the endpoint drops the request. Two reasons do not end an
+   * answer that was received completely. At the deadline, the rest of such an answer is passed on at once,
+   * since a caller that has stopped reading would otherwise hold its request forever. A termination of the
+   * endpoint does not affect such an answer.
    */
   abort(reason: AbortReason): void {
     if (reason === 'deadline' && this.isReceived) return this.flush()
@@ -155,7 +157,7 @@
     this.response?.resume()
   }
 
-  /** Whether the complete answer was received, though a slow caller may not have it yet. */
+  /** Whether the complete answer was received, even if a slow caller does not have all of it yet. */
   private get isReceived(): boolean {
     if (this.framing === 'connection') return this.connectionEnd?.kind === 'closed'
     return this.response?.complete === true
@@ -168,8 +170,8 @@
   }
 
   /**
-   * The end of an answer that may lack data. An answer framed by its connection can't be told from an
-   * interrupted one.
+   * The end of an answer that may lack data. An answer whose end is marked only by its connection's end
+   * counts as reset then, since it can't be told from an interrupted one.
    */
   private get brokenEnd(): AnswerEnd {
     const isClosed = this.framing !== 'connection' && this.connectionEnd?.kind === 'closed'
