--- a/packages/router/src/advice/adviceFromHeaders.ts
+++ b/packages/router/src/advice/adviceFromHeaders.ts
@@ -1,8 +1,9 @@
 /**
- * Reads advice from the head of an answer of an engine with a published protocol: the `RateLimit` fields of
- * the IETF draft (draft-ietf-httpapi-ratelimit-headers) and their predecessors, `x-ratelimit-*-requests` as
- * in OpenAI's API, `Retry-After` (RFC 9110), and the state header of this project's engines. Translates names
- * and windows only; the values are parsed in one place for all dialects (decisions/choosing/endpointAdvice).
+ * Reads advice (rate limits, a backoff, whether the endpoint leaves) from the head of an answer of an
+ * engine with a published protocol: the `RateLimit` fields of the IETF draft
+ * (draft-ietf-httpapi-ratelimit-headers) and their predecessors, `x-ratelimit-*-requests` as in OpenAI's
+ * API, `Retry-After` (RFC 9110), and the state header of this project's engines. Translates names and
+ * windows only; the values are parsed in one place for all dialects (decisions/choosing/endpointAdvice).
  */
 
 import { parseList } from 'structured-headers'
@@ -21,7 +22,7 @@
 const POLICY = 'ratelimit-policy'
 /** `"burst";r=0;t=30`: 0 requests remain for 30 seconds. */
 const STATE = 'ratelimit'
-/** Fields of earlier versions of the draft, where the limit carried the window of its policy. */
+/** Fields of earlier versions of the draft, in which the limit carried the window of its policy. */
 const EARLIER_REMAINING = 'ratelimit-remaining'
 const EARLIER_RESET = 'ratelimit-reset'
 const LEAVING = 'x-endpoint-state'
@@ -34,10 +35,12 @@
 /** Hours, minutes, seconds and milliseconds, each at most once. */
 const DURATION_PATTERN = /^(?:(\d+)h)?(?:(\d+)m(?!s))?(?:(\d+(?:\.\d+)?)s)?(?:(\d+)ms)?$/
 const NOTHING_LEFT = '0'
-/** Parsed neither as a number nor as a date. */
+/** Text that parses neither as a number nor as a date, so that the parser reports a fault. */
 const UNREADABLE = 'unreadable'
 
-/** Returns what an OpenAI-style answer advises about its endpoint. Header names are in lower case. */
+/**
+ * Returns the unparsed advice of an OpenAI-style answer about its endpoint. Header names are in lower case.
+ */
 export function adviceFromHeaders(status: number, headers: Headers): AdviceHeaders {
   const retryAfter = REJECTION_STATUSES.has(status) ? headers[RETRY_AFTER] : undefined
   return {
@@ -78,7 +81,10 @@
   })
 }
 
-/** Seconds until requests are available again; undefined if some are available now. */
+/**
+ * Returns the seconds until requests are available again; undefined if no header says that none are
+ * available.
+ */
 function secondsUntilReset(headers: Headers): string | undefined {
   if (headers[MINUTE_REMAINING] === NOTHING_LEFT) return secondsOf(headers[MINUTE_RESET])
   if (headers[EARLIER_REMAINING] === NOTHING_LEFT) return headers[EARLIER_RESET]
@@ -98,7 +104,10 @@
   }
 }
 
-/** Returns a duration such as `1m30s` in seconds; undefined if there is none. */
+/**
+ * Returns a duration such as `1m30s` in seconds; undefined if there is no text, `unreadable` for any other
+ * text.
+ */
 function secondsOf(duration: string | undefined): string | undefined {
   if (duration === undefined) return undefined
   const parts = DURATION_PATTERN.exec(duration)
--- a/packages/router/src/advice/endpointAdviceStore.ts
+++ b/packages/router/src/advice/endpointAdviceStore.ts
@@ -1,6 +1,8 @@
 /**
- * Stores the advice of all starts of endpoints. Owns the advice of each start, which outlasts its row.
- * Reports changes to its owner.
+ * Stores the advice that endpoints give in their answers: a rate limit for the whole fleet, a backoff
+ * (Retry-After), and that they leave. Advice is kept by start, which is one run of an endpoint, and outlasts
+ * the start's row. Changes of rate limit and leaving are broadcast to the other instances, so that all of
+ * them respect what one was told; a backoff applies to this instance only.
  */
 
 import { adviceText } from '@rackwalk/decisions'
@@ -13,11 +15,11 @@
   readonly clock: Clock
   /** The advice of a start changed. `said` is its description, undefined if there is no advice any more. */
   readonly onChange: (start: EndpointStart, said: string | undefined) => void
-  /** Sends gossip to all other instances. */
+  /** Sends advice to all other instances. */
   readonly broadcast: (gossip: AdviceGossip) => void
 }
 
-/** Maximum number of stored starts; the least recently touched one is forgotten first. */
+/** Maximum number of stored starts; the one whose advice was received least recently is forgotten first. */
 const MAXIMUM_STARTS = 4_096
 
 interface StoredAdvice {
@@ -26,24 +28,24 @@
    * The kinds of advice without their figures, so that a change of figures alone is not logged: there would
    * be a log line per answer.
    */
-  saidKinds: string
+  loggedKinds: string
 }
 
 /** The advice known to one instance. */
 export class EndpointAdviceStore {
-  /** Ordered by last touch, the newest last. */
+  /** Ordered by the time at which advice was last received, the newest last. */
   private readonly starts = new Map<EndpointStart, StoredAdvice>()
 
   constructor(private readonly parts: EndpointAdviceStoreParts) {}
 
-  /** The advice of a start, if any. */
+  /** The advice of a start; undefined if none is stored. */
   of(start: EndpointStart): StartAdvice | undefined {
     return this.starts.get(start)?.advice
   }
 
   /**
-   * Stores the advice of an answer. `isTrusted`: the answer is the endpoint's own answer to this request, and
-   * complete.
+   * Stores the advice in the head of an answer. `isTrusted`: whether the answer is the endpoint's own answer
+   * to this request and no rejection, so that missing advice lifts a rate limit and ends a trial.
    */
   note(start: EndpointStart, advice: EndpointAdvice, isTrusted: boolean): void {
     const known = this.starts.get(start)
@@ -64,12 +66,12 @@
     this.touch(gossip.start).advice.observe(gossip)
   }
 
-  /** Another instance has requests in flight to this start and will report the advice that it receives. */
+  /** Another instance has requests in flight to this start and will broadcast the advice in their answers. */
   notePeerRequests(start: EndpointStart): void {
     this.starts.get(start)?.advice.noteActivity()
   }
 
-  /** A start has terminated. */
+  /** Forgets the advice of a start that has terminated. */
   forget(start: EndpointStart): void {
     this.starts.delete(start)
   }
@@ -85,13 +87,13 @@
       .length
   }
 
-  /** Number of starts to which this instance currently backs off. */
+  /** Number of starts that asked this instance for a backoff which is not over. */
   get backingOffCount(): number {
     return [...this.starts.values()].filter(({ advice }) => advice.retryAfterMilliseconds > 0)
       .length
   }
 
-  /** Whether a start announced that it leaves. */
+  /** Whether a start announced, in an answer to this or another instance, that it leaves. */
   isLeaving(start: EndpointStart): boolean {
     return this.of(start)?.isLeaving === true
   }
@@ -109,14 +111,14 @@
 
   private noteChange(start: EndpointStart, stored: StoredAdvice, advice: EndpointAdvice): void {
     const kinds = kindsOf(advice)
-    if (kinds === stored.saidKinds) return
-    stored.saidKinds = kinds
+    if (kinds === stored.loggedKinds) return
+    stored.loggedKinds = kinds
     this.parts.onChange(start, adviceText(advice))
   }
 
   private touch(start: EndpointStart): StoredAdvice {
     const known = this.starts.get(start)
-    const stored = known ?? { advice: new StartAdvice(start, this.parts.clock), saidKinds: '' }
+    const stored = known ?? { advice: new StartAdvice(start, this.parts.clock), loggedKinds: '' }
     this.starts.delete(start)
     const [oldest] = this.starts.keys()
     if (this.starts.size >= MAXIMUM_STARTS && oldest !== undefined) this.starts.delete(oldest)
--- a/packages/router/src/advice/rejectionGuard.ts
+++ b/packages/router/src/advice/rejectionGuard.ts
@@ -1,7 +1,7 @@
 /**
- * Limits requests to nearly full endpoints that tolerate only few rejections. Owns the bounds that services
- * named in their answers, and the sends that risked a rejection; the rule is in
- * decisions/choosing/rejectionQuota.
+ * Limits requests to nearly full endpoints that tolerate only a number of rejections per second and fail if
+ * they have to reject more. Owns the bounds that endpoints named in their answers, by service, and the times
+ * of sends that risked a rejection; the rule is in decisions/choosing/rejectionQuota.
  */
 
 import { isNearlyFull, rejectionQuota } from '@rackwalk/decisions'
@@ -32,16 +32,19 @@
   readonly reportedAt: Milliseconds
 }
 
-/** Answers begun before a service named its bound may arrive for this long, and do not remove it. */
+/**
+ * An answer that names no bound removes a bound only if no answer has named the bound for this long: answers
+ * that began before the service named its bound may still arrive.
+ */
 const BOUND_RETENTION_MILLISECONDS: Milliseconds = 1_000
 /** Maximum number of endpoints whose sends are remembered. */
 const MAXIMUM_STARTS = 1_024
 
 /** Rejection bounds as known to one instance. */
 export class RejectionGuard {
-  /** By service: all endpoints of a service name the same bound. */
+  /** Bounds by service, since all endpoints of a service name the same one. */
   private readonly bounds = new Map<string, RejectionBound>()
-  /** Sends that risked a rejection. */
+  /** Times of this instance's sends that risked a rejection. */
   private readonly sends = new Map<EndpointStart, SendHistory>()
 
   constructor(private readonly parts: RejectionGuardParts) {}
@@ -51,7 +54,7 @@
     return this.bounds.size
   }
 
-  /** An endpoint of a service named this bound in an answer, or none. */
+  /** An endpoint of a service named this bound in an answer; undefined if the answer named none. */
   note(service: string, rejectionsPerSecond: number | undefined): void {
     const reportedAt = this.parts.clock.monotonic()
     if (rejectionsPerSecond !== undefined) {
@@ -64,7 +67,10 @@
     }
   }
 
-  /** Whether a request may be sent to an endpoint now. */
+  /**
+   * Whether a request may be sent to an endpoint now: the endpoint is not nearly full, its service named no
+   * bound, or this instance has a quota of the bound that is not used up.
+   */
   allows(endpoint: EndpointOccupancy): boolean {
     const bound = this.boundAtRisk(endpoint)
     if (bound === undefined) return true
@@ -80,6 +86,7 @@
     if (this.boundAtRisk(endpoint) !== undefined) this.sendsTo(endpoint.start).note()
   }
 
+  /** The service's bound if the endpoint is nearly full, so that it may reject the next request. */
   private boundAtRisk({ service, running, slots }: EndpointOccupancy): RejectionBound | undefined {
     const bound = this.bounds.get(service)
     return bound !== undefined && isNearlyFull(running, slots) ? bound : undefined
--- a/packages/router/src/advice/sendAdmission.ts
+++ b/packages/router/src/advice/sendAdmission.ts
@@ -1,7 +1,14 @@
 /**
- * Decides in one place whether this instance may send a request to an endpoint now: first attempts, retries,
- * resumed streams and queued requests. Owns the ranks of this instance among the instances that share a rate;
- * the rules are in decisions/choosing (rateQuota, sendRefusal).
+ * Decides in one place whether this instance may send a request to an endpoint now, be it a first attempt,
+ * a retry, a resumed stream or a queued request. A send is refused
+ *
+ * - during a backoff that the endpoint asked for (Retry-After), and too soon after the previous send until
+ * the endpoint has accepted a request after the backoff; - while the endpoint is cold, which means that it
+ * has just started, and this instance has no quota of its warm-up rate or has used the quota up; - while
+ * this instance has no quota of the rate that the endpoint advertises or has used the quota up.
+ *
+ * Owns the ranks of this instance among the instances that share a rate; the rules are in decisions/choosing
+ * (rateQuota, sendRefusal).
  */
 
 import { RECOVERY_QUOTA, quotaAtRank, quotaRank, divideRate } from '@rackwalk/decisions'
@@ -19,9 +26,12 @@
 export interface SendTarget {
   readonly start: EndpointStart
   readonly service: string
-  /** Time until it is warm; 0 if it is warm. */
+  /** Time until the endpoint is warm; 0 if it is warm. */
   readonly coldMilliseconds: Milliseconds
-  /** Time until the sends from here to it are below the quota's limit for its window; 0 if they are now. */
+  /**
+   * Time until this instance's sends to the endpoint are below the quota's limit for its window; 0 if they
+   * are now.
+   */
   waitFor(quota: RateQuota): Milliseconds
 }
 
@@ -38,9 +48,9 @@
 }
 
 const SECOND_MILLISECONDS: Milliseconds = 1_000
-/** Ranks are computed again after this time: rows of instances are read about once a second. */
+/** Time for which a rank is reused. Rows of instances are read about once a second. */
 const RANK_MILLISECONDS: Milliseconds = 1_000
-/** Maximum number of remembered ranks: more than the endpoints that are rate-limited at once. */
+/** Maximum number of remembered ranks: more than there are cold or rate-limited endpoints at once. */
 const MAXIMUM_RANKS = 1_000
 
 /** Rank of this instance among the instances that share the rate of a start. */
@@ -61,12 +71,12 @@
     return this.refusalOf(target) === undefined
   }
 
-  /** Why no request may be sent to an endpoint now; undefined if one may. */
+  /** Why no request may be sent to an endpoint now, with the wait until one may; undefined if one may now. */
   refusalOf(target: SendTarget): SendRefusal | undefined {
-    return this.restRefusal(target) ?? this.coldRefusal(target) ?? this.rateRefusal(target)
+    return this.backoffRefusal(target) ?? this.coldRefusal(target) ?? this.rateRefusal(target)
   }
 
-  private restRefusal(target: SendTarget): SendRefusal | undefined {
+  private backoffRefusal(target: SendTarget): SendRefusal | undefined {
     const advice = this.parts.advices.of(target.start)
     if (advice === undefined) return undefined
     const { retryAfterMilliseconds, isOnTrial } = advice
@@ -89,7 +99,8 @@
     const rate = advice?.requestsPerSecond
     if (advice === undefined || rate === undefined) return undefined
     const quota = this.quotaFor(target.start, rate, advice.silenceMilliseconds)
-    // An instance without a quota can't tell when the others have used theirs up.
+    // An instance without a quota sends nothing and can't tell when it gets one. Its callers are told to wait
+    // for the time in which the whole fleet may send one request.
     const waitMilliseconds =
       quota === undefined ? SECOND_MILLISECONDS / rate : target.waitFor(quota)
     return waitMilliseconds === 0 ? undefined : { kind: 'rate', waitMilliseconds }
--- a/packages/router/src/advice/sendHistory.ts
+++ b/packages/router/src/advice/sendHistory.ts
@@ -1,12 +1,12 @@
 /**
- * Times at which this instance sent requests to one endpoint, as far back as quotas need them. Owns these
- * times.
+ * Keeps the times at which this instance sent requests to one endpoint, as far back as quotas need them. Owns
+ * these times.
  */
 
 import type { RateQuota } from '@rackwalk/decisions'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Maximum number of remembered times: no quota allows more sends in its window. */
+/** Maximum number of remembered times. No quota allows more sends in its window. */
 const MAXIMUM_SENDS = 64
 
 /** Sends to one endpoint. */
--- a/packages/router/src/crashes/crashGuard.ts
+++ b/packages/router/src/crashes/crashGuard.ts
@@ -1,7 +1,10 @@
 /**
- * Quarantines requests that crash one endpoint after another. Owns what this instance knows of them. The rule
- * is in decisions/retrying/requestQuarantine, crash detection in endpointCrashDetector. The owner of the
- * guard sends its gossip to the other instances.
+ * Quarantines requests that crash one endpoint after another: judges whether a request is sent normally,
+ * isolated on one endpoint or refused. Without it, a request that is sent again and again could crash every
+ * endpoint. Owns the crash evidence that this instance knows. Most of it is crash marks: a mark says that a
+ * request was in flight unanswered when one run (start) of an endpoint crashed. Changes go to the other
+ * instances as messages (gossip), which the owner of the guard sends. The rule is in
+ * decisions/retrying/requestQuarantine, crash detection in endpointCrashDetector.
  */
 
 import {
@@ -35,7 +38,7 @@
   CrashTimes,
 } from './endpointCrashDetector.js'
 
-/** Starts for which the time of the first peer report is remembered, at most. */
+/** Maximum number of starts for which the time of the first peer report is remembered. */
 const MAXIMUM_REPORTED_STARTS = 1_024
 
 /** Dependencies and callbacks of a guard. */
@@ -44,11 +47,14 @@
   readonly probe: (endpoint: SuspectEndpoint) => Promise<ProbeResult>
   /** An endpoint crashed while requests of this instance were in flight to it. */
   readonly onCrash: (crash: EndpointCrash) => void
-  /** A start of an endpoint has terminated, as detected here or reported by a peer. */
+  /**
+   * A start of an endpoint has terminated or its engine does not respond, as detected here, reported by a
+   * peer or known from stored records.
+   */
   readonly onUnreachable: (start: EndpointStart) => void
   /**
-   * Like `onUnreachable`, with the evidence, so that requests waiting there can move to other endpoints. Not
-   * called for terminations that are known from stored records only.
+   * Like `onUnreachable`, with the evidence, so that requests in flight to the endpoint can move to other
+   * endpoints. Not called for crash marks of other instances or of stored records.
    */
   readonly onKnownEnd?: (start: EndpointStart, termination: KnownTermination) => void
   /** Sends gossip to all other instances. */
@@ -62,7 +68,7 @@
 /** Crash evidence of one instance, and the verdicts on requests that follow from it. */
 export class CrashGuard {
   private readonly quarantine = new RequestQuarantine()
-  /** Resets that are not confirmed as crashes yet: the endpoint is still being probed, here or by a peer. */
+  /** Resets that are not confirmed as crashes: their endpoints are probed, by this instance or by a peer. */
   private readonly pending = new UnconfirmedCrashes()
   private readonly suspectStarts = new SuspectEndpoints()
   private readonly detector: EndpointCrashDetector
@@ -115,11 +121,12 @@
     return this.quarantine.openMarksOf(fingerprint)
   }
 
-  /** Fingerprints of requests that are isolated or refused. */
+  /** Fingerprints of requests with crash evidence that are isolated or refused. */
   get suspects(): readonly RequestFingerprint[] {
     return this.quarantine.fingerprints.filter(suspect => this.verdict(suspect) !== 'send')
   }
 
+  /** The stricter one of the verdicts from crash marks and from unconfirmed resets. */
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
     const known = this.quarantine.verdict(fingerprint)
     const pending = this.pending.verdict(fingerprint, this.parts.clock.monotonic())
@@ -129,8 +136,8 @@
   }
 
   /**
-   * Whether a start reset a connection and may have terminated. Unsuspected requests go to other endpoints
-   * while there are any.
+   * Whether a start reset a connection and may have terminated. Requests that are not isolated go to other
+   * endpoints while there are any.
    */
   isSuspect(start: EndpointStart): boolean {
     return this.suspectStarts.isSuspect(start, this.parts.clock.monotonic())
@@ -142,8 +149,8 @@
   }
 
   /**
-   * The start to which a reset is attributed, for an endpoint whose platform does not report its starts.
-   * Undefined where the reset begins a new suspicion.
+   * Returns the suspected start to which a reset is attributed, for an endpoint whose platform does not
+   * report its starts. Undefined if the reset begins a new suspicion.
    */
   startOf(endpoint: EndpointId, heard: LastContactTimes): EndpointStart | undefined {
     const now = this.parts.clock.monotonic()
@@ -172,7 +179,7 @@
     return this.detector.noteReset(endpoint, request)
   }
 
-  /** A suspected request is sent to this start. */
+  /** A suspected request is sent to this start. If the start's probes proved nothing, it is probed again. */
   noteSuspectSent(start: EndpointStart): void {
     this.detector.noteSuspectSent(start)
   }
@@ -226,7 +233,7 @@
     this.applyAndBroadcast({ marks: [], cleared: [], suspected })
   }
 
-  /** The result of the probe also settles what peers reported of this start. */
+  /** The result of this instance's probes also settles the resets at this start that peers reported. */
   private noteProbed(start: EndpointStart, hasEnded: boolean): void {
     if (hasEnded) this.pending.noteTerminated(start, this.parts.clock.monotonic())
     else this.pending.forget(start)
@@ -284,8 +291,8 @@
       this.suspectStarts.clearSuspicion(start)
       this.pending.forget(start)
     }
-    // Marks say nothing of when the crash was, as they also come from stored records. So they suspect no
-    // start.
+    // Marks carry no time and may come from stored records, so the crash may be long over. They raise no
+    // suspicion of the start.
     for (const { start } of suspected) this.suspectStarts.noteReset(start, now)
     for (const start of away) this.suspectStarts.noteTerminated(start, now)
     for (const mark of suspected) this.pending.noteReset(mark, now)
--- a/packages/router/src/crashes/endpointCrashDetector.ts
+++ b/packages/router/src/crashes/endpointCrashDetector.ts
@@ -1,9 +1,11 @@
 /**
- * Detects whether an endpoint that resets a request has crashed, which requests of this instance it left
- * unanswered, and when it is back. Owns the resets of the last seconds. Relies on probes of the endpoint; the
- * rule is in decisions/retrying/livenessProbe.
+ * Detects whether an endpoint that resets a request or interrupts an answer has crashed, which requests of
+ * this instance it left unanswered, and when an engine behind a proxy or load balancer is back. The endpoint
+ * is probed: this instance connects to its address and requests its state. Without this, no request could be
+ * recognized as crash-inducing. Owns the suspicions of the last seconds, each about one run (start) of an
+ * endpoint, with the requests that were reset. The rule is in decisions/retrying/livenessProbe.
  *
- * Planned terminations (the endpoint was draining, or was no longer listed) are ignored.
+ * Planned terminations (the endpoint is leaving, or was removed from the list) are ignored.
  */
 
 import { wasAliveAfterReset, judgeLiveness, lastAliveAt } from '@rackwalk/decisions'
@@ -28,13 +30,13 @@
   readonly id: string
   readonly start: EndpointStart
   /**
-   * Whether its platform reports each new start. Otherwise a start is told apart by the time of its reset
-   * only.
+   * Whether the endpoint's platform reports each new start. Otherwise only the time of a reset tells starts
+   * apart.
    */
   readonly isStartReported?: boolean
   /** Name of the service or model. */
   readonly service: string
-  /** Whether its termination was announced. */
+  /** Whether a termination of the endpoint counts as planned. */
   readonly isPlannedShutdown: boolean
   /** Whether this start is known to have terminated. */
   readonly hasEnded: boolean
@@ -45,7 +47,7 @@
 /** An unannounced termination of an endpoint. */
 export interface EndpointCrash {
   readonly endpoint: SuspectEndpoint
-  /** Results of the probes; empty where the endpoint's row shows a new start. */
+  /** Results of the probes so far; may be empty if the endpoint's row shows a new start. */
   readonly signs: readonly ProbeResult[]
   /**
    * Requests of this instance that were in flight to the endpoint without any part of an answer. Each one is
@@ -57,7 +59,7 @@
 
 /** When a crash was detected; times are monotonic. */
 export interface CrashTimes {
-  /** When the reset occurred that started the probes. */
+  /** When the reset or interruption occurred that started the probes. */
   readonly brokenAt: Milliseconds
   /** When the newest probe began. */
   readonly lookedAt: Milliseconds
@@ -70,18 +72,19 @@
   readonly wasIsolated: boolean
   /** Monotonic time at which it was sent to the endpoint. */
   readonly sentAt: Milliseconds
-  /** Prompt parts that other requests may contain as well; absent where they are not known. */
+  /** Prompt parts that other requests may contain as well; absent if they are not known. */
   readonly parts?: readonly PromptPartKey[]
 }
 
 /**
- * A suspicion that a newly started instance has to know: an endpoint that is being probed, or that has
- * terminated.
+ * A suspicion that a newly started instance has to know: a start that is being probed, or one that has
+ * terminated while its address still accepts connections.
  */
 export interface OpenSuspicion {
   readonly start: EndpointStart
+  /** Whether the start has terminated while its address still accepts connections. */
   readonly isUnresponsive: boolean
-  /** Requests that may have crashed it. */
+  /** Requests that may have crashed the endpoint. */
   readonly requests: readonly ResetRequest[]
 }
 
@@ -92,18 +95,20 @@
   /** Suspected starts, from this detector and from gossip. */
   readonly suspects: SuspectEndpoints
   readonly onCrash: (crash: EndpointCrash) => void
-  /** Requests were reset and their endpoint is being probed. Called again for as long as the probes last. */
+  /**
+   * Requests were reset and their endpoint is being probed. Called again at intervals while the probes last.
+   */
   readonly onProbing: (start: EndpointStart, requests: readonly ResetRequest[]) => void
   /**
-   * The probes showed that the endpoint has terminated or lives. Where it has terminated, `onCrash` is called
-   * before.
+   * The probes showed that the endpoint has terminated or lives. If it has terminated and left requests
+   * unanswered, `onCrash` is called before.
    */
   readonly onProbed: (start: EndpointStart, hasEnded: boolean) => void
   /** The probes showed that this start lives. */
   readonly onAlive: (start: EndpointStart) => void
   /**
-   * The address of a terminated start accepts connections and does not answer. Called again for as long as
-   * that lasts.
+   * The address of a terminated start accepts connections and does not answer. Called again at each probe
+   * while that lasts.
    */
   readonly onUnresponsive: (start: EndpointStart, seen: CrashTimes) => void
 }
@@ -115,46 +120,49 @@
   readonly at: Milliseconds
 }
 
-/** Suspicion of one start, with the requests that it reset. */
+/** Suspicion that one start has terminated, with the requests that it reset. */
 interface SuspicionState {
   readonly endpoint: SuspectEndpoint
   unreported: UnreportedReset[]
-  /**
-   * Keys of the requests reported with the crash and of those in `unreported`, so that no request is reported
-   * twice.
-   */
+  /** Keys of the requests that were reported or are in `unreported`, so that none is reported twice. */
   readonly reportedKeys: Set<string>
   /** Requests announced since the probes began. */
   readonly announced: Set<RequestFingerprint>
   /** Requests that the next announcement contains. */
   readonly pendingAnnouncements: ResetRequest[]
-  /** Monotonic time of the reset that started the probes. */
+  /** Monotonic time of the reset or interruption that started the probes. */
   brokenAt: Milliseconds
-  /** Monotonic time at which the first probe was complete. */
+  /** Monotonic time at which the first probe was complete; infinite before. */
   lookedAt: Milliseconds
   /** Monotonic time at which the newest probe began. */
   probeStartedAt: Milliseconds
+  /** Monotonic time of the newest reset or interruption. */
   newestAt: Milliseconds
+  /** Results of the probes, the newest last. */
   signs: ProbeResult[]
   /** Whether another instance has reported the termination since the reset. */
   wasReportedByPeer: boolean
   hasEnded: boolean
   /** Whether the endpoint is listed with a later start. */
   isReplaced: boolean
+  /** Resolves once the probes are over; undefined while none are made. */
   probing: Promise<void> | undefined
 }
 
 /**
- * Each reset is kept this long. An endpoint may be back at its address before the first probe; its row then
- * shows a new start within a heartbeat and a read. Requests that were reset earlier are not attributed to
- * that crash, however many resets follow.
+ * Time for which a reset is kept. An endpoint may be back at its address before the first probe; its row then
+ * shows a new start within a heartbeat and a read of the rows. A crash is attributed only to requests that
+ * were reset within this time before it was known, however many resets follow.
  */
 const RETENTION_MILLISECONDS = 5_000
 /** Time between two probes of an endpoint that did not answer the first one. */
 const REPROBE_MILLISECONDS: Milliseconds = 25
-/** Interval at which an open suspicion is announced again. Peers forget it after twice this time. */
+/** Interval at which an open suspicion is announced again. Peers forget a suspicion after twice this time. */
 const RENEWAL_MILLISECONDS: Milliseconds = 500
-/** A peer's report of a termination applies to resets no older than this. Older resets had another cause. */
+/**
+ * A peer's report of a termination applies to a suspicion whose newest reset is no older than this. An older
+ * reset had another cause.
+ */
 const PEER_REPORT_MILLISECONDS: Milliseconds = 1_000
 /**
  * Delay of the probe after a suspected request is sent. A probe that began before the request crashes the
@@ -163,7 +171,7 @@
 const SUSPECT_PROBE_DELAY_MILLISECONDS: Milliseconds = 100
 /** Time between two probes of an engine that terminated while its address still accepts connections. */
 const RECOVERY_PROBE_MILLISECONDS: Milliseconds = 500
-/** Maximum number of these probes. After them the endpoint is used like any other. */
+/** Maximum number of these probes: one minute. After them the endpoint is used like any other. */
 const MAXIMUM_RECOVERY_PROBES = 120
 
 /** Crash detection for all endpoints, as seen by one instance. */
@@ -199,14 +207,14 @@
   }
 
   /**
-   * Suspicions that are being probed from here, and starts that have not recovered, whether or not peers know
-   * of them.
+   * Suspicions that this instance is probing, and unresponsive starts that have not recovered, whether or not
+   * peers know of them.
    */
   get openSuspicions(): readonly OpenSuspicion[] {
     const probed = [...this.suspicions.values()].filter(({ probing }) => probing !== undefined)
     return [
       ...probed.map(({ endpoint: { start }, unreported, announced }) => {
-        // Resets that are kept only in case a new row follows are not being probed.
+        // Unannounced resets belong to earlier probes and are kept only in case a row shows a new start.
         const requests = uniqueByFingerprint(unreported.map(({ request }) => request)).filter(
           ({ fingerprint }) => announced.has(fingerprint),
         )
@@ -256,8 +264,8 @@
   }
 
   /**
-   * Another instance detected the termination. It also counts for the requests that were reset here, although
-   * no probe of this instance could prove it.
+   * Another instance detected the termination. If this instance's own probes got no connection, the report
+   * also proves the termination for the requests that were reset here.
    */
   notePeerReport(start: EndpointStart): void {
     const suspicion = this.suspicions.get(start)
@@ -270,9 +278,9 @@
   }
 
   /**
-   * A suspected request is sent to an endpoint that reset requests and whose probes proved nothing. A front
-   * that holds requests without answering resets no further one, so the endpoint is probed once more. That
-   * probe alone does not prolong the suspicion.
+   * A suspected request is sent to a start. If the start reset requests and its probes proved nothing, it is
+   * probed again: a proxy or load balancer in front of the engine that holds requests without answering would
+   * reset no further request. These probes do not prolong the suspicion by themselves.
    */
   noteSuspectSent(start: EndpointStart): void {
     const suspicion = this.suspicions.get(start)
@@ -284,12 +292,15 @@
     })
   }
 
-  /** Whether the probes are over and proved nothing, and nothing was received from the endpoint since. */
+  /** Whether the probes are over and proved nothing, and nothing received since shows the endpoint alive. */
   private isUnproven(suspicion: SuspicionState): boolean {
     const { hasEnded, probing } = suspicion
     return !hasEnded && probing === undefined && this.judge(suspicion) === 'unknown'
   }
 
+  /**
+   * Whether the request may have been at the endpoint when the endpoint crashed, so that it may be the cause.
+   */
   private wasInFlight({ endpoint, probing }: SuspicionState, { sentAt }: ResetRequest): boolean {
     const { suspects } = this.parts
     const { start, isStartReported = false } = endpoint
@@ -345,8 +356,8 @@
   }
 
   /**
-   * An inconclusive probe clears neither the suspicion nor the doubt about the endpoint: each suspected
-   * request that then passed for harmless would crash another endpoint.
+   * Announces a conclusive verdict. Inconclusive probes clear neither the suspected requests nor the
+   * endpoint: each suspected request that then passed for harmless would crash another endpoint.
    */
   private applyVerdict({ endpoint, hasEnded }: SuspicionState, verdict: LivenessVerdict): void {
     const { start } = endpoint
@@ -369,7 +380,10 @@
     return judgeLiveness(signs, wasAliveAfterReset(suspicion, endpoint.heard()), wasReportedByPeer)
   }
 
-  /** Uses an engine behind a front again as soon as it reports its state. */
+  /**
+   * Probes a terminated start whose address still accepts connections until it has recovered, so that the
+   * engine behind the proxy is used again as soon as it reports its state.
+   */
   private async watchRecovery(suspicion: SuspicionState): Promise<void> {
     const { start } = suspicion.endpoint
     this.recovering.add(start)
@@ -385,15 +399,15 @@
   }
 
   /**
-   * A later start, or a state report requested after the termination, is stronger evidence than a probe,
-   * which may meet the next crash.
+   * Probes once more. A listed later start, or a state report requested after the reset, shows the recovery
+   * whatever the probe finds, since the probe may meet the next crash.
    */
   private async isStillUnresponsive(suspicion: SuspicionState): Promise<boolean> {
     const { endpoint, brokenAt } = suspicion
     if (suspicion.isReplaced) return false
     const probeStartedAt = this.parts.clock.monotonic()
     const sign = await this.parts.probe(endpoint)
-    // An inconclusive probe does not count as another proof of the termination.
+    // Only a probe that finds the engine unresponsive again renews the time of the evidence.
     if (sign === 'does-not-answer') suspicion.probeStartedAt = probeStartedAt
     const isBack = isRecovery(sign) || endpoint.heard().askedAt > brokenAt
     return !isBack && !suspicion.isReplaced
@@ -485,7 +499,10 @@
   return { brokenAt, lookedAt: probeStartedAt }
 }
 
-/** Whether the address of a terminated endpoint refuses connections again or reports its state. */
+/**
+ * Whether a probe ends the watch of a terminated endpoint: the endpoint reports its state, or its address
+ * refuses connections, so that requests sent there are no longer held.
+ */
 function isRecovery(sign: ProbeResult): boolean {
   return sign === 'lives' || sign === 'nobody-listens'
 }
--- a/packages/router/src/crashes/endpointProbe.ts
+++ b/packages/router/src/crashes/endpointProbe.ts
@@ -1,4 +1,7 @@
-/** Probes whether an endpoint is alive. Sends no request that an engine would run. */
+/**
+ * Probes whether an endpoint is alive: connects to its address and requests its state. Sends no request that
+ * an engine would run.
+ */
 
 import { connect } from 'node:net'
 import type { ProbeResult } from '@rackwalk/decisions'
@@ -11,12 +14,13 @@
 export interface ProbedEndpoint {
   /** IP:PORT. */
   readonly address: string
-  /** Path that reports its state without using a slot; undefined where there is none. */
+  /** Path that reports the endpoint's state without using a request slot; undefined if there is none. */
   readonly statePath: string | undefined
 }
 
 /**
- * The probe is inconclusive if no connection is established within this time: a retry may be waiting for it.
+ * The probe is inconclusive if no connection is established within this time. It is short, since a retry may
+ * be waiting for the result.
  */
 const CONNECT_MILLISECONDS: Milliseconds = 100
 /** A live endpoint reports its state within this time. */
@@ -29,14 +33,14 @@
   return new Promise(resolve => {
     const socket = connect({ host, port: Number(port) })
     let isConnected = false
-    // On a busy processor the timer fires late, and an established connection may not have been noticed yet:
-    // that event is processed first.
+    // On a busy processor the timer fires late, and an established connection may not have been noticed yet.
+    // `setImmediate` lets that event be processed first.
     const giveUp = () => setImmediate(() => (isConnected ? undefined : finish('no-connection')))
     const timer = setTimeout(giveUp, CONNECT_MILLISECONDS)
     const finish = (result: ProbeResult) => {
       clearTimeout(timer)
       socket.destroy()
-      // Data received from the endpoint before the result is read first.
+      // Data that arrived from the endpoint before the result, for other requests, is read first.
       setImmediate(() => resolve(result))
     }
     socket.on('connect', () => {
--- a/packages/router/src/crashes/probeWithLinkCheck.ts
+++ b/packages/router/src/crashes/probeWithLinkCheck.ts
@@ -1,4 +1,7 @@
-/** Probes whether an endpoint is alive, unless this instance has lost its link to it. Owns nothing. */
+/**
+ * Probes whether an endpoint is alive, and treats a refused connection as inconclusive if this instance
+ * reaches no other endpoint. Owns nothing.
+ */
 
 import type { ProbeResult } from '@rackwalk/decisions'
 import type { LinkMonitor, MonitoredEndpoint } from '../routing/linkMonitor.js'
@@ -6,8 +9,8 @@
 import { probeEndpoint } from './endpointProbe.js'
 
 /**
- * A refused connection proves a termination only if other endpoints are reachable: a cut link may refuse
- * connections as well.
+ * Returns the result of a probe. A refused connection proves a termination only if other endpoints are
+ * reachable, since a broken network path may refuse connections as well.
  */
 export async function probeWithLinkCheck<Endpoint extends MonitoredEndpoint>(
   endpoint: SuspectEndpoint,
--- a/packages/router/src/crashes/promptPartGuard.ts
+++ b/packages/router/src/crashes/promptPartGuard.ts
@@ -1,6 +1,8 @@
 /**
- * Quarantines prompt parts under which endpoints crashed. Owns what this instance knows of them; the rule is
- * in decisions/retrying/promptPartQuarantine. The owner of the guard sends its gossip to the other instances.
+ * Quarantines prompt parts (such as a shared document) that crash endpoints in any request that contains
+ * them. Without it, each new request with such a part would crash another endpoint. Owns the evidence that
+ * this instance knows. Changes go to the other instances as messages (gossip), which the owner of the guard
+ * sends. The rule is in decisions/retrying/promptPartQuarantine.
  */
 
 import { PromptPartQuarantine } from '@rackwalk/decisions'
@@ -18,7 +20,7 @@
   readonly onPromptPartVerdict: (part: PromptPartKey, isRefused: boolean) => void
 }
 
-/** The parts of a prompt, with the service that it is for. */
+/** The parts of a prompt, with the service that the prompt is sent to. */
 export interface ServicePrompt {
   readonly service: string
   readonly promptParts: readonly { readonly id: string }[]
@@ -43,9 +45,7 @@
     return keys.length === 0 ? 'send' : this.crashingParts.verdict(keys, this.now)
   }
 
-  /**
-   * The part whose hash selects the endpoint of an isolated request; undefined where no part is suspected.
-   */
+  /** The part whose hash selects the endpoint of an isolated request; undefined if no part is suspected. */
   isolationKey(keys: readonly PromptPartKey[]): PromptPartKey | undefined {
     return this.crashingParts.isolatingPart(keys)
   }
@@ -59,7 +59,7 @@
     return this.crashingParts.isRefused(part)
   }
 
-  /** Starts that crashed under a part. */
+  /** Endpoint starts (runs of endpoints) that crashed while an unanswered request with the part was there. */
   startsOf(part: PromptPartKey): readonly EndpointStart[] {
     return this.crashingParts.crashedStartsOf(part)
   }
@@ -77,7 +77,7 @@
       this.announceRefused(this.crashingParts.noteCrash(crash, this.now))
   }
 
-  /** An endpoint began to answer a request with these parts. */
+  /** An endpoint began to answer a request with these parts, which clears them. */
   noteAnswered(keys: readonly PromptPartKey[]): void {
     const wasRefused = keys.filter(key => this.crashingParts.isRefused(key))
     const soundParts = this.crashingParts.noteAnswered(keys)
@@ -85,13 +85,15 @@
     for (const part of wasRefused) this.parts.onPromptPartVerdict(part, false)
   }
 
-  /** A request with these parts is sent. If one of them is refused, the request is its trial. */
+  /** A request with these parts is sent. If it is the trial of a refused part, the trial is announced. */
   noteSent(keys: readonly PromptPartKey[]): void {
     const triedParts = this.crashingParts.noteTrial(keys, this.now)
     if (triedParts.length > 0) this.parts.broadcast({ marks: [], cleared: [], triedParts })
   }
 
-  /** Current evidence, for an instance that joined after it was announced. */
+  /**
+   * Refused parts and the crashes that involve them, for an instance that joined after their announcement.
+   */
   get newsSnapshot(): Pick<CrashGossip, 'partEnds' | 'deadlyParts'> {
     const { refusedParts } = this.crashingParts
     const refused = new Set(refusedParts)
@@ -137,8 +139,8 @@
   }
 
   /**
-   * Announces parts that this instance has found to crash endpoints, so that instances that see few of these
-   * crashes need not collect the evidence themselves.
+   * Announces parts that this instance refuses from now on, so that instances that see few of these crashes
+   * need not collect the evidence themselves.
    */
   private announceRefused(deadlyParts: readonly PromptPartKey[]): void {
     if (deadlyParts.length === 0) return
--- a/packages/router/src/crashes/promptPartKey.ts
+++ b/packages/router/src/crashes/promptPartKey.ts
@@ -4,12 +4,12 @@
 import { asId } from '@rackwalk/shared'
 import type { PromptPartKey } from '@rackwalk/shared'
 
-/** 96 bits: nobody can find a part that collides with somebody else's key. */
+/** 16 base64url characters are 96 bits, so nobody can find a part that collides with somebody else's key. */
 const KEY_CHARACTERS = 16
 
 /**
- * Keys of the parts of a prompt that other requests may contain. The last part belongs to the request itself
- * and is left out.
+ * Returns the keys of the parts of a prompt that other requests may contain. The last part belongs to the
+ * request itself and is left out.
  */
 export function promptPartKeys(
   service: string,
--- a/packages/router/src/crashes/promptPartRecords.ts
+++ b/packages/router/src/crashes/promptPartRecords.ts
@@ -1,6 +1,7 @@
 /**
- * Stores quarantined prompt parts among the records of crash-inducing requests. A part is stored under a key
- * that no request has, so that an earlier version reads it as a request that is never sent. Owns nothing.
+ * Stores refused prompt parts among the records of crash-inducing requests. A part is stored under a key that
+ * no request has, so that an earlier version of this software reads the part as a request that is never sent.
+ * Owns nothing.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
@@ -8,17 +9,17 @@
 import type { PromptPartKey, RequestFingerprint } from '@rackwalk/shared'
 import type { CrashGuard } from './crashGuard.js'
 
-/** Occurs in no request fingerprint. */
+/** Prefix of the keys of parts. Request fingerprints are base64url and contain no colon. */
 const PART_PREFIX = 'part:'
 
-/** The crash marks that are stored for a refused part. */
+/** Returns the crash marks that are stored for a refused part. */
 export function marksOfPart(guard: CrashGuard, part: PromptPartKey): readonly CrashMark[] {
   const fingerprint = recordKeyOf(part)
   const starts = guard.promptParts.startsOf(part)
   return starts.map(start => ({ fingerprint, start, wasIsolated: true }))
 }
 
-/** The record key of a part. */
+/** Returns the record key of a part. */
 export function recordKeyOf(part: PromptPartKey): RequestFingerprint {
   return asId(`${PART_PREFIX}${part}`)
 }
@@ -50,7 +51,7 @@
   )
 }
 
-/** Undefined where the record belongs to a request. */
+/** Returns the part of a record; undefined if the record belongs to a request. */
 function partOf(key: RequestFingerprint): PromptPartKey | undefined {
   return key.startsWith(PART_PREFIX)
     ? asId<PromptPartKey>(key.slice(PART_PREFIX.length))
--- a/packages/router/src/crashes/requestFingerprint.ts
+++ b/packages/router/src/crashes/requestFingerprint.ts
@@ -1,4 +1,7 @@
-/** Identifies equal requests, whatever their ids and whichever instance received them. */
+/**
+ * Identifies equal requests, whatever their ids and whichever instance received them, so that a request that
+ * crashes endpoints is recognized when it is sent again.
+ */
 
 import { createHash, hash } from 'node:crypto'
 import { SCOPE_PREFIX_LENGTH } from '@rackwalk/decisions'
@@ -9,7 +12,7 @@
 export interface ScopedRequest {
   /** Includes the query. */
   readonly path: string
-  /** Undefined where the route requires no key. */
+  /** Undefined if the route requires no key. */
   readonly team: string | undefined
 }
 
@@ -18,10 +21,10 @@
   readonly body: Buffer
 }
 
-/** 96 bits: nobody can find a second body with somebody else's fingerprint. */
+/** 16 base64url characters are 96 bits, so nobody can find a second body with somebody else's fingerprint. */
 const DIGEST_CHARACTERS = 16
 
-/** The prefix of the fingerprints of all requests of a team to one path. */
+/** Returns the prefix of the fingerprints of all requests of a team to one path. */
 export function requestScope({ path, team }: ScopedRequest): string {
   return hash('sha256', `${path}\n${team ?? ''}`, 'base64url').slice(0, SCOPE_PREFIX_LENGTH)
 }
--- a/packages/router/src/crashes/requestVerdict.ts
+++ b/packages/router/src/crashes/requestVerdict.ts
@@ -1,6 +1,6 @@
 /**
- * Quarantine verdict on an OpenAI-style request, by its fingerprint and by the messages that it shares with
- * other requests. Owns nothing.
+ * Determines the quarantine verdict on an OpenAI-style request, by its fingerprint and by the messages
+ * that it shares with other requests: sent normally, isolated on one endpoint, or refused. Owns nothing.
  */
 
 import { strictestVerdict } from '@rackwalk/decisions'
@@ -28,7 +28,7 @@
   return strictestVerdict(ofRequest, crashes.promptParts.verdict(messageKeys(crashes, request)))
 }
 
-/** Keys of the messages that other chats may contain; empty while no part is suspected. */
+/** Returns the keys of the messages that other chats may contain; empty while no part is suspected. */
 export function messageKeys(
   { promptParts }: CrashGuard,
   request: CrashCheckedRequest,
@@ -36,13 +36,16 @@
   return promptParts.keysOf(promptOf(request))
 }
 
-/** Like `messageKeys`, also while no part is suspected. */
+/** Like `messageKeys`, but returns the keys even while no part is suspected. */
 export function allMessageKeys(request: CrashCheckedRequest): readonly PromptPartKey[] {
   const { service, promptParts } = promptOf(request)
   return promptPartKeys(service, promptParts)
 }
 
-/** Serializes the messages only when they are read: chats are long. */
+/**
+ * Returns the prompt of a request. Chats are long, so its messages are serialized only if the parts are
+ * read.
+ */
 function promptOf({ call, target }: CrashCheckedRequest): ServicePrompt {
   return {
     service: target,
--- a/packages/router/src/streams/recentVersions.ts
+++ b/packages/router/src/streams/recentVersions.ts
@@ -1,4 +1,7 @@
-/** Tracks which software versions of each service served recently. Owns when each version was last seen. */
+/**
+ * Tracks which software versions of each service served recently, so that this instance knows at which
+ * versions a resumed stream may have begun. Owns when each version was last seen.
+ */
 
 import { RESUMPTION_WINDOW_MILLISECONDS } from '@rackwalk/decisions'
 import type { Clock, Milliseconds, SoftwareVersion } from '@rackwalk/shared'
@@ -16,7 +19,7 @@
     private readonly listed: (service: string) => ReadonlySet<SoftwareVersion>,
   ) {}
 
-  /** A version serves, or served until now. */
+  /** A version serves now, or served until now. */
   note(service: string, version: SoftwareVersion): void {
     const now = this.clock.monotonic()
     if (!this.firstSeenAt.has(service)) this.firstSeenAt.set(service, now)
@@ -38,7 +41,7 @@
     return [...new Set([...listed, ...seen.keys()])]
   }
 
-  /** Time since the service was first seen. */
+  /** Time since the service was first seen; 0 if it never was. */
   knownFor(service: string): Milliseconds {
     const since = this.firstSeenAt.get(service)
     return since === undefined ? 0 : this.clock.monotonic() - since
--- a/packages/router/src/streams/startedStream.ts
+++ b/packages/router/src/streams/startedStream.ts
@@ -7,8 +7,8 @@
 import type { StartedStream } from './streamOriginCache.js'
 
 /**
- * Added to the lifetime of an entry: a caller counts its deadline from its first try, which it may have sent
- * a little later than the gateway assumes.
+ * Added to the time for which a caller may resume a stream. The caller counts its deadline from its first
+ * try, which it may have sent a little later than the gateway assumes.
  */
 const SLACK_MILLISECONDS: Milliseconds = 1_000
 
@@ -20,7 +20,10 @@
   readonly team: string | undefined
 }
 
-/** Returns undefined if the caller can't resume the stream or does not name the try that began it. */
+/**
+ * Returns the entry for the origin cache; undefined if the route allows no resumption, or if the request
+ * resumes a stream without naming the try that began it.
+ */
 export function startedStreamOf(
   { metadata, route, service, team }: StreamRequest,
   softwareVersion: SoftwareVersion,
--- a/packages/router/src/streams/streamKey.ts
+++ b/packages/router/src/streams/streamKey.ts
@@ -4,7 +4,7 @@
 import { asId } from '@rackwalk/shared'
 import type { StreamKey } from '@rackwalk/shared'
 
-/** 96 bits: nobody can find a try that collides with somebody else's key. */
+/** 16 base64url characters are 96 bits, so nobody can find a try that collides with somebody else's key. */
 const KEY_CHARACTERS = 16
 
 /**
--- a/packages/router/src/streams/streamOriginCache.ts
+++ b/packages/router/src/streams/streamOriginCache.ts
@@ -1,6 +1,6 @@
 /**
- * Caches where streams began, for as long as their callers may resume them. Owns the entries and when each
- * one expires.
+ * Caches at which service and software version streams began (their origins), for as long as their callers
+ * may resume them. Owns the entries and when each one expires.
  */
 
 import { isSameOrigin } from '@rackwalk/decisions'
@@ -11,12 +11,14 @@
 export interface StartedStream {
   readonly key: StreamKey
   readonly origin: StreamOrigin
-  /** Time for which its caller may resume it. */
+  /** Time for which the caller may resume the stream. */
   readonly lifetimeMilliseconds: Milliseconds
 }
 
 interface Entry {
+  /** More than one only if instances reported different origins. */
   readonly origins: readonly StreamOrigin[]
+  /** Monotonic time. */
   readonly expiresAt: Milliseconds
   /** Whether this instance served the stream. */
   readonly isLocal: boolean
@@ -27,7 +29,7 @@
 
 /** Stream origins known to one instance. */
 export class StreamOriginCache {
-  /** Oldest first. */
+  /** Ordered by the time of their newest report, the oldest first. */
   private readonly entries = new Map<StreamKey, Entry>()
 
   constructor(private readonly clock: Clock) {}
@@ -37,8 +39,8 @@
   }
 
   /**
-   * Remembers a stream. If two origins are reported for it, both are kept, since nothing tells which one is
-   * right.
+   * Remembers a stream. If different origins are reported for it, all are kept, since this instance can't
+   * know which one is right. `isLocal`: whether this instance served the stream.
    */
   note({ key, origin, lifetimeMilliseconds }: StartedStream, isLocal: boolean): void {
     const known = this.unexpired(key)
@@ -59,7 +61,7 @@
     return this.unexpired(key)?.origins ?? []
   }
 
-  /** Streams of a service that this instance served. */
+  /** Unexpired streams of a service that this instance served. */
   servedLocally(service: string): readonly StartedStream[] {
     const now = this.clock.monotonic()
     return [...this.entries].flatMap(([key, { origins, expiresAt, isLocal }]) => {
--- a/packages/router/src/streams/streamOrigins.ts
+++ b/packages/router/src/streams/streamOrigins.ts
@@ -1,7 +1,9 @@
 /**
- * Remembers at which software version each stream began, and determines where a resumed stream continues.
- * Owns the origins that this instance remembers and the versions that it has seen. Relies on its dependencies
- * to notify and ask other instances, and on decisions/retrying/streamResumption for the rule.
+ * Remembers at which service and software version each stream began (its origin), and determines where a
+ * resumed stream continues. Without it, a resumed stream could mix the output of two versions. While a
+ * service has several versions, origins are copied to the instances that keep replicas of them. Owns the
+ * origins that this instance remembers and the versions that it has seen. Relies on its dependencies to send
+ * to and query other instances; the rule is in decisions/retrying/streamResumption.
  */
 
 import { hasMixedVersions, hasSingleVersion, resolveResumption } from '@rackwalk/decisions'
@@ -11,14 +13,14 @@
 import type { StartedStream } from './streamOriginCache.js'
 import { RecentVersions } from './recentVersions.js'
 
-/** Gossip about streams and versions. */
+/** A message between instances (gossip) about streams and versions. */
 export interface StreamGossip {
   readonly begun: readonly StartedStream[]
   /** Serving versions, each with its service. */
   readonly versions: readonly StreamOrigin[]
 }
 
-/** What one instance knows of a stream that another instance is asked to resume. */
+/** What one instance knows of a stream that a caller resumes at another instance. */
 export interface OriginAnswer {
   readonly origins: readonly StreamOrigin[]
   /** Versions of the service that served recently. */
@@ -37,7 +39,7 @@
   readonly clock: Clock
   /** Versions of the listed endpoints of a service. */
   readonly listedVersions: (service: string) => ReadonlySet<SoftwareVersion>
-  /** Whether the list of endpoints was read from the store a moment ago. */
+  /** Whether the list of endpoints was recently read from the store. */
   readonly isListFresh: () => boolean
   /** Sends the streams to the instances that keep a replica of each. */
   readonly replicateStreams: (begun: readonly StartedStream[]) => void
@@ -63,8 +65,8 @@
   }
 
   /**
-   * The first event of a stream is about to be delivered. Replicas are sent before the caller has any part of
-   * the answer.
+   * The first event of a stream is about to be delivered. If the service has several versions, replicas are
+   * sent before the caller has any part of the answer.
    */
   noteStarted(stream: StartedStream): void {
     this.cache.note(stream, true)
@@ -92,7 +94,7 @@
     for (const origin of versions) this.noteVersion(origin)
   }
 
-  /** Serving versions of services that have several, for a newly started instance. */
+  /** Recent versions of services that have several, for a newly started instance. */
   get versionsSnapshot(): readonly StreamOrigin[] {
     return this.versions.services
       .map(service => this.versionsOf(service))
@@ -105,7 +107,10 @@
     return { origins: this.remembered(key), versions: this.versions.recentVersions(service) }
   }
 
-  /** Determines where a stream continues that a caller resumes here. */
+  /**
+   * Determines where a stream continues that a caller resumes at this instance. Other instances are queried
+   * only if this instance remembers no origin and can't rely on the service having a single version.
+   */
   async find(stream: ResumedStream): Promise<Resumption> {
     const { service } = stream
     const own = this.answer(stream)
@@ -139,8 +144,8 @@
   }
 
   /**
-   * Returns whether a service has a new version. When a second version appears, the streams begun at the only
-   * earlier one must be replicated from then on.
+   * Notes a version. Returns whether it is new to a service that already had one. When a second version
+   * appears, the streams that this instance served at the only earlier one are replicated.
    */
   private noteVersion({ service, softwareVersion }: StreamOrigin): boolean {
     const before = this.versions.recentVersions(service)
