--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -26,7 +26,7 @@
   constructor(
     private readonly response: ServerResponse,
     private readonly ownHeaders: Readonly<Record<string, string>>,
-    private readonly returnTime: RetryAfterFormat,
+    private readonly retryAfterFormat: RetryAfterFormat,
     /** Whether the connection closes after this answer. */
     private readonly mustClose: () => boolean,
     private readonly refusedBodies: RefusedBodyHandler,
@@ -40,12 +40,12 @@
     return this.started
   }
 
-  /** Whether the caller left before the answer was complete. */
+  /** Whether the caller left before this instance had ended the answer. */
   get isCallerGone(): boolean {
     return this.hasLeft
   }
 
-  /** Adds a listener that is called once if the caller leaves before the answer is complete. */
+  /** Adds a listener that is called once if the caller leaves before this instance has ended the answer. */
   onLeave(listener: () => void): void {
     this.leaveListeners.push(listener)
   }
@@ -103,7 +103,7 @@
     const body = Buffer.from(JSON.stringify(errorBody(error, undefined, undefined, minimumSeconds)))
     const headers = {
       ...this.ownHeaders,
-      ...errorHeaders(error, undefined, this.returnTime, minimumSeconds),
+      ...errorHeaders(error, undefined, this.retryAfterFormat, minimumSeconds),
       'content-length': String(body.length),
     }
     return { status: RESULT_TABLE[error.code].httpStatus, headers, body }
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -62,9 +62,12 @@
   /** Whether the endpoint states that it did not run the request and never will. */
   readonly isNotExecuted: boolean
   readonly load: EndpointLoad | undefined
-  /** Unparsed number of rejections per second that the endpoint tolerates; undefined if it names none. */
+  /**
+   * Unparsed number of rejections per second that the endpoint tolerates; undefined if the answer names
+   * none.
+   */
   readonly turnAways?: string | undefined
-  /** Unparsed advice on which requests it may be sent next. */
+  /** Unparsed advice on whether and at which rate the endpoint may be sent further requests. */
   readonly advice: AdviceHeaders
 }
 
--- a/packages/router/src/gateway/endpointAgent.ts
+++ b/packages/router/src/gateway/endpointAgent.ts
@@ -25,9 +25,9 @@
 
   override keepSocketAlive(stream: Duplex): boolean {
     const socket = stream as Socket & { _httpMessage?: { res?: IncomingMessage } }
-    const stated = socket._httpMessage?.res?.headers['keep-alive']
+    const keepAliveHeader = socket._httpMessage?.res?.headers['keep-alive']
     const drop = () => socket.destroy()
-    const timer = setTimeout(drop, idleMilliseconds(stated))
+    const timer = setTimeout(drop, idleMilliseconds(keepAliveHeader))
     timer.unref()
     socket.on('data', drop)
     socket.once('end', drop)
@@ -38,11 +38,11 @@
 
   override reuseSocket(stream: Duplex, request: ClientRequest): void {
     const socket = stream as Socket
-    const waiting = this.idle.get(socket)
-    if (waiting !== undefined) {
-      clearTimeout(waiting.timer)
-      socket.off('data', waiting.drop)
-      socket.off('end', waiting.drop)
+    const idleState = this.idle.get(socket)
+    if (idleState !== undefined) {
+      clearTimeout(idleState.timer)
+      socket.off('data', idleState.drop)
+      socket.off('end', idleState.drop)
       this.idle.delete(socket)
     }
     super.reuseSocket(stream, request)
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -52,7 +52,7 @@
   private readonly endpoints = new Map<string, EndpointState>()
   /** Endpoints whose entries are missing and may reappear. */
   private readonly lapsed = new Map<string, Timer>()
-  /** Evacuated failure domains: no new request is sent there. */
+  /** Evacuated failure domains, whose endpoints get no new requests. */
   private readonly evacuated = new Set<string>()
   /** Event interval of a usual endpoint, by service. */
   private readonly baselineIntervals = new Map<string, CachedBaseline>()
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Another endpoint answers at this endpoint's address: no further request is sent there. While the store is
-   * unreachable, the list shows the termination only seconds later.
+   * Another endpoint answers at this endpoint's address, so this start has terminated and gets no further
+   * request. While the store is unreachable, the list shows the termination only seconds later.
    */
   noteEnded({ id, start }: Pick<EndpointRecord, 'id' | 'start'>): void {
     const known = this.endpoints.get(id)
--- a/packages/router/src/gateway/endpointSelector.ts
+++ b/packages/router/src/gateway/endpointSelector.ts
@@ -196,14 +196,14 @@
 
   /** Returns the endpoints without those to which this instance has lost its links. */
   private withoutUnreachable(open: readonly EndpointState[]): readonly EndpointState[] {
-    const unreached = this.parts.links.unreachableEndpoints(this.request.service.name)
-    return open.filter(endpoint => !unreached.has(endpoint))
+    const unreachable = this.parts.links.unreachableEndpoints(this.request.service.name)
+    return open.filter(endpoint => !unreachable.has(endpoint))
   }
 
   /** Returns the endpoints that are not suspected to have crashed, or all if each one is suspected. */
   private preferUnsuspected(open: readonly EndpointState[]): readonly EndpointState[] {
-    const trusted = open.filter(({ start }) => !this.parts.crashes.isSuspect(start))
-    return trusted.length > 0 ? trusted : open
+    const unsuspected = open.filter(({ start }) => !this.parts.crashes.isSuspect(start))
+    return unsuspected.length > 0 ? unsuspected : open
   }
 
   private chooseBest(
--- a/packages/router/src/gateway/endpointSnapshots.ts
+++ b/packages/router/src/gateway/endpointSnapshots.ts
@@ -14,9 +14,12 @@
   recentTokens(endpoint: string): TokenCount
   /** Factor by which an endpoint is slower than usual for its service; at least 1. */
   slowness(endpoint: EndpointState): number
-  /** Whether an endpoint is in this instance's subset, so that peers report at once what they send there. */
+  /**
+   * Whether an endpoint is in this instance's subset: the endpoints that the instance prefers, and to which
+   * peers report their sends at once.
+   */
   isInSubset(endpoint: string): boolean
-  /** Tokens of a prompt that it would have to read. */
+  /** Tokens of a prompt that are not cached at an endpoint, which would have to read them. */
   uncachedTokens(
     endpoint: string,
     prompt: TokenCount,
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -54,8 +54,8 @@
 /** A request in progress at an endpoint. */
 export interface RequestInProgress {
   /**
-   * The first event arrived (the first bytes of an answer that is no stream), so the prompt has been read; may
-   * be called again.
+   * The first event arrived (the first bytes of an answer that is no stream), so the prompt has been read;
+   * may be called again.
    */
   noteBegun(): void
   /** The request has ended; call it once. */
@@ -64,7 +64,7 @@
 
 /** State of one run of an endpoint. */
 export class EndpointState {
-  /** Requests in progress there from this instance. */
+  /** This instance's requests in progress at the endpoint. */
   running = 0
   /** Uncached prompt tokens of those requests of this instance whose answers have not begun to arrive. */
   pendingTokens: TokenCount = 0
@@ -75,8 +75,8 @@
   /** Estimated milliseconds per event of its answers, near the shortest intervals; undefined until timed. */
   pace: Milliseconds | undefined
   /**
-   * Whether another endpoint answered at its address or another start replaced it: this start has terminated,
-   * whatever is listed.
+   * Whether another endpoint answered at the endpoint's address or another start replaced this one. Either
+   * proves that this start has terminated, whatever its row says.
    */
   hasEnded = false
   /** Monotonic time at which this instance last received data from the endpoint. */
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -44,7 +44,7 @@
   private readonly prefills: PrefillTracker
   private readonly subsets = new EndpointSubsets()
   /** Monotonic time at which a report of this instance last contained requests in progress. */
-  private workedAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private lastWorkReportAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: FleetLoadParts) {
     this.peers = new PeerLoads(parts.clock)
@@ -84,7 +84,10 @@
     this.parts.onSent?.()
   }
 
-  /** Whether an endpoint is in this instance's subset, so that peers report at once what they send there. */
+  /**
+   * Whether an endpoint is in this instance's subset: the endpoints that the instance prefers, so that peers
+   * report at once to it what they send to them.
+   */
   isInSubset(endpoint: string): boolean {
     return this.subsets.isInSubset(this.parts.instance, endpoint, this.parts.users())
   }
@@ -106,7 +109,7 @@
    */
   nextReport(isHeartbeatDue: boolean): PeerLoadReport | undefined {
     const report = this.reporter.next(isHeartbeatDue)
-    if (this.reporter.hasWork) this.workedAt = this.parts.clock.monotonic()
+    if (this.reporter.hasWork) this.lastWorkReportAt = this.parts.clock.monotonic()
     return report
   }
 
@@ -132,7 +135,9 @@
     return this.reporter.fullReport()
   }
 
-  /** A report that only shows that this instance is alive. */
+  /**
+   * A report that shows that this instance is alive and whether it uses endpoints, without its other loads.
+   */
   heartbeatReport(): PeerLoadReport {
     return this.reporter.heartbeatReport()
   }
@@ -154,7 +159,7 @@
 
   /** Whether this instance recently reported requests in progress to its peers. */
   get isSelfUsing(): boolean {
-    return this.parts.clock.monotonic() - this.workedAt < USING_MILLISECONDS
+    return this.parts.clock.monotonic() - this.lastWorkReportAt < USING_MILLISECONDS
   }
 
   /** Forgets instances that have been silent for this long; to be called periodically. */
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -1,8 +1,9 @@
 /**
- * Serves requests of the gateway. Each request is matched with a route and a team, admitted, read, charged
- * to the team's prepaid budget at its largest possible cost, sent to endpoints or relayed to another
- * instance, settled at its actual cost, and recorded. Owns the retry budget of each service and the count of
- * requests in progress.
+ * Serves requests of the gateway. Each request is matched with a route and a team, admitted, read and
+ * recorded. A request that was read has its largest possible cost reserved from the team's prepaid budget,
+ * is sent to endpoints, and is settled at its actual cost. If no endpoint can be connected, the request is
+ * relayed to another instance, which reserves the cost. Owns the retry budget of each service and the count
+ * of requests in progress.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -91,7 +92,7 @@
 
 /** A request whose stream origin is determined. */
 interface ResumedRequest extends ReadRequest {
-  /** Undefined if it resumes no stream. */
+  /** Undefined if the request resumes no stream. */
   readonly origin: StreamOrigin | undefined
 }
 
@@ -277,14 +278,14 @@
     const service = serviceName === undefined ? undefined : routes.service(serviceName)
     if (service === undefined) throw new NotRunError(ResultCode.NoEndpoint, serviceName)
     record.service = service.name
-    const patience = metadata.deadlineMilliseconds ?? this.parts.defaultDeadlineMilliseconds
-    const deadlineAt = record.receivedAt + Math.min(patience, route.timeoutMilliseconds)
+    const waitLimit = metadata.deadlineMilliseconds ?? this.parts.defaultDeadlineMilliseconds
+    const deadlineAt = record.receivedAt + Math.min(waitLimit, route.timeoutMilliseconds)
     return { metadata, route, service, team, deadlineAt }
   }
 
   /**
-   * Matches a request against the known routes; undefined if none are known. The record names the match also
-   * if the request is then refused, so that a team whose requests are all refused shows up in its own
+   * Matches a request against the known routes; undefined if no configuration is known. The match is recorded
+   * before the request may be refused, so that a team whose requests are all refused shows up in its own
    * counters.
    */
   private matchRequest(
@@ -342,10 +343,10 @@
     const tokens = metadata.tokens.prompt + metadata.tokens.maximumOutput
     record.tokens = tokens
     const { goalMilliseconds } = route
-    const patience = budgetWaitLimit(goalMilliseconds)
+    const waitLimit = budgetWaitLimit(goalMilliseconds)
     const remaining = deadlineAt - this.parts.clock.sinceStart()
-    const lastPatience = extendedBudgetWaitLimit(goalMilliseconds, remaining)
-    const outcome = await this.parts.ledger.reserve(team.name, tokens, patience, lastPatience)
+    const extendedWaitLimit = extendedBudgetWaitLimit(goalMilliseconds, remaining)
+    const outcome = await this.parts.ledger.reserve(team.name, tokens, waitLimit, extendedWaitLimit)
     if (outcome.kind === 'reserved') {
       record.reservation = outcome.path
       const { loans } = outcome.reservation
@@ -360,8 +361,8 @@
     record.budget = this.parts.ledger.describe(team)
     if (outcome.lenders.length > 0) record.lenders = outcome.lenders
     if (outcome.reason === 'exhausted') return new NotRunError(ResultCode.BudgetExhausted)
-    const returnAfter = toRetryAfterSeconds(outcome.waitMilliseconds)
-    return new NotRunError(ResultCode.BudgetUnavailable, undefined, returnAfter)
+    const retryAfterSeconds = toRetryAfterSeconds(outcome.waitMilliseconds)
+    return new NotRunError(ResultCode.BudgetUnavailable, undefined, retryAfterSeconds)
   }
 
   /** Replaces the reservation by the tokens that were spent. */
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -52,7 +52,7 @@
   sequence: number
   heardAt: Milliseconds
   /** Time, on the clock that includes suspensions, of the newest report that named an endpoint. */
-  workedAt: Milliseconds
+  loadAt: Milliseconds
   readonly loads: Map<string, InstanceLoad>
 }
 
@@ -90,7 +90,7 @@
     for (const { endpoint, running, pendingTokens } of report.loads) {
       this.replace(peer, endpoint, { running, pendingTokens })
     }
-    if (report.loads.length > 0) peer.workedAt = peer.heardAt
+    if (report.loads.length > 0) peer.loadAt = peer.heardAt
     return growths
   }
 
@@ -108,7 +108,7 @@
   isUsing(instance: string): boolean {
     const peer = this.peers.get(instance)
     if (peer === undefined) return false
-    return peer.loads.size > 0 || this.clock.sinceStart() - peer.workedAt < USING_MILLISECONDS
+    return peer.loads.size > 0 || this.clock.sinceStart() - peer.loadAt < USING_MILLISECONDS
   }
 
   /** The endpoint was removed or restarted: earlier reports about it no longer apply. */
@@ -135,7 +135,7 @@
       incarnation,
       sequence: 0,
       heardAt: 0,
-      workedAt: Number.NEGATIVE_INFINITY,
+      loadAt: Number.NEGATIVE_INFINITY,
       loads: new Map(),
     }
     this.peers.set(instance, created)
--- a/packages/router/src/gateway/peerRelay.ts
+++ b/packages/router/src/gateway/peerRelay.ts
@@ -69,7 +69,7 @@
 
 /** Relays one request to other instances, one after another. */
 export class PeerRelay {
-  private readonly asked = new Set<string>()
+  private readonly triedInstances = new Set<string>()
   private readonly outcomes: RelayOutcome[] = []
   private exchange: UpstreamExchange | undefined
   private isDeadlinePassed = false
@@ -90,7 +90,7 @@
     const untilAbort = deadlineAt + DEADLINE_SLACK_MILLISECONDS - clock.sinceStart()
     const timer = clock.after(untilAbort, () => this.passDeadline())
     try {
-      return await this.askUntilDone()
+      return await this.relayUntilDone()
     } finally {
       timer.cancel()
     }
@@ -105,10 +105,10 @@
     return this.isDeadlinePassed || this.request.reply.isCallerGone
   }
 
-  private async askUntilDone(): Promise<boolean> {
+  private async relayUntilDone(): Promise<boolean> {
     let peer = this.nextPeer
     while (peer !== undefined && !this.isOver) {
-      if (await this.ask(peer)) return true
+      if (await this.relayTo(peer)) return true
       const another = this.nextPeer
       const step = relayStep(this.outcomes, this.request.route, another !== undefined)
       if (step !== 'ask-another') break
@@ -120,14 +120,14 @@
   }
 
   private get nextPeer(): RelayPeer | undefined {
-    return this.parts.relayPeers.choose(this.request.service, this.asked)
+    return this.parts.relayPeers.choose(this.request.service, this.triedInstances)
   }
 
   /**
    * Resolves with whether the caller received the answer, or as much of the answer as arrived, or an error.
    */
-  private async ask(peer: RelayPeer): Promise<boolean> {
-    this.asked.add(peer.instance)
+  private async relayTo(peer: RelayPeer): Promise<boolean> {
+    this.triedInstances.add(peer.instance)
     const relayRecord: RelayRecord = { instance: peer.instance, outcome: undefined }
     this.request.record.relays.push(relayRecord)
     const exchange = this.open(peer)
@@ -194,8 +194,8 @@
   }
 
   /**
-   * The answer was interrupted. An answer that the caller has begun to receive can't be completed by this
-   * instance, and the request is given up. Resolves with whether the caller has its result.
+   * The answer was interrupted. If this instance or the caller interrupted it, or the caller has begun to
+   * receive the answer, the request is given up. Returns whether it was.
    */
   private endInterrupted(ended: EndedAnswer, relayRecord: RelayRecord): boolean {
     this.outcomes.pop()
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -323,10 +323,13 @@
     { kind }: AttemptOutcome,
   ): void {
     const { clock, longestRestMilliseconds, advices } = this.parts
-    const said = parseAdvice(advice, { wallTime: clock.wallTime(), longestRestMilliseconds })
+    const parsedAdvice = parseAdvice(advice, {
+      wallTime: clock.wallTime(),
+      longestRestMilliseconds,
+    })
     const attempt = this.request.record.attempts.at(-1)
-    if (attempt !== undefined) attempt.said = adviceText(said)
-    advices.note(endpoint.start, said, kind === 'answered')
+    if (attempt !== undefined) attempt.said = adviceText(parsedAdvice)
+    advices.note(endpoint.start, parsedAdvice, kind === 'answered')
   }
 
   private judge(status: number, reply: ReplyMetadata): AttemptOutcome {
@@ -392,15 +395,15 @@
 
   /** Records complete events. With the first event of the request, the software version is fixed. */
   private noteEvents({ record }: EndpointState, pace: StreamPace, count: number): void {
-    if (this.events.events === count) this.noteBegun(record)
+    if (this.events.events === count) this.noteStreamStarted(record)
     pace.noteEvents(count)
   }
 
-  private noteBegun({ softwareVersion }: EndpointRecord): void {
+  private noteStreamStarted({ softwareVersion }: EndpointRecord): void {
     const { request, parts } = this
     this.softwareVersion = softwareVersion
-    const begun = startedStreamOf(request, softwareVersion)
-    if (begun !== undefined) parts.streams.noteStarted(begun)
+    const startedStream = startedStreamOf(request, softwareVersion)
+    if (startedStream !== undefined) parts.streams.noteStarted(startedStream)
   }
 
   /**
--- a/packages/router/src/gateway/streamPace.ts
+++ b/packages/router/src/gateway/streamPace.ts
@@ -39,18 +39,21 @@
 
 /** Timing of one stream. */
 export class StreamPace {
-  private lastAt: Milliseconds | undefined
+  /** Monotonic time of the newest events. */
+  private lastEventAt: Milliseconds | undefined
+  /** Pending prompt tokens at that time. */
   private lastPendingTokens: TokenCount = 0
-  private windowAt: Milliseconds = 0
+  /** Monotonic time at which the events began over which the current pace is averaged. */
+  private windowStartedAt: Milliseconds = 0
   private windowEvents = 0
   private isWindowCalm = true
-  private pause: StreamPause | undefined
+  private longestSoFar: StreamPause | undefined
 
   constructor(private readonly parts: StreamPaceParts) {}
 
   /** The longest pause so far; undefined before the second event. */
   get longestPause(): StreamPause | undefined {
-    return this.pause
+    return this.longestSoFar
   }
 
   /** This many complete events have just arrived. */
@@ -58,26 +61,26 @@
     const now = this.parts.clock.monotonic()
     const pendingTokens = this.parts.pendingTokens()
     const disturbingTokens = Math.max(pendingTokens, this.lastPendingTokens)
-    if (this.lastAt === undefined) this.windowAt = now
+    if (this.lastEventAt === undefined) this.windowStartedAt = now
     else {
-      this.notePause(now - this.lastAt, disturbingTokens)
+      this.notePause(now - this.lastEventAt, disturbingTokens)
       this.noteWindow(now, count, disturbingTokens)
     }
-    this.lastAt = now
+    this.lastEventAt = now
     this.lastPendingTokens = pendingTokens
   }
 
   private notePause(milliseconds: Milliseconds, pendingTokens: TokenCount): void {
-    if (milliseconds <= (this.pause?.milliseconds ?? -1)) return
-    this.pause = { milliseconds, pendingTokens }
+    if (milliseconds <= (this.longestSoFar?.milliseconds ?? -1)) return
+    this.longestSoFar = { milliseconds, pendingTokens }
   }
 
   private noteWindow(now: Milliseconds, count: number, pendingTokens: TokenCount): void {
     this.windowEvents += count
     this.isWindowCalm &&= pendingTokens < CALM_TOKENS
     if (this.windowEvents < PACE_EVENTS) return
-    if (this.isWindowCalm) this.parts.onPace((now - this.windowAt) / this.windowEvents)
-    this.windowAt = now
+    if (this.isWindowCalm) this.parts.onPace((now - this.windowStartedAt) / this.windowEvents)
+    this.windowStartedAt = now
     this.windowEvents = 0
     this.isWindowCalm = true
   }
