--- a/packages/router/src/advice/endpointAdviceStore.ts
+++ b/packages/router/src/advice/endpointAdviceStore.ts
@@ -2,7 +2,8 @@
  * Stores the advice that endpoints give in their answers: a rate limit for the whole fleet, a backoff
  * (Retry-After), and that they leave. Advice is kept by start, which is one run of an endpoint, and outlasts
  * the start's row. Changes of rate limit and leaving are broadcast to the other instances, so that all of
- * them respect what one was told; a backoff applies to this instance only.
+ * them respect the advice that one received; a backoff applies to this instance only. Changes in the kinds of
+ * advice are reported to the store's owner for the log.
  */
 
 import { adviceText } from '@rackwalk/decisions'
@@ -13,7 +14,10 @@
 /** Dependencies and callbacks of a store. */
 export interface EndpointAdviceStoreParts {
   readonly clock: Clock
-  /** The advice of a start changed. `said` is its description, undefined if there is no advice any more. */
+  /**
+   * An answer gave other kinds of advice than the last one of its start. `said` describes the advice;
+   * undefined if the answer gave none.
+   */
   readonly onChange: (start: EndpointStart, said: string | undefined) => void
   /** Sends advice to all other instances. */
   readonly broadcast: (gossip: AdviceGossip) => void
--- a/packages/router/src/advice/rejectionGuard.ts
+++ b/packages/router/src/advice/rejectionGuard.ts
@@ -18,7 +18,7 @@
   readonly recordedInstances: () => readonly RecordedInstance[] | undefined
 }
 
-/** An endpoint and the requests in progress there from all instances. */
+/** An endpoint, with the number of its requests in progress from all instances. */
 export interface EndpointOccupancy {
   readonly start: EndpointStart
   readonly service: string
--- a/packages/router/src/advice/sendAdmission.ts
+++ b/packages/router/src/advice/sendAdmission.ts
@@ -1,11 +1,12 @@
 /**
- * Decides in one place whether this instance may send a request to an endpoint now, be it a first attempt,
- * a retry, a resumed stream or a queued request. A send is refused
+ * Decides in one place whether this instance may send a request to an endpoint now, be it a first attempt, a
+ * retry, a resumed stream or a queued request. A send is refused
  *
- * - during a backoff that the endpoint asked for (Retry-After), and too soon after the previous send until
- * the endpoint has accepted a request after the backoff; - while the endpoint is cold, which means that it
- * has just started, and this instance has no quota of its warm-up rate or has used the quota up; - while
- * this instance has no quota of the rate that the endpoint advertises or has used the quota up.
+ * - during a backoff that the endpoint asked for (Retry-After), and then, until the endpoint has accepted a
+ *   request, too soon after the previous send;
+ * - while the endpoint is cold, which means that it has just started, and this instance has no quota of its
+ *   warm-up rate or has used the quota up;
+ * - while this instance has no quota of the rate that the endpoint advertises or has used the quota up.
  *
  * Owns the ranks of this instance among the instances that share a rate; the rules are in decisions/choosing
  * (rateQuota, sendRefusal).
@@ -99,8 +100,8 @@
     const rate = advice?.requestsPerSecond
     if (advice === undefined || rate === undefined) return undefined
     const quota = this.quotaFor(target.start, rate, advice.silenceMilliseconds)
-    // An instance without a quota sends nothing and can't tell when it gets one. Its callers are told to wait
-    // for the time in which the whole fleet may send one request.
+    // An instance without a quota sends nothing and can't tell when the others have used up theirs. The wait
+    // is the time in which the whole fleet may send one request.
     const waitMilliseconds =
       quota === undefined ? SECOND_MILLISECONDS / rate : target.waitFor(quota)
     return waitMilliseconds === 0 ? undefined : { kind: 'rate', waitMilliseconds }
--- a/packages/router/src/crashes/crashGuard.ts
+++ b/packages/router/src/crashes/crashGuard.ts
@@ -158,7 +158,8 @@
   }
 
   /**
-   * Open suspicions and terminations detected here, for an instance that joined after they were announced.
+   * This instance's open suspicions and unresponsive starts, and its evidence against prompt parts, for an
+   * instance that joined after they were announced.
    */
   get newsSnapshot(): CrashGossip {
     const { openSuspicions } = this.detector
@@ -199,7 +200,7 @@
     this.clear(fingerprint)
   }
 
-  /** Clears all crash marks of a request, here and at all other instances. */
+  /** Clears all crash marks of a request, at this and at all other instances. */
   clear(fingerprint: RequestFingerprint): void {
     const starts = this.openStarts(fingerprint)
     if (starts.length === 0) return
@@ -217,7 +218,10 @@
     }
   }
 
-  /** Clears the crash marks of a request here, after an operator or another instance removed its record. */
+  /**
+   * Clears the crash marks of a request at this instance, after an operator or another instance removed its
+   * record.
+   */
   forget(fingerprint: RequestFingerprint): void {
     this.applyLocally({
       marks: [],
@@ -265,7 +269,7 @@
     this.parts.onKnownEnd?.(start, { source: 'news', firstToldAt, toldAt })
   }
 
-  /** Applies gossip that originates here and broadcasts it. */
+  /** Applies evidence that this instance found, and broadcasts it. */
   private applyAndBroadcast(gossip: CrashGossip): void {
     this.applyLocally(gossip)
     this.parts.broadcast(gossip)
--- a/packages/router/src/crashes/endpointCrashDetector.ts
+++ b/packages/router/src/crashes/endpointCrashDetector.ts
@@ -68,9 +68,9 @@
 /** A request that an endpoint reset. */
 export interface ResetRequest {
   readonly fingerprint: RequestFingerprint
-  /** Whether it was sent as a suspected request. */
+  /** Whether the request was isolated as a suspected one. */
   readonly wasIsolated: boolean
-  /** Monotonic time at which it was sent to the endpoint. */
+  /** Monotonic time at which the request was sent to the endpoint. */
   readonly sentAt: Milliseconds
   /** Prompt parts that other requests may contain as well; absent if they are not known. */
   readonly parts?: readonly PromptPartKey[]
--- a/packages/router/src/crashes/endpointProbe.ts
+++ b/packages/router/src/crashes/endpointProbe.ts
@@ -67,7 +67,7 @@
 }
 
 /**
- * Whether the endpoint answers in time, counted from when the probe request is written; undefined where this
+ * Whether the endpoint answers in time, counted from when the probe request is written; undefined if this
  * process was too busy to know.
  */
 async function isAnsweredInTime(stateProbe: StateProbe): Promise<boolean | undefined> {
--- a/packages/router/src/gateway/instanceAdmission.ts
+++ b/packages/router/src/gateway/instanceAdmission.ts
@@ -26,7 +26,10 @@
 export interface InstanceAdmissionParts {
   readonly clock: Clock
   readonly random: RandomSource
-  /** How long new connections wait to be accepted. To find out, a call may open a connection. */
+  /**
+   * How long new connections wait to be accepted. A call now and then opens a connection to this
+   * instance's own listener, which costs about as much as a refused connection.
+   */
   readonly acceptMilliseconds: () => Milliseconds
   /** Capacity of this instance's link. */
   readonly linkBytesPerSecond: number
