--- a/packages/router/src/gateway/callerReply.ts
+++ b/packages/router/src/gateway/callerReply.ts
@@ -15,7 +15,10 @@
 export class CallerReply {
   private started = false
   private ended = false
-  /** Whether the caller can detect the end of the answer without the end of the connection. */
+  /**
+   * Whether a length or chunks mark the end of the answer, so that its end differs from the connection's
+   * end.
+   */
   private isFramed = true
   private hasLeft = false
   private readonly leaveListeners: (() => void)[] = []
@@ -23,7 +26,7 @@
   constructor(
     private readonly response: ServerResponse,
     private readonly ownHeaders: Readonly<Record<string, string>>,
-    private readonly returnTime: RetryAfterFormat,
+    private readonly retryAfterFormat: RetryAfterFormat,
     /** Whether the connection closes after this answer. */
     private readonly mustClose: () => boolean,
     private readonly refusedBodies: RefusedBodyHandler,
@@ -32,15 +35,17 @@
     response.on('error', () => this.noteClose())
   }
 
+  /** Whether the head of an answer or a refusal was sent. */
   get isStarted(): boolean {
     return this.started
   }
 
-  /** Whether the caller left before the answer was complete. */
+  /** Whether the caller left before this instance had ended the answer. */
   get isCallerGone(): boolean {
     return this.hasLeft
   }
 
+  /** Adds a listener that is called once if the caller leaves before this instance has ended the answer. */
   onLeave(listener: () => void): void {
     this.leaveListeners.push(listener)
   }
@@ -98,7 +103,7 @@
     const body = Buffer.from(JSON.stringify(errorBody(error, undefined, undefined, minimumSeconds)))
     const headers = {
       ...this.ownHeaders,
-      ...errorHeaders(error, undefined, this.returnTime, minimumSeconds),
+      ...errorHeaders(error, undefined, this.retryAfterFormat, minimumSeconds),
       'content-length': String(body.length),
     }
     return { status: RESULT_TABLE[error.code].httpStatus, headers, body }
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -1,6 +1,9 @@
 /**
- * Serves requests of the gateway: identifies, reads, reserves, attempts, settles and records each one. Owns
- * the retry budget of each service and the count of requests in progress.
+ * Serves requests of the gateway. Each request is matched with a route and a team, admitted, read and
+ * recorded. A request that was read has its largest possible cost reserved from the team's prepaid budget,
+ * is sent to endpoints, and is settled at its actual cost. If no endpoint can be connected, the request is
+ * relayed to another instance, which reserves the cost. Owns the retry budget of each service and the count
+ * of requests in progress.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -50,7 +53,7 @@
   readonly instances: () => number
   /** Throws if this instance's knowledge is too stale to serve requests. */
   readonly checkKnowledge: () => void
-  /** Whether connections close after their next answer. */
+  /** Whether callers' connections close after their next answer. */
   readonly isDraining: () => boolean
   /** Whether new requests are refused. */
   readonly isRefusing: () => boolean
@@ -89,10 +92,11 @@
 
 /** A request whose stream origin is determined. */
 interface ResumedRequest extends ReadRequest {
-  /** Undefined if it resumes no stream. */
+  /** Undefined if the request resumes no stream. */
   readonly origin: StreamOrigin | undefined
 }
 
+/** Result of attempts that threw before an outcome was known; the reservation is settled by it. */
 const NOT_RUN: AttemptsResult = {
   mayHaveRun: false,
   hasDelivered: false,
@@ -103,7 +107,7 @@
 
 /** Serves requests, each from its arrival to its end. */
 export class Gateway {
-  /** By service. */
+  /** By service name. */
   private readonly retryBudgets = new Map<string, FleetRetryBudget>()
   private readonly admission: InstanceAdmission
   private running = 0
@@ -117,7 +121,7 @@
     return this.running
   }
 
-  /** Usage of this instance's capacity. */
+  /** Shares of this instance's processor and link capacity that are used or refused. */
   get admissionState(): AdmissionState {
     return this.admission.state
   }
@@ -184,8 +188,8 @@
   }
 
   /**
-   * A resumed stream continues at the service that began it, whichever target of the route is chosen for new
-   * streams.
+   * Returns the service that began a resumed stream, whichever target of the route is chosen for new streams;
+   * the chosen service if the request resumes none or the configuration no longer has the other one.
    */
   private serviceOf(origin: StreamOrigin | undefined, { service }: ReadRequest): GatewayService {
     if (origin === undefined) return service
@@ -227,7 +231,10 @@
     throw new NotRunError(ResultCode.NoEndpoint, 'no connection')
   }
 
-  /** Refuses a crash-inducing request before tokens are reserved for it. */
+  /**
+   * Refuses a request that crashes endpoints, or contains a prompt part that does, before tokens are
+   * reserved.
+   */
   private refuseCrashing(
     { team, service, metadata: { promptParts } }: IdentifiedRequest,
     path: string,
@@ -246,6 +253,7 @@
     throw new NotRunError(ResultCode.EndsEndpoints)
   }
 
+  /** Records why the answer was late for its caller, if it was. */
   private noteLateness(route: GatewayRoute, record: GatewayRecord): void {
     const lateness = latenessCause(route, {
       firstByteMilliseconds: record.firstByteMilliseconds,
@@ -270,14 +278,14 @@
     const service = serviceName === undefined ? undefined : routes.service(serviceName)
     if (service === undefined) throw new NotRunError(ResultCode.NoEndpoint, serviceName)
     record.service = service.name
-    const patience = metadata.deadlineMilliseconds ?? this.parts.defaultDeadlineMilliseconds
-    const deadlineAt = record.receivedAt + Math.min(patience, route.timeoutMilliseconds)
+    const waitLimit = metadata.deadlineMilliseconds ?? this.parts.defaultDeadlineMilliseconds
+    const deadlineAt = record.receivedAt + Math.min(waitLimit, route.timeoutMilliseconds)
     return { metadata, route, service, team, deadlineAt }
   }
 
   /**
-   * Matches a request against the known routes; undefined if none are known. The record names the match also
-   * if the request is then refused, so that a team whose requests are all refused shows up in its own
+   * Matches a request against the known routes; undefined if no configuration is known. The match is recorded
+   * before the request may be refused, so that a team whose requests are all refused shows up in its own
    * counters.
    */
   private matchRequest(
@@ -323,7 +331,10 @@
     return body
   }
 
-  /** Reserves the largest possible cost if the team has a prepaid budget. */
+  /**
+   * Reserves the largest possible cost if the team has a prepaid budget and the request states its tokens.
+   * Throws if the budget refuses.
+   */
   private async reserve(
     { metadata, team, route, deadlineAt }: IdentifiedRequest,
     record: GatewayRecord,
@@ -332,10 +343,10 @@
     const tokens = metadata.tokens.prompt + metadata.tokens.maximumOutput
     record.tokens = tokens
     const { goalMilliseconds } = route
-    const patience = budgetWaitLimit(goalMilliseconds)
+    const waitLimit = budgetWaitLimit(goalMilliseconds)
     const remaining = deadlineAt - this.parts.clock.sinceStart()
-    const lastPatience = extendedBudgetWaitLimit(goalMilliseconds, remaining)
-    const outcome = await this.parts.ledger.reserve(team.name, tokens, patience, lastPatience)
+    const extendedWaitLimit = extendedBudgetWaitLimit(goalMilliseconds, remaining)
+    const outcome = await this.parts.ledger.reserve(team.name, tokens, waitLimit, extendedWaitLimit)
     if (outcome.kind === 'reserved') {
       record.reservation = outcome.path
       const { loans } = outcome.reservation
@@ -350,10 +361,11 @@
     record.budget = this.parts.ledger.describe(team)
     if (outcome.lenders.length > 0) record.lenders = outcome.lenders
     if (outcome.reason === 'exhausted') return new NotRunError(ResultCode.BudgetExhausted)
-    const returnAfter = toRetryAfterSeconds(outcome.waitMilliseconds)
-    return new NotRunError(ResultCode.BudgetUnavailable, undefined, returnAfter)
+    const retryAfterSeconds = toRetryAfterSeconds(outcome.waitMilliseconds)
+    return new NotRunError(ResultCode.BudgetUnavailable, undefined, retryAfterSeconds)
   }
 
+  /** Replaces the reservation by the tokens that were spent. */
   private settle(
     { metadata, service }: IdentifiedRequest,
     reservation: PrepaidReservation | undefined,
