--- a/packages/coordination/src/prepaid/accountReport.ts
+++ b/packages/coordination/src/prepaid/accountReport.ts
@@ -18,7 +18,7 @@
   readonly limit: () => TokenCount | undefined
   /** Tokens per second that callers of this instance request. */
   readonly demandPerSecond: () => number
-  /** The other instances among which the budget is divided. */
+  /** The other instances with which this one shares the budget. */
   readonly others: () => readonly string[]
   /** Age of the store call in progress; undefined if there is none. */
   readonly callAge: () => Milliseconds | undefined
--- a/packages/coordination/src/prepaid/borrower.ts
+++ b/packages/coordination/src/prepaid/borrower.ts
@@ -1,7 +1,8 @@
 /**
  * Borrows tokens that other instances hold, for one request, when neither this instance's holding
- * nor the pool covers the request. Owns the record of lenders that recently gave no answer or too
- * few tokens, and of the loans still to be repaid. Reaches lenders through a channel.
+ * nor the pool covers the request. Remembers for a short time which lenders gave no answer or too
+ * few tokens, and retries repayments that a lender has not acknowledged. Reaches lenders through a
+ * `LoanChannel`.
  */
 
 import { sleep } from '@rackwalk/shared'
@@ -12,7 +13,7 @@
 export interface BorrowerParts {
   readonly channel: LoanChannel
   readonly clock: Clock
-  /** Prefix of loan ids; no other incarnation uses the same one. */
+  /** Id of this run of the instance's process; prefix of loan ids, which makes them unique. */
   readonly incarnation: string
 }
 
@@ -27,29 +28,35 @@
 
 /** The result of borrowing for one request. */
 export interface BorrowResult {
-  /** Undefined if the loans do not add up to the requested tokens; in that case they are repaid. */
+  /** Undefined if the loans did not add up to the requested tokens; all of them are then repaid. */
   readonly loans: readonly Loan[] | undefined
   /** Answers of all lenders that were asked, in order. */
   readonly answers: readonly LenderAnswer[]
 }
 
-/** A lender that gave no answer is not asked again for this long. */
-const SILENT_BACKOFF_MILLISECONDS = 1_000
 /**
- * A lender that held too few tokens of a budget is not asked for that budget again for this long.
+ * A lender that gave no answer is not asked again for this long, for any budget: each attempt takes
+ * up time in which other lenders could be asked.
  */
-const SHORT_BACKOFF_MILLISECONDS = 200
+const UNANSWERED_BACKOFF_MILLISECONDS = 1_000
+/**
+ * A lender that lent fewer tokens than it was asked for is not asked for the same budget again for
+ * this long.
+ */
+const SHORTFALL_BACKOFF_MILLISECONDS = 200
 /** Maximum number of lenders asked for one request. */
 const LENDERS_ASKED = 6
-/** Time that a lender may spend on a store transaction of its own. */
+/** Maximum time for which a lender may wait for a store transaction of its own. */
 const LENDER_PATIENCE_MILLISECONDS = 50
+/** Maximum number of times that one repayment is sent. */
 const REPAY_ATTEMPTS = 5
+/** Delay after the first unacknowledged repayment; doubles with each further attempt. */
 const REPAY_RETRY_MILLISECONDS = 700
 
 /** Borrows tokens for one instance, across all its budgets. */
 export class Borrower {
-  private readonly silentUntil = new Map<string, Milliseconds>()
-  private readonly shortUntil = new Map<string, Milliseconds>()
+  private readonly unansweredBackoffUntil = new Map<string, Milliseconds>()
+  private readonly shortfallBackoffUntil = new Map<string, Milliseconds>()
   /** Number of unanswered loan requests per lender. */
   private readonly inFlightRequests = new Map<string, number>()
   private loans = 0
@@ -57,7 +64,7 @@
   constructor(private readonly parts: BorrowerParts) {}
 
   /**
-   * Returns loans that add up to `tokens`, asking lenders in the given order. If they do not add
+   * Requests loans from one lender after another until they add up to `tokens`. If they do not add
    * up, repays every loan and returns none. Asks no further lender once `patience` has passed.
    */
   async borrow(
@@ -87,25 +94,26 @@
   }
 
   /**
-   * Reports to the lender how much of a loan was spent; a lender that cannot be reached counts the
-   * whole loan as spent.
+   * Reports to the lender how much of a loan was spent, with retries. A lender that receives no
+   * repayment counts the whole loan as spent.
    */
   repay(budget: string, loan: Loan, spent: TokenCount): void {
     void this.repayWithRetries(budget, loan, spent)
   }
 
   /**
-   * Returns the lenders to ask, in the given order, except that lenders with unanswered requests
-   * come later: otherwise simultaneous requests would all wait for the first lender and then all
-   * treat it as silent. Silent instances come last: waiting for one takes longer than a request may
-   * spend on borrowing, so no other lender would be asked.
+   * Returns the lenders to ask, without those whose backoff is not over. The given order holds
+   * except in two cases. Lenders with more unanswered requests come later: otherwise simultaneous
+   * requests would all wait for the first lender and, if it does not answer, all fail. Silent
+   * instances come last: a request to one takes longer than a caller may spend on borrowing, so no
+   * other lender would be asked.
    */
   private eligibleLenders(budget: string, lenders: readonly string[]): readonly string[] {
     const now = this.parts.clock.monotonic()
     const isBackoffOver = (time: Milliseconds | undefined) => time === undefined || time <= now
     return lenders
-      .filter(lender => isBackoffOver(this.silentUntil.get(lender)))
-      .filter(lender => isBackoffOver(this.shortUntil.get(`${lender}/${budget}`)))
+      .filter(lender => isBackoffOver(this.unansweredBackoffUntil.get(lender)))
+      .filter(lender => isBackoffOver(this.shortfallBackoffUntil.get(`${lender}/${budget}`)))
       .sort((left, right) => this.inFlightTo(left) - this.inFlightTo(right))
       .sort((left, right) => Number(this.isSilent(left)) - Number(this.isSilent(right)))
       .slice(0, LENDERS_ASKED)
@@ -122,12 +130,13 @@
     )
     const now = this.parts.clock.monotonic()
     if (lent === undefined) {
-      this.silentUntil.set(lender, now + SILENT_BACKOFF_MILLISECONDS)
+      this.unansweredBackoffUntil.set(lender, now + UNANSWERED_BACKOFF_MILLISECONDS)
       // The lender may have granted the loan although its answer was lost.
       this.repay(budget, { lender, id, tokens }, 0)
       return undefined
     }
-    if (lent < tokens) this.shortUntil.set(`${lender}/${budget}`, now + SHORT_BACKOFF_MILLISECONDS)
+    if (lent < tokens)
+      this.shortfallBackoffUntil.set(`${lender}/${budget}`, now + SHORTFALL_BACKOFF_MILLISECONDS)
     return { lender, id, tokens: Math.min(lent, tokens) }
   }
 
@@ -140,10 +149,10 @@
   }
 
   /** Counts a request to a lender as in flight until it is answered. */
-  private async trackInFlight<Answer>(lender: string, question: Promise<Answer>): Promise<Answer> {
+  private async trackInFlight<Answer>(lender: string, request: Promise<Answer>): Promise<Answer> {
     this.inFlightRequests.set(lender, this.inFlightTo(lender) + 1)
     try {
-      return await question
+      return await request
     } finally {
       this.inFlightRequests.set(lender, this.inFlightTo(lender) - 1)
     }
--- a/packages/coordination/src/prepaid/budgetShortage.ts
+++ b/packages/coordination/src/prepaid/budgetShortage.ts
@@ -1,18 +1,20 @@
 /**
- * Whether callers of one budget are being refused tokens that exist: since when, and how many. Owns
- * the current episode. Nothing else detects a holding that fails to adapt to its demand: each
- * refusal by itself looks like a temporary shortage for one caller.
+ * Detects whether callers of one budget are being refused tokens that exist. Groups the refusals
+ * into episodes, in which less than `QUIET_MILLISECONDS` pass between two refusals, and owns the
+ * current episode. Nothing else detects a holding that fails to adapt to its demand: each refusal
+ * by itself looks like a temporary shortage for one caller.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** An episode ends after this long without a refusal. */
+/** An episode ends once no caller has been refused for this long. */
 const QUIET_MILLISECONDS: Milliseconds = 2_000
 
 /** An episode that has ended. */
 export interface EndedShortage {
-  /** From the first refusal to the last one. */
+  /** Time from the first refusal of the episode to the last one. */
   readonly milliseconds: Milliseconds
+  /** Number of refusals. */
   readonly refused: number
 }
 
@@ -28,7 +30,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether callers are being refused. */
+  /** Whether an episode is in progress. */
   get isShort(): boolean {
     return this.episode !== undefined
   }
@@ -48,7 +50,10 @@
     return true
   }
 
-  /** Returns the episode once it has ended, and otherwise undefined; to be called periodically. */
+  /**
+   * Returns the episode if it has ended, and clears it; undefined otherwise. To be called
+   * periodically.
+   */
   takeEnded(): EndedShortage | undefined {
     const { episode } = this
     if (episode === undefined) return undefined
--- a/packages/coordination/src/prepaid/demandMeter.ts
+++ b/packages/coordination/src/prepaid/demandMeter.ts
@@ -1,19 +1,22 @@
-/** Tokens or requests per second, averaged over the last few seconds. Owns one decaying sum. */
+/**
+ * Measures tokens or requests per second as an exponentially weighted average over the last few
+ * seconds. Owns one decaying sum.
+ */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Time constant of the average. */
+/** Time constant of the exponential decay. */
 export const DEMAND_WINDOW_MILLISECONDS = 6_000
 
-/** Demand after an idle period of this length counts as a new period of demand. */
+/** Demand after a longer idle period than this counts as a new period of demand. */
 const IDLE_MILLISECONDS = 2 * DEMAND_WINDOW_MILLISECONDS
 /**
- * Lower bound of the averaging window, so that a single request is not extrapolated from a shorter
- * time.
+ * Default lower bound of the averaging window. With a shorter window, a single request at the start
+ * of a period of demand would read as a high rate.
  */
 const MINIMUM_WINDOW_MILLISECONDS = 2_000
 
-/** Measures tokens per second with exponential decay. */
+/** Measures tokens or requests per second with exponential decay. */
 export class DemandMeter {
   private decayedTotal = 0
   private countedAt: Milliseconds
@@ -24,8 +27,9 @@
   constructor(
     private readonly clock: Clock,
     /**
-     * Lower bound of the averaging window. The longer it is, the less weight a single request has;
-     * at the full window length, each request counts as one of many.
+     * Lower bound of the averaging window. The longer it is, the less a single request raises the
+     * average. With `DEMAND_WINDOW_MILLISECONDS`, demand that has just started is not extrapolated
+     * at all.
      */
     private readonly minimumWindowMilliseconds: Milliseconds = MINIMUM_WINDOW_MILLISECONDS,
   ) {
@@ -33,6 +37,7 @@
     this.countedAt = this.startedAt
   }
 
+  /** Adds tokens; a negative number subtracts tokens that were added before. */
   add(tokens: TokenCount): void {
     this.decay()
     if (this.countedAt - this.addedAt > IDLE_MILLISECONDS) this.startedAt = this.countedAt
@@ -50,8 +55,8 @@
 
   /**
    * The part of the window that covers the current period of demand, with the same exponential
-   * weights as the demand. If it were counted from the start of the process, the first second of
-   * demand would read as a sixth of its rate.
+   * weights as the demand. If the period were counted from the start of the process, the first
+   * second of demand would read as a sixth of its rate.
    */
   private get effectiveWindowMilliseconds(): Milliseconds {
     const age = this.countedAt - this.startedAt
--- a/packages/coordination/src/prepaid/holdingState.ts
+++ b/packages/coordination/src/prepaid/holdingState.ts
@@ -1,7 +1,7 @@
 /**
- * Bounds what this incarnation may still commit of one budget. Owns the tokens committed here and
- * the rows of this incarnation that are, or may still take effect, in the store. Uses
- * decisions/admitting/spendingBound.
+ * Bounds what this incarnation (run of the instance's process) may still commit of one budget. Owns
+ * the number of tokens that it has committed, and those of its rows that are in the store or may
+ * still take effect there. Uses decisions/admitting/spendingBound.
  */
 
 import type { Clock, Milliseconds, TokenCount, Version } from '@rackwalk/shared'
@@ -14,9 +14,7 @@
   /** Tokens that the row counts as committed before any request asked for them. */
   readonly ahead: TokenCount
   readonly sentAt: Milliseconds
-  /**
-   * The version that the row must replace; the write can never take effect on any other version.
-   */
+  /** The version that the row must replace; the write cannot take effect on any other version. */
   readonly expectedVersion: Version
 }
 
@@ -47,6 +45,7 @@
     return this.reservedTokens
   }
 
+  /** Tokens granted to this incarnation, by the smallest grant of the rows that may be in force. */
   get granted(): TokenCount {
     const rows = this.possibleRows()
     return rows.length === 0 ? 0 : Math.min(...rows.map(({ row }) => row.granted))
@@ -67,7 +66,8 @@
   }
 
   /**
-   * Time after which the tokens may be committed without a write; undefined if that never happens.
+   * Time after which the tokens may be committed without a write; undefined if the rows that may be
+   * in force never allow this.
    */
   waitFor(tokens: TokenCount): Milliseconds | undefined {
     const rows = this.possibleRows()
@@ -91,13 +91,13 @@
     return this.unresolved.length > 0
   }
 
-  /** Time since the write of the newest confirmed row was sent. */
+  /** Time since the write of the newest confirmed row was sent; infinite before the first one. */
   get recordAge(): Milliseconds {
     const sentAt = this.confirmed?.sentAt
     return sentAt === undefined ? Number.POSITIVE_INFINITY : this.clock.monotonic() - sentAt
   }
 
-  /** Change of the committed tokens since the newest confirmed row. */
+  /** Absolute change of the committed tokens since the newest confirmed row. */
   get unrecorded(): TokenCount {
     const { row, ahead } = this.confirmed ?? NO_ROW
     return Math.abs(this.committedTokens - (row.committed - ahead))
@@ -115,7 +115,7 @@
     this.reservedTokens -= reserved
   }
 
-  /** Records that a row is about to be sent; from now on its bounds apply as well. */
+  /** Records that a row is about to be sent; its bounds apply as well from this call on. */
   recordSent(row: HolderRow, ahead: TokenCount, expectedVersion: Version): void {
     this.sequence = row.sequence
     this.unresolved.push({ row, ahead, sentAt: this.clock.monotonic(), expectedVersion })
@@ -123,8 +123,8 @@
 
   /**
    * Records that the store has the row of this sequence number, at this version. Rows that were
-   * sent to replace an earlier version are thereby resolved; a row sent since then may still take
-   * effect.
+   * sent to replace an earlier version are thereby resolved. A row that was sent to replace this
+   * version, or a later one, may still take effect.
    */
   confirmRow(sequence: number, version: Version): void {
     const taken = this.unresolved.find(({ row }) => row.sequence === sequence)
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Records that the row in the store no longer belongs to this incarnation: it may not spend any
-   * tokens.
+   * Records that the row in the store belongs to another incarnation, so that this incarnation may
+   * not spend any more tokens.
    */
   invalidate(): void {
     this.confirmed = undefined
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -1,6 +1,7 @@
 /**
- * The rows of one budget as last seen in a read, in the change feed or in a rejected write. Owns
- * the newest version of each row; an older version never replaces a newer one.
+ * The rows of one budget as last received from a read, from the change feed or with a rejected
+ * write, or as written by this instance. Owns the newest version of each row; an older version
+ * never replaces a newer one.
  */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -15,7 +16,7 @@
   readonly version: number
 }
 
-/** A row that has been seen. Its value is decoded once, since every decision reads all rows. */
+/** A row that was received. Its value is decoded once, since every decision reads all rows. */
 interface KnownRow<Row> {
   /** Undefined if the row was removed. */
   readonly row: Row | undefined
@@ -24,7 +25,7 @@
 
 const ABSENT = { row: undefined, version: 0 }
 
-/** The rows of one budget's partition as last seen; an older version never replaces a newer one. */
+/** The newest known rows of one budget's partition. */
 export class PartitionView {
   private knownPool: KnownRow<PoolRow> = ABSENT
   /** Holder rows by instance. */
@@ -37,6 +38,7 @@
     private readonly onMalformed: (key: string) => void,
   ) {}
 
+  /** Whether the whole partition has been read. */
   get isLoaded(): boolean {
     return this.loaded
   }
@@ -49,18 +51,19 @@
     return this.holders.get(this.instance)?.row
   }
 
-  /** Row versions for write conditions: 0 if the row must not exist. */
+  /** Version of the pool row for write conditions; 0 if the row must not exist. */
   get poolVersion(): number {
     return conditionVersion(this.knownPool)
   }
 
+  /** Version of this instance's row for write conditions; 0 if the row must not exist. */
   get ownVersion(): number {
     return conditionVersion(this.holders.get(this.instance) ?? ABSENT)
   }
 
   /**
-   * Applies rows to the view. Returns whether any row was valid, or the update was the whole,
-   * empty, partition.
+   * Applies rows to the view; with `isWhole`, they are all rows of the partition. Returns whether
+   * any row was valid or the whole partition is empty.
    */
   apply(updates: readonly RowUpdate[], isWhole: boolean): boolean {
     const taken = updates.filter(update => this.set(update))
@@ -80,8 +83,8 @@
   }
 
   /**
-   * Applies the current rows from the conditions of a rejected transaction; a row that is missing
-   * from them does not exist.
+   * Applies the current rows that a rejected transaction's conditions refer to. A row of a condition
+   * that is missing from `updates` does not exist.
    */
   applyConflict(updates: readonly RowUpdate[], includesPool: boolean): void {
     const keys = [holderKey(this.instance), ...(includesPool ? [POOL_KEY] : [])]
@@ -118,7 +121,8 @@
 
   /**
    * Returns other holders whose callers request tokens, judged by rows written at or after `since`
-   * (store time). Membership reports only seconds later that a standby instance receives callers.
+   * (store time). The rows are needed because membership shows only seconds later that a standby
+   * instance receives callers.
    */
   requestersSince(since: Milliseconds): readonly string[] {
     const requesters: string[] = []
@@ -142,7 +146,7 @@
       .map(({ instance }) => instance)
   }
 
-  /** Tokens that other holders lack for requests in progress. */
+  /** Sum of the tokens that other holders lack for requests in progress. */
   wantedByOthers(instance: string): TokenCount {
     let wanted = 0
     for (const [holder, { row }] of this.holders) {
@@ -164,23 +168,23 @@
     }
   }
 
-  /** Returns false if the row is malformed or its key is unknown. */
+  /** Applies one row unless a newer version is known; false if the row or its key is malformed. */
   private set({ key, value, version }: RowUpdate): boolean {
     if (key === POOL_KEY) {
       const row = value === undefined ? undefined : poolRowCodec.decode(value)
-      if (value !== undefined && row === undefined) return this.refuse(key)
+      if (value !== undefined && row === undefined) return this.rejectMalformed(key)
       this.setPool({ row, version })
       return true
     }
     const instance = instanceOfKey(key)
     if (instance === undefined) return false
     const row = value === undefined ? undefined : holderRowCodec.decode(value)
-    if (value !== undefined && row === undefined) return this.refuse(key)
+    if (value !== undefined && row === undefined) return this.rejectMalformed(key)
     this.setHolder(instance, { row, version })
     return true
   }
 
-  private refuse(key: string): false {
+  private rejectMalformed(key: string): false {
     this.onMalformed(key)
     return false
   }
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -1,5 +1,9 @@
 /**
- * One budget on one instance: reserves and settles tokens and keeps the rows in the store accurate.
+ * One prepaid budget on one instance: reserves and settles tokens and writes the rows of the budget.
+ * The instance spends tokens locally out of its holding, within the bound that its holder row in
+ * the store allows, and takes further tokens from the pool by a transaction. Without the bound,
+ * instances without a connection to the store could together spend more than the limit.
+ *
  * Owns the requests that wait for a write, and the write in progress. Uses HoldingState for what
  * may be spent, PartitionView for what the other instances hold, and writePlan for the content of
  * the next write.
@@ -39,6 +43,7 @@
 export interface PrepaidAccountParts {
   readonly budget: string
   readonly instance: string
+  /** Id of this run of the instance's process. */
   readonly incarnation: string
   readonly store: RowStore
   readonly storeClock: StoreClock
@@ -47,16 +52,16 @@
   readonly startedAt: Milliseconds
   readonly policy: HoldingPolicy
   /**
-   * Whether the directory sends callers here; a standby instance holds tokens for observed demand
-   * only.
+   * Whether the directory sends callers to this instance; a standby instance, to which it sends
+   * none, holds tokens only for demand that it observes.
    */
   readonly isActive: () => boolean
   /** Other instances to which callers are sent. */
   readonly otherInstances: () => readonly string[]
-  /** Maximum time between two writes while tokens are being spent. */
+  /** Record interval: the maximum time between two writes while tokens are being spent. */
   readonly recordMilliseconds: () => Milliseconds
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
-  /** Called when the holding of a terminated incarnation was ended. */
+  /** Called after a write has ended the holding of a terminated incarnation. */
   readonly onTakeover?: (budget: string, takeover: Takeover) => void
   /** Called for a malformed row of the budget; the row is ignored. */
   readonly onMalformedRow: (row: RowAddress) => void
@@ -64,21 +69,21 @@
 
 /** Time between two attempts to give back the whole holding at a planned stop. */
 const LEAVE_RETRY_MILLISECONDS = 120
-/** Budgets without spending are recorded this many times less often. */
+/** Factor on the record interval while the committed tokens do not change. */
 const IDLE_FACTOR = 4
-/** Share of the time between two records after which a holding may be adjusted. */
+/** Share of the record interval that passes before a holding is adjusted to its target. */
 const ADJUST_SHARE = 0.25
-/** Factor by which the largest request seen decays with each request. */
+/** Factor by which the size of the largest request seen decays with each request. */
 const LARGEST_DECAY = 0.98
 /**
- * Age of the rows at which a standby instance reads them again before a write. The holdings and
- * demand of others decide how much it holds; whether the pool has enough tokens is verified by each
- * write itself.
+ * Age of the rows above which a standby instance reads them again before a write. The holdings and
+ * the demand of other instances determine how much a standby instance holds. Whether the pool has
+ * enough tokens is verified by the write itself, which is conditional on the pool's version.
  */
 const STANDBY_STALENESS_MILLISECONDS = 1_000
 /**
- * Demand in tokens per second below which a standby instance requests no holding, since rows round
- * demand to integers.
+ * Demand in tokens per second below which a standby instance without a holding requests none, since
+ * rows round demand to integers.
  */
 const LEAST_DEMAND_PER_SECOND = 1
 /**
@@ -90,9 +95,9 @@
 /** One budget on one instance. */
 export class PrepaidAccount implements LendingAccount {
   private readonly holding: HoldingState
-  /** Tokens that callers request, including refused ones. */
+  /** Tokens that callers request, including those of refused requests. */
   private readonly demand: DemandMeter
-  /** Tokens that are committed. */
+  /** Tokens that are committed, minus those that become free again. */
   private readonly spending: DemandMeter
   private readonly view: PartitionView
   private limit: TokenCount | undefined
@@ -116,7 +121,10 @@
     })
   }
 
-  /** Sets the limit of the budget as given by this version of the configuration. */
+  /**
+   * Sets the limit of the budget as given by this version of the configuration; an older version
+   * than the current one changes nothing. An active instance writes a changed limit immediately.
+   */
   setLimit(limit: TokenCount, configurationVersion: number): void {
     if (configurationVersion < this.configurationVersion) return
     this.configurationVersion = configurationVersion
@@ -131,7 +139,7 @@
     this.noteOwnRow()
   }
 
-  /** Reserves tokens, waiting at most `patience` for the store. */
+  /** Reserves tokens for a caller of this instance, waiting at most `patience` for the store. */
   reserve(tokens: TokenCount, patience: Milliseconds): Promise<PrepaidOutcome> {
     this.recordDemand(tokens)
     return this.reserveLocally(tokens, patience)
@@ -143,7 +151,10 @@
     this.largestRequest = Math.max(tokens, this.largestRequest * LARGEST_DECAY)
   }
 
-  /** Whether this holding, or a transaction with the pool, is likely to cover the tokens. */
+  /**
+   * Whether this holding, or a transaction with the pool, is likely to cover the tokens; true also
+   * before a pool row is known.
+   */
   isLikelyToCover(tokens: TokenCount): boolean {
     return this.view.pool === undefined || tokens <= this.reachable
   }
@@ -160,6 +171,10 @@
     return taken
   }
 
+  /**
+   * Commits at most this many tokens for another instance, or for a request that loans complete,
+   * and returns how many were committed.
+   */
   async lend(tokens: TokenCount, patience: Milliseconds): Promise<TokenCount> {
     const within = Math.min(tokens, this.reachable)
     if (within <= 0) return 0
@@ -183,7 +198,7 @@
     if (this.storeHealth.isUnavailable || this.isClosed)
       return Promise.resolve(this.refused(tokens))
     if (this.storeHealth.isSlowerThan(patience)) {
-      // The write that would cover this request raises the holding for later requests.
+      // The request is refused without waiting, but the write raises the holding for later requests.
       this.startWrite()
       return Promise.resolve(this.refused(tokens))
     }
@@ -205,7 +220,10 @@
     this.demand.add(-tokens)
   }
 
-  /** Records, takes and gives back tokens when due; called a few times per second. */
+  /**
+   * Starts a write if one is due, and reports an episode of refusals that has ended; called a few
+   * times per second.
+   */
   maintain(): void {
     if (this.isWriteDue()) this.startWrite()
     this.report.reportEndedShortage()
@@ -229,13 +247,17 @@
   }
 
   /**
-   * Whether the last call to the store failed; nothing is written until the store answers a probe.
+   * Whether a call to the store has failed since the last successful one. Nothing is written until
+   * the store answers a probe.
    */
   get isStoreFailing(): boolean {
     return this.storeHealth.isFailing && !this.isClosed
   }
 
-  /** Probes an unreachable store with a read; returns true if it answered. */
+  /**
+   * Probes a failing store by reading the rows of the budget; if the store answers, starts a write
+   * and returns true.
+   */
   async probe(): Promise<boolean> {
     const isReached = await this.read()
     if (isReached) this.startWrite()
@@ -243,13 +265,14 @@
   }
 
   /**
-   * Settles what was spent and gives back the rest; returns true once the store has recorded it.
+   * Settles the committed tokens and gives back the rest of the holding at a planned stop. Returns
+   * true once the store holds no row of this incarnation, and false after the last failed attempt.
    */
   async leave(): Promise<boolean> {
     this.isClosed = true
     await this.writing
-    // Without this step, a request whose write met a conflict would be served from the holding
-    // after the holding was given back.
+    // Waiting requests are refused first. Otherwise a request whose write met a conflict would be
+    // served from the holding after the holding was given back.
     for (const request of this.waiting.removeAll()) request.finish(this.refused(request.tokens))
     for (let attempt = 0; attempt < LEAVE_ATTEMPTS; attempt += 1) {
       if (await this.leaveOnce()) return true
@@ -282,7 +305,7 @@
     if (this.view.apply(rows, isWhole)) this.report.recordRowsSeen()
   }
 
-  /** Tokens that this holding could commit, including by a transaction if the store answers. */
+  /** The unspent tokens of this holding and, if the store is available, the free ones of the pool. */
   private get reachable(): TokenCount {
     const free = this.storeHealth.isUnavailable ? 0 : freeInPool(this.view.pool ?? NO_POOL)
     return this.holding.unspent + Math.max(0, free)
@@ -290,8 +313,8 @@
 
   /** The other instances with which this one shares the budget. */
   private get others(): readonly string[] {
-    const askers = this.view.requestersSince(demandValidSince(this.parts.storeClock.lowerBound))
-    return budgetSharers(this.parts.otherInstances(), askers)
+    const requesters = this.view.requestersSince(demandValidSince(this.parts.storeClock.lowerBound))
+    return budgetSharers(this.parts.otherInstances(), requesters)
   }
 
   private isWriteDue(): boolean {
@@ -311,21 +334,25 @@
   }
 
   /**
-   * Whether callers request tokens here. Other instances learn of this demand only through the
-   * holder row, also while loans cover it.
+   * Whether callers request tokens from this instance. Other instances learn of this demand only
+   * from the holder row, even while loans cover the demand.
    */
   private get hasCallers(): boolean {
     return this.demand.perSecond >= LEAST_DEMAND_PER_SECOND
   }
 
-  /** Whether an earlier incarnation left a holding, which only this incarnation can free. */
+  /**
+   * Whether this instance's row belongs to another incarnation, whose holding only a write of this
+   * instance can free.
+   */
   private get hasPredecessor(): boolean {
     const row = this.view.ownHolder
     return row !== undefined && row.incarnation !== this.parts.incarnation
   }
 
   private startWrite(): void {
-    // A row in flight limits what may be spent, so an unreachable store is probed with reads.
+    // A row whose write has no known outcome limits what may be spent, so a failing store is probed
+    // with reads only.
     if (this.writing !== undefined || this.isClosed || this.isStoreFailing) return
     if (this.storeHealth.isThrottled) return
     this.writing = this.writeWhileDue().finally(() => {
@@ -334,8 +361,8 @@
   }
 
   /**
-   * Whether the rows are too old to plan a write: a standby instance does not follow budgets, so it
-   * reads the rows first.
+   * Whether the rows are too old to plan a write. Only a standby instance has such rows, since it
+   * does not follow the changes of budgets; it reads the rows first.
    */
   private get hasStaleRows(): boolean {
     return !this.parts.isActive() && (this.report.rowsAge ?? 0) > STANDBY_STALENESS_MILLISECONDS
@@ -349,8 +376,9 @@
   }
 
   /**
-   * Does one write, including the read that may have to precede it; returns false if the write
-   * should be postponed.
+   * Does one write, including the read that may have to precede it. Returns true after a successful
+   * write or a conflict; returns false if the limit is unknown or the read or the write failed, so
+   * that no further write follows immediately.
    */
   private async writeOnce(): Promise<boolean> {
     if (this.limit === undefined) return false
@@ -366,7 +394,8 @@
     if (outcome.kind === 'done') {
       for (const request of admitted) this.finishWritten(request)
       this.refuseUncoverable()
-      // Requests that arrived while the write was in flight need not wait for another one.
+      // Requests that arrived while the write was in flight and that the holding now covers need not
+      // wait for another write.
       this.waiting.finishCovered(this.holding, request => this.finishFromHolding(request))
       return true
     }
@@ -396,7 +425,7 @@
     }
     if (outcome.kind === 'not-done') this.holding.withdraw(sequence)
     if (outcome.kind === 'not-done' && outcome.reason === 'throttled') {
-      // The store is reachable: it needs fewer calls, so it is not probed.
+      // A throttling store is reachable and needs fewer calls, so it is not probed.
       this.storeHealth.recordThrottling()
       return
     }
@@ -430,7 +459,10 @@
     return true
   }
 
-  /** Reads from the own row which of the unresolved writes took effect. */
+  /**
+   * Learns from the newest known row of this instance which of the unresolved writes took effect. If
+   * the row belongs to another incarnation, this incarnation may spend no more tokens.
+   */
   private noteOwnRow(): void {
     const row = this.view.ownHolder
     if (row === undefined) return
@@ -443,7 +475,7 @@
     this.report.emitEvent('prepaid_holding_lost', {})
   }
 
-  /** Tokens that the row which the next write replaces grants to this incarnation. */
+  /** Tokens that this instance's known row grants to this incarnation; 0 without such a row. */
   private get grantedInStore(): TokenCount {
     const row = this.view.ownHolder
     return row?.incarnation === this.parts.incarnation ? row.granted : 0
@@ -501,8 +533,8 @@
   }
 
   /**
-   * Refuses the waiting requests that exceed both the holding and the pool: right after a write,
-   * the pool contains no further tokens.
+   * Refuses the waiting requests that exceed the holding and the pool together. Called right after a
+   * write, when the known pool row counts as current.
    */
   private refuseUncoverable(): void {
     const reachable = this.holding.unspent + Math.max(0, freeInPool(this.view.pool ?? NO_POOL))
@@ -541,7 +573,10 @@
     return { table: PREPAID_TABLE, partition: this.parts.budget, key }
   }
 
-  /** Until the store answers again, requests can be granted only tokens that are already held. */
+  /**
+   * Answers all waiting requests after a failed call: until the store answers again, requests can be
+   * granted only tokens that are already held.
+   */
   private serveFromHolding(): void {
     for (const request of this.waiting.removeAll()) this.finishFromHolding(request)
   }
@@ -578,4 +613,5 @@
   }
 }
 
+/** Stands for the pool while no pool row is known; it has no free tokens. */
 const NO_POOL: PoolRow = { limit: 0, configurationVersion: 0, settled: 0, allocated: 0 }
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -1,7 +1,10 @@
 /**
- * All prepaid budgets on one instance. Owns an account per budget, and decides whether a request is
- * covered by this instance's holding, by a write or by loans, which the accounts, the borrower and
- * the lender carry out.
+ * All prepaid budgets on one instance. A prepaid budget is divided into a pool in the store and the
+ * holdings of instances, out of which requests are served without a call to the store.
+ *
+ * Owns an account per budget, and decides for each request whether it is covered by this instance's
+ * holding, by a write that takes tokens from the pool, or by loans from other instances. The
+ * accounts, the borrower and the lender carry this out.
  */
 
 import { recordInterval } from '@rackwalk/decisions'
@@ -43,15 +46,20 @@
   /** Reaches other instances; without it, this instance does not borrow. */
   readonly loanChannel?: LoanChannel
   readonly onEvent: (event: string, fields: Readonly<Record<string, unknown>>) => void
-  /** Called when the holding of a terminated incarnation was ended. */
+  /** Called after a write has ended the holding of a terminated incarnation. */
   readonly onTakeover?: (budget: string, takeover: Takeover) => void
   /** Called for a malformed row; the row is ignored and the last valid version is kept. */
   readonly onMalformedRow: (row: RowAddress) => void
 }
 
-/** Write rates that the store can take; they determine how often holdings are recorded. */
+/**
+ * The write rates that the store can take, which determine how often holdings are recorded, and the
+ * reserve of each budget.
+ */
 export interface LedgerLimits {
+  /** Writes per second over all budgets. */
   readonly writesPerSecond: number
+  /** Writes per second of one budget, which is one partition. */
   readonly partitionWritesPerSecond: number
   /** Share of a prepaid limit that is never handed out, as a margin for counting errors. */
   readonly reserveShare: number
@@ -67,12 +75,15 @@
 const MAINTENANCE_PERIOD_MILLISECONDS = 125
 /** Maintenance checks between two updates of the record interval. */
 const TICKS_PER_UPDATE = 4
-/** Maximum time spent on asking other instances for tokens, per request. */
+/**
+ * Maximum time that a request waits for its own part of the tokens before it borrows the rest, and
+ * time after which no further lender is asked.
+ */
 const BORROW_MILLISECONDS = 60
 
 /** The result of asking other instances. */
 interface BorrowingOutcome {
-  /** Undefined if the other instances do not cover the request. */
+  /** Undefined if this holding and the loans do not cover the request. */
   readonly reserved?: ReservedOutcome
   readonly answers: readonly LenderAnswer[]
 }
@@ -100,8 +111,8 @@
   }
 
   /**
-   * Sets the budgets in force. A budget that is no longer configured is kept, since its rows still
-   * count.
+   * Sets the limits of these budgets. A known budget that is not listed keeps its limit, since its
+   * rows still count.
    */
   configure(limits: readonly PrepaidLimit[], configurationVersion: number): void {
     for (const { budget, limit } of limits) {
@@ -115,6 +126,7 @@
     return [...this.accounts.keys()]
   }
 
+  /** Applies rows of known budgets; with `isWhole`, they are all rows of their budgets. */
   observe(rows: readonly ChangedRow[], isWhole: boolean): void {
     for (const [budget, budgetRows] of groupBy(rows, row => row.partition)) {
       this.accounts.get(budget)?.observe(budgetRows, isWhole)
@@ -122,9 +134,13 @@
   }
 
   /**
-   * Reserves tokens from this instance's holding, by a transaction, or from other instances. Other
-   * instances are asked after `patience`; if none of them lends, the request waits for a
-   * transaction until `lastPatience` has passed.
+   * Reserves tokens from this instance's holding, by a transaction, or from other instances.
+   *
+   * If the holding or the pool is likely to cover the tokens, the request waits at most `patience`
+   * for a transaction before other instances are asked. If their loans do not cover the request, it
+   * waits for a transaction again until `lastPatience` has passed since the call, unless the budget
+   * is exhausted. Otherwise other instances are asked first, and the request then waits for a
+   * transaction until `patience` has passed since the call.
    */
   async reserve(
     budget: string,
@@ -156,7 +172,8 @@
   }
 
   /**
-   * Ends a reservation; tokens that were not handed out become free again, here and at the lenders.
+   * Ends a reservation; tokens that were not handed out become free again, in this holding and at
+   * the lenders. The spent tokens count against this holding first.
    */
   settle(reservation: PrepaidReservation, spent: TokenCount): void {
     const { budget, tokens, loans } = reservation
@@ -176,6 +193,7 @@
     return this.accounts.get(budget)?.describe() ?? {}
   }
 
+  /** Starts the periodic maintenance of all budgets. */
   start(): void {
     this.timer = this.parts.clock.after(MAINTENANCE_PERIOD_MILLISECONDS, () => {
       this.updateRecordInterval()
@@ -190,8 +208,8 @@
   }
 
   /**
-   * Settles all holdings and gives back the rest; returns false if the store did not accept all of
-   * it.
+   * Settles all holdings and gives back their unspent tokens at a planned stop; returns false if the
+   * store did not accept this for every budget.
    */
   async leave(): Promise<boolean> {
     this.stop()
@@ -199,7 +217,10 @@
     return results.every(Boolean)
   }
 
-  /** Borrows from other instances the tokens that this instance's holding lacks. */
+  /**
+   * Commits the tokens that this instance's holding covers and borrows the rest from other
+   * instances; commits nothing if the loans do not cover the rest.
+   */
   private async borrow(
     account: PrepaidAccount,
     budget: string,
@@ -220,7 +241,9 @@
   }
 
   /**
-   * After no instance lent: waits for a write that may still cover the tokens if the pool has them.
+   * Called after borrowing failed: waits until `endsAt` for a write that may still cover the tokens.
+   * Returns the refusal at once if the budget is exhausted, no time is left, or the holding and the
+   * pool are unlikely to cover the tokens.
    */
   private async awaitPoolWrite(
     account: PrepaidAccount,
@@ -243,9 +266,9 @@
   }
 
   /**
-   * Probes an unreachable store for one budget per check, in rotation; once it answers, all other
-   * budgets probe it immediately. Until they have recorded what they spent, a crash would count the
-   * most that their rows allow.
+   * Probes a failing store for one budget per check, in rotation. Once the store answers, all other
+   * budgets whose calls failed probe it immediately, so that they record their spending soon: until
+   * then, a crash of this instance would count as spent the most that their rows allow.
    */
   private probeFailing(): void {
     const failing = [...this.accounts.values()].filter(account => account.isStoreFailing)
@@ -257,14 +280,14 @@
     })
   }
 
-  /** Time between two records of one holding. */
+  /** Returns the record interval: the time between two records of one holding. */
   recordMilliseconds(): Milliseconds {
     return this.recordPeriod
   }
 
   /**
-   * Updates the record interval. Not done at every check: the sharers of a budget change within
-   * seconds, and there may be very many budgets.
+   * Updates the record interval. Every `TICKS_PER_UPDATE`th check is often enough, since the sharers
+   * of a budget change within seconds, and there may be very many budgets to sum up.
    */
   private updateRecordInterval(): void {
     this.ticksUntilUpdate -= 1
--- a/packages/coordination/src/prepaid/prepaidOutcome.ts
+++ b/packages/coordination/src/prepaid/prepaidOutcome.ts
@@ -13,12 +13,15 @@
 }
 
 /**
- * `exhausted`: no instance has enough tokens left; `unavailable`: others hold the tokens, or that
- * is unknown.
+ * `exhausted`: by the known rows, pool and holdings together contain fewer tokens than requested;
+ * `unavailable`: other instances hold the tokens, or the store's rows are not known or not current.
  */
 export type PrepaidRefusal = 'exhausted' | 'unavailable'
 
-/** Tokens were reserved; `path` tells how: `held`, `written` or `borrowed`. */
+/**
+ * Tokens were reserved. `path` says how: `held` (from the holding without a write), `written` (with
+ * a write that took tokens from the pool) or `borrowed` (with loans).
+ */
 export interface ReservedOutcome {
   readonly kind: 'reserved'
   readonly reservation: PrepaidReservation
@@ -31,7 +34,7 @@
   readonly reason: PrepaidRefusal
   /** Time after which this instance could serve the request; undefined if unknown. */
   readonly waitMilliseconds: Milliseconds | undefined
-  /** Answers of the lenders that were asked for a loan in vain. */
+  /** Answers of the lenders that were asked for a loan. */
   readonly lenders: readonly LenderAnswer[]
 }
 
--- a/packages/coordination/src/prepaid/prepaidRows.ts
+++ b/packages/coordination/src/prepaid/prepaidRows.ts
@@ -1,7 +1,8 @@
 /**
- * Rows of the prepaid ledger and their stored forms. A budget is one partition: a pool row, and a
- * holder row for each instance that has used it. What an instance may hand out is bounded by its
- * holder row alone, so a crash at any moment loses at most what that row allowed.
+ * Rows of the prepaid ledger and their stored forms. A budget is one partition of the table. It has
+ * a pool row with the tokens that no instance holds, and a holder row for each instance that holds
+ * tokens. What an instance may hand out is bounded by its holder row alone, so a crash at any
+ * moment loses at most what that row allowed. An incarnation is one run of an instance's process.
  */
 
 import * as z from 'zod'
@@ -12,7 +13,10 @@
 export const POOL_KEY = 'pool'
 const HOLDER_PREFIX = 'holder/'
 
-/** `settled + allocated` never exceeds `limit`, except after the limit was lowered. */
+/**
+ * The shared part of a budget. `settled + allocated` never exceeds `limit`, except after the limit
+ * was lowered.
+ */
 export interface PoolRow {
   readonly limit: TokenCount
   /** Version of the configuration that set the limit; older versions do not change it. */
@@ -47,7 +51,7 @@
    * versions.
    */
   readonly ahead?: TokenCount
-  /** Steady time of the store, not later than the time of the write. */
+  /** A time of the store's monotonic clock, not later than the time of the write. */
   readonly base: Milliseconds
   /**
    * Tokens per second, beyond `committed`, that may be committed before the next write during the
@@ -57,24 +61,26 @@
   /** Length of the strict window, counted from `base`. */
   readonly strictMilliseconds: Milliseconds
   /**
-   * Time after `base` at which the store evidently cannot be reached; from then on, `cutBurst`
-   * tokens may be committed at once.
+   * Time after `base` from which on the writer counts as without a connection to the store: it
+   * would otherwise have written a newer row.
    */
   readonly cutAfterMilliseconds: Milliseconds
+  /** Tokens that may be committed at once after `cutAfterMilliseconds`. */
   readonly cutBurst: TokenCount
   /** Tokens per second that may be committed in addition after `cutAfterMilliseconds`. */
   readonly cutRate: number
   /**
    * Exclusive upper bound of the tokens committed by `cutBurst` and `cutRate` together. Absent in
-   * rows of earlier software versions; earlier versions assume more.
+   * rows of earlier software versions. An earlier version that takes over a holding ignores the
+   * field, and so counts more tokens as spent, never fewer.
    */
   readonly cutTokens?: TokenCount | undefined
   /**
    * Tokens per second that callers of this instance request; other instances size their holdings by
-   * it.
+   * this rate.
    */
   readonly demandPerSecond: number
-  /** Tokens that this instance lacks for a request in progress. */
+  /** Size of the largest waiting request that the write could not cover; 0 if there is none. */
   readonly wanted: TokenCount
 }
 
@@ -93,7 +99,7 @@
   return pool.limit - pool.settled - pool.allocated
 }
 
-/** Ends a holding: `committed` tokens count as handed out, and the rest becomes free again. */
+/** Returns the pool after a holding ended: `committed` tokens are handed out, the rest is free. */
 export function endHolding(pool: PoolRow, holder: HolderRow, committed: TokenCount): PoolRow {
   return {
     ...pool,
--- a/packages/coordination/src/prepaid/storeHealth.ts
+++ b/packages/coordination/src/prepaid/storeHealth.ts
@@ -1,62 +1,73 @@
 /**
- * State of the store as seen by one budget's calls: unreachable, throttling or slow. Owns the
- * number of consecutive failures, the call in progress and the pause after a throttled write.
+ * State of the store as seen by one budget's calls: failing, throttling, not answering or slow. Owns
+ * the failuresSinceSuccess since the last success, the call in progress, the durations of the last two calls
+ * and the delay after a throttled write. Times are in milliseconds.
+ *
+ * Without this state, each request that the holding does not cover would wait for a store that
+ * cannot answer, instead of being served by another instance or refused at once.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
-/** A store that has not answered a call for this long counts as unreachable. */
-const SLOW_CALL_MILLISECONDS: Milliseconds = 250
-/** Delay of the next write after the store throttled one. */
+/** A store that has left a call unanswered for longer than this counts as unavailable. */
+const UNANSWERED_CALL_MILLISECONDS: Milliseconds = 250
+/** Time without new writes after the store throttled one. */
 const THROTTLED_MILLISECONDS: Milliseconds = 400
 
 /**
- * A new failure is reported only after no call failed for this long: a store that rejects every
- * other call is one episode, not one log line per failure.
+ * A failure is reported only if no call failed for longer than this before it. A store that rejects
+ * every other call thus causes one log line, not one per failure.
  */
 const RECOVERY_MILLISECONDS: Milliseconds = 5_000
 
 /** State of the store as seen by the calls of one budget. */
 export class StoreHealth {
-  private failures = 0
+  private failuresSinceSuccess = 0
   private failedAt: Milliseconds = Number.NEGATIVE_INFINITY
   private throttledUntil: Milliseconds = 0
   private callStartedAt: Milliseconds | undefined
   /** Durations of the last two calls. */
-  private lastCalls: readonly [Milliseconds, Milliseconds] = [0, 0]
+  private lastDurations: readonly [Milliseconds, Milliseconds] = [0, 0]
 
   constructor(
     private readonly clock: Clock,
-    /** Called at the first failure after a period without failures. */
-    private readonly onLost: (reason: string) => void,
+    /** Called at a failure that follows `RECOVERY_MILLISECONDS` without failures. */
+    private readonly onFailureReport: (reason: string) => void,
   ) {}
 
   /**
-   * Whether the last call to the store failed; the store is probed with reads until one succeeds.
+   * Whether a call has failed since the last one that succeeded. A throttled write counts as
+   * neither. The ledger then probes the store with reads until one succeeds.
    */
   get isFailing(): boolean {
-    return this.failures > 0
+    return this.failuresSinceSuccess > 0
   }
 
-  /** Whether the store throttled a write recently. */
+  /** Whether the delay after a throttled write is not over yet. */
   get isThrottled(): boolean {
     return this.clock.monotonic() < this.throttledUntil
   }
 
-  /** Whether the store cannot answer within the patience of a request. */
+  /**
+   * Whether requests should not wait for the store: it throttles writes, is failing, or has left
+   * the call in progress unanswered for more than `UNANSWERED_CALL_MILLISECONDS`.
+   */
   get isUnavailable(): boolean {
-    return this.isThrottled || this.isFailing || (this.callAge ?? 0) > SLOW_CALL_MILLISECONDS
+    return this.isThrottled || this.isFailing || (this.callAge ?? 0) > UNANSWERED_CALL_MILLISECONDS
   }
 
   /**
-   * Whether a call is likely to take longer than `patience`, as the last two did. Waiting for such
-   * a call would use up the time in which other instances can be asked.
+   * Whether each of the last two calls took longer than `patience`, so that the next one is likely
+   * to do so as well. Waiting for it would use up the time in which other instances can be asked.
    */
   isSlowerThan(patience: Milliseconds): boolean {
-    return Math.min(...this.lastCalls) > patience
+    return Math.min(...this.lastDurations) > patience
   }
 
-  /** Age of the call in progress; undefined if there is none. */
+  /**
+   * Age of the call in progress; undefined if there is none. A call that rejects stays in progress
+   * until the next call starts.
+   */
   get callAge(): Milliseconds | undefined {
     if (this.callStartedAt === undefined) return undefined
     return this.clock.monotonic() - this.callStartedAt
@@ -67,13 +78,13 @@
     this.callStartedAt = this.clock.monotonic()
     const startedAt = this.clock.monotonic()
     const outcome = await call
-    this.lastCalls = [this.lastCalls[1], this.clock.monotonic() - startedAt]
+    this.lastDurations = [this.lastDurations[1], this.clock.monotonic() - startedAt]
     this.callStartedAt = undefined
     return outcome
   }
 
   recordSuccess(): void {
-    this.failures = 0
+    this.failuresSinceSuccess = 0
   }
 
   recordThrottling(): void {
@@ -81,10 +92,10 @@
   }
 
   recordFailure(reason: string): void {
-    this.failures += 1
+    this.failuresSinceSuccess += 1
     const now = this.clock.monotonic()
-    const isNewEpisode = now - this.failedAt > RECOVERY_MILLISECONDS
+    const isReported = now - this.failedAt > RECOVERY_MILLISECONDS
     this.failedAt = now
-    if (isNewEpisode) this.onLost(reason)
+    if (isReported) this.onFailureReport(reason)
   }
 }
--- a/packages/coordination/src/prepaid/takeover.ts
+++ b/packages/coordination/src/prepaid/takeover.ts
@@ -1,6 +1,8 @@
 /**
- * How a terminated incarnation's holding is ended: how much of it counts as spent, and why. Pure
- * functions of its last row and of the time by which it had terminated.
+ * Ends the holding of a terminated incarnation (an earlier run of the instance's process). Computes
+ * how much of the holding counts as spent: the most that its last row allowed until the incarnation
+ * had terminated. If less were counted, the budget could be overspent. Pure functions of the last
+ * row and of the time by which the incarnation had terminated.
  */
 
 import { committedBound } from '@rackwalk/decisions'
@@ -42,7 +44,7 @@
   { incarnation, diedBefore }: Successor,
 ): Takeover | undefined {
   if (row === undefined || row.incarnation === incarnation) return undefined
-  const assumed = boundAtDeath(row, diedBefore)
+  const assumed = boundAtTermination(row, diedBefore)
   return {
     incarnation: row.incarnation,
     granted: row.granted,
@@ -61,8 +63,8 @@
   return { ...endHolding(pool, row, assumed), assumedSpent }
 }
 
-function boundAtDeath(row: HolderRow, diedBefore: Milliseconds | undefined): TokenCount {
-  // Without a store time, the whole holding may have been spent.
+function boundAtTermination(row: HolderRow, diedBefore: Milliseconds | undefined): TokenCount {
+  // If the time of the termination is unknown, the whole holding may have been spent.
   if (diedBefore === undefined) return row.granted
   return committedBound(row, diedBefore - row.base)
 }
--- a/packages/coordination/src/prepaid/waitingRequests.ts
+++ b/packages/coordination/src/prepaid/waitingRequests.ts
@@ -1,6 +1,6 @@
 /**
- * The requests of one budget that wait for a write that covers them, in order of arrival. Owns
- * their timers.
+ * The requests of one budget that wait for a write of the holder row that covers them, in order of
+ * arrival. Each request has a timer, so that it is answered in time even if the write hangs.
  */
 
 import type { Clock, Milliseconds, Timer, TokenCount } from '@rackwalk/shared'
@@ -16,7 +16,7 @@
     private readonly resolve: (outcome: PrepaidOutcome) => void,
   ) {}
 
-  /** Whether the request was answered while the write that covers it was still in flight. */
+  /** Whether the request was answered; this may happen before the write that covers it ends. */
   get isAnswered(): boolean {
     return this.answered
   }
@@ -46,7 +46,10 @@
     return this.requests.map(request => request.tokens)
   }
 
-  /** Queues a request; after `patience`, the request is removed and passed to `onExpired`. */
+  /**
+   * Queues a request. After `patience`, the request is removed from the queue, if it is still there,
+   * and passed to `onExpired`.
+   */
   add(
     tokens: TokenCount,
     patience: Milliseconds,
@@ -75,8 +78,8 @@
   }
 
   /**
-   * Removes and finishes, in order of arrival, the requests that the allowance covers; each one
-   * reduces the allowance for the next.
+   * Removes and finishes, in order of arrival, the requests that the allowance covers. `finish`
+   * commits the tokens of a request, which reduces the allowance for the next one.
    */
   finishCovered(
     holding: { readonly allowance: TokenCount },
@@ -94,7 +97,8 @@
   }
 
   /**
-   * Queues the requests of a failed write again, except those that were answered in the meantime.
+   * Puts the requests of a failed write back at the head of the queue, except those that were
+   * answered in the meantime.
    */
   requeue(requests: readonly WaitingRequest[]): void {
     this.requests = [...requests.filter(request => !request.isAnswered), ...this.requests]
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -1,6 +1,8 @@
 /**
- * Plans the next write of one holder. A pure function of its inputs: decides which requests the
- * write admits, how the holding changes, and how much may be spent before the following write.
+ * Plans the next write of one holder (an instance that holds tokens of a budget). A pure function of
+ * its inputs: decides which waiting requests the write covers, how many tokens move between pool
+ * and holding, whether the write ends the holding of an earlier incarnation (an earlier run of the
+ * instance's process), and how much may be spent before the following write.
  */
 
 import {
@@ -27,12 +29,14 @@
   readonly incarnation: string
   readonly limit: TokenCount
   readonly configurationVersion: number
+  /** Tokens that the row to be replaced grants to this incarnation. */
   readonly granted: TokenCount
+  /** Tokens that this incarnation has handed out or reserved. */
   readonly committed: TokenCount
   /** Part of `committed` that requests and loans in progress reserve. */
   readonly reserved: TokenCount
   readonly sequence: number
-  /** Waiting requests, in order of arrival. */
+  /** Tokens of the waiting requests, in order of arrival. */
   readonly requests: readonly TokenCount[]
   /** A time that the store's clock has reached. */
   readonly storeTime: Milliseconds
@@ -44,6 +48,7 @@
   /** Tokens per second that this instance commits. */
   readonly spendingPerSecond: number
   readonly budgetView: BudgetView
+  /** Sum of the tokens that other holders lack for requests in progress. */
   readonly othersWant: TokenCount
 }
 
@@ -55,9 +60,9 @@
   readonly ahead: TokenCount
   readonly changesPool: boolean
   /**
-   * Whether the plan is valid only for the known pool: it changes the pool, or finds too few tokens
-   * in it. A write that is not conditional on the pool's version would never detect that the pool
-   * was refilled.
+   * Whether the plan is valid only for the known pool: it changes the pool, leaves a waiting request
+   * uncovered, or leaves the holding below its target. If a write that finds too few tokens were
+   * not conditional on the pool's version, a refilled pool would go unnoticed.
    */
   readonly dependsOnPool: boolean
   /** Set if the write ends an earlier incarnation's holding. */
@@ -69,11 +74,14 @@
 /** Factor on the strict demand that sets `strictRate`; 1 allows the demand itself. */
 const STRICT_DEMAND_FACTOR = 1
 /**
- * A holding that lasts at least this long at its own demand allows the full requested rate in the
- * strict window; one that lasts `SHORT_HOLDING_SECONDS` or less allows only the rate of previous
- * spending.
+ * A holding that lasts at least this long at the demand of its own callers allows the full rate of
+ * this demand in the strict window.
  */
 const LONG_HOLDING_SECONDS = 10
+/**
+ * A holding that lasts this long or less allows only the rate of the previous spending. Between the
+ * two limits the rate is interpolated.
+ */
 const SHORT_HOLDING_SECONDS = 2
 
 /** Returns the next write, and the requests that it covers. */
@@ -117,7 +125,10 @@
   return { takeover, admission, pool, granted: inputs.granted + change, changesPool }
 }
 
-/** Returns the pool with the newest limit, and with an earlier incarnation's holding ended. */
+/**
+ * Returns the pool as the plan starts from: with the newest limit, and with an earlier incarnation's
+ * holding ended.
+ */
 function poolBefore(inputs: WriteInputs, takeover: Takeover | undefined): PoolRow {
   const { pool, previous, limit, configurationVersion } = inputs
   const known = pool ?? { limit, configurationVersion, settled: 0, allocated: 0 }
@@ -127,6 +138,11 @@
   return endDeadHolding(limited, previous, takeover)
 }
 
+/**
+ * Admits the requests that the available tokens cover, in order of arrival; a request that is too
+ * large does not block smaller ones behind it. `missing` is the size of the largest request that is
+ * not admitted.
+ */
 function admit(requests: readonly TokenCount[], available: TokenCount) {
   const positions: number[] = []
   let tokens = 0
@@ -140,7 +156,10 @@
   return { positions, tokens, missing }
 }
 
-/** Returns the tokens to take from the pool, negative if tokens are given back. */
+/**
+ * Returns the tokens to take from the pool, negative if tokens are given back. `rest` is what is
+ * left of the holding after the admitted requests, negative if they exceed the holding.
+ */
 function holdingChange(inputs: WriteInputs, pool: PoolRow, rest: TokenCount): TokenCount {
   const { policy, budgetView } = inputs
   const free = freeInPool(pool)
@@ -164,7 +183,10 @@
   return needed
 }
 
-/** Whether the holding stays below its target because the pool has no more tokens. */
+/**
+ * Whether the holding is below its target by more than the tolerance even after the planned change:
+ * the pool has too few tokens above its floor.
+ */
 function isBelowTarget(
   { policy, budgetView }: WriteInputs,
   pool: PoolRow,
@@ -176,8 +198,8 @@
 }
 
 /**
- * Tokens to give back because another instance lacks them for a request in progress; at most half
- * of the unspent ones.
+ * Returns the tokens to give back because other instances lack them for requests in progress: twice
+ * an equal part of what the pool lacks, but at most half of the unspent tokens.
  */
 function tokensToRelease(inputs: WriteInputs, after: TokenCount, free: TokenCount): TokenCount {
   const holders = inputs.budgetView.others.length
@@ -216,9 +238,9 @@
 }
 
 /**
- * Tokens per second that callers are expected to take before the next write. Refused callers spend
- * nothing, so the requested rate counts while the holding lasts. Towards the end of the holding,
- * the spending rate counts, since a crash loses the whole bound.
+ * Returns the tokens per second that callers are expected to take before the next write. Refused
+ * callers spend nothing, so the rate of all requests counts while the holding lasts. Towards the
+ * end of the holding, only the rate of spending counts, since a crash loses all that the row allows.
  */
 function strictDemand({ spendingPerSecond, budgetView }: WriteInputs, unspent: TokenCount): number {
   const refused = Math.max(0, budgetView.ownDemandPerSecond - spendingPerSecond)
