--- a/packages/coordination/src/budget/allocation.ts
+++ b/packages/coordination/src/budget/allocation.ts
@@ -1,6 +1,9 @@
 /**
  * One incarnation's allocation of one budget, in memory: available, reserved, spent and lent
- * tokens. Owns these counts and the open exchange; makes no decisions.
+ * tokens. An incarnation is one run of an instance's process. An exchange is an update of the
+ * budget's row that folds spending and loans into the row (subtracts them from the holding there),
+ * gives tokens back and takes new ones. Owns these counts and the open exchange; makes no
+ * decisions.
  */
 
 import type {
@@ -20,7 +23,9 @@
   state: 'open' | 'closed'
 }
 
+/** Tokens that the journal records as spent or lent and that are not folded into the row yet. */
 interface JournalledSpending {
+  /** Index of the journal entry. */
   readonly index: number
   readonly tokens: TokenCount
   /** Set if the tokens were lent rather than spent. */
@@ -40,8 +45,10 @@
   private reservedTokens: TokenCount = 0
   private unfolded: JournalledSpending[] = []
   private exchangeNumber = 0
-  private open: ExchangeRequest | undefined
+  private openRequest: ExchangeRequest | undefined
+  /** Tokens that this incarnation's own exchanges leave in its holding in the row. */
   private expectedInRow: TokenCount = 0
+  /** Tokens ever credited here as borrowed. */
   private borrowedTotal: TokenCount = 0
   private readonly pendingTransfers = new Set<TransferId>()
   private rate = 0
@@ -75,16 +82,19 @@
     return this.availableTokens + this.reservedTokens
   }
 
-  /** Whether this incarnation is a holder in the row, and so may borrow. */
+  /**
+   * Whether this incarnation has a holding in the row, that is, its first exchange is resolved. Only
+   * then may it borrow, since loans are folded into the borrower's holding.
+   */
   get isHolder(): boolean {
-    return this.exchangeNumber > 0 && !(this.exchangeNumber === 1 && this.open !== undefined)
+    return this.exchangeNumber > 0 && !(this.exchangeNumber === 1 && this.openRequest !== undefined)
   }
 
   /**
    * The exchange whose outcome is unknown, if any; it must be resolved before the next one begins.
    */
   get openExchange(): ExchangeRequest | undefined {
-    return this.open
+    return this.openRequest
   }
 
   /** Reserves tokens; returns undefined if too few are available. */
@@ -117,7 +127,10 @@
     this.noteSpending(tokens, now)
   }
 
-  /** Removes tokens for a borrower; the caller then passes their journal index to `noteLent`. */
+  /**
+   * Removes tokens from the available ones for a borrower; the caller also passes their journal
+   * index to `noteLent`.
+   */
   lend(tokens: TokenCount): void {
     this.availableTokens -= tokens
   }
@@ -144,7 +157,7 @@
 
   /**
    * Stops waiting for a transfer. If its tokens left the lender, they appear in the row when the
-   * lender folds its lending, and `finishExchange` credits them then.
+   * lender folds its loan, and `reconcile` credits them then.
    */
   abandonBorrowing(transfer: TransferId): void {
     this.pendingTransfers.delete(transfer)
@@ -152,9 +165,10 @@
 
   /**
    * Fixes the content of the next exchange; tokens to be given back leave `available` immediately.
+   * If an exchange is open, returns that one unchanged.
    */
   beginExchange(durableIndex: number, wanted: TokenCount, returned: TokenCount): ExchangeRequest {
-    if (this.open !== undefined) return this.open
+    if (this.openRequest !== undefined) return this.openRequest
     const folded = this.unfolded.filter(spending => spending.index <= durableIndex)
     const transfers: FoldedTransfer[] = folded.flatMap(({ borrower, tokens }) =>
       borrower === undefined ? [] : [{ borrower, tokens }],
@@ -162,7 +176,7 @@
     const givenBack = Math.max(0, Math.min(returned, this.availableTokens))
     this.availableTokens -= givenBack
     this.exchangeNumber += 1
-    this.open = {
+    this.openRequest = {
       incarnation: this.incarnation,
       region: this.region,
       exchange: this.exchangeNumber,
@@ -172,14 +186,14 @@
       returned: givenBack,
       wanted,
     }
-    return this.open
+    return this.openRequest
   }
 
   /** Applies an exchange that took effect and left this holding in the row. */
   finishExchange(holding: Holding): void {
-    const request = this.open
+    const request = this.openRequest
     if (request === undefined) return
-    this.open = undefined
+    this.openRequest = undefined
     this.unfolded = this.unfolded.filter(spending => spending.index > request.foldThrough)
     this.availableTokens += holding.lastGranted
     this.grantedTotal += holding.lastGranted
@@ -190,25 +204,26 @@
 
   /** Cancels an exchange that was not sent, so it cannot have taken effect. */
   cancelExchange(): void {
-    if (this.open === undefined) return
-    this.availableTokens += this.open.returned
+    if (this.openRequest === undefined) return
+    this.availableTokens += this.openRequest.returned
     this.exchangeNumber -= 1
-    this.open = undefined
+    this.openRequest = undefined
   }
 
-  /** Tokens spent per second: an average that decays while nothing is spent. */
+  /** Returns the tokens spent per second: an average that decays while nothing is spent. */
   ratePerSecond(now: Milliseconds): number {
     return this.rate * Math.exp(-(now - this.rateAt) / RATE_WINDOW_MILLISECONDS)
   }
 
   /**
-   * Credits lent tokens whose answer was lost. The row contains more than this incarnation put
-   * there once lenders have folded transfers to it; whatever exceeds the credits received was lent
-   * in a lost answer. The row is comparable with this incarnation's expectation only while no
-   * exchange is open.
+   * Credits borrowed tokens that a lender sent in an answer that was lost. Once lenders have folded
+   * their loans, the holding in the row contains these tokens in addition to those that this
+   * incarnation's own exchanges left there. If they exceed the tokens credited as borrowed so far,
+   * the difference was lent in a lost answer. The comparison is valid only while no exchange is open
+   * and no transfer is pending.
    */
   reconcile(holding: Holding): void {
-    if (this.open !== undefined || this.pendingTransfers.size > 0) return
+    if (this.openRequest !== undefined || this.pendingTransfers.size > 0) return
     const creditedInRow = holding.allocated - this.expectedInRow
     const missed = creditedInRow - this.borrowedTotal
     if (missed <= 0) return
--- a/packages/coordination/src/budget/allocationPolicy.ts
+++ b/packages/coordination/src/budget/allocationPolicy.ts
@@ -1,7 +1,7 @@
 /**
- * Allocation policies for budgets of the OpenAI-style kind: size of an allocation, when it is given
- * back, and how much is lent. The setting `budgetPolicy` selects one, and decision records keep the
- * policy's inputs.
+ * Allocation policies for budgets of the OpenAI-style kind. A policy decides how many tokens an
+ * instance takes out of a budget's row, when it gives tokens back, and how much it lends to peers.
+ * The setting `budgetPolicy` selects one, and decision records keep the policy's inputs.
  */
 
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -15,10 +15,11 @@
   readonly free: TokenCount
   readonly available: TokenCount
   readonly reserved: TokenCount
-  /** Tokens granted here since this incarnation started. */
+  /** Tokens that the row granted to this incarnation since it started. */
   readonly grantedTotal: TokenCount
-  /** Average number of tokens spent here per second. */
+  /** Average number of tokens that this incarnation spends per second. */
   readonly ratePerSecond: number
+  /** Time since the last reservation. */
   readonly idleMilliseconds: Milliseconds
   /** Live instances that may use the budget, including this one. */
   readonly instances: number
@@ -27,9 +28,9 @@
 /** Decides how large allocations are, when they are given back, and how much is lent. */
 export interface AllocationPolicy {
   readonly name: string
-  /** Tokens that should be available here now. */
+  /** Tokens that should be available on this instance now. */
   target(view: AllocationView): TokenCount
-  /** Tokens to request from the row when waiting requests need `needed` more than is available. */
+  /** Tokens to request from the row when waiting requests lack `needed` tokens. */
   tokensToRequest(view: AllocationView, needed: TokenCount): TokenCount
   /** Tokens to request from a peer when `needed` are missing. */
   tokensToBorrow(view: AllocationView, needed: TokenCount): TokenCount
@@ -37,7 +38,7 @@
   tokensToReturn(view: AllocationView): TokenCount
   /** Tokens to lend to a peer that requests `asked`. */
   tokensToLend(view: AllocationView, asked: TokenCount): TokenCount
-  /** How long a request may wait for tokens to be freed by requests that are about to finish. */
+  /** How long a request may wait for tokens that other requests free when they finish. */
   readonly patienceMilliseconds: Milliseconds
 }
 
@@ -75,11 +76,12 @@
   }
 }
 
-/** Seconds of spending that the rate-proportional policy holds. */
+/** Seconds of spending at the recent rate that the rate-proportional policy holds. */
 const RATE_HORIZON_SECONDS = 60
 
 /**
- * Holds one minute of spending at the recent rate, limited to a fair share of the remaining tokens.
+ * Holds one minute of spending at the recent rate, but at most half of the instance's equal share of
+ * the remaining tokens.
  */
 export class RateProportionalPolicy implements AllocationPolicy {
   readonly name = 'rate-proportional'
@@ -107,13 +109,16 @@
   }
 }
 
-/** An allocation that was not used for this long is given back entirely. */
+/**
+ * Under the rate-proportional policy, an allocation without a reservation for longer than this is
+ * given back entirely.
+ */
 const IDLE_MILLISECONDS = 10 * 60_000
 /** A budget whose unspent share of the limit is below this counts as near exhaustion. */
 const NEAR_END_SHARE = 0.1
 /**
- * Share of the unspent tokens that all instances together hold while the budget is not near
- * exhaustion.
+ * Share of the unspent tokens that all instances together hold under the cost-weighted policy while
+ * the budget is not near exhaustion.
  */
 const HELD_SHARE = 0.95
 /** Seconds of its own spending that an instance does not lend. */
@@ -123,7 +128,7 @@
  */
 const BORROWED_SECONDS = 10
 
-/** Relative costs of the two kinds of error. */
+/** Relative costs of the two kinds of error: overspending, and refusing an affordable request. */
 export interface ErrorCostWeights {
   readonly overspend: number
   readonly falseRefusal: number
@@ -131,7 +136,8 @@
 
 /**
  * Weighs the costs of the two kinds of error as configured. Overspending is impossible by
- * construction, so its weight determines only how soon a doubtful request is refused. While a
+ * construction, so the weights determine only how long a request that lacks tokens may wait: up to
+ * 1.5 s, in proportion to the share of `falseRefusal` in the sum of both weights. While a
  * budget is not near exhaustion, nearly all of it is held by the instances: tokens in the row
  * cannot be reached in an outage, whereas tokens that a peer holds can be lent without the store.
  * Near exhaustion, each instance holds what it needs immediately, and instances with waiting
@@ -176,7 +182,7 @@
   }
 }
 
-/** Limits an allocation to half of the instance's equal share of the remaining tokens. */
+/** Limits `tokens` to half of the instance's equal share of the free and its available tokens. */
 function capToFairShare(view: AllocationView, tokens: TokenCount): TokenCount {
   const left = view.free + view.available
   return Math.min(tokens, Math.floor(left / (2 * Math.max(1, view.instances))))
--- a/packages/coordination/src/budget/budgetLedger.ts
+++ b/packages/coordination/src/budget/budgetLedger.ts
@@ -1,7 +1,8 @@
 /**
- * Budgets of the OpenAI-style kind as one incarnation holds them: reserves and settles tokens,
- * exchanges with the row, borrows and lends. Owns the allocations and the requests that wait for
- * tokens. Uses the policy for amounts, BudgetStore for the row and the journal for bills.
+ * Budgets of the OpenAI-style kind as one incarnation (run of the instance's process) holds them:
+ * reserves and settles tokens, takes tokens out of the budget's row and gives them back (an
+ * exchange), borrows from peers and lends to them. Owns the allocations and the requests that wait
+ * for tokens. Uses the policy for amounts, BudgetStore for the row and the journal for bills.
  */
 
 import { RackwalkError, ResultCode, asId, deferred } from '@rackwalk/shared'
@@ -62,6 +63,7 @@
   readonly onSealed: () => void
 }
 
+/** A request that waits for tokens. */
 interface Waiter {
   readonly tokens: TokenCount
   readonly done: Deferred<ReservationResult>
@@ -77,16 +79,19 @@
   exchanging: Promise<void> | undefined
   isAcquiring: boolean
   waiters: Waiter[]
-  /** Until this time, a request larger than what is available is refused without another search. */
+  /** Until this time, a request that the available tokens do not cover is refused without a search. */
   refuseUntil: Milliseconds
   lastFoldAt: Milliseconds
 }
 
-/** How long the result of an unsuccessful search for tokens also applies to later requests. */
+/**
+ * How long later requests are refused without a search after an unsuccessful one; ends early when an
+ * exchange grants tokens.
+ */
 const REFUSAL_CACHE_MILLISECONDS = 250
 /** Time between searches for tokens while a request waits. */
 const SEARCH_INTERVAL_MILLISECONDS = 100
-/** Maximum time between two exchanges that fold spending into the row while there is any. */
+/** Time after the last exchange at which unfolded spending is due to be folded into the row. */
 const FOLD_INTERVAL_MILLISECONDS = 30_000
 /** Maximum number of peers asked in one search. */
 const MAXIMUM_LENDERS = 8
@@ -96,7 +101,8 @@
 /**
  * The budgets as one incarnation holds them. Tokens are spent only from an allocation that was
  * moved out of the budget's row beforehand (escrow: O'Neil 1986; bounded counters: Balegas et al.
- * 2015), so no other instance has to be asked and no network partition can lead to overspending.
+ * 2015). A reservation that the allocation covers therefore needs no other instance, and no network
+ * partition can lead to overspending.
  */
 export class BudgetLedger {
   private readonly budgets = new Map<BudgetId, BudgetState>()
@@ -133,13 +139,17 @@
     this.serveWaiters(state)
   }
 
-  /** Writes a bill to the journal and settles the reservation, in one step. */
+  /**
+   * Appends a bill to the journal and settles the reservation, in one step. Bills at most the
+   * reserved tokens.
+   */
   settle(reservation: Reservation, entry: SettleEntry, attachment?: RowWrite): JournalTicket {
     const state = this.stateOf(reservation.budgetId)
     const billedTokens = Math.min(entry.billedTokens, reservation.tokens)
     if (billedTokens < entry.billedTokens) this.parts.counters.increment('budget_bound_exceeded')
     const ticket = this.parts.journal.append({ entry: { ...entry, billedTokens }, attachment })
-    // No `await` in between: an exchange that folds through this index must include the spending.
+    // There must be no `await` between appending and settling: an exchange that folds through this
+    // index must include the spending.
     const now = this.parts.clock.monotonic()
     state.allocation.settle(reservation, billedTokens, ticket.index, now)
     this.serveWaiters(state)
@@ -159,7 +169,10 @@
     return reply
   }
 
-  /** Refills, gives back and folds as the policy requires; called about once per second. */
+  /**
+   * Runs an exchange for each budget whose allocation has to be refilled, given back or folded, or
+   * whose last exchange is unresolved; called about once per second.
+   */
   async maintain(): Promise<void> {
     for (const state of [...this.budgets.values()]) {
       if (this.needsExchange(state)) await this.exchange(state, this.wantedInBackground(state))
@@ -167,8 +180,8 @@
   }
 
   /**
-   * Requests a first allocation of each budget before it is needed, so that it is available in an
-   * outage.
+   * Requests a first allocation of each budget whose row was not read yet, so that tokens are
+   * available if the table fails later.
    */
   async preallocate(budgetIds: readonly BudgetId[]): Promise<void> {
     for (const budgetId of budgetIds) {
@@ -196,7 +209,7 @@
     return this.viewOf(this.stateOf(budgetId))
   }
 
-  /** The budgets of which this incarnation has an allocation. */
+  /** The budgets that this incarnation has used or inspected, whether or not it holds tokens. */
   get heldBudgets(): readonly BudgetId[] {
     return [...this.budgets.keys()]
   }
@@ -213,7 +226,8 @@
   }
 
   /**
-   * Searches for tokens until every waiting request is served or the policy's patience has passed.
+   * Searches for tokens until every waiting request is served, none of them can be covered, or the
+   * policy's patience has passed; then refuses the rest. The first search always runs to its end.
    */
   private async acquire(state: BudgetState): Promise<void> {
     state.isAcquiring = true
@@ -233,7 +247,7 @@
     this.refuseWaiters(state)
   }
 
-  /** Requests tokens from the row first, then from the peers that hold the rest. */
+  /** Requests tokens from the row first, then from peers, the largest allocation first. */
   private async search(state: BudgetState): Promise<void> {
     if (state.row === undefined) await this.readRow(state)
     await this.exchange(
@@ -241,7 +255,7 @@
       this.parts.policy.tokensToRequest(this.viewOf(state), this.missing(state)),
     )
     this.serveWaiters(state)
-    // If the remaining tokens cannot cover any waiting request, they stay where they can be used.
+    // Tokens that cannot cover any waiting request stay with the peers, which can use them.
     if (this.isUncoverable(state)) return
     for (const lender of this.lendersOf(state)) {
       const missing = this.missing(state)
@@ -265,7 +279,10 @@
     }
   }
 
-  /** Returns the live holders, the largest allocation first. */
+  /**
+   * Returns the live holders by the row as last read, the largest allocation first; none if this
+   * incarnation has no holding itself.
+   */
   private lendersOf(state: BudgetState): readonly IncarnationId[] {
     if (!state.allocation.isHolder) return []
     const allocatedTo = (peer: IncarnationId) => state.row?.holders[peer]?.allocated ?? 0
@@ -302,7 +319,8 @@
     const tokens = Math.max(0, Math.min(permitted, state.allocation.available))
     if (tokens === 0) return { tokens: 0 }
     const ticket = this.journalLend(state, request, tokens)
-    // The borrower may spend the tokens only once the debit survives this incarnation.
+    // The borrower may spend the tokens only once the journal entry would survive a crash of this
+    // instance.
     await ticket.durableOrHeld
     this.parts.counters.increment('budget_tokens_lent', tokens)
     return { tokens }
@@ -328,8 +346,8 @@
   }
 
   /**
-   * Tokens to request in the background: refills at half the target, so that the tokens arrive
-   * before they are needed.
+   * Returns the tokens to request in the background. An allocation is refilled to its target once
+   * less than half of the target is available, so that the tokens arrive before they are needed.
    */
   private wantedInBackground(state: BudgetState): TokenCount {
     const view = this.viewOf(state)
@@ -393,7 +411,8 @@
   private applyNoOpExchange(state: BudgetState, row: BudgetRow): void {
     state.allocation.cancelExchange()
     state.row = row
-    // Without this step, lent tokens whose answer was lost would stay in the row unused.
+    // Borrowed tokens whose answer was lost are credited here; otherwise they would stay unused in
+    // the row.
     const holding = row.holders[this.parts.incarnation]
     if (holding !== undefined) state.allocation.reconcile(holding)
   }
@@ -427,8 +446,8 @@
   }
 
   /**
-   * Whether the remaining tokens could not cover any waiting request even if all other requests
-   * finished.
+   * Whether no waiting request could be covered even if this incarnation got all tokens of the
+   * budget that are not known to be spent.
    */
   private isUncoverable(state: BudgetState): boolean {
     const left = this.leftInBudget(state)
--- a/packages/coordination/src/budget/budgetRow.ts
+++ b/packages/coordination/src/budget/budgetRow.ts
@@ -1,6 +1,8 @@
 /**
  * The row of one budget of the OpenAI-style kind: its stored form, and pure functions that apply
- * exchanges, transfers and the reclaiming of a holder.
+ * exchanges, transfers and the reclaiming of a holder. A holder is an incarnation (one run of an
+ * instance's process) with tokens of the budget. Folding means including the entries of a holder's
+ * journal in the row, each exactly once.
  */
 
 import * as z from 'zod'
@@ -27,7 +29,10 @@
    * borrower.
    */
   readonly foldedIndex: number
-  /** Set if the incarnation was sealed before its lenders had folded all transfers to it. */
+  /**
+   * Set if the incarnation was reclaimed before its lenders had folded all transfers to it, so that
+   * `allocated` was negative.
+   */
   readonly sealed?: boolean
 }
 
@@ -39,6 +44,7 @@
   readonly budgetId: BudgetId
   readonly teamId: TeamId
   readonly limit: TokenCount
+  /** Tokens spent, as far as they are folded. */
   readonly settled: TokenCount
   readonly holders: Readonly<Record<IncarnationId, Holding>>
   /** The row of a deleted budget is kept, so that its versions never restart. */
@@ -57,6 +63,7 @@
   readonly region: RegionId
   /** Increases by one with each exchange of this holder on this budget. */
   readonly exchange: number
+  /** Index of the last journal entry that the exchange folds. */
   readonly foldThrough: number
   readonly spent: TokenCount
   readonly transfers: readonly FoldedTransfer[]
@@ -81,7 +88,8 @@
 }
 
 /**
- * Whether a holder that has made exchanges is no longer in the row, which means that it was sealed.
+ * Whether the requesting incarnation was sealed and reclaimed: it made an exchange before but has no
+ * holding in the row, or its holding is marked as sealed.
  */
 export function wasReclaimed(row: BudgetRow, request: ExchangeRequest): boolean {
   const holding = row.holders[request.incarnation]
@@ -95,7 +103,7 @@
   return holding !== undefined && holding.exchange >= request.exchange
 }
 
-/** Applies an exchange; `granted` is what the row could provide. */
+/** Applies an exchange; `granted` is the wanted tokens, as far as the row has free ones. */
 export function applyExchange(
   row: BudgetRow,
   request: ExchangeRequest,
@@ -129,7 +137,10 @@
   return withHolding(moved, incarnation, { ...holding, allocated: rest, sealed: true })
 }
 
-/** Sets a new limit. Allocated tokens stay allocated; a lower limit only stops further grants. */
+/**
+ * Sets a new limit, and restores a deleted budget. Allocated tokens stay allocated; a lower limit
+ * only stops further grants.
+ */
 export function withLimit(row: BudgetRow, limit: TokenCount): BudgetRow {
   return { ...row, limit, deleted: undefined }
 }
--- a/packages/coordination/src/budget/budgetStore.ts
+++ b/packages/coordination/src/budget/budgetStore.ts
@@ -13,8 +13,9 @@
 import { applyExchange, budgetRowCodec, freeTokens, wasApplied, wasReclaimed } from './budgetRow.js'
 
 /**
- * `lost`: no answer, the exchange may still take effect; `unsent`: it cannot take effect;
- * `needless`: it would have changed nothing, so it was not written.
+ * `lost`: no attempt was confirmed, and the exchange may still take effect. `unsent`: the exchange
+ * cannot take effect. `needless`: the exchange would have changed nothing, so it was not written.
+ * `gone`: the budget has no row. `sealed`: the incarnation was sealed or is being sealed.
  */
 export type ExchangeOutcome =
   | { readonly kind: 'applied'; readonly row: BudgetRow }
@@ -24,10 +25,7 @@
   | { readonly kind: 'gone' }
   | { readonly kind: 'sealed' }
 
-/**
- * Maximum number of attempts against concurrent writers of the same row before the caller has to
- * retry later.
- */
+/** Maximum number of attempts against concurrent writers of the same row in one exchange. */
 const MAXIMUM_CONFLICTS = 8
 
 /** Reads budget rows and applies exchanges to them. */
@@ -44,9 +42,9 @@
   }
 
   /**
-   * Applies an exchange exactly once. Each attempt is conditional on the version it read, and the
-   * holder's exchange number in the row shows whether an earlier attempt whose answer was lost took
-   * effect.
+   * Applies an exchange exactly once. Each attempt is conditional on the row version that it read,
+   * and the holder's exchange number in the row shows whether an earlier attempt whose answer was
+   * lost took effect. `mayHaveBeenSent` says that such an attempt exists.
    */
   async exchange(
     budgetId: BudgetId,
@@ -117,8 +115,9 @@
 }
 
 /**
- * Whether an exchange would change nothing. An exhausted budget is requested often, and writes are
- * limited, so only changes are written.
+ * Whether an exchange would change nothing in the row. Tokens of an exhausted budget are requested
+ * often, and the platform limits writes, so only changes are written. A holder's first exchange
+ * always is one.
  */
 function isNoOpExchange(row: BudgetRow, request: ExchangeRequest): boolean {
   const isFirst = request.exchange === 1
@@ -129,8 +128,8 @@
 
 /**
  * Writes that accompany a holder's first exchange: a marker by which a reclaimer finds the holding,
- * and a check that the incarnation is not being sealed. A marker written later would be missed by
- * the reclaimer.
+ * and a check that the incarnation is not being sealed. Without the check, the marker could be
+ * written after the reclaimer has read the markers, and the tokens would be lost.
  */
 function firstHoldingWrites(budgetId: BudgetId, request: ExchangeRequest): readonly RowWrite[] {
   return [
--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -1,6 +1,8 @@
 /**
- * Returns the tokens that a sealed incarnation still held to their budgets. Keeps no state; may run
- * on several instances at once.
+ * Returns the tokens that a sealed incarnation still held to their budgets. An incarnation is one
+ * run of an instance's process; sealing ends its journal, so that it can write no more bills. Without
+ * reclaiming, tokens held by a crashed instance would be lost to its budgets. Keeps no state; may
+ * run on several instances at once.
  */
 
 import { RackwalkError, asId } from '@rackwalk/shared'
@@ -15,12 +17,15 @@
 import type { FoldedTransfer } from './budgetRow.js'
 import { budgetRowCodec, reclaimHolding } from './budgetRow.js'
 
-/** `unsealed`: refused, since the incarnation could still write bills. */
+/**
+ * `unsealed`: refused, since the incarnation could still write bills. `retry`: the table did not
+ * answer; the same call may be repeated.
+ */
 export type ReclaimOutcome = 'reclaimed' | 'unsealed' | 'retry'
 
 /**
  * Returns the tokens that a sealed incarnation still held to their budgets. The journal, which is
- * complete after sealing, tells what the incarnation spent and lent beyond what the rows already
+ * complete after sealing, shows what the incarnation spent and lent beyond what the rows already
  * include.
  */
 export class Reclaimer {
