--- a/packages/coordination/src/journal/batchCommitter.ts
+++ b/packages/coordination/src/journal/batchCommitter.ts
@@ -7,8 +7,8 @@
 import type { RowWrite, TableService, TransactResult } from '@rackwalk/stores'
 
 /**
- * Commits a journal's transaction to the table. Which instance commits it matters only for
- * efficiency: the conditions of the writes make it safe in either case.
+ * Commits a journal's transaction to the table. Which instance sends the transaction matters only
+ * for efficiency: the conditions of its writes make it safe on any instance.
  */
 export interface BatchCommitter {
   commit(id: TransactionId, writes: readonly RowWrite[]): Promise<TransactResult>
--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -1,6 +1,7 @@
 /**
- * Combines journal batches of one failure domain into one transaction in a large fleet. Owns the
- * batches that wait at the domain's committer.
+ * Combines journal batches of one failure domain into one transaction in a large fleet. The domain's
+ * committer is the live instance of the domain that rendezvous hashing selects. Owns the batches
+ * that wait at the committer.
  */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
@@ -17,13 +18,14 @@
   reject(error: Error): void
 }
 
-/** With fewer instances than this, each writes its own batches. */
+/** With fewer live instances than this in the fleet, each writes its own batches. */
 const SHARED_COMMIT_THRESHOLD = 16
 
 /**
  * Combines the batches of a failure domain into one transaction, so that the platform's writes grow
  * with the number of domains, not of instances. If a condition of a combined transaction fails,
- * each batch is written separately, so that only the batch of a sealed writer fails.
+ * each of its batches is written separately, so that only the batch whose condition failed is
+ * rejected, for example that of a sealed writer.
  */
 export class BatchCoalescer {
   private queue: QueuedBatch[] = []
@@ -48,6 +50,10 @@
     this.running = false
   }
 
+  /**
+   * Takes batches from the head of the queue, up to the first one that would exceed the size of a
+   * transaction or write a row twice.
+   */
   private takeCoalescible(): readonly QueuedBatch[] {
     const rows = new Set<string>()
     const combined: QueuedBatch[] = []
--- a/packages/coordination/src/journal/heldEntryArchive.ts
+++ b/packages/coordination/src/journal/heldEntryArchive.ts
@@ -1,7 +1,7 @@
 /**
- * Archive in the object store for journal entries that wait for the table: copies held by peers are
- * lost if all instances lose power during an outage of the table. Owns the time of the object
- * store's last failure.
+ * Archive in the object store for held journal entries (entries that wait for the table and of which
+ * peers have copies in memory). The copies are lost if all instances lose power during an outage of
+ * the table; the archived entries are not. Owns the time of the object store's last failure.
  */
 
 import * as z from 'zod'
@@ -34,8 +34,8 @@
 const INDEX_DIGITS = 12
 const KEYS_PER_LIST = 1_000
 /**
- * The end of an answer waits for the object store, so after a failure no write is attempted for
- * this long.
+ * No write is attempted for this long after a failure: the end of an answer to a caller waits until
+ * its entry is held, and therefore for the object store.
  */
 const RETRY_MILLISECONDS: Milliseconds = 5_000
 
@@ -46,8 +46,8 @@
   constructor(private readonly parts: HeldEntryArchiveParts) {}
 
   /**
-   * Writes the entries as one object. A failure of the store is not reported, since peers hold the
-   * entries too.
+   * Writes the entries as one object. A failure of the object store is counted but not reported to
+   * the caller, since peers hold the entries too.
    */
   async write(writer: IncarnationId, items: readonly HeldEntry[]): Promise<void> {
     const { objects, clock, counters } = this.parts
@@ -64,7 +64,8 @@
   }
 
   /**
-   * Returns all entries that were written for this writer; throws if the store cannot provide them.
+   * Returns all entries that were archived for this writer; throws if the object store does not
+   * answer or an object is malformed.
    */
   async read(writer: IncarnationId): Promise<readonly HeldEntry[]> {
     const items: HeldEntry[] = []
--- a/packages/coordination/src/journal/heldEntryStore.ts
+++ b/packages/coordination/src/journal/heldEntryStore.ts
@@ -1,5 +1,5 @@
 /**
- * Journal entries that this instance holds in memory for peers whose journal currently cannot be
+ * Journal entries that this instance holds in memory for peers whose journals currently cannot be
  * written. Owns the entries, and the set of writers from which no further entries are accepted.
  */
 
@@ -7,9 +7,9 @@
 import type { HeldEntry } from './journalEntry.js'
 
 /**
- * Holds entries in memory for peers whose journal currently cannot be written. Once asked to hand
- * over the entries of a writer, the store accepts no more from that writer: if every holder does
- * so, no entry of the writer can be accepted by any instance, so the set that the sealer collects
+ * Holds entries in memory for peers whose journals currently cannot be written. Once the sealer has
+ * collected the entries of a writer, the store accepts no more from that writer. When all holders
+ * have handed over their entries, none accepts a further one, so the set that the sealer collected
  * is complete.
  */
 export class HeldEntryStore {
@@ -25,7 +25,7 @@
     return true
   }
 
-  /** Drops the entries that the writer has since written to the table itself. */
+  /** Drops the entries up to this index, which the writer has written to the table itself. */
   release(writer: IncarnationId, throughIndex: number): void {
     const kept = this.items.get(writer)
     if (kept === undefined) return
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -1,6 +1,7 @@
 /**
- * The ordered journal of one incarnation, written in group commits. Owns the entries that are not
- * yet in the table. Relies on a committer for writing, and on the table's conditions for order and
+ * The ordered journal of one incarnation (one run of an instance's process), written in group
+ * commits. Contains the bills of requests and the loans to peers. Owns the records that are not yet
+ * in the table. Relies on a committer for writing, and on the table's conditions for order and
  * fencing.
  */
 
@@ -32,21 +33,25 @@
   readonly attachment?: RowWrite
 }
 
-/** Outcome of one appended record. */
+/**
+ * Outcome of one appended record. Both promises reject with `VersionConflict` if the condition of
+ * the record's attachment fails, and with `Sealed` if the incarnation is sealed first.
+ */
 export interface JournalTicket {
   readonly index: number
-  /** Settles when the record is in the table. */
+  /** Resolves when the record is in the table. */
   readonly durable: Promise<void>
-  /** Settles when the record is in the table or held by enough peers. */
+  /** Resolves when the record is in the table or held by enough peers. */
   readonly durableOrHeld: Promise<Durability>
 }
 
 /** Size limits of a journal. */
 export interface JournalLimits {
-  /** Maximum number of unwritten records; beyond it, new work is refused. */
+  /** Number of unwritten records from which on `hasRoom` is false, so that callers refuse new work. */
   readonly maximumBacklog: number
+  /** Maximum number of records in one batch. */
   readonly maximumBatchEntries: number
-  /** Maximum number of rows besides the slot in one transaction; the table allows 100 in total. */
+  /** Maximum number of attachments in one batch; the table allows 100 rows in one transaction. */
   readonly maximumBatchAttachments: number
 }
 
@@ -56,11 +61,14 @@
   maximumBatchAttachments: 90,
 }
 
-/** `retry` means that the table could not be reached or did not answer. */
+/**
+ * `retry`: the table could not be reached or did not answer, or the condition of an attachment
+ * failed and the other records of the batch are still to be written.
+ */
 export type FlushOutcome = 'idle' | 'committed' | 'retry' | 'sealed'
 
 interface PendingRecord extends HeldEntry {
-  /** Whether no further copy is needed: the record is in the table, held by peers, or rejected. */
+  /** Whether no copy is needed any more: the record is in the table, held by peers, or rejected. */
   isResolved: boolean
   readonly appendedAt: Milliseconds
   resolveDurable(): void
@@ -68,6 +76,7 @@
   reject(error: RackwalkError): void
 }
 
+/** The batch that is to fill the next slot. */
 interface OpenBatch {
   records: readonly PendingRecord[]
   /** The records of each attempt whose outcome is unknown. */
@@ -90,7 +99,8 @@
  * numbered slot on the condition that the slot is empty. An instance that seals the incarnation
  * fills that slot with a seal instead. A writer that was paused and does not know about the seal
  * therefore finds its slot taken and can never write again (compare Kineograph, EuroSys 2012, 6.1).
- * The same condition makes a retry after a lost answer recognizable.
+ * After a lost answer, the retry finds the slot taken by this journal's own earlier attempt, which
+ * the transaction id in the row shows.
  */
 export class Journal {
   private readonly limits: JournalLimits
@@ -122,7 +132,7 @@
     return this.isSealed
   }
 
-  /** Whether new work may start that needs this journal when it finishes. */
+  /** Whether new work may start whose end will append to this journal. */
   get hasRoom(): boolean {
     return !this.isSealed && this.backlog < this.limits.maximumBacklog
   }
@@ -148,7 +158,7 @@
     return this.flushing
   }
 
-  /** Entries that neither the table nor peers have yet, oldest first. */
+  /** Returns at most `limit` entries that neither the table nor peers have yet, oldest first. */
   unreplicatedEntries(limit: number): readonly HeldEntry[] {
     this.dropResolved()
     return this.unreplicated
@@ -166,11 +176,11 @@
 
   /** Records that enough peers hold the records with these indexes. */
   markReplicated(indexes: ReadonlySet<number>): void {
-    let left = indexes.size
+    let remaining = indexes.size
     for (const record of this.unreplicated) {
-      if (left === 0) break
+      if (remaining === 0) break
       if (!indexes.has(record.index)) continue
-      left -= 1
+      remaining -= 1
       if (record.isResolved) continue
       record.isResolved = true
       record.resolveDurableOrHeld('held')
@@ -180,8 +190,8 @@
   }
 
   /**
-   * Drops resolved entries from the start of the list. In a long backlog most entries are already
-   * held by peers, so callers must not have to scan all of them each time.
+   * Drops resolved records from the start of the list. In a long backlog, peers already hold most
+   * entries, and callers must not have to scan all of them each time.
    */
   private dropResolved(): void {
     const firstNeeded = this.unreplicated.findIndex(record => !record.isResolved)
@@ -204,10 +214,11 @@
   private createRecord(record: JournalRecord) {
     const index = this.nextIndex++
     const durable = deferred<void>()
-    const safe = deferred<Durability>()
-    // Sealing must not crash the process because of a rejected record whose ticket is not awaited.
+    const durableOrHeld = deferred<Durability>()
+    // When sealing rejects a record whose ticket nobody awaits, the unhandled rejection must not
+    // crash the process.
     durable.promise.catch(ignore)
-    safe.promise.catch(ignore)
+    durableOrHeld.promise.catch(ignore)
     const pending: PendingRecord = {
       index,
       entry: record.entry,
@@ -215,13 +226,13 @@
       isResolved: false,
       appendedAt: this.parts.clock.monotonic(),
       resolveDurable: durable.resolve,
-      resolveDurableOrHeld: safe.resolve,
+      resolveDurableOrHeld: durableOrHeld.resolve,
       reject: error => {
         durable.reject(error)
-        safe.reject(error)
+        durableOrHeld.reject(error)
       },
     }
-    return { pending, ticket: { index, durable: durable.promise, durableOrHeld: safe.promise } }
+    return { pending, ticket: { index, durable: durable.promise, durableOrHeld: durableOrHeld.promise } }
   }
 
   private async flushOnce(): Promise<FlushOutcome> {
@@ -301,9 +312,9 @@
   }
 
   /**
-   * Resolves a failed condition. The slot shows the cause: an earlier attempt of this journal took
-   * it and its answer was lost, a seal took it, or it is empty, which means that conditions of
-   * attachments failed.
+   * Resolves a failed condition by reading the slot. If an earlier attempt of this journal, whose
+   * answer was lost, has filled the slot, that attempt is finished. If another writer has, this
+   * incarnation was sealed. If the slot is empty, conditions of attachments failed.
    */
   private async resolveConflict(
     batch: OpenBatch,
@@ -340,8 +351,7 @@
       record.resolveDurable()
       record.resolveDurableOrHeld('durable')
     }
-    // Also done here, since otherwise a journal that is never replicated to peers would keep every
-    // entry.
+    // A journal whose entries are never requested for replication would otherwise keep every entry.
     this.dropResolved()
     this.parts.counters.increment('journal_flushes')
     return 'committed'
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -25,7 +25,7 @@
   readonly kind: 'settle'
   readonly budgetId: BudgetId
   readonly teamId: TeamId
-  /** Identifies the bill together with the team; folding bills it once. */
+  /** Identifies the bill together with the team; entries with the same key are billed once. */
   readonly billKey: IdempotencyKey
   readonly requestId: RequestId
   readonly modelId?: ModelId
@@ -52,8 +52,8 @@
 export type JournalEntry = SettleEntry | LendEntry
 
 /**
- * An entry with the number its writer gave it; the numbers increase, with gaps where a write was
- * rejected.
+ * An entry with the number that its writer gave to the record. The numbers increase, with gaps where
+ * a record was rejected. `entry` is absent for a record that only changes another row.
  */
 export interface IndexedEntry {
   readonly index: number
--- a/packages/coordination/src/journal/journalReplicator.ts
+++ b/packages/coordination/src/journal/journalReplicator.ts
@@ -1,6 +1,7 @@
 /**
- * Copies entries to peers while the table cannot be reached, and releases the copies afterwards.
- * Owns the set of peers that may hold entries.
+ * Copies journal entries to peers while the table cannot be reached, and releases the copies
+ * afterwards. Without the copies, a crash of this instance would lose the bills that wait for the
+ * table. Owns the set of peers that may hold entries.
  */
 
 import type { FailureDomainId, IncarnationId } from '@rackwalk/shared'
@@ -20,6 +21,7 @@
   readonly peers: PeerChannel
   /** Registered live members of this region, except this instance. */
   readonly candidates: () => readonly MemberInfo[]
+  /** Number of peers that must have an entry before it counts as held. */
   readonly requiredReplicas: number
   /** Archives the entries in case all holders crash as well. */
   readonly archive?: HeldEntryArchive
@@ -27,9 +29,9 @@
 
 /**
  * Keeps entries safe while the table cannot be reached, by copies in the memory of peers of the
- * region. An entry counts as held when `requiredReplicas` peers have it. It is lost only if this
- * instance and all of those peers crash before the table recovers, and the object store was
- * unavailable too.
+ * region. An entry counts as held when `requiredReplicas` peers have it. A held entry is lost only if
+ * this instance and all of those peers crash before the table recovers, and the entry could not be
+ * archived in the object store either.
  */
 export class JournalReplicator {
   private lastReleased = 0
@@ -37,7 +39,10 @@
 
   constructor(private readonly parts: JournalReplicatorParts) {}
 
-  /** Copies waiting entries to peers; returns true if entries became held. */
+  /**
+   * Copies at most `ITEMS_PER_MESSAGE` waiting entries to peers, one peer after another, until enough
+   * have them; returns true if the entries became held.
+   */
   async replicate(): Promise<boolean> {
     const items = this.parts.journal.unreplicatedEntries(ITEMS_PER_MESSAGE)
     if (items.length === 0) return false
@@ -55,7 +60,10 @@
     return true
   }
 
-  /** Tells peers to drop the entries that have reached the table. */
+  /**
+   * Asks the peers to drop the entries that have reached the table. A failed call is made up for by
+   * the next release, but not if no records are left to be written.
+   */
   async release(): Promise<void> {
     const throughIndex = this.parts.journal.durableIndex
     if (this.possibleHolders.size === 0 || throughIndex === this.lastReleased) return
