--- a/packages/coordination/src/membership/callerAddresses.ts
+++ b/packages/coordination/src/membership/callerAddresses.ts
@@ -1,7 +1,6 @@
 /**
- * Chooses the addresses at which a caller should connect, for the OpenAI-style kind: a less busy
- * instance first, followed by instances in other failure domains. Pure except for the given random
- * source.
+ * Chooses the addresses at which a caller should connect, for the OpenAI-style kind: less busy
+ * instances, in different failure domains where possible. Pure except for the given random source.
  */
 
 import { randomBelow } from '@rackwalk/shared'
@@ -14,15 +13,16 @@
   readonly timeToLiveSeconds: number
 }
 
-/** Number of addresses in one answer: a first choice, and alternatives in case it fails. */
+/** Maximum number of addresses in one answer: a first choice, and alternatives in case it fails. */
 const ADDRESSES_PER_ANSWER = 3
-/** Upper bound of how long a caller may keep using a draining instance. */
+/** How long a caller may cache the addresses, and so keep using an instance that drains meanwhile. */
 const TIME_TO_LIVE_SECONDS = 15
 
 /**
- * Chooses addresses for a caller. The first is the less busy of two random instances, so that
- * callers that ask at the same time do not all connect to the same one. The others are in other
- * failure domains if there are any. Draining instances are excluded.
+ * Chooses addresses for a caller. Each is that of the less busy of two random candidates, so that
+ * callers that ask at the same time do not all connect to the same instance. Candidates for the
+ * second and third address are the instances in failure domains that are not represented yet, or
+ * all remaining ones if there are none. Only serving instances are candidates.
  */
 export function chooseAddresses(
   members: readonly MemberInfo[],
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * Registry of running incarnations in the table: registers this one and lists the others. Keeps no
- * state.
+ * Registry of incarnations (runs of instances' processes) in the table: registers this one and lists
+ * all. Peers find the holders of a terminated incarnation's entries by it. Keeps no state.
  */
 
 import * as z from 'zod'
@@ -18,7 +18,7 @@
 import { idSchema, identityMapping, decodeRowValue } from '../rowCodecs.js'
 import { INCARNATIONS_PARTITION, SEALING_PARTITION, incarnationKey } from '../tableKeys.js'
 
-/** The table's record of a running incarnation. */
+/** The table's record of an incarnation that is running or not yet reclaimed. */
 export interface IncarnationRecord {
   readonly instanceId: InstanceId
   readonly incarnation: IncarnationId
@@ -40,7 +40,7 @@
   identityMapping<IncarnationRecord>(incarnationSchema),
 )
 
-/** Registers this incarnation of an instance and lists the others. */
+/** Registers incarnations and lists them. */
 export class IncarnationRegistry {
   constructor(
     private readonly table: TableService,
@@ -48,9 +48,9 @@
   ) {}
 
   /**
-   * Registers an incarnation, then returns the incarnations that are being sealed. With this order,
-   * a sealer either sees this registration and asks this incarnation for held entries, or its
-   * announcement is seen here and no entries of its target are accepted.
+   * Registers an incarnation, then returns the incarnations that are being sealed; the caller must
+   * accept no entries from them. With this order, a sealer either sees this registration and asks
+   * this incarnation for held entries, or the registration returns the sealer's target.
    */
   async register(record: IncarnationRecord): Promise<readonly IncarnationId[]> {
     await this.put(record)
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -1,6 +1,7 @@
 /**
- * A lease in the table, with an epoch that fences its holder's orders. Owns the time until which
- * this instance holds the lease, on its own clock.
+ * A lease in the table, which selects one instance for work that not all instances should do. Its
+ * epoch fences the holder's orders: recipients refuse an order of an earlier holder. Owns the time
+ * until which this instance holds the lease, on its own clock.
  */
 
 import * as z from 'zod'
@@ -28,6 +29,7 @@
   identityMapping<LeaseRow>(z.object({ holder: idSchema<IncarnationId>(), epoch: z.number() })),
 )
 
+/** The version of the lease's row as last read, and since when it has been unchanged. */
 interface Observation {
   readonly version: number
   readonly since: Milliseconds
@@ -45,8 +47,8 @@
 
 /**
  * A lease in the table. The lease selects one holder for efficiency; the holder's orders are safe
- * because every recipient compares the epoch. A holder that was paused may still believe that it
- * has an expired lease, so nothing may rely on the lease alone.
+ * because every recipient compares the epoch. A holder that was paused may still act on an expired
+ * lease, so nothing may rely on the lease alone.
  */
 export class Lease {
   private observed: Observation | undefined
@@ -62,7 +64,8 @@
 
   /**
    * Renews the lease, or acquires it if its holder has not renewed it for the lease's duration.
-   * Returns the epoch if this instance holds the lease.
+   * Returns the epoch if this instance holds the lease, also if the table does not answer and the
+   * last renewal is still valid.
    */
   async acquireOrRenew(): Promise<number | undefined> {
     try {
@@ -77,7 +80,7 @@
   }
 
   /**
-   * Whether the lease has expired: its row was seen unchanged for the whole duration on this
+   * Whether the lease has no row, or its row was seen unchanged for longer than the duration on this
    * instance's own clock.
    */
   private isExpired(row: Row | undefined): boolean {
@@ -90,7 +93,7 @@
   }
 
   private async write(epoch: number, row: Row | undefined): Promise<void> {
-    const asked = this.parts.clock.sinceStart()
+    const sentAt = this.parts.clock.sinceStart()
     const id = asId<TransactionId>(this.parts.random.uniqueId())
     const value: LeaseRow = { holder: this.parts.incarnation, epoch }
     const result = await this.parts.table.transact(id, [
@@ -104,8 +107,8 @@
     ])
     if (!result.committed) return
     this.heldEpoch = epoch
-    // Counted from before the write was sent, since that is when other instances may start to
-    // count.
-    this.heldUntil = asked + this.parts.durationMilliseconds
+    // The duration is counted from before the write was sent, since other instances may see the new
+    // row, and start to count, at any time after that.
+    this.heldUntil = sentAt + this.parts.durationMilliseconds
   }
 }
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -1,7 +1,10 @@
 /**
- * Directory of the instances of a gateway fleet, based on their rows in the store. Owns this
- * instance's row and the times at which the other rows were seen to change. Relies on the mirror of
- * the table for reading the rows, and on the store for writing its own.
+ * Directory of the instances of a gateway fleet, based on their rows in the store. Each instance
+ * renews its row with heartbeats; one whose row does not change for the silence timeout is silent
+ * and counts as not serving. Without the directory, instances would not know with whom they share
+ * budgets and to whom they can send callers. Owns this instance's row and the times at which the
+ * rows were seen to change. Relies on the mirror of the table for reading the rows, and on the store
+ * for writing its own.
  */
 
 import type { RecordedInstance } from '@rackwalk/decisions'
@@ -19,7 +22,7 @@
   >
   /** Requests per second that this instance currently receives. */
   readonly requestsPerSecond: () => number
-  /** Whether callers are sent here; if not, the row is renewed less often. */
+  /** Whether callers are sent to this instance; if not, the row is renewed less often. */
   readonly isActive: () => boolean
   readonly store: RowStore
   readonly storeClock: StoreClock
@@ -34,11 +37,11 @@
   readonly silenceMilliseconds: Milliseconds
   /** Write rate that the partition of all rows can take, per second. */
   readonly partitionWritesPerSecond: number
-  /** Called when an instance appears or starts to drain. */
+  /** Called when an instance appears or its state changes, also for this instance. */
   readonly onStateChange: (instance: string, state: MemberState) => void
   /**
-   * Called when the row of a new incarnation was seen for the first time: this instance's own, once
-   * written, or another instance's, once read.
+   * Called once for each incarnation (run of an instance's process) whose row becomes known: for
+   * this instance after its first successful write, for another instance after its row was read.
    */
   readonly onRegistered?: (isSelf: boolean) => void
   /** Called for a malformed row; the row is ignored and the last valid version is kept. */
@@ -48,39 +51,40 @@
 interface KnownMember {
   row: MemberRow
   version: number
-  /** Observed time at which the row was last seen to change. */
+  /** Value of `observedTime` at which the row was last seen to change. */
   changedAt: Milliseconds
 }
 
 /**
- * A gap between two reads counts as at most this long, since a longer one gives no evidence about
- * other instances.
+ * Maximum part of the time between two reads that counts as observed. A longer time without a read
+ * gives no evidence about other instances.
  */
 const LONGEST_COUNTED_GAP_MILLISECONDS = 1_500
 /**
- * Share of the partition's write rate that heartbeats may use; in larger fleets, heartbeats slow
- * down.
+ * Share of the partition's write rate that heartbeats may use. In a fleet whose heartbeats would
+ * exceed it, heartbeats slow down.
  */
 const HEARTBEAT_SHARE = 0.4
-/** Factor by which a standby instance renews its row less often. */
+/** Factor on the time between two heartbeats of a standby instance, to which no callers are sent. */
 const STANDBY_FACTOR = 3
-/** Rows that were not renewed for this many silence timeouts are removed. */
+/** A row that was not renewed for more than this many silence timeouts is removed. */
 const REMOVE_AFTER_SILENCES = 20
 
 /**
- * Delay after which other instances know this one, counted from when its row was seen. While the
- * store answers, rows are read at least every 1.5 seconds, and one such read may fail.
+ * Time after this instance has seen its own row in a read, by which the other instances know it too.
+ * While the store answers, an instance reads the rows at least every 1.5 s, and one such read may
+ * fail.
  */
 const VISIBILITY_DELAY_MILLISECONDS = 3_000
 /**
- * Rate below which an instance does not count as working, so that single requests, such as a
- * configuration check, do not make it one that receives callers.
+ * Rate of requests below which an instance does not count as working, so that single requests, such
+ * as a configuration check, do not make it count as one that receives callers.
  */
 const WORKING_REQUESTS_PER_SECOND = 1
 
 /**
- * Time that an instance waits for the rows before it assumes that it is the only one; a store or
- * peer that answers delivers them in a tenth of this time.
+ * Time after its start for which an instance waits for the rows before it assumes that it is the only
+ * one; a store or peer that answers delivers them in a tenth of this time.
  */
 const FIRST_READ_TIMEOUT_MILLISECONDS = 1_500
 
@@ -95,9 +99,9 @@
   private timer: Timer | undefined
   private wasWritten = false
   /**
-   * Total time during which this instance read the rows without a gap. Silence is measured in it:
-   * an instance that was disconnected itself must not treat all others as terminated when it
-   * reconnects.
+   * Total time during which this instance read the rows without a long gap. Silence is measured in
+   * this time: an instance that lost its own connection to the store must not treat all others as
+   * terminated when it reconnects.
    */
   private observedTime: Milliseconds = 0
   private lastReadAt: Milliseconds | undefined
@@ -127,12 +131,13 @@
     await this.write()
   }
 
-  /** Removes this instance's row. */
+  /** Stops the heartbeats and removes this instance's row. */
   async leave(): Promise<void> {
     this.stop()
     await this.parts.store.write({ conditions: [], puts: [], removals: [this.address()] })
   }
 
+  /** Applies rows of the table; with `isWhole`, they are all its rows. */
   observe(rows: readonly ChangedRow[], isWhole: boolean): void {
     for (const row of rows) this.observeRow(row)
     this.noteOwnRow(rows)
@@ -142,7 +147,7 @@
     for (const key of this.members.keys()) if (!present.has(key)) this.members.delete(key)
   }
 
-  /** Records a successful read of the table. */
+  /** Records a successful read of the table, which adds to the observed time. */
   noteRead(): void {
     const now = this.parts.clock.monotonic()
     const gap = now - (this.lastReadAt ?? now)
@@ -151,9 +156,9 @@
   }
 
   /**
-   * Whether the other instances are known: all rows were received once, or none arrived within the
-   * timeout. Callers that ask earlier get no addresses: in a fleet whose instances all start at
-   * once, each would name only itself.
+   * Whether the other instances count as known: all rows were received once, or the timeout has
+   * passed since the start. Callers that ask for addresses earlier get none: in a fleet whose
+   * instances all start at once, each would return only its own address.
    */
   get isInitialized(): boolean {
     if (this.loaded) return true
@@ -233,10 +238,10 @@
   private noteOwnRow(rows: readonly ChangedRow[]): void {
     const { instance } = this.parts.self
     if (this.recordedSince !== undefined || !rows.some(({ key }) => key === instance)) return
-    // A row that existed before this instance's first read is an earlier incarnation's, so all
-    // instances know it.
-    const isOlder = !this.loaded
-    this.recordedSince = isOlder ? Number.NEGATIVE_INFINITY : this.parts.clock.monotonic()
+    // A row that the first read of the table returns counts as that of an earlier incarnation, so
+    // all instances know this one already.
+    const isPredecessor = !this.loaded
+    this.recordedSince = isPredecessor ? Number.NEGATIVE_INFINITY : this.parts.clock.monotonic()
   }
 
   private isServing(member: KnownMember): boolean {
@@ -244,7 +249,7 @@
     return this.observedTime - member.changedAt < this.silenceTimeoutOf(member)
   }
 
-  /** A member whose row has not changed for this long counts as terminated. */
+  /** Returns the observed time without a change of the row after which the member counts as silent. */
   private silenceTimeoutOf({ row }: KnownMember): Milliseconds {
     const { silenceMilliseconds, heartbeatMilliseconds } = this.parts
     return (silenceMilliseconds / heartbeatMilliseconds) * row.renewalMilliseconds
@@ -274,7 +279,7 @@
     this.parts.onRegistered?.(true)
   }
 
-  /** Removes one row that is no longer renewed, so that such rows do not accumulate. */
+  /** Removes one row that is no longer renewed, if any, so that such rows do not accumulate. */
   private async removeStaleRow(): Promise<void> {
     const stale = [...this.members].find(
       ([, member]) =>
--- a/packages/coordination/src/membership/memberRow.ts
+++ b/packages/coordination/src/membership/memberRow.ts
@@ -1,6 +1,6 @@
 /**
  * The row with which an instance of a gateway fleet announces itself, and its stored form. Each
- * instance writes only its own row; all rows are in one partition.
+ * instance announces only itself; all rows are in one partition.
  */
 
 import * as z from 'zod'
@@ -18,6 +18,7 @@
 /** An instance's announcement, rewritten with each heartbeat. */
 export interface MemberRow {
   readonly instance: string
+  /** Id of this run of the instance's process. */
   readonly incarnation: string
   readonly region: string
   readonly failureDomain: string
@@ -34,10 +35,14 @@
   readonly state: MemberState
   /** Counts the writes of this incarnation. */
   readonly heartbeat: number
-  /** Time until the next write; only a longer time without a change counts as silence. */
+  /**
+   * Mean time until the next write. The time without a change after which other instances treat this
+   * one as silent is proportional to it.
+   */
   readonly renewalMilliseconds: Milliseconds
   /**
-   * Whether it serves requests relayed to its peer address; earlier software versions omit this.
+   * Whether the instance serves requests that peers relay to its peer address; earlier software
+   * versions omit the field.
    */
   readonly takesRelays?: boolean | undefined
 }
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -15,14 +15,17 @@
 } from '@rackwalk/shared'
 import type { GroupDigest, MemberInfo } from '../peerMessages.js'
 
-/** Up to this many instances, all instances of a region exchange heartbeats with each other. */
+/**
+ * If fewer members than this are known of a region, besides this instance, all instances of the
+ * region exchange heartbeats with each other; otherwise those of each failure domain do.
+ */
 const REGION_MESH_LIMIT = 24
-/** Every this many rounds, heartbeats within the group carry digests. */
+/** Number of rounds between two rounds whose heartbeats within the group carry digests. */
 const DIGEST_PERIOD = 5
 
-/** Timeouts of membership. */
+/** Timeout of membership. */
 export interface MembershipTimings {
-  /** A member without a heartbeat for this long is not live. */
+  /** A member of the own group from which nothing was heard for longer than this is not live. */
   readonly silenceMilliseconds: Milliseconds
 }
 
@@ -48,8 +51,8 @@
 }
 
 /**
- * A member that was silent for more than this many silence timeouts no longer shares fleet-wide
- * limits.
+ * A member from which nothing was heard for more than this many silence timeouts no longer counts
+ * among the instances that share fleet-wide limits.
  */
 const RETENTION_SILENCES = 12
 /** Maximum age of a cached view of the live members. */
@@ -145,8 +148,9 @@
   }
 
   /**
-   * Instances that may exist although they have been silent lately, including this one. They share
-   * the limits of the whole fleet, whichever parts of it can reach each other.
+   * Instances that may still run, including this one and those that are no longer live but were
+   * heard from within the last 12 silence timeouts. They share the limits of the whole fleet,
+   * whichever parts of the fleet can reach each other.
    */
   get recentInstances(): readonly InstanceId[] {
     const oldest = this.clock.monotonic() - RETENTION_SILENCES * this.timings.silenceMilliseconds
@@ -166,8 +170,8 @@
   }
 
   /**
-   * Returns the heartbeats of this round: one to each live member of the own group and one to a
-   * member of another group.
+   * Returns the heartbeats of this round: one to each live member of the own group, and one to a
+   * random live member of another group, if there is any.
    */
   planHeartbeats(): readonly PlannedHeartbeat[] {
     this.roundNumber += 1
@@ -239,7 +243,10 @@
     }
   }
 
-  /** Returns true if the group's members differ from those known here. */
+  /**
+   * Applies a digest of another group. Returns true if its `beat` has changed and the group's live
+   * members differ from those that this instance knows.
+   */
   private mergeDigest(digest: GroupDigest): boolean {
     if (digest.group === this.ownGroup) return false
     const known = this.groups.get(digest.group)
@@ -250,6 +257,7 @@
     return hasChanged && hashOf(this.membersOf(digest.group)) !== digest.membersHash
   }
 
+  /** Whether a member is live: it, or a digest of its group, was heard of recently enough. */
   private isRecentlyHeard(known: KnownMember): boolean {
     const oldest = this.clock.monotonic() - this.timings.silenceMilliseconds
     const group = this.groups.get(this.groupOf(known.info))
@@ -259,7 +267,7 @@
     return group.heardAt >= oldest - this.timings.silenceMilliseconds
   }
 
-  /** Removes the earlier incarnations of an instance when a new one reports. */
+  /** Removes the other incarnations of an instance when one of its incarnations reports. */
   private forgetPredecessors(info: MemberInfo): void {
     for (const [incarnation, known] of this.members) {
       const isPredecessor =
--- a/packages/coordination/src/membership/reaper.ts
+++ b/packages/coordination/src/membership/reaper.ts
@@ -1,6 +1,7 @@
 /**
- * Finds terminated incarnations, has them sealed and their allocations returned. Owns the time
- * since which each has been missing.
+ * Finds terminated incarnations (runs of instances' processes), has them sealed and their
+ * allocations returned. Without the reaper, tokens that a crashed instance held would be lost to
+ * their budgets. Owns the time since which each incarnation has been missing.
  */
 
 import type { Clock, IncarnationId, Milliseconds } from '@rackwalk/shared'
@@ -18,19 +19,21 @@
   readonly membership: Membership
   readonly reclaimer: Reclaimer
   readonly createSealer: (isConfirmedDead: (incarnation: IncarnationId) => boolean) => Sealer
+  /** Maximum lag of the platform's list of instances. */
   readonly listLagMilliseconds: Milliseconds
 }
 
 /**
  * Finds terminated incarnations, seals them and returns their allocations. Nothing that a sealed
  * incarnation still does can become a bill, so there is no need to wait until its requests would
- * have ended (docs/design/budgets.md). Silence alone is never sufficient: the platform's list must
- * lack the instance, or a newer incarnation must have replaced it, for longer than the list's lag.
- * A process whose address is served by another incarnation has terminated, which needs no wait:
- * after a simultaneous power loss of all instances, such processes hold nearly all tokens of every
- * budget.
+ * have ended (docs/design/budgets.md). Silence alone is never sufficient: for at least the list's
+ * lag, the platform's list must lack the instance, or another incarnation of the instance must be
+ * live. If that other incarnation serves the same peer address, the process has terminated, which
+ * needs no wait: after a simultaneous power loss of all instances, such processes hold nearly all
+ * tokens of every budget.
  */
 export class Reaper {
+  /** Monotonic time since when each incarnation has been unlisted or replaced. */
   private readonly missingSince = new Map<IncarnationId, Milliseconds>()
   /** Incarnations whose addresses are now served by other incarnations of their instances. */
   private superseded: ReadonlySet<IncarnationId> = new Set()
@@ -51,8 +54,8 @@
   }
 
   /**
-   * Whether the platform has reported this incarnation as terminated for long enough, or its
-   * address is served by another one.
+   * Whether this incarnation has certainly terminated: it sends no heartbeats, and it has been
+   * missing for the list's lag or another incarnation serves its address.
    */
   isConfirmedDead(incarnation: IncarnationId): boolean {
     if (this.parts.membership.isLive(incarnation)) return false
@@ -77,13 +80,14 @@
   }
 
   private updateSuperseded(records: readonly IncarnationRecord[]): void {
-    const succeeded = records.filter(record => {
+    const superseded = records.filter(record => {
       const current = this.parts.membership.findInstance(record.instanceId)
       return this.isReplaced(record) && current?.peerAddress === record.peerAddress
     })
-    this.superseded = new Set(succeeded.map(({ incarnation }) => incarnation))
+    this.superseded = new Set(superseded.map(({ incarnation }) => incarnation))
   }
 
+  /** Whether another incarnation of the same instance is live. */
   private isReplaced(record: IncarnationRecord): boolean {
     const current = this.parts.membership.findInstance(record.instanceId)
     return current !== undefined && current.incarnation !== record.incarnation
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -1,6 +1,8 @@
 /**
- * Ends an incarnation permanently, by writing its held entries and a seal to its journal. Keeps no
- * state; may run on several instances at once.
+ * Ends an incarnation (one run of an instance's process) permanently, by writing its held entries
+ * and a seal to its journal. Held entries are those that peers keep in memory because the table did
+ * not accept them. Without sealing, a paused incarnation could still write bills after its tokens
+ * were given back. Keeps no state; may run on several instances at once.
  */
 
 import { RackwalkError, asId } from '@rackwalk/shared'
@@ -16,11 +18,11 @@
 import type { IncarnationRecord, IncarnationRegistry } from './incarnationRegistry.js'
 
 /**
- * Maximum number of entries written for a terminated writer per slot, so that a slot stays under
- * the row size limit.
+ * Maximum number of held entries written to one slot of the target's journal, so that the slot stays
+ * under the row size limit.
  */
 const ENTRIES_PER_SLOT = 500
-/** Maximum number of rows besides the slot in one transaction. */
+/** Maximum number of attached rows in one transaction, besides the slot; the table allows 100 rows. */
 const ATTACHMENTS_PER_SLOT = 90
 
 /**
@@ -37,22 +39,23 @@
   readonly peers: PeerChannel
   readonly random: RandomSource
   readonly counters: Counters
-  /** Whether the platform has reported that this incarnation's machine no longer exists. */
+  /** Whether an incarnation is known to have terminated, so that it need not hand over entries. */
   readonly isConfirmedDead: (incarnation: IncarnationId) => boolean
-  /** Contains entries of writers whose holders may have terminated. */
+  /** Archive with entries of writers whose holders may have terminated as well. */
   readonly archive?: HeldEntryArchive
 }
 
 /**
- * Ends an incarnation permanently. First, every registered peer of its region hands over the
- * entries it holds for the target and accepts no more; then those entries and the seal are written
- * to the target's own journal. From then on the target can neither write nor have entries held,
- * whether it has crashed, is paused or is disconnected, so nothing it does afterwards can become a
- * bill.
+ * Ends an incarnation permanently. First, every registered peer of its region that is not known to
+ * have terminated hands over the entries that it holds for the target and accepts no more. Then
+ * those entries, archived ones and the seal are written to the target's own journal. From then on
+ * the target can neither write nor have entries held, whether it has crashed, is paused or is
+ * disconnected, so nothing that it does afterwards can become a bill.
  */
 export class Sealer {
   constructor(private readonly parts: SealerParts) {}
 
+  /** Seals an incarnation; may be repeated. */
   async seal(target: IncarnationRecord): Promise<SealOutcome> {
     try {
       await this.announce(target.incarnation)
@@ -76,7 +79,8 @@
         value: { by: this.parts.incarnation },
       },
     ])
-    // A conflict means that another instance announced it earlier, which has the same effect.
+    // A conflict means that another instance announced the sealing earlier, which has the same
+    // effect.
   }
 
   /**
@@ -96,8 +100,8 @@
       if (items === undefined) return undefined
       for (const item of items) collected.set(item.index, item)
     }
-    // By now the holders accept no more entries, so no entry archived after this read can count as
-    // held.
+    // The archive is read last: the holders accept no more entries now, so no entry that is archived
+    // after this read can count as held.
     const archived = (await this.parts.archive?.read(target.incarnation)) ?? []
     for (const item of archived) collected.set(item.index, item)
     return [...collected.values()].sort((left, right) => left.index - right.index)
