--- a/packages/coordination/src/claims/claimRow.ts
+++ b/packages/coordination/src/claims/claimRow.ts
@@ -17,6 +17,7 @@
   readonly state: ClaimState
   readonly incarnation: IncarnationId
   readonly requestId: RequestId
+  /** Wall-clock time at which the row was written. */
   readonly claimedAt: Milliseconds
   readonly code?: ResultCode
 }
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -1,5 +1,7 @@
 /**
- * Claims of requests that may run at most once. Owns the attempts of this incarnation and their
+ * Claims of requests that may run at most once: the row of a request's idempotency key records which
+ * attempt may run. Without claims, a caller's retry at another instance could run the request a
+ * second time. Owns the attempts of this incarnation (run of the instance's process) and their
  * states. Relies on the journal to make a claim durable, and on peers to report the state of their
  * claims.
  */
@@ -34,7 +36,8 @@
 
 /**
  * Outcome of a claim. `running`, `ran` and `unknown` refer to an earlier request with the same key;
- * `unconfirmed` means that no request may be dispatched on this claim.
+ * `unknown` means that the earlier request may have run. `unconfirmed` means that the claim was not
+ * confirmed in time, so that no request may be dispatched on it.
  */
 export type ClaimResult =
   | { readonly kind: 'claimed'; readonly claim: Claim }
@@ -56,18 +59,18 @@
   readonly timeoutMilliseconds: Milliseconds
 }
 
-/** Maximum number of attempts to claim a key before the caller is asked to retry later. */
+/** Maximum number of attempts to claim a key whose earlier claims were released. */
 const MAXIMUM_TAKEOVERS = 3
 /**
- * Maximum number of claims whose state is kept for peers; the states of older finished claims are
- * read from the table.
+ * Number of attempts above which the states of the oldest finished ones are dropped; peers then learn
+ * their results only from the table.
  */
 const REMEMBERED_CLAIMS = 50_000
 
 /**
  * Claims of requests that may run at most once. A claim is durable before its request is
- * dispatched; it is written with the journal's group commit. An instance that finds another
- * request's claim reports its state and never runs the request again.
+ * dispatched; it is written with the journal's group commit. An instance that finds an earlier claim
+ * of the key reports the state of that claim, and runs the request only if the claim was released.
  */
 export class Claims {
   /** States of all attempts of this incarnation; a state other than `claimed` is final. */
@@ -77,7 +80,7 @@
 
   constructor(private readonly parts: ClaimsParts) {}
 
-  /** Claims a key, or returns the state of the existing claim. */
+  /** Claims a key, or returns the state of the existing claim of the key. */
   async claim(teamId: TeamId, key: IdempotencyKey, requestId: RequestId): Promise<ClaimResult> {
     const name = nameOf(teamId, key)
     const earlier = this.running.get(name)
@@ -98,14 +101,17 @@
   }
 
   /**
-   * Records that the request has finished, so that peers that ask learn of it before the row is
-   * written.
+   * Records that the request has finished. Until the row is written, peers that ask are told so and
+   * report the request as `unknown`, since its result is only in the row.
    */
   noteDone(claim: Claim): void {
     this.end(claim.teamId, claim.key, claim.requestId, 'done')
   }
 
-  /** Releases a claim whose request was refused before dispatch. */
+  /**
+   * Releases a claim whose request was refused before dispatch; returns undefined if the journal was
+   * sealed.
+   */
   release(claim: Claim): JournalTicket | undefined {
     this.end(claim.teamId, claim.key, claim.requestId, 'released')
     return this.journalRelease(claim)
@@ -160,6 +166,7 @@
     return this.parts.journal.append({ attachment: write })
   }
 
+  /** `timeout` also if the journal was sealed; `lost` if the claim's condition failed. */
   private awaitWrite(ticket: JournalTicket): Promise<'durable' | 'lost' | 'timeout'> {
     return new Promise(resolve => {
       const timer = this.parts.clock.after(this.parts.timeoutMilliseconds, () => resolve('timeout'))
@@ -203,7 +210,10 @@
     }
   }
 
-  /** Determines what an existing claim means for a new request with the same key. */
+  /**
+   * Determines what an existing claim means for a new request with the same key. For a claim whose
+   * row says `claimed`, asks the incarnation that holds it.
+   */
   private async classifyClaim(row: ClaimRow): Promise<ClaimResult | 'released'> {
     const { requestId } = row
     if (row.state === 'released') return 'released'
--- a/packages/coordination/src/claims/keyRegistrar.ts
+++ b/packages/coordination/src/claims/keyRegistrar.ts
@@ -1,7 +1,7 @@
 /**
- * Registers which instance runs the request with a given idempotency key, as a hint that keeps a
- * caller's retry from running alongside its first attempt. Owns the keys that hashing assigns to
- * this instance.
+ * Registers which instance runs the request with a given idempotency key, so that a caller's retry
+ * at another instance does not run alongside its first attempt. Rendezvous hashing over the live
+ * instances assigns each key to one of them, its registrar. Owns the keys assigned to this instance.
  */
 
 import type {
@@ -15,25 +15,26 @@
 import type { KeyRegistration, PeerChannel, PeerReply, PeerRequest } from '../peerMessages.js'
 import { rendezvousChoice } from '@rackwalk/decisions'
 
+/** The newest attempt with a key; `partial`: it ended without a complete answer. */
 interface RegisteredKey {
   readonly incarnation: IncarnationId
   readonly requestId: PeerRequest<'registerKey'>['requestId']
   readonly fingerprint: string
   readonly state: 'running' | 'partial' | 'complete'
+  /** Tokens billed for all attempts with the key so far. */
   readonly creditedTokens: TokenCount
   readonly updatedAt: Milliseconds
 }
 
-/** How long a finished key is remembered, for callers that retry. */
+/** Time for which a finished key is kept at least, for callers that retry. */
 const KEY_RETENTION_MILLISECONDS = 10 * 60_000
-/** Maximum number of keys remembered; the oldest are dropped first. */
+/** Maximum number of keys kept; those that were not updated for longest are dropped first. */
 const MAXIMUM_KEYS = 100_000
 
 /**
- * Registers which incarnations run the requests whose keys rendezvous hashing assigns to this
- * instance, so that a caller's retry at another instance does not run alongside the first attempt.
- * This is a hint: if it is lost, a repeatable request may run twice, but it is billed once, by its
- * key.
+ * Registers which incarnations (runs of instances' processes) run the requests whose keys are
+ * assigned to this instance. The registration is only a hint: if it is lost, a repeatable request
+ * may run twice, but it is billed once, by its key.
  */
 export class KeyRegistrar {
   private readonly keys = new Map<string, RegisteredKey>()
@@ -43,6 +44,10 @@
     private readonly isLive: (incarnation: IncarnationId) => boolean,
   ) {}
 
+  /**
+   * Returns what is known about the key, and registers the request as running unless an attempt is
+   * running, the key belongs to a different request, or a complete request may not be repeated.
+   */
   register(request: PeerRequest<'registerKey'>): KeyRegistration {
     this.forgetOldKeys()
     const name = nameOf(request.teamId, request.key)
@@ -50,7 +55,7 @@
     const answer =
       known === undefined ? { state: 'first' as const } : this.classifyKey(known, request)
     if (answer.state === 'running' || answer.state === 'mismatch') return answer
-    // This request will be refused, so it is not registered as running: its end would never be
+    // The caller refuses this request, so it is not registered as running: its end would never be
     // reported.
     if (answer.state === 'ended' && answer.complete && !request.repeatable) return answer
     const { incarnation, requestId, fingerprint } = request
@@ -59,13 +64,17 @@
     return answer
   }
 
+  /**
+   * Records the end of the attempt that is registered; forgets the key if the attempt was incomplete
+   * and nothing was billed for the key.
+   */
   end(request: PeerRequest<'endKey'>): PeerReply<'endKey'> {
     const name = nameOf(request.teamId, request.key)
     const known = this.keys.get(name)
     if (known?.requestId !== request.requestId) return {}
     const creditedTokens = known.creditedTokens + request.billedTokens
-    const hasTrace = request.complete || creditedTokens > 0
-    if (!hasTrace) this.keys.delete(name)
+    const isKept = request.complete || creditedTokens > 0
+    if (!isKept) this.keys.delete(name)
     else {
       const state = request.complete ? 'complete' : 'partial'
       this.remember(name, { ...known, state, creditedTokens })
@@ -112,8 +121,8 @@
   ) {}
 
   /**
-   * Registers a key; also returns `first` if the registrar cannot be reached, since it is only a
-   * hint.
+   * Registers a key. Returns `first` if the registrar cannot be reached, since the registration is
+   * only a hint.
    */
   async register(request: PeerRequest<'registerKey'>): Promise<KeyRegistration> {
     const registrar = this.registrarOf(request.teamId, request.key)
@@ -125,6 +134,7 @@
     }
   }
 
+  /** Reports the end of an attempt; ignores a failed call. */
   async end(request: PeerRequest<'endKey'>): Promise<void> {
     const registrar = this.registrarOf(request.teamId, request.key)
     if (registrar === this.incarnation) this.local.end(request)
