--- a/packages/coordination/src/crashes/crashRecordStore.ts
+++ b/packages/coordination/src/crashes/crashRecordStore.ts
@@ -1,10 +1,13 @@
 /**
- * Stores which requests crashed endpoints, so that this information reaches instances that cannot
- * hear others, and those that start after all others have terminated. Owns the marks and removals
- * to be written, and the rows as last seen.
+ * Stores which requests crashed endpoints, in one row per request. A crash mark says that a request
+ * crashed an endpoint in one of its starts (runs). Peers report crashes to each other directly; the
+ * rows inform instances that no peer can reach, and those that start after all others have
+ * terminated. Without them, such an instance would send the request to further endpoints. Owns the
+ * marks and removals to be written, and the rows as last seen.
  *
- * Marks are only added to a row, so two concurrent writers lose nothing. Removing a row clears its
- * request.
+ * Marks are only added to a row, and each write is conditional on the row's version, so that
+ * concurrent writers lose no marks. Removing a row clears its request: it no longer counts as one
+ * that crashes endpoints.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
@@ -28,7 +31,10 @@
   readonly clock: Clock
   /** Called with the crash marks of rows that were read. */
   readonly onMarks: (marks: readonly CrashMark[]) => void
-  /** Called when the row of a request was removed. */
+  /**
+   * Called when a known row of a request no longer exists; not for removals that this instance has
+   * completed itself.
+   */
   readonly onCleared: (fingerprint: RequestFingerprint) => void
   readonly onMalformedRow: (row: RowAddress) => void
 }
@@ -37,15 +43,15 @@
   readonly row: CrashRow
   readonly version: number
   /**
-   * Whether the row was received from the store. A read that was in flight may not contain rows
-   * written since.
+   * Whether the row was received from the store, and not only written by this instance. A read that
+   * was in flight during a write may lack the written row, which must not count as removed.
    */
   readonly isSeen: boolean
 }
 
 /**
- * Maximum number of rows put, and of rows removed, in one transaction; a platform allows 100
- * entries.
+ * Maximum number of rows put, and of rows removed, in one transaction; a platform allows 100 rows in
+ * total.
  */
 const ROWS_PER_WRITE = 50
 /** Delay before a failed write is retried. */
@@ -66,7 +72,8 @@
   }
 
   /**
-   * Queues crashes that this instance observed; they are written as soon as the store accepts them.
+   * Queues crashes that this instance observed and cancels queued removals of the same requests. The
+   * marks are written as soon as the store accepts them.
    */
   record(marks: readonly CrashMark[]): void {
     for (const [fingerprint, own] of groupBy(marks, mark => mark.fingerprint)) {
@@ -76,7 +83,7 @@
     this.writeSoon()
   }
 
-  /** Removes the row of a request that was cleared. */
+  /** Drops the unwritten marks of a cleared request and queues the removal of its row, if known. */
   remove(fingerprint: RequestFingerprint): void {
     this.unwritten.delete(fingerprint)
     if (!this.rows.has(fingerprint)) return
@@ -127,7 +134,7 @@
     })
   }
 
-  /** Runs one transaction; whatever it could not write stays queued. */
+  /** Runs one transaction; marks and removals that it does not write stay queued. */
   private async write(): Promise<void> {
     const puts = [...this.unwritten].slice(0, ROWS_PER_WRITE)
     const removals = [...this.removals].slice(0, ROWS_PER_WRITE)
@@ -170,13 +177,14 @@
   }
 
   /**
-   * Applies the current rows after another instance's write, so that the next attempt is based on
-   * them.
+   * Applies the current rows after a write was rejected because another instance had changed a row,
+   * so that the next attempt is based on them.
    */
-  private noteConflict(rows: readonly StoredRow[], asked: readonly RequestFingerprint[]): void {
+  private noteConflict(rows: readonly StoredRow[], attempted: readonly RequestFingerprint[]): void {
     const present = new Set(rows.map(({ key }) => key))
     for (const row of rows) this.observeRow(row)
-    for (const fingerprint of asked) if (!present.has(fingerprint)) this.rows.delete(fingerprint)
+    for (const fingerprint of attempted)
+      if (!present.has(fingerprint)) this.rows.delete(fingerprint)
     for (const key of this.removals) if (!this.rows.has(key)) this.removals.delete(key)
   }
 }
--- a/packages/coordination/src/crashes/crashRow.ts
+++ b/packages/coordination/src/crashes/crashRow.ts
@@ -1,6 +1,6 @@
 /**
- * The row that records crashes of endpoints caused by one request, and its stored form. Its key is
- * the request's fingerprint.
+ * The row that records crashes of endpoints caused by one request, and its stored form. The key of
+ * the row is the request's fingerprint. An endpoint start is one run of an endpoint.
  */
 
 import * as z from 'zod'
@@ -15,16 +15,16 @@
 export const CRASH_PARTITION = ''
 
 /**
- * A record is kept for this long after the newest crash. A request that arrives daily stays
- * recognized; one that is still sent after its record expired costs two endpoints per week until an
- * operator acts.
+ * A record is kept for this long after crashes were last added to it. A request that crashes
+ * endpoints more often than that stays recognized. One that is still sent after its record expired
+ * costs two endpoints per week until an operator acts.
  */
 export const CRASH_RETENTION_MILLISECONDS: Milliseconds = 7 * 24 * 3_600_000
 
 /** One crash of an endpoint caused by the request. */
 interface RecordedCrash {
   readonly start: EndpointStart
-  /** Whether the request was sent there in isolation, as a suspect. */
+  /** Whether the request was sent to the endpoint in isolation, as a suspect. */
   readonly wasIsolated: boolean
 }
 
@@ -32,8 +32,8 @@
 export interface CrashRow {
   readonly ends: readonly RecordedCrash[]
   /**
-   * Time of day of the newest crash, by the clock of the instance that observed it; milliseconds
-   * since 1970.
+   * Wall-clock time at which crashes were last added to the record, by the clock of the instance
+   * that wrote the row; milliseconds since 1970.
    */
   readonly at: Milliseconds
 }
@@ -66,7 +66,10 @@
   return ends.map(({ start, wasIsolated }) => ({ fingerprint, start, wasIsolated }))
 }
 
-/** Returns the row with further crash marks added. */
+/**
+ * Returns the row with further crash marks added, at wall-clock time `at`. Of several marks of the
+ * same endpoint start one remains, which counts as isolated if any of them does.
+ */
 export function addCrashMarks(
   row: CrashRow | undefined,
   marks: readonly CrashMark[],
--- a/packages/coordination/src/crashes/crashTableSync.ts
+++ b/packages/coordination/src/crashes/crashTableSync.ts
@@ -1,7 +1,8 @@
 /**
- * Records of requests that crash endpoints, for the OpenAI-style kind: rows of its table. They are
- * read only periodically, since peers report crashes to each other immediately. Owns the marks and
- * removals to be written, and the rows seen.
+ * Records of requests that crash endpoints, for the OpenAI-style kind: rows of its table. A crash
+ * mark says that a request crashed an endpoint in one of its starts (runs). The rows are read only
+ * periodically, since peers report crashes to each other immediately; they inform instances that
+ * start later. Owns the marks and removals to be written, and the keys of the rows last read.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
@@ -24,7 +25,7 @@
   readonly random: RandomSource
   /** Called with the crash marks of rows that were read. */
   readonly onMarks: (marks: readonly CrashMark[]) => void
-  /** Called when the row of a request was removed. */
+  /** Called when a row that the previous read returned no longer exists. */
   readonly onCleared: (fingerprint: RequestFingerprint) => void
 }
 
@@ -41,15 +42,18 @@
     this.unwritten = [...this.unwritten, ...marks]
   }
 
-  /** Queues the removal of a cleared request's row for the next synchronization. */
+  /**
+   * Drops the unwritten marks of a cleared request and queues the removal of its row for the next
+   * synchronization. The removal is done after the writes, and also removes marks recorded since.
+   */
   remove(fingerprint: RequestFingerprint): void {
     this.unwritten = this.unwritten.filter(mark => mark.fingerprint !== fingerprint)
     this.removals = [...this.removals, fingerprint]
   }
 
   /**
-   * Writes queued changes and reads what other instances wrote; throws if the table does not
-   * answer.
+   * Writes queued marks and removals, then reads all rows and removes expired ones; throws if the
+   * table does not answer.
    */
   async synchronize(): Promise<void> {
     await this.writeAll()
@@ -71,8 +75,8 @@
   }
 
   /**
-   * Returns false if another instance wrote the row concurrently; the next synchronization is based
-   * on that row.
+   * Adds marks to the row of a request. Returns false if another instance wrote the row
+   * concurrently; the next synchronization tries again on the basis of the new row.
    */
   private async write(
     fingerprint: RequestFingerprint,
