--- a/packages/coordination/src/rows/storeClock.ts
+++ b/packages/coordination/src/rows/storeClock.ts
@@ -1,30 +1,35 @@
 /**
- * Bounds of the store's steady clock, derived from the times in its answers. Owns the newest
- * bounds.
+ * Bounds of the store's monotonic clock, derived from the times in its answers. Bounds of what an
+ * instance may spend, and of when an earlier incarnation had terminated, are stated in this time,
+ * which all instances share. Owns the newest bounds.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
 /**
- * Bounds of the store's steady clock, derived from the times in its answers: an answer was produced
- * after its call was sent and before it was received.
+ * Bounds of the store's monotonic clock, derived from the times in its answers: the store produced an
+ * answer after its call was sent and before the answer was received.
  */
 export class StoreClock {
-  private earliest: Milliseconds | undefined
-  private latest: Milliseconds | undefined
+  /** Lower bound of the store's time minus the time of this process's monotonic clock. */
+  private minimumOffset: Milliseconds | undefined
+  /** Upper bound of the same difference. */
+  private maximumOffset: Milliseconds | undefined
 
   constructor(private readonly clock: Clock) {}
 
-  /** Records an answer that has just been received. */
+  /** Records an answer that has just been received; one without a positive time is ignored. */
   recordAnswer(storeTime: Milliseconds, sentAt: Milliseconds): void {
     if (storeTime <= 0) return
-    this.earliest = storeTime - this.clock.monotonic()
-    this.latest = storeTime - sentAt
+    this.minimumOffset = storeTime - this.clock.monotonic()
+    this.maximumOffset = storeTime - sentAt
   }
 
   /** Lower bound of the store's current time; undefined before the first answer. */
   get lowerBound(): Milliseconds | undefined {
-    return this.earliest === undefined ? undefined : this.earliest + this.clock.monotonic()
+    return this.minimumOffset === undefined
+      ? undefined
+      : this.minimumOffset + this.clock.monotonic()
   }
 
   /**
@@ -32,6 +37,6 @@
    * before the first answer.
    */
   upperBoundAt(monotonic: Milliseconds): Milliseconds | undefined {
-    return this.latest === undefined ? undefined : this.latest + monotonic
+    return this.maximumOffset === undefined ? undefined : this.maximumOffset + monotonic
   }
 }
--- a/packages/coordination/src/rows/tableMirror.ts
+++ b/packages/coordination/src/rows/tableMirror.ts
@@ -1,7 +1,9 @@
 /**
- * A copy of one table of the row store, kept up to date from the store's change feed, or from peers
- * while the store does not answer. Owns the position in the feed and the rows seen; notifies its
- * listener of changes.
+ * A copy of one table of the row store, kept up to date from the store's change feed. A preferred
+ * upstream peer is read instead of the store while it provides recent rows, and other peers are
+ * asked while the store does not answer. Without such a peer, an instance that cannot reach the
+ * store would work with rows that grow ever staler. Owns the position in the feed (the version up
+ * to which changes are known) and the rows received; notifies its listener of changes.
  */
 
 import { sleep } from '@rackwalk/shared'
@@ -11,26 +13,29 @@
 /** Receives the notifications of a mirror. */
 export interface MirrorListener {
   /**
-   * Called with current rows. With `isWhole`, these are all rows of the partitions read: rows that
-   * are missing from them do not exist.
+   * Called with rows that were read; a removed row has no value. With `isWhole`, these are all rows
+   * of the partitions read, so that a row that is missing from them does not exist.
    */
   onRows(rows: readonly ChangedRow[], isWhole: boolean): void
-  /** Called when the table was read successfully, whether or not anything had changed. */
+  /** Called after each successful read, from the store or the upstream peer, with or without changes. */
   onRead?(): void
   /**
-   * Called when the listener threw while handling rows; the mirror continues with the next ones.
+   * Called when `onRows` has thrown; the mirror continues with the next rows.
    */
   onFault?(error: unknown): void
-  /** Called when the store starts or stops answering this mirror. */
+  /**
+   * Called when the store, or the upstream peer in its place, starts or stops answering this mirror,
+   * and after the first call.
+   */
   onReachabilityChange?(isReachable: boolean): void
 }
 
 /** Rows that one mirror sends to another. */
 export interface MirrorPage {
   readonly rows: readonly ChangedRow[]
-  /** Whether these are all rows, or only those that changed after the requested version. */
+  /** Whether the page contains all rows, or only those that changed after the requested version. */
   readonly isWhole: boolean
-  /** All changes up to this version are covered. */
+  /** The page covers all changes up to this version. */
   readonly version: number
   /** Staleness of the page when it was sent; undefined if the sender does not report it. */
   readonly age?: Milliseconds
@@ -55,7 +60,7 @@
   /** Whether the peer should be asked at present. */
   readonly isPreferred: () => boolean
   readonly ask: AskPeer
-  /** Pages that are staler than this are ignored. */
+  /** Pages that are staler than this when sent are ignored. */
   readonly maximumAgeMilliseconds: Milliseconds
 }
 
@@ -67,25 +72,29 @@
   readonly partitions: () => readonly string[]
   readonly clock: Clock
   readonly listener: MirrorListener
-  /** Asks peers for newer rows while the store does not answer. */
+  /** Asks other peers for newer rows, after a call to the store failed. */
   readonly askPeers?: AskPeer
-  /** Omitted if only the store is asked. */
+  /** Asked before the store if present. */
   readonly upstreamPeer?: UpstreamPeer
   /** Maximum time that one call may wait for a change at the store. */
   readonly waitMilliseconds: Milliseconds
   /** Minimum time between two calls; limits the calls for a table that changes constantly. */
   readonly pauseMilliseconds: () => Milliseconds
   /**
-   * Whether changes are needed at present; if omitted, they always are. A mirror that was unused
-   * for a while reads the whole table when it is needed again: that is less data than all the
-   * changes in between.
+   * Whether changes are needed at present; if omitted, they always are. A mirror whose changes were
+   * not needed for a while reads the whole table when they are needed again: that is less data than
+   * all the changes in between.
    */
   readonly isWanted?: () => boolean
 }
 
-const FIRST_RETRY_MILLISECONDS = 100
+/**
+ * The delay after the n-th consecutive failure is 2^n times this, but at most
+ * `LONGEST_RETRY_MILLISECONDS`.
+ */
+const RETRY_BASE_MILLISECONDS = 100
 const LONGEST_RETRY_MILLISECONDS = 800
-/** A peer that did not provide a recent enough page is not asked again for this long. */
+/** An upstream peer that provided no recent enough page is not asked again for this long. */
 const UPSTREAM_BACKOFF_MILLISECONDS = 2_000
 /** Time between two checks whether changes are needed again; such a check makes no call. */
 const UNWANTED_POLL_MILLISECONDS = 200
@@ -95,21 +104,24 @@
  * store dropped changes.
  */
 export class TableMirror {
+  /** Version up to which changes are known; undefined before a read of the whole table. */
   private position: number | undefined
   private stopped = false
+  /** Number of consecutive failed calls to the store. */
   private failures = 0
   private reachable: boolean | undefined
-  /** Time for which the last call found nothing new at the store, counted from when it was sent. */
+  /** Time, from its sending on, for which the last call proved that the store had nothing newer. */
   private quietMilliseconds: Milliseconds = 0
   /**
-   * Time on the clock that includes suspensions at which the store had nothing newer than this
-   * mirror.
+   * Newest time at which the store had nothing newer than this mirror, on the clock that includes
+   * suspensions of the machine.
    */
   private confirmedAt: Milliseconds = Number.NEGATIVE_INFINITY
+  /** Partitions that were read completely since the position was last forgotten. */
   private readPartitions = new Set<string>()
   /** Partitions that were read completely at least once. */
   private readonly everRead = new Set<string>()
-  /** Rows and removals by partition and key, for peers that cannot reach the store. */
+  /** Rows and removals by partition and key, for peers that ask this mirror. */
   private readonly rows = new Map<string, ChangedRow>()
   /** All changes after this version are contained in `rows`. */
   private completeAfter = 0
@@ -118,8 +130,8 @@
    */
   private endPause: (() => void) | undefined
   /**
-   * Requests another read immediately after the call in flight, which may have missed the wanted
-   * change.
+   * Whether the next read follows the call in flight without a pause, since that call may miss the
+   * change for which the read was requested.
    */
   private isReadRequested = false
   /** The upstream peer is not asked before this time. */
@@ -154,8 +166,8 @@
   }
 
   /**
-   * Returns what a peer that has all changes up to `after` lacks; undefined if nothing has been
-   * read yet.
+   * Returns the rows that a peer with all changes up to `after` lacks; undefined if the table was not
+   * read yet, or its position was forgotten.
    */
   since(after: number): MirrorPage | undefined {
     if (this.position === undefined) return undefined
@@ -167,8 +179,8 @@
   }
 
   /**
-   * Asks a peer for changes that this mirror lacks, even while a call to the store is in flight;
-   * returns whether a peer answered.
+   * Asks peers for changes that this mirror lacks, even while a call to the store is in flight;
+   * returns whether a peer provided a page.
    */
   async askPeers(patienceMilliseconds?: Milliseconds): Promise<boolean> {
     const { table, clock, askPeers } = this.parts
@@ -243,6 +255,7 @@
     this.readPartitions = new Set()
   }
 
+  /** Reads missing partitions completely or the next changes, from the store; false if it failed. */
   private async step(): Promise<boolean> {
     const missing = this.parts.partitions().filter(name => !this.readPartitions.has(name))
     this.quietMilliseconds = 0
@@ -253,8 +266,8 @@
     return this.apply(outcome, this.parts.clock.sinceStart() - sentAt)
   }
 
-  /** Applies an answer of the change feed that took `took` milliseconds. */
-  private apply(outcome: ChangeFeedOutcome, took: Milliseconds): boolean {
+  /** Applies an answer of the change feed that arrived after `duration` milliseconds. */
+  private apply(outcome: ChangeFeedOutcome, duration: Milliseconds): boolean {
     const { waitMilliseconds } = this.parts
     if (outcome.kind === 'failed') return false
     if (outcome.kind === 'history-gone') {
@@ -262,7 +275,7 @@
       return true
     }
     // The store answers before the wait has passed only if something changed.
-    if (outcome.rows.length === 0) this.quietMilliseconds = Math.min(waitMilliseconds, took)
+    if (outcome.rows.length === 0) this.quietMilliseconds = Math.min(waitMilliseconds, duration)
     this.position = outcome.version
     this.applyRows(outcome.rows, false)
     return true
@@ -311,7 +324,10 @@
     }
   }
 
-  /** Reads partitions completely; the feed continues at the oldest of their versions. */
+  /**
+   * Reads partitions completely; the feed continues at the oldest of their versions and the current
+   * position.
+   */
   private async readWhole(partitions: readonly string[]): Promise<boolean> {
     const outcomes = await Promise.all(
       partitions.map(name => this.parts.store.readPartition(this.parts.table, name)),
@@ -337,7 +353,7 @@
   }
 
   private retryDelay(): Milliseconds {
-    const delay = FIRST_RETRY_MILLISECONDS * 2 ** Math.min(this.failures, 10)
+    const delay = RETRY_BASE_MILLISECONDS * 2 ** Math.min(this.failures, 10)
     return Math.min(LONGEST_RETRY_MILLISECONDS, delay)
   }
 }
