--- a/packages/coordination/src/configuration/configurationChange.ts
+++ b/packages/coordination/src/configuration/configurationChange.ts
@@ -8,12 +8,12 @@
 import { resourceCodec } from './resource.js'
 
 /**
- * A resource as JSON. A malformed one must be rejected, since an absent resource stands for a
- * deletion.
+ * A resource as JSON. A malformed resource must be rejected: if it were read as absent, the change
+ * would count as a deletion.
  */
 export const resourceJson = jsonSchema.refine(json => resourceCodec.fromJson(json) !== undefined)
 
-/** A configuration change; its resource is absent if the change was a deletion. */
+/** A configuration change; its resource is absent if the change is a deletion. */
 export const changeSchema: z.ZodType<ConfigurationChange> = z.object({
   revision: z.number(),
   kind: z.string(),
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -22,9 +22,12 @@
 import type { Resource } from './resource.js'
 import { resourceCodec, resourceId, resourcePartition } from './resource.js'
 
-/** Number of changes kept in memory for peers and watchers. */
+/**
+ * Number of changes kept in memory for peers and watchers; up to `HISTORY_AT_START` more accumulate
+ * before the list is cut to this length.
+ */
 const KEPT_CHANGES = 10_000
-/** Number of changes from before the start that are read for watchers. */
+/** Maximum number of changes from before the start that are read for watchers. */
 const HISTORY_AT_START = 1_000
 /** Maximum number of changes per read from the table. */
 const CHANGES_PER_READ = 500
@@ -36,17 +39,17 @@
   readonly counters: Counters
   /** Kinds kept in memory; changes of other kinds only advance the revision. */
   readonly kinds: readonly string[]
-  /** Peers that may be asked when the table does not answer. */
+  /** Peers to ask when the table does not answer. */
   readonly peersToAsk: () => readonly IncarnationId[]
 }
 
-/** Called after each change that took effect here; must not throw. */
+/** Called after each change or whole snapshot that took effect on this instance; must not throw. */
 export type ConfigurationListener = (change: ConfigurationChange | 'snapshot') => void
 
 /**
  * The configuration in force on this instance. Its revision only increases, by applying every
- * change in order or a whole snapshot, from the table or, if the table does not answer, from a peer
- * that has a newer revision.
+ * change in order or a whole snapshot, from the table or, if the table does not answer, from peers
+ * that have newer revisions.
  */
 export class ConfigurationFollower {
   private readonly resources = new Map<string, Resource>()
@@ -61,7 +64,10 @@
     return this.currentRevision
   }
 
-  /** Whether any configuration, even an empty one, was read since the start. */
+  /**
+   * Whether a configuration was read since the start: from the table, even an empty one, or from a
+   * peer with at least one revision.
+   */
   get isLoaded(): boolean {
     return this.loaded
   }
@@ -79,7 +85,10 @@
     return () => this.listeners.delete(listener)
   }
 
-  /** Advances to the newest revision of the table or, if the table does not answer, of a peer. */
+  /**
+   * Advances to the newest revision of the table or, if the table does not answer, to the newest one
+   * of the peers.
+   */
   async catchUp(): Promise<void> {
     try {
       await this.catchUpFromTable()
@@ -99,7 +108,7 @@
     return this.changes.filter(change => change.revision > revision)
   }
 
-  /** Answers a peer whose revision is older. */
+  /** Answers a peer with the changes since its revision, or with a snapshot if some are missing. */
   answerPeer(request: PeerRequest<'configurationSince'>): PeerReply<'configurationSince'> {
     const changes = this.changesSince(request.revision)
     return changes === undefined ? { snapshot: this.snapshot() } : { changes }
@@ -123,8 +132,8 @@
   }
 
   /**
-   * Reads the newest revision first, then the resources. Changes made in between are applied again
-   * from the log, and `applyOne` keeps the newer of two states.
+   * Reads the newest revision first, then the resources. Changes made between these reads are applied
+   * again from the log, and `applyResource` keeps the newer of two states.
    */
   private async loadFromTable(): Promise<void> {
     const [head] = await this.parts.table.query(CHANGES_PARTITION, { reverse: true, limit: 1 })
@@ -139,8 +148,8 @@
   }
 
   /**
-   * Reads recent changes, so that watchers can continue here from a revision that they reached at
-   * another instance.
+   * Reads recent changes, so that watchers can continue on this instance from a revision that they
+   * reached at another one.
    */
   private async loadHistory(revision: Version): Promise<void> {
     const rows = await this.parts.table.query(CHANGES_PARTITION, {
@@ -160,7 +169,8 @@
         this.parts.counters.increment('configuration_from_peer')
         this.loaded ||= this.currentRevision > 0
       } catch {
-        // This peer cannot be reached either; the next one may have newer changes.
+        // This peer cannot be reached, or its answer is malformed. All other peers are asked as well,
+        // since any of them may have newer changes.
       }
     }
   }
@@ -183,7 +193,7 @@
 
   private applyChanges(changes: readonly ConfigurationChange[]): void {
     for (const change of changes) {
-      // Any other revision was already applied or follows a gap.
+      // A change with any other revision was already applied or follows a gap.
       if (change.revision === this.currentRevision + 1) this.applyOne(change)
     }
   }
@@ -202,7 +212,7 @@
     const id = resourceId(change.kind, change.name)
     const resource = change.resource === undefined ? undefined : resourceOf(change.resource)
     const known = this.resources.get(id)
-    // A snapshot may contain a state from after this change.
+    // A snapshot may contain a newer state of the resource than this change.
     if (known !== undefined && known.metadata.version >= change.revision) return
     if (resource === undefined) this.resources.delete(id)
     else this.resources.set(id, resource)
--- a/packages/coordination/src/configuration/resource.ts
+++ b/packages/coordination/src/configuration/resource.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds, Version } from '@rackwalk/shared'
 import type { JsonValue, RowKey } from '@rackwalk/stores'
 
-/** A configuration resource, as operators write it and instances apply it. */
+/** A configuration resource: a named object that operators write and instances apply. */
 export interface Resource {
   readonly kind: string
   readonly metadata: ResourceMetadata
@@ -16,7 +16,7 @@
 /** Metadata of a resource. */
 export interface ResourceMetadata {
   readonly name: string
-  /** Revision of the change that produced this state; conditional writes compare it. */
+  /** Revision of the change that produced this state; conditional writes compare this number. */
   readonly version: Version
   readonly labels: Readonly<Record<string, string>>
   /** Wall-clock time of the first version, in milliseconds. */
--- a/packages/coordination/src/configuration/resourceStore.ts
+++ b/packages/coordination/src/configuration/resourceStore.ts
@@ -1,6 +1,7 @@
 /**
- * The write side of the configuration: every change takes the next revision in one ordered log.
- * Keeps no state; relies on conditional writes of the table.
+ * The write side of the configuration: every change takes the next revision in one ordered log, so
+ * that all instances apply the changes in the same order. Keeps no state; relies on conditional
+ * writes of the table.
  */
 
 import * as z from 'zod'
@@ -17,6 +18,7 @@
 
 /** A change requested by an operator. */
 export interface ResourceWrite {
+  /** Identifies the write; a retry with the same id takes effect only once. */
   readonly writeId: TransactionId
   readonly operator: string
   readonly kind: string
@@ -33,7 +35,10 @@
   readonly companionWrites?: () => Promise<readonly RowWrite[]>
 }
 
-/** A conflict contains the current state, which the operator had not seen. */
+/**
+ * `conflict`: the current state, undefined if the resource does not exist, is not the expected one,
+ * or a resource that does not exist was to be deleted.
+ */
 export type ResourceWriteResult =
   | {
       readonly kind: 'accepted'
@@ -42,10 +47,7 @@
     }
   | { readonly kind: 'conflict'; readonly current: Resource | undefined }
 
-/**
- * Maximum number of attempts against concurrent writes by other operators before the write is
- * abandoned without effect.
- */
+/** Maximum number of attempts against concurrent writes by other operators. */
 const MAXIMUM_ATTEMPTS = 12
 
 /** The record of one accepted write, stored under its id. */
@@ -76,8 +78,10 @@
   ) {}
 
   /**
-   * Writes a resource. Throws `OutcomeOfWriteUnknown` if the table did not confirm the write; the
-   * same write may then be retried with the same id, or looked up with `findWrite`.
+   * Writes a resource. A platform error of the first attempt is retried; that of a later attempt is
+   * thrown. `OutcomeOfWriteUnknown` is thrown in its place if any attempt may have taken effect
+   * without an answer; the caller may then retry the write with the same id, or look it up with
+   * `findWrite`. Throws `PlatformThrottled` after too many concurrent writes.
    */
   async write(write: ResourceWrite): Promise<ResourceWriteResult> {
     let ambiguous = false
@@ -88,9 +92,9 @@
       } catch (thrown) {
         if (!(thrown instanceof RackwalkError) || !isPlatformCode(thrown.code)) throw thrown
         ambiguous ||= thrown.code === ResultCode.PlatformAmbiguous
-        const isLastAttempt = attempt >= 1
-        if (isLastAttempt && ambiguous) throw new RackwalkError(ResultCode.OutcomeOfWriteUnknown)
-        if (isLastAttempt) throw thrown
+        const isRetry = attempt >= 1
+        if (isRetry && ambiguous) throw new RackwalkError(ResultCode.OutcomeOfWriteUnknown)
+        if (isRetry) throw thrown
       }
     }
     throw new RackwalkError(
@@ -112,7 +116,10 @@
     return row && decodeRowValue(writeRecordCodec, row)
   }
 
-  /** Returns undefined if another operator's change took the revision first. */
+  /**
+   * Returns undefined if a condition of the transaction failed: another operator's change took the
+   * revision, or changed the resource or a companion row.
+   */
   private async attempt(write: ResourceWrite): Promise<ResourceWriteResult | undefined> {
     const done = await this.findWrite(write.writeId)
     if (done !== undefined) return this.acceptedAt(write, done.revision)
