--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -1,6 +1,8 @@
 /**
  * Wires together all coordination components of one instance of the OpenAI-style kind and runs
- * their background work. Owns the timers and the serving state; the components own everything else.
+ * their background work: journal flushes, replication, heartbeats, maintenance of budgets,
+ * configuration and the sealing of terminated incarnations (runs of instances' processes). Owns the
+ * timers and the serving state; the components own everything else.
  */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
@@ -68,19 +70,21 @@
   readonly policy: AllocationPolicy
   readonly timings?: Partial<NodeTimings>
   readonly journalLimits?: JournalLimits
-  /** Number of peers that must hold an entry before it counts as held. */
+  /** Number of peers that must have a journal entry before the entry counts as held. */
   readonly requiredReplicas?: number
+  /** Kinds of configuration resources that are kept in memory. */
   readonly resourceKinds: readonly string[]
   /** Number of requests in progress, reported to peers. */
   readonly inFlight?: () => number
   /** Called when a peer reports the advice of endpoints. */
   readonly onAdviceNews?: (news: readonly AdviceGossip[]) => void
-  /** Endpoints seen leaving by this instance, reported to peers. */
+  /** Endpoints that this instance saw leaving, reported to peers. */
   readonly leavingEndpoints?: () => readonly string[]
   /** Called when a peer reports requests that crash endpoints. */
   readonly onCrashNews?: (news: CrashGossip) => void
   /**
-   * Receives the platform's list of instances, so that the channel can reach the peers' addresses.
+   * Called with the platform's list of instances, so that the channel to peers learns their
+   * addresses.
    */
   readonly onInstancesListed?: (listed: readonly ListedInstance[]) => Promise<void> | void
   /** Called after each heartbeat round. */
@@ -91,7 +95,9 @@
   readonly onFault: (error: unknown) => void
 }
 
+/** Default of `CoordinationNodeParts.requiredReplicas`. */
 const DEFAULT_REQUIRED_REPLICAS = 2
+/** Number of instances per region that seal terminated incarnations. */
 const REAPERS_PER_REGION = 2
 /** Time between checks for entries that wait for the table. */
 const REPLICATION_PERIOD_MILLISECONDS = 50
@@ -118,7 +124,9 @@
   private readonly timers = new Set<Timer>()
   private state: ServingState = 'starting'
   private heartbeat = 0
+  /** Whether the last flush that had records to write committed a batch. */
   private isTableAnswering = true
+  /** Whether the registration of this incarnation is in the table. */
   private registered = false
   private stopped = false
 
@@ -295,7 +303,10 @@
     await this.heartbeatRound()
   }
 
-  /** Writes the remaining journal records, gives back unused tokens, then stops. */
+  /**
+   * Writes the remaining journal records, gives back unused tokens, writes the remaining decision
+   * records, then stops. Records that the table does not accept in 50 attempts are not written.
+   */
   async leave(): Promise<void> {
     await this.flushAll()
     await this.ledger.returnAll()
@@ -310,13 +321,14 @@
     this.timers.clear()
   }
 
-  /** Requests first allocations of budgets before they are needed. */
+  /** Requests first allocations of budgets in advance; does nothing before the registration. */
   warm(budgets: readonly BudgetId[]): Promise<void> {
     return this.registered ? this.ledger.preallocate(budgets) : Promise.resolve()
   }
 
   /**
-   * Sends the heartbeats of one round, and catches up if a newer configuration revision is known.
+   * Sends the heartbeats of one round; if a peer has reported a newer configuration revision, then
+   * catches up with the configuration.
    */
   async heartbeatRound(): Promise<void> {
     this.heartbeat += 1
@@ -345,8 +357,9 @@
   }
 
   /**
-   * Copies entries that have waited too long to peers, concurrently with the flush. If this waited
-   * for the table's timeout first, the end of each answer would be delayed by seconds in an outage.
+   * Copies entries that have waited too long to peers, concurrently with a flush in progress. If the
+   * copies waited for that flush, which fails only after the table's timeout in an outage, the end of
+   * each answer would be delayed by seconds.
    */
   private async replicationRound(): Promise<void> {
     const tolerated = this.isTableAnswering ? this.timings.holdAfterMilliseconds : 0
@@ -363,8 +376,8 @@
   }
 
   /**
-   * Period between flushes; keeps all instances together below the write rate that the platform
-   * allows.
+   * Returns the time between two flushes, which grows with the number of live instances so that they
+   * all together stay within the write rate of the fleet.
    */
   private flushPeriod(): Milliseconds {
     const instances = this.membership.liveCount
@@ -450,7 +463,7 @@
       const reply = await this.parts.peers.call(target, 'members', { group })
       this.membership.replaceGroupMembers(group, reply.members)
     } catch {
-      // The next digest leads to the same request again.
+      // The next digest of the group leads to the same request again.
     }
   }
 
--- a/packages/coordination/src/counters.ts
+++ b/packages/coordination/src/counters.ts
@@ -35,7 +35,7 @@
   | 'advice_news_failed'
   | 'endpoint_advice'
 
-/** Receives counts; must not throw. */
+/** Receives increments of the counts; must not throw. */
 export interface Counters {
   increment(name: CounterName, amount?: number): void
 }
--- a/packages/coordination/src/countingTable.ts
+++ b/packages/coordination/src/countingTable.ts
@@ -1,4 +1,4 @@
-/** A table that counts its calls, since the platform allows few of them. Keeps no other state. */
+/** A table that counts its calls, since the platform limits their rate. Keeps no state. */
 
 import type { TransactionId } from '@rackwalk/shared'
 import type {
@@ -12,7 +12,7 @@
 } from '@rackwalk/stores'
 import type { Counters } from './counters.js'
 
-/** Counts an instance's calls to the table, since the platform allows few of them. */
+/** Counts an instance's calls to the table, reads and writes apart, and passes them on. */
 export class CountingTable implements TableService {
   constructor(
     private readonly table: TableService,
--- a/packages/coordination/src/peerHandlers.ts
+++ b/packages/coordination/src/peerHandlers.ts
@@ -1,4 +1,7 @@
-/** Handlers of all kinds of messages between instances of the OpenAI-style kind. */
+/**
+ * Handlers of all kinds of messages between instances of the OpenAI-style kind: each passes a peer's
+ * message to the component that it concerns.
+ */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
 import type { IncarnationId } from '@rackwalk/shared'
@@ -22,11 +25,14 @@
   readonly held: HeldEntryStore
   readonly registrar: KeyRegistrar
   readonly coalescer: BatchCoalescer
+  /** Describes this instance for peers. */
   readonly describe: () => MemberInfo
+  /** Whether this instance may hold journal entries for peers. */
   readonly canHoldEntries: () => boolean
   readonly drain: () => Promise<void>
-  readonly noteCrashes: (news: CrashGossip) => void
-  readonly noteAdvice: (news: readonly AdviceGossip[]) => void
+  readonly noteCrashes: (gossip: CrashGossip) => void
+  readonly noteAdvice: (gossip: readonly AdviceGossip[]) => void
+  /** Requests the members of a group from a peer. */
   readonly askForMembers: (target: IncarnationId, group: string) => Promise<void>
 }
 
@@ -54,8 +60,8 @@
     endKey: request => registrar.end(request),
     commitBatch: request => coalescer.commit(request),
     configurationSince: request => configuration.answerPeer(request),
-    crashNews: news => {
-      parts.noteCrashes(news)
+    crashNews: gossip => {
+      parts.noteCrashes(gossip)
       return {}
     },
     adviceNews: ({ news }) => {
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -1,6 +1,7 @@
 /**
- * Messages between instances of the OpenAI-style kind: request and reply by kind, the channel and
- * the handlers. Their forms on the wire are in peerMessageCodecs.ts.
+ * Messages between instances of the OpenAI-style kind: the types of request and reply by kind of
+ * message, of the channel and of the handlers. The forms on the wire are in peerMessageCodecs.ts. An
+ * incarnation is one run of an instance's process.
  */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
@@ -42,18 +43,18 @@
   /** Newest configuration revision in force on the instance. */
   readonly configurationRevision: number
   /**
-   * Endpoints that this instance saw leaving, so that peers need not wait for the list of
-   * endpoints.
+   * Endpoints that this instance saw leaving (announcing their termination), so that peers need not
+   * wait until the list of endpoints shows this.
    */
   readonly leavingEndpoints: readonly string[]
 }
 
-/** Summary for other groups of a group whose members exchange heartbeats. */
+/** Summary of a group whose members exchange heartbeats, for the instances of other groups. */
 export interface GroupDigest {
   readonly group: string
   /**
-   * Increases as long as any member of the group is heard from; a group whose value does not change
-   * is disconnected.
+   * Sum of the heartbeat numbers of the group's live members, so that the value changes as long as
+   * any member is heard from. A group whose value does not change is disconnected.
    */
   readonly beat: number
   /** Changes when the group's live members or their states change. */
@@ -81,26 +82,32 @@
 
 /** Request and reply of each kind of message between instances. */
 export interface PeerMessages {
+  /** Exchanges the descriptions of two instances, and digests of groups. */
   heartbeat: {
     request: { readonly sender: MemberInfo; readonly digests: readonly GroupDigest[] }
     reply: { readonly receiver: MemberInfo }
   }
+  /** Requests the live members of a group. */
   members: {
     request: { readonly group: string }
     reply: { readonly members: readonly MemberInfo[] }
   }
+  /** Asks the receiver to hold entries that wait for the table; `held`: whether it does. */
   hold: {
     request: { readonly writer: IncarnationId; readonly items: readonly HeldEntry[] }
     reply: { readonly held: boolean }
   }
+  /** Asks the receiver to drop held entries up to an index, which are in the table now. */
   releaseHeld: {
     request: { readonly writer: IncarnationId; readonly throughIndex: number }
     reply: Record<string, never>
   }
+  /** Collects the held entries of a writer that is being sealed. */
   collectHeld: {
     request: { readonly writer: IncarnationId }
     reply: { readonly items: readonly HeldEntry[] }
   }
+  /** Requests tokens of a budget from a peer that holds some. */
   lend: {
     request: {
       readonly transferId: TransferId
@@ -110,10 +117,12 @@
     }
     reply: { readonly tokens: TokenCount }
   }
+  /** Requests the state of a claim from the incarnation that made it. */
   claimState: {
     request: { readonly requestId: RequestId }
     reply: { readonly state: ClaimState | 'unknown' }
   }
+  /** Registers the start of an attempt with an idempotency key at the key's registrar. */
   registerKey: {
     request: {
       readonly teamId: TeamId
@@ -126,6 +135,7 @@
     }
     reply: KeyRegistration
   }
+  /** Reports the end of an attempt to the registrar of its key. */
   endKey: {
     request: {
       readonly teamId: TeamId
@@ -137,10 +147,12 @@
     }
     reply: Record<string, never>
   }
+  /** Asks the committer of a failure domain to write a journal batch. */
   commitBatch: {
     request: { readonly id: TransactionId; readonly writes: readonly RowWrite[] }
     reply: TransactResult
   }
+  /** Requests the configuration changes after a revision, or a snapshot if some are missing. */
   configurationSince: {
     request: { readonly revision: number }
     reply: {
@@ -148,12 +160,12 @@
       readonly snapshot?: ConfigurationSnapshot
     }
   }
-  /** Reports requests that crash endpoints immediately; heartbeats would be too late. */
+  /** Reports immediately which requests crash endpoints; heartbeats would be too late. */
   crashNews: {
     request: CrashGossip
     reply: Record<string, never>
   }
-  /** Reports the advice of endpoints immediately. */
+  /** Reports immediately which advice endpoints gave. */
   adviceNews: {
     request: { readonly news: readonly AdviceGossip[] }
     reply: Record<string, never>
@@ -163,13 +175,14 @@
     request: Record<string, never>
     reply: Record<string, never>
   }
+  /** Requests the decision record of a request that the receiver handled. */
   explain: {
     request: { readonly requestId: RequestId }
     reply: { readonly record?: JsonValue }
   }
 }
 
-/** What the registrar of an idempotency key knows about it. */
+/** What the registrar of an idempotency key knows about the key. */
 export type KeyRegistration =
   | { readonly state: 'first' }
   | {
@@ -195,8 +208,8 @@
 export type PeerReply<Kind extends PeerMessageKind> = PeerMessages[Kind]['reply']
 
 /**
- * Calls other instances. A failed call throws; the message may have been handled nevertheless, so
- * every message is safe to repeat.
+ * Calls other instances. A failed call throws. The receiver may have handled the message
+ * nevertheless, so every message is safe to repeat.
  */
 export interface PeerChannel {
   call<Kind extends PeerMessageKind>(
--- a/packages/coordination/src/segmentArchive.ts
+++ b/packages/coordination/src/segmentArchive.ts
@@ -1,6 +1,7 @@
 /**
- * Decision records: recent ones in memory, all of them in segments of the object store. Owns the
- * records that are not yet written.
+ * Archive of decision records, which explain how a request was handled: recent ones in memory, all of
+ * them in segments (objects of many records) in the object store. Owns the records that are not yet
+ * written.
  */
 
 import * as z from 'zod'
@@ -23,10 +24,14 @@
 
 /** Limits of the archive. */
 export interface ArchiveLimits {
-  /** Records kept in memory, including written ones. */
+  /**
+   * Maximum number of records kept in memory for searches, including written ones; also about the
+   * number of unwritten records from which on the oldest are dropped.
+   */
   readonly memoryRecords: number
-  /** A segment is written when it has this many records or is this old. */
+  /** Number of unwritten records at which a segment is written, and maximum number per segment. */
   readonly segmentRecords: number
+  /** Age of the oldest unwritten record at which a segment is written. */
   readonly segmentAgeMilliseconds: Milliseconds
 }
 
@@ -43,8 +48,9 @@
 /**
  * Decision records: recent ones in memory, all of them in object-store segments of many records
  * each. The key of a segment contains the incarnation that decided and the time, and a request id
- * starts with the same two, so that a search reads few segments. Unwritten records are lost if the
- * instance crashes; the journal still contains the bill.
+ * contains the same two, so that a search reads few segments. Unwritten records are lost if the
+ * instance crashes, or if the object store does not accept them for long; the journal still contains
+ * the bill.
  */
 export class DecisionArchive {
   private readonly recent = new Map<RequestId, JsonValue>()
@@ -72,7 +78,10 @@
     return this.recent.get(requestId)
   }
 
-  /** Searches the segments of the incarnation that decided, starting at the request's time. */
+  /**
+   * Searches the segments of the incarnation that decided, starting at the request's time; reads at
+   * most `SEGMENTS_PER_SEARCH` segments.
+   */
   async findWritten(requestId: RequestId): Promise<JsonValue | undefined> {
     const { incarnation, at } = parseRequestId(requestId)
     const prefix = `${PREFIX}/${incarnation}/`
@@ -86,7 +95,7 @@
     return undefined
   }
 
-  /** Writes a segment if one is due; returns false if the store did not accept it. */
+  /** Writes a segment if one is due, or any record with `force`; false if the store rejects it. */
   async writeDue(force = false): Promise<boolean> {
     if (this.writing || this.unwritten.length === 0) return true
     const age = this.clock.monotonic() - this.firstUnwrittenAt
@@ -124,9 +133,9 @@
       if (this.recent.size <= this.limits.memoryRecords) break
       this.recent.delete(requestId)
     }
-    // In a long outage of the store, the oldest records are dropped, so that the memory limit
-    // holds. A whole segment is dropped at a time, since cutting at each record would copy the rest
-    // each time.
+    // In a long outage of the object store, the oldest unwritten records are dropped, so that they do
+    // not exceed the memory limit by more than a segment. At least a segment's number of records is
+    // dropped at a time, since dropping each single one would copy the others each time.
     const excess = this.unwritten.length - this.limits.memoryRecords
     if (excess >= this.limits.segmentRecords) this.unwritten = this.unwritten.slice(excess)
   }
--- a/packages/coordination/src/standalone.ts
+++ b/packages/coordination/src/standalone.ts
@@ -29,7 +29,7 @@
 const ONLY_REGION = asId<RegionId>('only')
 const ONLY_DOMAIN = asId<FailureDomainId>('only')
 
-/** Options that the program has to provide. */
+/** Options that the embedding program has to provide. */
 export interface StandaloneOptions {
   readonly instanceId: InstanceId
   readonly table: TableService
@@ -38,7 +38,8 @@
 }
 
 /**
- * Returns the parts of a node without peers; only the table keeps data beyond the node's process.
+ * Returns the parts of a node without peers. No data survives the node's process except in the table
+ * and the object store.
  */
 export function standaloneParts(options: StandaloneOptions): CoordinationNodeParts {
   const random = new SystemRandom()
--- a/packages/coordination/src/tableKeys.ts
+++ b/packages/coordination/src/tableKeys.ts
@@ -1,4 +1,7 @@
-/** Keys of all rows that the OpenAI-style kind stores in the table. */
+/**
+ * Partitions and keys of the rows that the OpenAI-style kind stores in the table. An incarnation is
+ * one run of an instance's process.
+ */
 
 import type {
   BudgetId,
--- a/packages/coordination/src/usage.ts
+++ b/packages/coordination/src/usage.ts
@@ -1,6 +1,7 @@
 /**
- * Usage by team and model, summed over all journals: bills are folded by their key, so that each
- * counts once.
+ * Usage by team and model, summed over the journals of all incarnations (runs of instances'
+ * processes). Bills of attempts with the same key are folded into one, so that a request that ran
+ * twice is billed once.
  */
 
 import { ResultCode, asId } from '@rackwalk/shared'
@@ -41,13 +42,15 @@
 export interface FoldedBills {
   /** One bill per team and key, with the whole cost of the key. */
   readonly bills: readonly SettleEntry[]
-  /** Tokens that attempts unaware of each other took from a budget beyond the bill. */
+  /** Tokens that attempts that did not know of each other took from budgets beyond the bills. */
   readonly excessTokens: TokenCount
 }
 
 /**
- * Folds entries into one bill per team and key. An attempt that knew of earlier bills took only the
- * difference; among attempts that did not know of each other, the most expensive counts.
+ * Folds entries into one bill per team and key. An entry of an attempt that knew of earlier bills
+ * contains only the tokens beyond them, and its credited tokens are added to get the whole cost. Of
+ * the entries of a key, the one with the highest whole cost counts; at equal cost, one that succeeded
+ * is preferred.
  */
 export function foldBills(journals: readonly (readonly JournalSlot[])[]): FoldedBills {
   const bills = new Map<string, SettleEntry>()
