--- a/packages/coordination/src/budget/allocation.ts
+++ b/packages/coordination/src/budget/allocation.ts
@@ -48,12 +48,12 @@
   private openRequest: ExchangeRequest | undefined
   /** Tokens that this incarnation's own exchanges leave in its holding in the row. */
   private expectedInRow: TokenCount = 0
-  /** Tokens ever credited here as borrowed. */
+  /** Tokens ever credited to this allocation as borrowed. */
   private borrowedTotal: TokenCount = 0
   private readonly pendingTransfers = new Set<TransferId>()
   private rate = 0
   private rateAt: Milliseconds = 0
-  /** Tokens ever granted here; used by policies that divide a budget only once. */
+  /** Tokens ever granted to this allocation; used by policies that divide a budget only once. */
   grantedTotal: TokenCount = 0
   /** Monotonic time of the last reservation. */
   lastUsedAt: Milliseconds = 0
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -78,7 +78,7 @@
   readonly inFlight?: () => number
   /** Called when a peer reports the advice of endpoints. */
   readonly onAdviceNews?: (news: readonly AdviceGossip[]) => void
-  /** Endpoints that this instance saw leaving, reported to peers. */
+  /** Endpoints that this instance knows to be leaving (about to terminate), reported to peers. */
   readonly leavingEndpoints?: () => readonly string[]
   /** Called when a peer reports requests that crash endpoints. */
   readonly onCrashNews?: (news: CrashGossip) => void
@@ -305,7 +305,7 @@
 
   /**
    * Writes the remaining journal records, gives back unused tokens, writes the remaining decision
-   * records, then stops. Records that the table does not accept in 50 attempts are not written.
+   * records, then stops. Records that are left after 50 flushes are not written.
    */
   async leave(): Promise<void> {
     await this.flushAll()
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -32,7 +32,7 @@
   readonly promptTokens: TokenCount
   readonly generatedTokens: TokenCount
   readonly billedTokens: TokenCount
-  /** Tokens billed by earlier attempts with the same key, and therefore not billed again here. */
+  /** Tokens billed by earlier attempts with the same key, and therefore not billed again by this entry. */
   readonly creditedTokens: TokenCount
   readonly code: ResultCode
   /** Wall-clock time of the end, in milliseconds. */
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -43,7 +43,7 @@
   /** Newest configuration revision in force on the instance. */
   readonly configurationRevision: number
   /**
-   * Endpoints that this instance saw leaving (announcing their termination), so that peers need not
+   * Endpoints that this instance knows to be leaving (about to terminate), so that peers need not
    * wait until the list of endpoints shows this.
    */
   readonly leavingEndpoints: readonly string[]
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -208,7 +208,7 @@
     return outcome
   }
 
-  /** Ends a reservation: tokens that were committed here but not handed out become free again. */
+  /** Ends a reservation: tokens that this holding committed but that were not handed out become free again. */
   settle(committed: TokenCount, spent: TokenCount): void {
     const handedOut = Math.min(spent, committed)
     this.holding.settle(committed, handedOut)
@@ -496,7 +496,7 @@
       sequence: Math.max(this.holding.lastSequence, this.view.ownHolder?.sequence ?? 0) + 1,
       requests,
       storeTime: storeClock.lowerBound ?? 0,
-      diedBefore: storeClock.upperBoundAt(startedAt),
+      terminatedBefore: storeClock.upperBoundAt(startedAt),
       policy: this.parts.policy,
       recordMilliseconds: this.parts.recordMilliseconds(),
       spendingPerSecond: this.spending.perSecond,
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -76,8 +76,8 @@
 /** Maintenance checks between two updates of the record interval. */
 const TICKS_PER_UPDATE = 4
 /**
- * Maximum time that a request waits for its own part of the tokens before it borrows the rest, and
- * time after which no further lender is asked.
+ * Maximum time that a request waits for this instance's part of the tokens before the rest is
+ * borrowed, and time of borrowing after which no further lender is asked.
  */
 const BORROW_MILLISECONDS = 60
 
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Names of all budgets known here, each a partition of the table. */
+  /** Names of all budgets that this instance has an account for, each a partition of the table. */
   get budgets(): readonly string[] {
     return [...this.accounts.keys()]
   }
--- a/packages/coordination/src/prepaid/takeover.ts
+++ b/packages/coordination/src/prepaid/takeover.ts
@@ -32,7 +32,7 @@
 interface Successor {
   readonly incarnation: string
   /** A store time by which the earlier incarnation had terminated. */
-  readonly diedBefore: Milliseconds | undefined
+  readonly terminatedBefore: Milliseconds | undefined
 }
 
 /**
@@ -41,10 +41,10 @@
  */
 export function takeoverOf(
   row: HolderRow | undefined,
-  { incarnation, diedBefore }: Successor,
+  { incarnation, terminatedBefore }: Successor,
 ): Takeover | undefined {
   if (row === undefined || row.incarnation === incarnation) return undefined
-  const assumed = boundAtTermination(row, diedBefore)
+  const assumed = boundAtTermination(row, terminatedBefore)
   return {
     incarnation: row.incarnation,
     granted: row.granted,
@@ -57,14 +57,14 @@
 }
 
 /** Returns the pool after the holding of a terminated incarnation was ended. */
-export function endDeadHolding(pool: PoolRow, row: HolderRow, takeover: Takeover): PoolRow {
+export function endTerminatedHolding(pool: PoolRow, row: HolderRow, takeover: Takeover): PoolRow {
   const { reserved, ahead, allowed, assumed } = takeover
   const assumedSpent = (pool.assumedSpent ?? 0) + reserved + ahead + allowed
   return { ...endHolding(pool, row, assumed), assumedSpent }
 }
 
-function boundAtTermination(row: HolderRow, diedBefore: Milliseconds | undefined): TokenCount {
+function boundAtTermination(row: HolderRow, terminatedBefore: Milliseconds | undefined): TokenCount {
   // If the time of the termination is unknown, the whole holding may have been spent.
-  if (diedBefore === undefined) return row.granted
-  return committedBound(row, diedBefore - row.base)
+  if (terminatedBefore === undefined) return row.granted
+  return committedBound(row, terminatedBefore - row.base)
 }
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -17,7 +17,7 @@
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 import { freeInPool } from './prepaidRows.js'
 import type { HolderRow, PoolRow } from './prepaidRows.js'
-import { endDeadHolding, takeoverOf } from './takeover.js'
+import { endTerminatedHolding, takeoverOf } from './takeover.js'
 import type { Takeover } from './takeover.js'
 
 /** Inputs of a write plan. */
@@ -41,7 +41,7 @@
   /** A time that the store's clock has reached. */
   readonly storeTime: Milliseconds
   /** A store time by which the earlier incarnation had terminated. */
-  readonly diedBefore: Milliseconds | undefined
+  readonly terminatedBefore: Milliseconds | undefined
   readonly policy: HoldingPolicy
   /** Maximum time between two writes while tokens are being spent. */
   readonly recordMilliseconds: Milliseconds
@@ -135,7 +135,7 @@
   const isNewer = configurationVersion > known.configurationVersion && limit !== known.limit
   const limited = isNewer ? { ...known, limit, configurationVersion } : known
   if (previous === undefined || takeover === undefined) return limited
-  return endDeadHolding(limited, previous, takeover)
+  return endTerminatedHolding(limited, previous, takeover)
 }
 
 /**
