--- a/packages/coordination/src/crashes/crashRecordStore.ts
+++ b/packages/coordination/src/crashes/crashRecordStore.ts
@@ -2,12 +2,12 @@
  * Stores which requests crashed endpoints, in one row per request. A crash mark says that a request
  * crashed an endpoint in one of its starts (runs). Peers report crashes to each other directly; the
  * rows inform instances that no peer can reach, and those that start after all others have
- * terminated. Without them, such an instance would send the request to further endpoints. Owns the
+ * terminated. Without the rows, such an instance would send the request to further endpoints. Owns the
  * marks and removals to be written, and the rows as last seen.
  *
  * Marks are only added to a row, and each write is conditional on the row's version, so that
- * concurrent writers lose no marks. Removing a row clears its request: it no longer counts as one
- * that crashes endpoints.
+ * concurrent writers lose no marks. Removing a row clears its request: the request no longer counts
+ * as one that crashes endpoints.
  */
 
 import type { CrashMark } from '@rackwalk/decisions'
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -1,6 +1,7 @@
 /**
  * Registry of incarnations (runs of instances' processes) in the table: registers this one and lists
- * all. Peers find the holders of a terminated incarnation's entries by it. Keeps no state.
+ * all. Sealers find by the list which instances may hold entries of a terminated incarnation. Keeps
+ * no state.
  */
 
 import * as z from 'zod'
--- a/packages/coordination/src/membership/reaper.ts
+++ b/packages/coordination/src/membership/reaper.ts
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Whether this incarnation has certainly terminated: it sends no heartbeats, and it has been
-   * missing for the list's lag or another incarnation serves its address.
+   * Whether an incarnation counts as terminated: it is not live by its heartbeats, and it has been
+   * missing for at least the list's lag or another incarnation serves its address.
    */
   isConfirmedDead(incarnation: IncarnationId): boolean {
     if (this.parts.membership.isLive(incarnation)) return false
--- a/packages/coordination/src/prepaid/takeover.ts
+++ b/packages/coordination/src/prepaid/takeover.ts
@@ -63,7 +63,10 @@
   return { ...endHolding(pool, row, assumed), assumedSpent }
 }
 
-function boundAtTermination(row: HolderRow, terminatedBefore: Milliseconds | undefined): TokenCount {
+function boundAtTermination(
+  row: HolderRow,
+  terminatedBefore: Milliseconds | undefined,
+): TokenCount {
   // If the time of the termination is unknown, the whole holding may have been spent.
   if (terminatedBefore === undefined) return row.granted
   return committedBound(row, terminatedBefore - row.base)
--- a/packages/coordination/src/rows/tableMirror.ts
+++ b/packages/coordination/src/rows/tableMirror.ts
@@ -110,14 +110,14 @@
   /** Number of consecutive failed calls to the store. */
   private failures = 0
   private reachable: boolean | undefined
-  /** Time, from its sending on, for which the last call proved that the store had nothing newer. */
+  /** Time after the last call was sent for which its answer proves that nothing changed. */
   private quietMilliseconds: Milliseconds = 0
   /**
    * Newest time at which the store had nothing newer than this mirror, on the clock that includes
    * suspensions of the machine.
    */
   private confirmedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Partitions that were read completely since the position was last forgotten. */
+  /** Partitions of which all rows are known since the position was last forgotten. */
   private readPartitions = new Set<string>()
   /** Partitions that were read completely at least once. */
   private readonly everRead = new Set<string>()
@@ -255,7 +255,10 @@
     this.readPartitions = new Set()
   }
 
-  /** Reads missing partitions completely or the next changes, from the store; false if it failed. */
+  /**
+   * Reads from the store: partitions that were not read yet, or else the next changes. Returns false
+   * if a read failed.
+   */
   private async step(): Promise<boolean> {
     const missing = this.parts.partitions().filter(name => !this.readPartitions.has(name))
     this.quietMilliseconds = 0
