--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -71,7 +71,7 @@
 const LEAVE_RETRY_MILLISECONDS = 120
 /** Factor on the record interval while the committed tokens do not change. */
 const IDLE_FACTOR = 4
-/** Share of the record interval that passes before a holding is adjusted to its target. */
+/** Share of the record interval after a record before which the holding is not adjusted. */
 const ADJUST_SHARE = 0.25
 /** Factor by which the size of the largest request seen decays with each request. */
 const LARGEST_DECAY = 0.98
@@ -208,7 +208,7 @@
     return outcome
   }
 
-  /** Ends a reservation: tokens that this holding committed but that were not handed out become free again. */
+  /** Ends a reservation; tokens committed by this holding but not handed out become free again. */
   settle(committed: TokenCount, spent: TokenCount): void {
     const handedOut = Math.min(spent, committed)
     this.holding.settle(committed, handedOut)
@@ -247,8 +247,8 @@
   }
 
   /**
-   * Whether a call to the store has failed since the last successful one. Nothing is written until
-   * the store answers a probe.
+   * Whether a call to the store has failed since the last successful one, and the account has not
+   * left. Nothing is written until the store answers a probe.
    */
   get isStoreFailing(): boolean {
     return this.storeHealth.isFailing && !this.isClosed
--- a/packages/coordination/src/prepaid/prepaidRows.ts
+++ b/packages/coordination/src/prepaid/prepaidRows.ts
@@ -1,8 +1,9 @@
 /**
  * Rows of the prepaid ledger and their stored forms. A budget is one partition of the table. It has
- * a pool row with the tokens that no instance holds, and a holder row for each instance that holds
- * tokens. What an instance may hand out is bounded by its holder row alone, so a crash at any
- * moment loses at most what that row allowed. An incarnation is one run of an instance's process.
+ * a pool row with the tokens that no instance holds, and a holder row for each instance that has
+ * used the budget and not given its holding back. What an instance may hand out is bounded by its
+ * holder row alone, so a crash at any moment loses at most what that row allowed. An incarnation is
+ * one run of an instance's process.
  */
 
 import * as z from 'zod'
@@ -21,7 +22,7 @@
   readonly limit: TokenCount
   /** Version of the configuration that set the limit; older versions do not change it. */
   readonly configurationVersion: number
-  /** Tokens handed out by holders that no longer exist. */
+  /** Tokens that holders that no longer exist have handed out, or that count as handed out. */
   readonly settled: TokenCount
   /** Sum of `granted` over all holder rows. */
   readonly allocated: TokenCount
