--- a/packages/coordination/src/budget/allocation.ts
+++ b/packages/coordination/src/budget/allocation.ts
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Whether this incarnation has a holding in the row, that is, its first exchange is resolved. Only
-   * then may it borrow, since loans are folded into the borrower's holding.
+   * Whether this incarnation has a holding in the row, that is, its first exchange is resolved.
+   * Only then may it borrow, since loans are folded into the borrower's holding.
    */
   get isHolder(): boolean {
     return this.exchangeNumber > 0 && !(this.exchangeNumber === 1 && this.openRequest !== undefined)
@@ -219,8 +219,8 @@
    * Credits borrowed tokens that a lender sent in an answer that was lost. Once lenders have folded
    * their loans, the holding in the row contains these tokens in addition to those that this
    * incarnation's own exchanges left there. If they exceed the tokens credited as borrowed so far,
-   * the difference was lent in a lost answer. The comparison is valid only while no exchange is open
-   * and no transfer is pending.
+   * the difference was lent in a lost answer. The comparison is valid only while no exchange is
+   * open and no transfer is pending.
    */
   reconcile(holding: Holding): void {
     if (this.openRequest !== undefined || this.pendingTransfers.size > 0) return
--- a/packages/coordination/src/budget/allocationPolicy.ts
+++ b/packages/coordination/src/budget/allocationPolicy.ts
@@ -80,8 +80,8 @@
 const RATE_HORIZON_SECONDS = 60
 
 /**
- * Holds one minute of spending at the recent rate, but at most half of the instance's equal share of
- * the remaining tokens.
+ * Holds one minute of spending at the recent rate, but at most half of the instance's equal share
+ * of the remaining tokens.
  */
 export class RateProportionalPolicy implements AllocationPolicy {
   readonly name = 'rate-proportional'
--- a/packages/coordination/src/budget/budgetLedger.ts
+++ b/packages/coordination/src/budget/budgetLedger.ts
@@ -79,14 +79,16 @@
   exchanging: Promise<void> | undefined
   isAcquiring: boolean
   waiters: Waiter[]
-  /** Until this time, a request that the available tokens do not cover is refused without a search. */
+  /**
+   * Until this time, a request that the available tokens do not cover is refused without a search.
+   */
   refuseUntil: Milliseconds
   lastFoldAt: Milliseconds
 }
 
 /**
- * How long later requests are refused without a search after an unsuccessful one; ends early when an
- * exchange grants tokens.
+ * How long later requests are refused without a search after an unsuccessful one; ends early when
+ * an exchange grants tokens.
  */
 const REFUSAL_CACHE_MILLISECONDS = 250
 /** Time between searches for tokens while a request waits. */
--- a/packages/coordination/src/budget/budgetRow.ts
+++ b/packages/coordination/src/budget/budgetRow.ts
@@ -88,8 +88,8 @@
 }
 
 /**
- * Whether the requesting incarnation was sealed and reclaimed: it made an exchange before but has no
- * holding in the row, or its holding is marked as sealed.
+ * Whether the requesting incarnation was sealed and reclaimed: it made an exchange before but has
+ * no holding in the row, or its holding is marked as sealed.
  */
 export function wasReclaimed(row: BudgetRow, request: ExchangeRequest): boolean {
   const holding = row.holders[request.incarnation]
--- a/packages/coordination/src/budget/reclaimer.ts
+++ b/packages/coordination/src/budget/reclaimer.ts
@@ -1,8 +1,8 @@
 /**
  * Returns the tokens that a sealed incarnation still held to their budgets. An incarnation is one
- * run of an instance's process; sealing ends its journal, so that it can write no more bills. Without
- * reclaiming, tokens held by a crashed instance would be lost to its budgets. Keeps no state; may
- * run on several instances at once.
+ * run of an instance's process; sealing ends its journal, so that it can write no more bills.
+ * Without reclaiming, tokens held by a crashed instance would be lost to its budgets. Keeps no
+ * state; may run on several instances at once.
  */
 
 import { RackwalkError, asId } from '@rackwalk/shared'
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -1,7 +1,7 @@
 /**
- * Claims of requests that may run at most once: the row of a request's idempotency key records which
- * attempt may run. Without claims, a caller's retry at another instance could run the request a
- * second time. Owns the attempts of this incarnation (run of the instance's process) and their
+ * Claims of requests that may run at most once: the row of a request's idempotency key records
+ * which attempt may run. Without claims, a caller's retry at another instance could run the request
+ * a second time. Owns the attempts of this incarnation (run of the instance's process) and their
  * states. Relies on the journal to make a claim durable, and on peers to report the state of their
  * claims.
  */
@@ -62,15 +62,16 @@
 /** Maximum number of attempts to claim a key whose earlier claims were released. */
 const MAXIMUM_TAKEOVERS = 3
 /**
- * Number of attempts above which the states of the oldest finished ones are dropped; peers then learn
- * their results only from the table.
+ * Number of attempts above which the states of the oldest finished ones are dropped; peers then
+ * learn their results only from the table.
  */
 const REMEMBERED_CLAIMS = 50_000
 
 /**
  * Claims of requests that may run at most once. A claim is durable before its request is
- * dispatched; it is written with the journal's group commit. An instance that finds an earlier claim
- * of the key reports the state of that claim, and runs the request only if the claim was released.
+ * dispatched; it is written with the journal's group commit. An instance that finds an earlier
+ * claim of the key reports the state of that claim, and runs the request only if the claim was
+ * released.
  */
 export class Claims {
   /** States of all attempts of this incarnation; a state other than `claimed` is final. */
@@ -109,8 +110,8 @@
   }
 
   /**
-   * Releases a claim whose request was refused before dispatch; returns undefined if the journal was
-   * sealed.
+   * Releases a claim whose request was refused before dispatch; returns undefined if the journal
+   * was sealed.
    */
   release(claim: Claim): JournalTicket | undefined {
     this.end(claim.teamId, claim.key, claim.requestId, 'released')
--- a/packages/coordination/src/claims/keyRegistrar.ts
+++ b/packages/coordination/src/claims/keyRegistrar.ts
@@ -1,7 +1,8 @@
 /**
  * Registers which instance runs the request with a given idempotency key, so that a caller's retry
  * at another instance does not run alongside its first attempt. Rendezvous hashing over the live
- * instances assigns each key to one of them, its registrar. Owns the keys assigned to this instance.
+ * instances assigns each key to one of them, its registrar. Owns the keys assigned to this
+ * instance.
  */
 
 import type {
@@ -65,8 +66,8 @@
   }
 
   /**
-   * Records the end of the attempt that is registered; forgets the key if the attempt was incomplete
-   * and nothing was billed for the key.
+   * Records the end of the attempt that is registered; forgets the key if the attempt was
+   * incomplete and nothing was billed for the key.
    */
   end(request: PeerRequest<'endKey'>): PeerReply<'endKey'> {
     const name = nameOf(request.teamId, request.key)
--- a/packages/coordination/src/configuration/configurationFollower.ts
+++ b/packages/coordination/src/configuration/configurationFollower.ts
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Advances to the newest revision of the table or, if the table does not answer, to the newest one
-   * of the peers.
+   * Advances to the newest revision of the table or, if the table does not answer, to the newest
+   * one of the peers.
    */
   async catchUp(): Promise<void> {
     try {
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Reads the newest revision first, then the resources. Changes made between these reads are applied
-   * again from the log, and `applyResource` keeps the newer of two states.
+   * Reads the newest revision first, then the resources. Changes made between these reads are
+   * applied again from the log, and `applyResource` keeps the newer of two states.
    */
   private async loadFromTable(): Promise<void> {
     const [head] = await this.parts.table.query(CHANGES_PARTITION, { reverse: true, limit: 1 })
@@ -169,8 +169,8 @@
         this.parts.counters.increment('configuration_from_peer')
         this.loaded ||= this.currentRevision > 0
       } catch {
-        // This peer cannot be reached, or its answer is malformed. All other peers are asked as well,
-        // since any of them may have newer changes.
+        // This peer cannot be reached, or its answer is malformed. All other peers are asked as
+        // well, since any of them may have newer changes.
       }
     }
   }
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -357,9 +357,9 @@
   }
 
   /**
-   * Copies entries that have waited too long to peers, concurrently with a flush in progress. If the
-   * copies waited for that flush, which fails only after the table's timeout in an outage, the end of
-   * each answer would be delayed by seconds.
+   * Copies entries that have waited too long to peers, concurrently with a flush in progress. If
+   * the copies waited for that flush, which fails only after the table's timeout in an outage, the
+   * end of each answer would be delayed by seconds.
    */
   private async replicationRound(): Promise<void> {
     const tolerated = this.isTableAnswering ? this.timings.holdAfterMilliseconds : 0
@@ -376,8 +376,8 @@
   }
 
   /**
-   * Returns the time between two flushes, which grows with the number of live instances so that they
-   * all together stay within the write rate of the fleet.
+   * Returns the time between two flushes, which grows with the number of live instances so that
+   * they all together stay within the write rate of the fleet.
    */
   private flushPeriod(): Milliseconds {
     const instances = this.membership.liveCount
--- a/packages/coordination/src/crashes/crashRecordStore.ts
+++ b/packages/coordination/src/crashes/crashRecordStore.ts
@@ -2,8 +2,8 @@
  * Stores which requests crashed endpoints, in one row per request. A crash mark says that a request
  * crashed an endpoint in one of its starts (runs). Peers report crashes to each other directly; the
  * rows inform instances that no peer can reach, and those that start after all others have
- * terminated. Without the rows, such an instance would send the request to further endpoints. Owns the
- * marks and removals to be written, and the rows as last seen.
+ * terminated. Without the rows, such an instance would send the request to further endpoints. Owns
+ * the marks and removals to be written, and the rows as last seen.
  *
  * Marks are only added to a row, and each write is conditional on the row's version, so that
  * concurrent writers lose no marks. Removing a row clears its request: the request no longer counts
@@ -50,8 +50,8 @@
 }
 
 /**
- * Maximum number of rows put, and of rows removed, in one transaction; a platform allows 100 rows in
- * total.
+ * Maximum number of rows put, and of rows removed, in one transaction; a platform allows 100 rows
+ * in total.
  */
 const ROWS_PER_WRITE = 50
 /** Delay before a failed write is retried. */
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Queues crashes that this instance observed and cancels queued removals of the same requests. The
-   * marks are written as soon as the store accepts them.
+   * Queues crashes that this instance observed and cancels queued removals of the same requests.
+   * The marks are written as soon as the store accepts them.
    */
   record(marks: readonly CrashMark[]): void {
     for (const [fingerprint, own] of groupBy(marks, mark => mark.fingerprint)) {
--- a/packages/coordination/src/crashes/crashRow.ts
+++ b/packages/coordination/src/crashes/crashRow.ts
@@ -15,9 +15,9 @@
 export const CRASH_PARTITION = ''
 
 /**
- * A record is kept for this long after crashes were last added to it, so that a request that arrives
- * daily is recognized throughout. A request that is still sent after its record expired costs two
- * endpoints per week until an operator acts.
+ * A record is kept for this long after crashes were last added to it, so that a request that
+ * arrives daily is recognized throughout. A request that is still sent after its record expired
+ * costs two endpoints per week until an operator acts.
  */
 export const CRASH_RETENTION_MILLISECONDS: Milliseconds = 7 * 24 * 3_600_000
 
--- a/packages/coordination/src/journal/domainCommitter.ts
+++ b/packages/coordination/src/journal/domainCommitter.ts
@@ -1,7 +1,7 @@
 /**
- * Combines journal batches of one failure domain into one transaction in a large fleet. The domain's
- * committer is the live instance of the domain that rendezvous hashing selects. Owns the batches
- * that wait at the committer.
+ * Combines journal batches of one failure domain into one transaction in a large fleet. The
+ * domain's committer is the live instance of the domain that rendezvous hashing selects. Owns the
+ * batches that wait at the committer.
  */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
--- a/packages/coordination/src/journal/heldEntryArchive.ts
+++ b/packages/coordination/src/journal/heldEntryArchive.ts
@@ -1,7 +1,8 @@
 /**
- * Archive in the object store for held journal entries (entries that wait for the table and of which
- * peers have copies in memory). The copies are lost if all instances lose power during an outage of
- * the table; the archived entries are not. Owns the time of the object store's last failure.
+ * Archive in the object store for held journal entries (entries that wait for the table and of
+ * which peers have copies in memory). The copies are lost if all instances lose power during an
+ * outage of the table; the archived entries are not. Owns the time of the object store's last
+ * failure.
  */
 
 import * as z from 'zod'
--- a/packages/coordination/src/journal/journal.ts
+++ b/packages/coordination/src/journal/journal.ts
@@ -47,7 +47,9 @@
 
 /** Size limits of a journal. */
 export interface JournalLimits {
-  /** Number of unwritten records from which on `hasRoom` is false, so that callers refuse new work. */
+  /**
+   * Number of unwritten records from which on `hasRoom` is false, so that callers refuse new work.
+   */
   readonly maximumBacklog: number
   /** Maximum number of records in one batch. */
   readonly maximumBatchEntries: number
@@ -232,7 +234,10 @@
         durableOrHeld.reject(error)
       },
     }
-    return { pending, ticket: { index, durable: durable.promise, durableOrHeld: durableOrHeld.promise } }
+    return {
+      pending,
+      ticket: { index, durable: durable.promise, durableOrHeld: durableOrHeld.promise },
+    }
   }
 
   private async flushOnce(): Promise<FlushOutcome> {
--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -32,7 +32,10 @@
   readonly promptTokens: TokenCount
   readonly generatedTokens: TokenCount
   readonly billedTokens: TokenCount
-  /** Tokens billed by earlier attempts with the same key, and therefore not billed again by this entry. */
+  /**
+   * Tokens billed by earlier attempts with the same key, and therefore not billed again by this
+   * entry.
+   */
   readonly creditedTokens: TokenCount
   readonly code: ResultCode
   /** Wall-clock time of the end, in milliseconds. */
@@ -52,8 +55,8 @@
 export type JournalEntry = SettleEntry | LendEntry
 
 /**
- * An entry with the number that its writer gave to the record. The numbers increase, with gaps where
- * a record was rejected. `entry` is absent for a record that only changes another row.
+ * An entry with the number that its writer gave to the record. The numbers increase, with gaps
+ * where a record was rejected. `entry` is absent for a record that only changes another row.
  */
 export interface IndexedEntry {
   readonly index: number
--- a/packages/coordination/src/journal/journalReplicator.ts
+++ b/packages/coordination/src/journal/journalReplicator.ts
@@ -29,9 +29,9 @@
 
 /**
  * Keeps entries safe while the table cannot be reached, by copies in the memory of peers of the
- * region. An entry counts as held when `requiredReplicas` peers have it. A held entry is lost only if
- * this instance and all of those peers crash before the table recovers, and the entry could not be
- * archived in the object store either.
+ * region. An entry counts as held when `requiredReplicas` peers have it. A held entry is lost only
+ * if this instance and all of those peers crash before the table recovers, and the entry could not
+ * be archived in the object store either.
  */
 export class JournalReplicator {
   private lastReleased = 0
@@ -40,8 +40,8 @@
   constructor(private readonly parts: JournalReplicatorParts) {}
 
   /**
-   * Copies at most `ITEMS_PER_MESSAGE` waiting entries to peers, one peer after another, until enough
-   * have them; returns true if the entries became held.
+   * Copies at most `ITEMS_PER_MESSAGE` waiting entries to peers, one peer after another, until
+   * enough have them; returns true if the entries became held.
    */
   async replicate(): Promise<boolean> {
     const items = this.parts.journal.unreplicatedEntries(ITEMS_PER_MESSAGE)
@@ -80,9 +80,7 @@
   private targets(): readonly MemberInfo[] {
     const domainRank = (member: MemberInfo) =>
       member.failureDomain === this.parts.failureDomain ? 1 : 0
-    return [...this.parts.candidates()].sort(
-      (left, right) => domainRank(left) - domainRank(right),
-    )
+    return [...this.parts.candidates()].sort((left, right) => domainRank(left) - domainRank(right))
   }
 
   private async sendTo(target: IncarnationId, items: readonly HeldEntry[]): Promise<boolean> {
--- a/packages/coordination/src/membership/callerAddresses.ts
+++ b/packages/coordination/src/membership/callerAddresses.ts
@@ -15,7 +15,9 @@
 
 /** Maximum number of addresses in one answer: a first choice, and alternatives in case it fails. */
 const ADDRESSES_PER_ANSWER = 3
-/** How long a caller may cache the addresses, and so keep using an instance that drains meanwhile. */
+/**
+ * How long a caller may cache the addresses, and so keep using an instance that drains meanwhile.
+ */
 const TIME_TO_LIVE_SECONDS = 15
 
 /**
--- a/packages/coordination/src/membership/incarnationRegistry.ts
+++ b/packages/coordination/src/membership/incarnationRegistry.ts
@@ -1,7 +1,7 @@
 /**
- * Registry of incarnations (runs of instances' processes) in the table: registers this one and lists
- * all. Sealers find by the list which instances may hold entries of a terminated incarnation. Keeps
- * no state.
+ * Registry of incarnations (runs of instances' processes) in the table: registers this one and
+ * lists all. Sealers find by the list which instances may hold entries of a terminated incarnation.
+ * Keeps no state.
  */
 
 import * as z from 'zod'
--- a/packages/coordination/src/membership/lease.ts
+++ b/packages/coordination/src/membership/lease.ts
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Whether the lease has no row, or its row was seen unchanged for longer than the duration on this
-   * instance's own clock.
+   * Whether the lease has no row, or its row was seen unchanged for longer than the duration on
+   * this instance's own clock.
    */
   private isExpired(row: Row | undefined): boolean {
     if (row === undefined) return true
--- a/packages/coordination/src/membership/memberDirectory.ts
+++ b/packages/coordination/src/membership/memberDirectory.ts
@@ -3,8 +3,8 @@
  * renews its row with heartbeats; one whose row does not change for the silence timeout is silent
  * and counts as not serving. Without the directory, instances would not know with whom they share
  * budgets and to whom they can send callers. Owns this instance's row and the times at which the
- * rows were seen to change. Relies on the mirror of the table for reading the rows, and on the store
- * for writing its own.
+ * rows were seen to change. Relies on the mirror of the table for reading the rows, and on the
+ * store for writing its own.
  */
 
 import type { RecordedInstance } from '@rackwalk/decisions'
@@ -65,15 +65,17 @@
  * exceed it, heartbeats slow down.
  */
 const HEARTBEAT_SHARE = 0.4
-/** Factor on the time between two heartbeats of a standby instance, to which no callers are sent. */
+/**
+ * Factor on the time between two heartbeats of a standby instance, to which no callers are sent.
+ */
 const STANDBY_FACTOR = 3
 /** A row that was not renewed for more than this many silence timeouts is removed. */
 const REMOVE_AFTER_SILENCES = 20
 
 /**
- * Time after this instance has seen its own row in a read, by which the other instances know it too.
- * While the store answers, an instance reads the rows at least every 1.5 s, and one such read may
- * fail.
+ * Time after this instance has seen its own row in a read, by which the other instances know it
+ * too. While the store answers, an instance reads the rows at least every 1.5 s, and one such read
+ * may fail.
  */
 const VISIBILITY_DELAY_MILLISECONDS = 3_000
 /**
@@ -83,8 +85,8 @@
 const WORKING_REQUESTS_PER_SECOND = 1
 
 /**
- * Time after its start for which an instance waits for the rows before it assumes that it is the only
- * one; a store or peer that answers delivers them in a tenth of this time.
+ * Time after its start for which an instance waits for the rows before it assumes that it is the
+ * only one; a store or peer that answers delivers them in a tenth of this time.
  */
 const FIRST_READ_TIMEOUT_MILLISECONDS = 1_500
 
@@ -249,7 +251,9 @@
     return this.observedTime - member.changedAt < this.silenceTimeoutOf(member)
   }
 
-  /** Returns the observed time without a change of the row after which the member counts as silent. */
+  /**
+   * Returns the observed time without a change of the row after which the member counts as silent.
+   */
   private silenceTimeoutOf({ row }: KnownMember): Milliseconds {
     const { silenceMilliseconds, heartbeatMilliseconds } = this.parts
     return (silenceMilliseconds / heartbeatMilliseconds) * row.renewalMilliseconds
--- a/packages/coordination/src/membership/memberRow.ts
+++ b/packages/coordination/src/membership/memberRow.ts
@@ -36,8 +36,8 @@
   /** Counts the writes of this incarnation. */
   readonly heartbeat: number
   /**
-   * Mean time until the next write. The time without a change after which other instances treat this
-   * one as silent is proportional to it.
+   * Mean time until the next write. The time without a change after which other instances treat
+   * this one as silent is proportional to it.
    */
   readonly renewalMilliseconds: Milliseconds
   /**
--- a/packages/coordination/src/membership/sealer.ts
+++ b/packages/coordination/src/membership/sealer.ts
@@ -18,11 +18,13 @@
 import type { IncarnationRecord, IncarnationRegistry } from './incarnationRegistry.js'
 
 /**
- * Maximum number of held entries written to one slot of the target's journal, so that the slot stays
- * under the row size limit.
+ * Maximum number of held entries written to one slot of the target's journal, so that the slot
+ * stays under the row size limit.
  */
 const ENTRIES_PER_SLOT = 500
-/** Maximum number of attached rows in one transaction, besides the slot; the table allows 100 rows. */
+/**
+ * Maximum number of attached rows in one transaction, besides the slot; the table allows 100 rows.
+ */
 const ATTACHMENTS_PER_SLOT = 90
 
 /**
@@ -100,8 +102,8 @@
       if (items === undefined) return undefined
       for (const item of items) collected.set(item.index, item)
     }
-    // The archive is read last: the holders accept no more entries now, so no entry that is archived
-    // after this read can count as held.
+    // The archive is read last: the holders accept no more entries now, so no entry that is
+    // archived after this read can count as held.
     const archived = (await this.parts.archive?.read(target.incarnation)) ?? []
     for (const item of archived) collected.set(item.index, item)
     return [...collected.values()].sort((left, right) => left.index - right.index)
--- a/packages/coordination/src/peerHandlers.ts
+++ b/packages/coordination/src/peerHandlers.ts
@@ -1,6 +1,6 @@
 /**
- * Handlers of all kinds of messages between instances of the OpenAI-style kind: each passes a peer's
- * message to the component that it concerns.
+ * Handlers of all kinds of messages between instances of the OpenAI-style kind: each passes a
+ * peer's message to the component that it concerns.
  */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
--- a/packages/coordination/src/peerMessageCodecs.ts
+++ b/packages/coordination/src/peerMessageCodecs.ts
@@ -1,8 +1,8 @@
 /**
- * Codecs of the messages between instances of the OpenAI-style kind, one for the request and one for
- * the reply of each kind of message. In every rolling restart, senders and receivers have different
- * versions, so a name in these schemas may change only together with a mapping that keeps the name
- * on the wire.
+ * Codecs of the messages between instances of the OpenAI-style kind, one for the request and one
+ * for the reply of each kind of message. In every rolling restart, senders and receivers have
+ * different versions, so a name in these schemas may change only together with a mapping that keeps
+ * the name on the wire.
  */
 
 import * as z from 'zod'
--- a/packages/coordination/src/peerMessages.ts
+++ b/packages/coordination/src/peerMessages.ts
@@ -1,7 +1,7 @@
 /**
  * Messages between instances of the OpenAI-style kind: the types of request and reply by kind of
- * message, of the channel and of the handlers. The forms on the wire are in peerMessageCodecs.ts. An
- * incarnation is one run of an instance's process.
+ * message, of the channel and of the handlers. The forms on the wire are in peerMessageCodecs.ts.
+ * An incarnation is one run of an instance's process.
  */
 
 import type { AdviceGossip, CrashGossip } from '@rackwalk/decisions'
--- a/packages/coordination/src/prepaid/borrower.ts
+++ b/packages/coordination/src/prepaid/borrower.ts
@@ -104,9 +104,9 @@
   /**
    * Returns the lenders to ask, without those whose backoff is not over. The given order holds
    * except in two cases. Lenders with more unanswered requests come later: otherwise simultaneous
-   * requests would all wait for the first lender and all lose that time if it does not answer. Silent
-   * instances come last: a request to one takes longer than a caller may spend on borrowing, so no
-   * other lender would be asked.
+   * requests would all wait for the first lender and all lose that time if it does not answer.
+   * Silent instances come last: a request to one takes longer than a caller may spend on borrowing,
+   * so no other lender would be asked.
    */
   private eligibleLenders(budget: string, lenders: readonly string[]): readonly string[] {
     const now = this.parts.clock.monotonic()
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Applies the current rows that a rejected transaction's conditions refer to. A row of a condition
-   * that is missing from `updates` does not exist.
+   * Applies the current rows that a rejected transaction's conditions refer to. A row of a
+   * condition that is missing from `updates` does not exist.
    */
   applyConflict(updates: readonly RowUpdate[], includesPool: boolean): void {
     const keys = [holderKey(this.instance), ...(includesPool ? [POOL_KEY] : [])]
--- a/packages/coordination/src/prepaid/prepaidAccount.ts
+++ b/packages/coordination/src/prepaid/prepaidAccount.ts
@@ -1,8 +1,8 @@
 /**
- * One prepaid budget on one instance: reserves and settles tokens and writes the rows of the budget.
- * The instance spends tokens locally out of its holding, within the bound that its holder row in
- * the store allows, and takes further tokens from the pool by a transaction. Without the bound,
- * instances without a connection to the store could together spend more than the limit.
+ * One prepaid budget on one instance: reserves and settles tokens and writes the rows of the
+ * budget. The instance spends tokens locally out of its holding, within the bound that its holder
+ * row in the store allows, and takes further tokens from the pool by a transaction. Without the
+ * bound, instances without a connection to the store could together spend more than the limit.
  *
  * Owns the requests that wait for a write, and the write in progress. Uses HoldingState for what
  * may be spent, PartitionView for what the other instances hold, and writePlan for the content of
@@ -198,7 +198,8 @@
     if (this.storeHealth.isUnavailable || this.isClosed)
       return Promise.resolve(this.refused(tokens))
     if (this.storeHealth.isSlowerThan(patience)) {
-      // The request is refused without waiting, but the write raises the holding for later requests.
+      // The request is refused without waiting, but the write raises the holding for later
+      // requests.
       this.startWrite()
       return Promise.resolve(this.refused(tokens))
     }
@@ -305,7 +306,9 @@
     if (this.view.apply(rows, isWhole)) this.report.recordRowsSeen()
   }
 
-  /** The unspent tokens of this holding and, if the store is available, the free ones of the pool. */
+  /**
+   * The unspent tokens of this holding and, if the store is available, the free ones of the pool.
+   */
   private get reachable(): TokenCount {
     const free = this.storeHealth.isUnavailable ? 0 : freeInPool(this.view.pool ?? NO_POOL)
     return this.holding.unspent + Math.max(0, free)
@@ -394,8 +397,8 @@
     if (outcome.kind === 'done') {
       for (const request of admitted) this.finishWritten(request)
       this.refuseUncoverable()
-      // Requests that arrived while the write was in flight and that the holding now covers need not
-      // wait for another write.
+      // Requests that arrived while the write was in flight and that the holding now covers need
+      // not wait for another write.
       this.waiting.finishCovered(this.holding, request => this.finishFromHolding(request))
       return true
     }
@@ -460,8 +463,8 @@
   }
 
   /**
-   * Learns from the newest known row of this instance which of the unresolved writes took effect. If
-   * the row belongs to another incarnation, this incarnation may spend no more tokens.
+   * Learns from the newest known row of this instance which of the unresolved writes took effect.
+   * If the row belongs to another incarnation, this incarnation may spend no more tokens.
    */
   private noteOwnRow(): void {
     const row = this.view.ownHolder
@@ -533,8 +536,8 @@
   }
 
   /**
-   * Refuses the waiting requests that exceed the holding and the pool together. Called right after a
-   * write, when the known pool row counts as current.
+   * Refuses the waiting requests that exceed the holding and the pool together. Called right after
+   * a write, when the known pool row counts as current.
    */
   private refuseUncoverable(): void {
     const reachable = this.holding.unspent + Math.max(0, freeInPool(this.view.pool ?? NO_POOL))
@@ -574,8 +577,8 @@
   }
 
   /**
-   * Answers all waiting requests after a failed call: until the store answers again, requests can be
-   * granted only tokens that are already held.
+   * Answers all waiting requests after a failed call: until the store answers again, requests can
+   * be granted only tokens that are already held.
    */
   private serveFromHolding(): void {
     for (const request of this.waiting.removeAll()) this.finishFromHolding(request)
--- a/packages/coordination/src/prepaid/prepaidLedger.ts
+++ b/packages/coordination/src/prepaid/prepaidLedger.ts
@@ -208,8 +208,8 @@
   }
 
   /**
-   * Settles all holdings and gives back their unspent tokens at a planned stop; returns false if the
-   * store did not accept this for every budget.
+   * Settles all holdings and gives back their unspent tokens at a planned stop; returns false if
+   * the store did not accept this for every budget.
    */
   async leave(): Promise<boolean> {
     this.stop()
@@ -241,9 +241,9 @@
   }
 
   /**
-   * Called after borrowing failed: waits until `endsAt` for a write that may still cover the tokens.
-   * Returns the refusal at once if the budget is exhausted, no time is left, or the holding and the
-   * pool are unlikely to cover the tokens.
+   * Called after borrowing failed: waits until `endsAt` for a write that may still cover the
+   * tokens. Returns the refusal at once if the budget is exhausted, no time is left, or the holding
+   * and the pool are unlikely to cover the tokens.
    */
   private async awaitPoolWrite(
     account: PrepaidAccount,
@@ -286,8 +286,8 @@
   }
 
   /**
-   * Updates the record interval. Every `TICKS_PER_UPDATE`th check is often enough, since the sharers
-   * of a budget change within seconds, and there may be very many budgets to sum up.
+   * Updates the record interval. Every `TICKS_PER_UPDATE`th check is often enough, since the
+   * sharers of a budget change within seconds, and there may be very many budgets to sum up.
    */
   private updateRecordInterval(): void {
     this.ticksUntilUpdate -= 1
--- a/packages/coordination/src/prepaid/storeHealth.ts
+++ b/packages/coordination/src/prepaid/storeHealth.ts
@@ -1,7 +1,7 @@
 /**
- * State of the store as seen by one budget's calls: failing, throttling, not answering or slow. Owns
- * the failures since the last success, the call in progress, the durations of the last two calls
- * and the delay after a throttled write. Times are in milliseconds.
+ * State of the store as seen by one budget's calls: failing, throttling, not answering or slow.
+ * Owns the failures since the last success, the call in progress, the durations of the last two
+ * calls and the delay after a throttled write. Times are in milliseconds.
  *
  * Without this state, each request that the holding does not cover would wait for a store that
  * cannot answer, instead of being served by another instance or refused at once.
--- a/packages/coordination/src/prepaid/waitingRequests.ts
+++ b/packages/coordination/src/prepaid/waitingRequests.ts
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Queues a request. After `patience`, the request is removed from the queue, if it is still there,
-   * and passed to `onExpired`.
+   * Queues a request. After `patience`, the request is removed from the queue, if it is still
+   * there, and passed to `onExpired`.
    */
   add(
     tokens: TokenCount,
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -1,6 +1,6 @@
 /**
- * Plans the next write of one holder (an instance that holds tokens of a budget). A pure function of
- * its inputs: decides which waiting requests the write covers, how many tokens move between pool
+ * Plans the next write of one holder (an instance that holds tokens of a budget). A pure function
+ * of its inputs: decides which waiting requests the write covers, how many tokens move between pool
  * and holding, whether the write ends the holding of an earlier incarnation (an earlier run of the
  * instance's process), and how much may be spent before the following write.
  */
@@ -60,9 +60,9 @@
   readonly ahead: TokenCount
   readonly changesPool: boolean
   /**
-   * Whether the plan is valid only for the known pool: it changes the pool, leaves a waiting request
-   * uncovered, or leaves the holding below its target. If a write that finds too few tokens were
-   * not conditional on the pool's version, a refilled pool would go unnoticed.
+   * Whether the plan is valid only for the known pool: it changes the pool, leaves a waiting
+   * request uncovered, or leaves the holding below its target. If a write that finds too few tokens
+   * were not conditional on the pool's version, a refilled pool would go unnoticed.
    */
   readonly dependsOnPool: boolean
   /** Set if the write ends an earlier incarnation's holding. */
@@ -126,8 +126,8 @@
 }
 
 /**
- * Returns the pool as the plan starts from: with the newest limit, and with an earlier incarnation's
- * holding ended.
+ * Returns the pool as the plan starts from: with the newest limit, and with an earlier
+ * incarnation's holding ended.
  */
 function poolBefore(inputs: WriteInputs, takeover: Takeover | undefined): PoolRow {
   const { pool, previous, limit, configurationVersion } = inputs
@@ -240,7 +240,8 @@
 /**
  * Returns the tokens per second that callers are expected to take before the next write. Refused
  * callers spend nothing, so the rate of all requests counts while the holding lasts. Towards the
- * end of the holding, only the rate of spending counts, since a crash loses all that the row allows.
+ * end of the holding, only the rate of spending counts, since a crash loses all that the row
+ * allows.
  */
 function strictDemand({ spendingPerSecond, budgetView }: WriteInputs, unspent: TokenCount): number {
   const refused = Math.max(0, budgetView.ownDemandPerSecond - spendingPerSecond)
--- a/packages/coordination/src/rows/storeClock.ts
+++ b/packages/coordination/src/rows/storeClock.ts
@@ -7,8 +7,8 @@
 import type { Clock, Milliseconds } from '@rackwalk/shared'
 
 /**
- * Bounds of the store's monotonic clock, derived from the times in its answers: the store produced an
- * answer after its call was sent and before the answer was received.
+ * Bounds of the store's monotonic clock, derived from the times in its answers: the store produced
+ * an answer after its call was sent and before the answer was received.
  */
 export class StoreClock {
   /** Lower bound of the store's time minus the time of this process's monotonic clock. */
--- a/packages/coordination/src/rows/tableMirror.ts
+++ b/packages/coordination/src/rows/tableMirror.ts
@@ -17,15 +17,18 @@
    * of the partitions read, so that a row that is missing from them does not exist.
    */
   onRows(rows: readonly ChangedRow[], isWhole: boolean): void
-  /** Called after each successful read, from the store or the upstream peer, with or without changes. */
+  /**
+   * Called after each successful read, from the store or the upstream peer, with or without
+   * changes.
+   */
   onRead?(): void
   /**
    * Called when `onRows` has thrown; the mirror continues with the next rows.
    */
   onFault?(error: unknown): void
   /**
-   * Called when the store, or the upstream peer in its place, starts or stops answering this mirror,
-   * and after the first call.
+   * Called when the store, or the upstream peer in its place, starts or stops answering this
+   * mirror, and after the first call.
    */
   onReachabilityChange?(isReachable: boolean): void
 }
@@ -166,8 +169,8 @@
   }
 
   /**
-   * Returns the rows that a peer with all changes up to `after` lacks; undefined if the table was not
-   * read yet, or its position was forgotten.
+   * Returns the rows that a peer with all changes up to `after` lacks; undefined if the table was
+   * not read yet, or its position was forgotten.
    */
   since(after: number): MirrorPage | undefined {
     if (this.position === undefined) return undefined
@@ -256,8 +259,8 @@
   }
 
   /**
-   * Reads from the store: partitions that were not read yet, or else the next changes. Returns false
-   * if a read failed.
+   * Reads from the store: partitions that were not read yet, or else the next changes. Returns
+   * false if a read failed.
    */
   private async step(): Promise<boolean> {
     const missing = this.parts.partitions().filter(name => !this.readPartitions.has(name))
--- a/packages/coordination/src/segmentArchive.ts
+++ b/packages/coordination/src/segmentArchive.ts
@@ -1,7 +1,7 @@
 /**
- * Archive of decision records, which explain how a request was handled: recent ones in memory, all of
- * them in segments (objects of many records) in the object store. Owns the records that are not yet
- * written.
+ * Archive of decision records, which explain how a request was handled: recent ones in memory, all
+ * of them in segments (objects of many records) in the object store. Owns the records that are not
+ * yet written.
  */
 
 import * as z from 'zod'
@@ -49,8 +49,8 @@
  * Decision records: recent ones in memory, all of them in object-store segments of many records
  * each. The key of a segment contains the incarnation that decided and the time, and a request id
  * contains the same two, so that a search reads few segments. Unwritten records are lost if the
- * instance crashes, or if the object store does not accept them for long; the journal still contains
- * the bill.
+ * instance crashes, or if the object store does not accept them for long; the journal still
+ * contains the bill.
  */
 export class DecisionArchive {
   private readonly recent = new Map<RequestId, JsonValue>()
@@ -133,9 +133,9 @@
       if (this.recent.size <= this.limits.memoryRecords) break
       this.recent.delete(requestId)
     }
-    // In a long outage of the object store, the oldest unwritten records are dropped, so that they do
-    // not exceed the memory limit by more than a segment. At least a segment's number of records is
-    // dropped at a time, since dropping each single one would copy the others each time.
+    // In a long outage of the object store, the oldest unwritten records are dropped, so that they
+    // do not exceed the memory limit by more than a segment. At least a segment's number of records
+    // is dropped at a time, since dropping each single one would copy the others each time.
     const excess = this.unwritten.length - this.limits.memoryRecords
     if (excess >= this.limits.segmentRecords) this.unwritten = this.unwritten.slice(excess)
   }
--- a/packages/coordination/src/standalone.ts
+++ b/packages/coordination/src/standalone.ts
@@ -38,8 +38,8 @@
 }
 
 /**
- * Returns the parts of a node without peers. No data survives the node's process except in the table
- * and the object store.
+ * Returns the parts of a node without peers. No data survives the node's process except in the
+ * table and the object store.
  */
 export function standaloneParts(options: StandaloneOptions): CoordinationNodeParts {
   const random = new SystemRandom()
--- a/packages/coordination/src/usage.ts
+++ b/packages/coordination/src/usage.ts
@@ -49,8 +49,8 @@
 /**
  * Folds entries into one bill per team and key. An entry of an attempt that knew of earlier bills
  * contains only the tokens beyond them, and its credited tokens are added to get the whole cost. Of
- * the entries of a key, the one with the highest whole cost counts; at equal cost, one that succeeded
- * is preferred.
+ * the entries of a key, the one with the highest whole cost counts; at equal cost, one that
+ * succeeded is preferred.
  */
 export function foldBills(journals: readonly (readonly JournalSlot[])[]): FoldedBills {
   const bills = new Map<string, SettleEntry>()
--- a/packages/coordination/src/validatingTable.ts
+++ b/packages/coordination/src/validatingTable.ts
@@ -1,7 +1,7 @@
 /**
  * A table that validates every row it reads against the row's codec. The table is placed between an
- * instance and the client of the platform's table, so that malformed rows are reported in one place,
- * whichever component reads them. The codecs are defined next to the types of the rows.
+ * instance and the client of the platform's table, so that malformed rows are reported in one
+ * place, whichever component reads them. The codecs are defined next to the types of the rows.
  */
 
 import type { TransactionId } from '@rackwalk/shared'
