--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -149,8 +149,8 @@
 
   /**
    * Instances that may still run, including this one and those that are no longer live but were
-   * heard from within the last 12 silence timeouts. They share the limits of the whole fleet,
-   * whichever parts of the fleet can reach each other.
+   * heard from within `RETENTION_SILENCES` silence timeouts. They share the limits of the whole
+   * fleet, whichever parts of the fleet can reach each other.
    */
   get recentInstances(): readonly InstanceId[] {
     const oldest = this.clock.monotonic() - RETENTION_SILENCES * this.timings.silenceMilliseconds
