--- a/packages/coordination/src/journal/journalEntry.ts
+++ b/packages/coordination/src/journal/journalEntry.ts
@@ -25,14 +25,17 @@
   readonly kind: 'settle'
   readonly budgetId: BudgetId
   readonly teamId: TeamId
-  /** Identifies the bill together with the team; folding bills it once. */
+  /** Identifies the bill together with the team; entries with the same key are billed once. */
   readonly billKey: IdempotencyKey
   readonly requestId: RequestId
   readonly modelId?: ModelId
   readonly promptTokens: TokenCount
   readonly generatedTokens: TokenCount
   readonly billedTokens: TokenCount
-  /** Tokens billed by earlier attempts with the same key, and therefore not billed again here. */
+  /**
+   * Tokens billed by earlier attempts with the same key, and therefore not billed again by this
+   * entry.
+   */
   readonly creditedTokens: TokenCount
   readonly code: ResultCode
   /** Wall-clock time of the end, in milliseconds. */
@@ -52,8 +55,8 @@
 export type JournalEntry = SettleEntry | LendEntry
 
 /**
- * An entry with the number its writer gave it; the numbers increase, with gaps where a write was
- * rejected.
+ * An entry with the number that its writer gave to the record. The numbers increase, with gaps
+ * where a record was rejected. `entry` is absent for a record that only changes another row.
  */
 export interface IndexedEntry {
   readonly index: number
--- a/packages/coordination/src/prepaid/takeover.ts
+++ b/packages/coordination/src/prepaid/takeover.ts
@@ -1,6 +1,8 @@
 /**
- * How a terminated incarnation's holding is ended: how much of it counts as spent, and why. Pure
- * functions of its last row and of the time by which it had terminated.
+ * Ends the holding of a terminated incarnation (an earlier run of the instance's process). Computes
+ * how much of the holding counts as spent: the most that its last row allowed until the incarnation
+ * had terminated. If less were counted, the budget could be overspent. Pure functions of the last
+ * row and of the time by which the incarnation had terminated.
  */
 
 import { committedBound } from '@rackwalk/decisions'
@@ -30,7 +32,7 @@
 interface Successor {
   readonly incarnation: string
   /** A store time by which the earlier incarnation had terminated. */
-  readonly diedBefore: Milliseconds | undefined
+  readonly terminatedBefore: Milliseconds | undefined
 }
 
 /**
@@ -39,10 +41,10 @@
  */
 export function takeoverOf(
   row: HolderRow | undefined,
-  { incarnation, diedBefore }: Successor,
+  { incarnation, terminatedBefore }: Successor,
 ): Takeover | undefined {
   if (row === undefined || row.incarnation === incarnation) return undefined
-  const assumed = boundAtDeath(row, diedBefore)
+  const assumed = boundAtTermination(row, terminatedBefore)
   return {
     incarnation: row.incarnation,
     granted: row.granted,
@@ -55,14 +57,17 @@
 }
 
 /** Returns the pool after the holding of a terminated incarnation was ended. */
-export function endDeadHolding(pool: PoolRow, row: HolderRow, takeover: Takeover): PoolRow {
+export function endTerminatedHolding(pool: PoolRow, row: HolderRow, takeover: Takeover): PoolRow {
   const { reserved, ahead, allowed, assumed } = takeover
   const assumedSpent = (pool.assumedSpent ?? 0) + reserved + ahead + allowed
   return { ...endHolding(pool, row, assumed), assumedSpent }
 }
 
-function boundAtDeath(row: HolderRow, diedBefore: Milliseconds | undefined): TokenCount {
-  // Without a store time, the whole holding may have been spent.
-  if (diedBefore === undefined) return row.granted
-  return committedBound(row, diedBefore - row.base)
+function boundAtTermination(
+  row: HolderRow,
+  terminatedBefore: Milliseconds | undefined,
+): TokenCount {
+  // If the time of the termination is unknown, the whole holding may have been spent.
+  if (terminatedBefore === undefined) return row.granted
+  return committedBound(row, terminatedBefore - row.base)
 }
