--- a/packages/daemon/src/gateway/activeFleet.ts
+++ b/packages/daemon/src/gateway/activeFleet.ts
@@ -1,7 +1,8 @@
 /**
- * What this instance currently knows of the fleet: which instances serve, which of them take callers, and at which
- * addresses. Owns a short-lived view, since decisions query it often; relies on the member rows, on the load
- * datagrams for heartbeats, and on decisions/placing/activeInstances.
+ * What this instance currently knows of the fleet: which instances serve, which of them are active (the directory
+ * sends callers to them) or on standby, which are silent (no heartbeat lately), how many share a fleet-wide bound, and
+ * which addresses a caller gets. Owns a short-lived view, since the view is read for many decisions on a request;
+ * relies on the member rows, on the load datagrams for heartbeats, and on decisions/placing/activeInstances.
  */
 
 import {
@@ -16,14 +17,14 @@
 
 /** Inputs of the fleet view. */
 export interface ActiveFleetParts {
-  /** Whether this instance takes callers; cheaper than `self`, and called far more often. */
+  /** Whether this instance is ready and registered, so that it can be active; cheaper than `self`. */
   readonly isServing: () => boolean
   readonly self: () => MemberRow
   /** Other instances that serve, by their rows in the store. */
   readonly others: () => readonly MemberRow[]
   /** Whether an instance sent a heartbeat recently; true for an instance that sends no datagrams. */
   readonly hasRecentHeartbeat: (member: MemberRow) => boolean
-  /** An instance is silent when it sent nothing for this long. */
+  /** How long this instance waits for the first heartbeat of another one before that one counts as silent. */
   readonly silenceMilliseconds: () => Milliseconds
   /** Whether an instance recently reported work at endpoints. */
   readonly hasEndpointLoad: (member: MemberRow) => boolean
@@ -39,19 +40,19 @@
 
 interface FleetView {
   readonly at: Milliseconds
-  /** This instance's own row at that time; undefined while it took no callers. */
+  /** This instance's own row at that time; undefined if this instance was not serving. */
   readonly self: MemberRow | undefined
   readonly isSelfActive: boolean
   readonly activeOthers: readonly MemberRow[]
   readonly usingOthers: readonly MemberRow[]
   readonly idleOthers: readonly MemberRow[]
-  /** Names of the silent instances. */
+  /** Names of the silent instances; empty while this instance hears no other instance. */
   readonly silentOthers: ReadonlySet<string>
 }
 
-/** A view of the fleet is reused up to this age: members change within seconds. */
+/** Age up to which a view of the fleet is reused: members change within seconds. */
 const VIEW_MILLISECONDS = 100
-/** After this time, other instances that started at the same time are known. */
+/** Time after the start of serving by which this instance knows the instances that started at the same time. */
 const DISCOVERY_MILLISECONDS = 2_000
 
 function activeCountOf({ isSelfActive, activeOthers }: FleetView): number {
@@ -63,9 +64,9 @@
   private readonly selection: ActiveInstances
   private readonly silent = new SilenceDetector()
   private view: FleetView | undefined
-  /** Set when the cached view lacks an instance that is known by now. */
+  /** Set when the members have changed since the cached view was computed. */
   private isInvalidated = false
-  /** Time at which this instance began to serve. */
+  /** Monotonic time at which this instance last began or stopped serving; 0 before the first change. */
   private selfSince: Milliseconds = 0
 
   constructor(private readonly parts: ActiveFleetParts) {
@@ -83,8 +84,9 @@
   }
 
   /**
-   * Whether this instance should hold tokens ahead of demand. An instance that has just begun to serve knows few of
-   * the others yet and therefore always considers itself active.
+   * Whether this instance should hold tokens ahead of demand: it is active and has served for
+   * `DISCOVERY_MILLISECONDS`. An instance that has just begun to serve knows few of the other instances and may
+   * consider itself active for that reason alone.
    */
   get isSelfSettled(): boolean {
     const { at, isSelfActive } = this.currentView()
@@ -101,7 +103,7 @@
     return this.currentView().usingOthers
   }
 
-  /** Other instances that currently use no shared resources of the fleet, or are silent. */
+  /** The other instances that serve but are not in `usingOthers`: idle standby instances and silent instances. */
   get idleOthers(): readonly MemberRow[] {
     return this.currentView().idleOthers
   }
@@ -111,7 +113,7 @@
     return this.currentView().silentOthers.has(instance)
   }
 
-  /** Number of instances that take callers, this one included if it does. */
+  /** Number of active instances, this one included if it is active. */
   get activeCount(): number {
     return activeCountOf(this.currentView())
   }
@@ -126,7 +128,7 @@
     return partitionSafeShareCount(this.usage)
   }
 
-  /** Addresses for a caller of a region; addresses of all regions when that region has no instance. */
+  /** Returns addresses for a caller of a region; those of all regions if the region has no active instance. */
   addresses(region: string | undefined): readonly string[] {
     const { self, isSelfActive, activeOthers } = this.currentView()
     const active = isSelfActive && self !== undefined ? [self, ...activeOthers] : activeOthers
@@ -135,8 +137,8 @@
   }
 
   /**
-   * The members that reach endpoints: active ones, otherwise standby ones; all active members if every instance is
-   * cut off.
+   * Returns the given active members that reach endpoints of every service. If there are none, returns the idle
+   * standby members of all regions that do and are not silent; if there are none of those either, the given members.
    */
   private preferReaching(active: readonly MemberRow[]): readonly MemberRow[] {
     const reaches = (member: MemberRow) => !this.parts.isCutOff(member)
@@ -155,6 +157,7 @@
       .map(({ peerAddress }) => peerAddress)
   }
 
+  /** The numbers of instances from which the shares of a fleet-wide bound are computed. */
   private get usage(): FleetUsage {
     const { isSelfActive, usingOthers, idleOthers } = this.currentView()
     return {
@@ -207,8 +210,9 @@
   }
 
   /**
-   * Other instances that callers may use. A silent instance is left out long before its row shows that it is gone,
-   * unless this instance hears no instance at all and may itself be the one that is cut off.
+   * Returns the other instances that callers may use. A silent instance is left out long before its row shows that the
+   * instance has terminated. All instances are returned if this instance hears none of them, since this instance may
+   * itself be the one without a connection.
    */
   private reachable(others: readonly MemberRow[]): readonly MemberRow[] {
     const { hasRecentHeartbeat, clock, silenceMilliseconds } = this.parts
--- a/packages/daemon/src/gateway/crashCoordinator.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -1,6 +1,9 @@
 /**
- * Connects what this instance finds out about requests that crash endpoints with its consumers: the other instances,
- * the store, and the log. Owns the guard and the crash records; relies on the datagram exchange for broadcasts.
+ * Passes on what this instance finds out about requests and prompt parts that crash endpoints: to the other instances
+ * as gossip (datagrams), to the store as crash records, and to the log. Also applies the gossip of other instances and
+ * the records of the store. Without these, every instance would send a crash-inducing request to endpoints of its own.
+ *
+ * Owns the crash guard, which decides, and the crash records; relies on the datagram exchange for broadcasts.
  */
 
 import { CrashRecordStore } from '@rackwalk/coordination'
@@ -32,12 +35,13 @@
 }
 
 /**
- * A datagram may be lost, so each one is sent again after this time; the rows in the store make up for messages that
- * are lost twice.
+ * Time after which gossip is sent once more, since a datagram may be lost. Only gossip with crash marks, clearances,
+ * crashes of prompt parts (`partEnds`) or verdicts on prompt parts is repeated. Marks, clearances and verdicts also go
+ * to the store, whose rows make up for messages that are lost twice.
  */
 const REPEAT_MILLISECONDS: Milliseconds = 250
 
-/** Detects, records and shares requests that crash endpoints. */
+/** Detects requests that crash endpoints, records them in the store and shares them with other instances. */
 export class CrashCoordinator {
   readonly guard: CrashGuard
   readonly records: CrashRecordStore
@@ -73,10 +77,12 @@
     this.noteUnresponsive(gossip)
   }
 
+  /** Marks the endpoint starts (runs of an endpoint) that did not answer a probe as unresponsive in the directory. */
   private noteUnresponsive({ away = [] }: CrashGossip): void {
     for (const start of away) this.parts.directory().noteUnresponsive(start)
   }
 
+  /** Broadcasts gossip of this instance, repeats it if it has to be, and records its marks and clearances. */
   private broadcastAndRecord(gossip: CrashGossip): void {
     this.parts.broadcast(gossip)
     this.noteUnresponsive(gossip)
@@ -86,6 +92,7 @@
     for (const { fingerprint } of gossip.cleared) this.records.remove(fingerprint)
   }
 
+  /** Repeats gossip about prompt parts, with the ages of their crashes increased by the time until the repetition. */
   private repeatPartGossip(gossip: CrashGossip): void {
     const { partEnds, deadlyParts, soundParts } = gossip
     const hasParts = [partEnds, deadlyParts, soundParts].some(keys => keys !== undefined)
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -1,7 +1,7 @@
 /**
- * What an instance knows of endpoints, wired together: the listed endpoints, their advice, the requests that crash
- * them, and the load of the whole fleet at them. Owns these parts and the datagrams that keep them in step on all
- * instances; decides nothing.
+ * Wires together what an instance knows of endpoints: the listed endpoints, their advice, the requests that crash
+ * them, the connections to them, the software versions that their streams come from, and the load of the whole fleet
+ * at them. Owns these parts and the datagram exchange that shares their state between instances; decides nothing.
  */
 
 import { EndpointDirectory, FleetLoad, LinkMonitor } from '@rackwalk/router'
@@ -33,13 +33,13 @@
   readonly fleet: () => ActiveFleet
   /** Reads the member rows at once instead of at their next interval. */
   readonly readMembers: () => void
-  /** Whether the list of endpoints is as recent as it has to be. */
+  /** Whether the list of endpoints is within its staleness bound. */
   readonly isListFresh: () => boolean
   /** The service in the configuration in force; undefined when it has no such service. */
   readonly service: (name: string) => GatewayService | undefined
 }
 
-/** The parts that know of endpoints. */
+/** The parts of one instance that hold the state of endpoints. */
 export class EndpointSubsystem {
   readonly directory: EndpointDirectory
   readonly crashes: CrashCoordinator
@@ -50,7 +50,7 @@
   readonly overloaded: OverloadedInstances
   /** Which endpoints this instance reaches. */
   readonly links: LinkMonitor<EndpointState>
-  /** Instances that reach no endpoint of some service. */
+  /** Instances that lately reached no endpoint of some service. */
   readonly cutOff: CutOffInstances
   /** The origins (endpoint software versions) of streams. */
   readonly streams: StreamCoordinator
@@ -99,8 +99,8 @@
   }
 
   /**
-   * An instance's row was written: either other instances can know this one from now on, or another instance is sent
-   * the current state.
+   * An instance's row was written. If it is this instance's row, this instance announces itself to all others; else
+   * the other instance is sent the current state.
    */
   noteRegistered(isSelf: boolean): void {
     this.parts.fleet().invalidate()
@@ -205,8 +205,8 @@
       directory: this.directory,
       clock,
       capacityOf: name => service(name)?.engine?.capacity,
-      // A standby instance reports prompts alone: other requests wait while an endpoint reads a prompt, whereas the
-      // endpoints' own answers soon show the standby instance's plain requests.
+      // A standby instance reports only its load of services whose engine is configured: other requests wait while
+      // such an endpoint reads a prompt, whereas the endpoints' own answers soon show load of other services.
       isTold: name => fleet().isSelfActive || service(name)?.engine !== undefined,
       users: () => fleet().usingOthers.length + 1,
       onSent: () => this.exchange?.noteSent(),
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -1,6 +1,7 @@
 /**
- * One instance of the gateway kind: wires all parts together. Owns the configuration in force and the lifecycle phase
- * of the instance; delegates everything else to its parts.
+ * One gateway instance: creates all parts, connects them, and starts, drains and stops them. Owns the settings and the
+ * lifecycle phase of the instance (whether it drains, refuses requests or is a member of the fleet); delegates
+ * everything else to its parts.
  */
 
 import { SystemClock, SystemRandom } from '@rackwalk/shared'
@@ -109,7 +110,8 @@
     )
     this.storeClock = new StoreClock(this.clock)
     this.incarnation = this.random.uniqueId().slice(0, 8)
-    // A single stray request, such as a health check, must not make the instance count as loaded.
+    // The rate is averaged over a window, so that a single request, such as a health check, does not make the instance
+    // count as loaded.
     this.requestRate = new DemandMeter(this.clock, DEMAND_WINDOW_MILLISECONDS)
     this.configuration = this.createConfiguration()
     this.members = this.createMembers()
@@ -148,13 +150,16 @@
     this.note('instance_started', { callers, incarnation: this.incarnation })
   }
 
-  /** Whether new requests may begin here. */
+  /**
+   * Whether the instance can take new callers: a configuration is in force, the instance is not draining, and no other
+   * process holds the address of its listener for callers.
+   */
   get isReady(): boolean {
     const isOpen = !this.isDrainStarted && !this.callerListener.isAddressTaken
     return this.configuration.routes !== undefined && isOpen
   }
 
-  /** Describes what this instance knows of a team's budget. */
+  /** Returns what this instance knows of a team's budget. */
   describeBudget(team: string): Readonly<Record<string, unknown>> {
     return this.ledger.describe(team)
   }
@@ -176,7 +181,10 @@
     this.note('instance_left', { ...result, ...this.acceptQueue.logFields })
   }
 
-  /** Handles a change of the settings file; settings that can change in a running process take effect. */
+  /**
+   * Handles a change of the settings file. Only settings that are read at each use, such as the grace time, take effect
+   * in the running process.
+   */
   noteSettings(outcome: SettingsOutcome): void {
     const { cause } = outcome
     if (outcome.kind === 'refused') {
@@ -192,7 +200,7 @@
     this.telemetry.noteFault(error)
   }
 
-  /** Stops immediately. */
+  /** Stops immediately: requests in progress are broken off and no holding is settled. */
   stop(): void {
     for (const mirror of this.mirrors.values()) mirror.stop()
     this.health.stop()
@@ -262,7 +270,7 @@
       store: this.store,
       storeClock: this.storeClock,
       clock: this.clock,
-      // The process's clock starts at 0 with the process, and the previous process had terminated by then.
+      // The clock starts at 0 with the process, and the previous incarnation had terminated by then.
       startedAt: 0,
       policy: budgets.policy === 'equal' ? new EqualHoldingPolicy() : new DemandHoldingPolicy(),
       isActive: () => this.fleet.isSelfSettled,
@@ -456,7 +464,7 @@
     this.joinFleet()
   }
 
-  /** Other instances learn of this one only once it can serve. */
+  /** Registers this instance when its first configuration is in force: before that, the instance cannot serve. */
   private joinFleet(): void {
     if (this.isMember) return
     this.isMember = true
--- a/packages/daemon/src/gateway/gracefulShutdown.ts
+++ b/packages/daemon/src/gateway/gracefulShutdown.ts
@@ -1,6 +1,8 @@
 /**
- * Shuts an instance down within its grace time, in the phases of decisions/stopping/drainPhases.ts. Owns nothing; the
- * daemon supplies the actions.
+ * Shuts an instance down within its grace time (the time from SIGTERM to the kill by the platform), in the phases of
+ * decisions/stopping/drainPhases.ts: serves callers a while longer, refuses new requests until those in progress have
+ * finished, closes the listener, and settles the holdings (prepaid tokens that the instance may spend). Owns nothing;
+ * the daemon supplies the actions.
  */
 
 import { LINGER_MILLISECONDS, exitDelay, shouldSettle } from '@rackwalk/decisions'
@@ -19,14 +21,15 @@
   /** Refuses new requests from now on. */
   readonly refuse: () => void
   readonly closeListener: () => void
-  /** Returns this instance's holdings; true once the store has recorded all of them. */
+  /** Gives this instance's holdings back to the store; resolves to whether the store has recorded all of them. */
   readonly settle: () => Promise<boolean>
 }
 
 /** The outcome of a planned shutdown. */
 export interface GracefulShutdownResult {
-  /** Requests that were still in progress when the grace time was over. */
+  /** Number of requests that were still in progress when the instance began to settle its holdings. */
   readonly cutOff: number
+  /** Whether the store recorded all returned holdings before the time at which the process has to exit. */
   readonly isSettled: boolean
 }
 
@@ -40,12 +43,13 @@
   await waitForRequests(parts, startedAt)
   parts.closeListener()
   const cutOff = parts.inFlight()
-  // Holdings that the store does not record in time are settled when the next incarnation takes over, at their
-  // spending bound.
+  // Holdings that the store does not record in time are settled when the next incarnation takes them over: as much
+  // counts as spent as the instance may have spent (the spending bound).
   const isSettled = await Promise.race([parts.settle(), graceEnd(parts, startedAt)])
   return { cutOff, isSettled }
 }
 
+/** Resolves when the instance has to stop waiting for its requests. */
 async function waitForRequests(
   parts: GracefulShutdownParts,
   startedAt: Milliseconds,
@@ -58,6 +62,7 @@
   }
 }
 
+/** Resolves to false at the time at which the process has to exit. */
 async function graceEnd(parts: GracefulShutdownParts, startedAt: Milliseconds): Promise<boolean> {
   const end = startedAt + exitDelay(parts.graceMilliseconds())
   await sleep(parts.clock, Math.max(0, end - parts.clock.monotonic()))
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -1,7 +1,12 @@
 /**
- * Datagrams in which instances report their load at the endpoints to each other. A lost datagram causes a worse
- * choice, never a wrong answer. Owns the socket and the send times; relies on FleetLoad for the reports to send and
- * for handling received ones.
+ * Exchanges datagrams between instances: reports of their load at the endpoints, heartbeats, and gossip, that is,
+ * messages about crashes, advice of endpoints, streams, overload and lost connections to endpoints. Load reports go to
+ * the instances that use endpoints, heartbeats to all others, gossip to both. A lost load report causes a worse choice
+ * of endpoint, never a wrong answer; without any, instances would send requests to endpoints that others already load.
+ *
+ * Decides when to send: intervals in milliseconds grow with the number of receivers, so that the bytes sent per second
+ * stay bounded. Owns the socket and the send times; relies on FleetLoad for the contents of load reports and for
+ * handling received ones.
  */
 
 import { createSocket } from 'node:dgram'
@@ -19,7 +24,10 @@
 import { encodeOverloadGossip, reportsOverload } from './overloadGossip.js'
 import { decodeStreamGossip, encodeVersionGossip } from './streamGossip.js'
 
-/** Time between two reports in a small fleet, and the delay of urgent messages in any fleet. */
+/**
+ * Time between two reports in a small fleet. In any fleet, the delay before an urgent report and before a new instance
+ * is sent the current state.
+ */
 const SHORTEST_INTERVAL_MILLISECONDS = 20
 /** Bytes per second that one instance sends in reports, to all receivers together. */
 const REPORT_BYTES_PER_SECOND = 12_000
@@ -29,22 +37,22 @@
 const REPORT_BYTES = 110
 /** Size of a heartbeat with its datagram headers. */
 const HEARTBEAT_BYTES = 80
-/** Time between two overload messages of an instance that stays overloaded, in a small fleet. */
+/** Shortest time between two overload messages of an instance that stays overloaded; longer in a large fleet. */
 export const OVERLOAD_GOSSIP_MILLISECONDS: Milliseconds = 1_000
-/** Time after which an instance with nothing new to report sends a heartbeat. */
+/** Shortest time between two heartbeats; longer in a large fleet. */
 const HEARTBEAT_MILLISECONDS = 250
-/** An instance counts as silent when this many of its heartbeats are missing. */
+/** Number of successive heartbeats that have to be missing before an instance counts as silent. */
 const MISSED_HEARTBEATS = 4
 
 /** Another instance, as the exchange reaches it. */
 export interface LoadPeer {
   readonly instance: string
   readonly incarnation: string
-  /** IP:PORT. */
+  /** IP:PORT at which the instance takes datagrams. */
   readonly address: string
 }
 
-/** The members that take reports. */
+/** Returns the members that take datagrams, as peers of the exchange. */
 export function loadPeersOf(members: readonly MemberRow[]): readonly LoadPeer[] {
   return members
     .filter(({ loadAddress }) => loadAddress !== '')
@@ -54,8 +62,8 @@
 }
 
 /**
- * Identifies one incarnation: an instance that restarts at the same address does not know what its predecessor was
- * sent.
+ * Returns a key of one incarnation (run of the process) at its address: an instance that restarts at the same address
+ * does not know what its earlier incarnation was sent.
  */
 function incarnationKeyOf({ address, incarnation }: LoadPeer): string {
   return `${address} ${incarnation}`
@@ -84,11 +92,11 @@
   readonly onCutOff: (instance: string, services: readonly string[]) => void
   /** A datagram arrived in the name of an instance, which may be unknown. */
   readonly onSender: (sender: Pick<PeerLoadReport, 'instance' | 'incarnation'>) => void
-  /** Advice of endpoints that currently holds, for instances that may have missed it. */
+  /** Advice of endpoints that currently holds, sent to new instances, which missed the gossip about it. */
   readonly standingAdvice: () => readonly AdviceGossip[]
-  /** Connection resets and crashes that currently hold, for the same instances. */
+  /** Connection resets and crashes that currently hold, sent to new instances. */
   readonly standingCrashes: () => CrashGossip
-  /** Software versions that serve side by side, for the same instances. */
+  /** Endpoint software versions that serve side by side, sent to new instances. */
   readonly standingVersions: () => readonly StreamOrigin[]
   readonly clock: Clock
   readonly onMalformed: (form: MalformedInput) => void
@@ -100,14 +108,15 @@
   private timer: Timer | undefined
   /** Set while an urgent report is pending. */
   private urgentTimer: Timer | undefined
-  /** Set while new instances wait for the current state. */
+  /** Set while new instances have yet to be sent the current state. */
   private newInstanceTimer: Timer | undefined
+  /** Monotonic time of the last regular report. */
   private sentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private heartbeatSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private overloadSentAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** An instance is silent when it sent nothing for this long; recomputed at each report. */
+  /** Time without a datagram after which an instance is silent; recomputed after each interval between reports. */
   silenceMilliseconds: Milliseconds = MISSED_HEARTBEATS * HEARTBEAT_MILLISECONDS
-  /** Incarnations that the last report was sent to. */
+  /** Incarnations that got a full report and still use endpoints; emptied by `announce`. */
   private reportedPeers: ReadonlySet<string> = new Set()
   /** Incarnations that were sent the current state of endpoints, or were present when it was broadcast. */
   private informedPeers: ReadonlySet<string> = new Set()
@@ -133,8 +142,8 @@
   }
 
   /**
-   * A request was sent to an endpoint: the instances whose subset contains that endpoint get a report before the next
-   * regular one.
+   * A request was sent to an endpoint: the instances whose subset contains that endpoint get an urgent report, unless
+   * regular reports are as frequent.
    */
   noteSent(): void {
     if (this.urgentTimer !== undefined || this.interval <= SHORTEST_INTERVAL_MILLISECONDS) return
@@ -145,8 +154,8 @@
   }
 
   /**
-   * Other instances can know this one from now on. All peers get a full report again, since those that heard it
-   * earlier could not know it.
+   * This instance's row was written, so other instances can know it from now on. All peers get a full report again,
+   * since they dropped reports of an instance that they did not know.
    */
   announce(): void {
     this.reportedPeers = new Set()
@@ -190,7 +199,10 @@
     this.broadcast(encodeCutOffGossip(services, this.parts.identity))
   }
 
-  /** Like heartbeats, overload gossip becomes rarer with the number of receivers; both may use the same bandwidth. */
+  /**
+   * Time between two overload messages. Like the heartbeat interval, it grows with the number of receivers: each of the
+   * two kinds may use `HEARTBEAT_BYTES_PER_SECOND`.
+   */
   get overloadGossipMilliseconds(): Milliseconds {
     return Math.max(OVERLOAD_GOSSIP_MILLISECONDS, this.heartbeatBandwidthInterval)
   }
@@ -215,13 +227,16 @@
     })
   }
 
-  /** Reports become rarer with the number of receivers, so that the bytes they use stay bounded. */
+  /** Time between two reports; grows with the number of receivers, so that the bytes sent per second stay bounded. */
   private get interval(): Milliseconds {
     const bytes = this.parts.reportPeers().length * REPORT_BYTES
     return Math.max(SHORTEST_INTERVAL_MILLISECONDS, (bytes * 1000) / REPORT_BYTES_PER_SECOND)
   }
 
-  /** All instances know about the same number of others, and therefore about the same heartbeat interval. */
+  /**
+   * Time between two heartbeats. All instances know roughly the same number of others, so a receiver's own interval is
+   * roughly that of the sender.
+   */
   private get heartbeatInterval(): Milliseconds {
     return Math.max(HEARTBEAT_MILLISECONDS, this.interval, this.heartbeatBandwidthInterval)
   }
@@ -240,6 +255,7 @@
     this.sendTo(this.parts.reportPeers(), report)
   }
 
+  /** Sends each instance a report on the endpoints of its subset to which requests were sent. */
   private sendUrgent(): void {
     const peers = this.parts.reportPeers()
     const reports = this.parts.fleetLoad.urgentReports(peers.map(({ instance }) => instance))
@@ -249,7 +265,10 @@
     }
   }
 
-  /** An instance that begins to use endpoints would otherwise learn only of changes until the next whole report. */
+  /**
+   * Sends a full report to instances that began to use endpoints: they would otherwise learn only of changes until the
+   * next full report.
+   */
   private reportToNewPeers(): void {
     const peers = this.parts.reportPeers()
     const newPeers = peers.filter(peer => !this.reportedPeers.has(incarnationKeyOf(peer)))
@@ -259,8 +278,8 @@
   }
 
   /**
-   * An instance that missed an endpoint's advice, connection resets or crash would otherwise send requests there
-   * until it found out itself.
+   * Sends the current advice, crashes and software versions to new instances. An instance that missed an endpoint's
+   * advice, connection resets or crash would otherwise send requests to that endpoint until it found out itself.
    */
   private informNewPeers(): void {
     const { reportPeers, heartbeatPeers, identity, standingAdvice, standingCrashes } = this.parts
--- a/packages/daemon/src/gateway/peerRowClient.ts
+++ b/packages/daemon/src/gateway/peerRowClient.ts
@@ -1,6 +1,8 @@
 /**
- * Lets instances read store rows from each other while the store does not answer them. Owns the path and the encoding
- * of an answer; relies on the mirrors for the rows.
+ * Lets instances read store rows from each other: while the store does not answer, before rows become too old to
+ * serve by, and, on standby, to save calls to the store. Without it, an instance that has lost the store would serve by
+ * old rows while its peers have newer ones. Holds both sides of the call: the client, which chooses the peer, and the
+ * handler that answers it. Owns the path and the encoding of an answer; relies on the mirrors for the rows.
  */
 
 import * as z from 'zod'
@@ -13,6 +15,7 @@
 import type { PlainAnswer } from './platformAdapter.js'
 
 const ROWS_PATH = '/rows/'
+/** Base for parsing a request's path as a URL; the host is ignored. */
 const ANY_ORIGIN = 'http://localhost'
 
 const pageSchema = z.object({
@@ -28,7 +31,7 @@
   ),
   isWhole: z.boolean(),
   version: z.number(),
-  // Earlier versions do not send it.
+  // Age of the rows in milliseconds; earlier versions do not send it.
   age: z.number().optional(),
 })
 
@@ -57,7 +60,10 @@
   }),
 })
 
-/** Answers a peer's query for the rows of a table. */
+/**
+ * Answers a peer's query for the rows of a table: status 404 if the path is of another kind or names a table that this
+ * instance does not follow, 503 if this instance has not read the table yet.
+ */
 export function handleRowsRequest(
   url: string,
   mirrors: ReadonlyMap<string, TableMirror>,
@@ -71,23 +77,24 @@
 
 /** What the client needs. */
 export interface PeerRowClientParts {
-  /** Address at which this instance itself answers such queries. */
+  /** Address at which this instance itself answers peers; never queried. Undefined if it answers none. */
   readonly own: string | undefined
   /** Addresses to query whether or not an instance is known there. */
   readonly seeds: readonly string[]
-  /** Addresses of other instances, in no particular order; empty strings stand for none. */
+  /** Addresses of other instances, in no particular order; an empty string stands for an instance without one. */
   readonly knownAddresses: () => readonly string[]
   /** Addresses of active instances of the same failure domain, in no particular order. */
   readonly nearAddresses: () => readonly string[]
   readonly random: RandomSource
+  /** Default timeout of a query. */
   readonly timeoutMilliseconds: Milliseconds
-  readonly onMalformed: (form: MalformedInput) => void
+  readonly onMalformed: (input: MalformedInput) => void
 }
 
 /** One query for rows. */
 interface RowsQuery {
   readonly table: string
-  /** Rows up to this version are known already. */
+  /** Version up to which the rows are known already. */
   readonly after: number
   readonly timeoutMilliseconds: Milliseconds
 }
@@ -99,8 +106,9 @@
   constructor(private readonly parts: PeerRowClientParts) {}
 
   /**
-   * Queries a random other instance, except the one that was queried last, since that one may be silent. Uses the
-   * default timeout unless one is given.
+   * Queries a random other instance. Avoids the instance that was queried last, which may be silent, unless no other
+   * address is known. Uses the default timeout unless one is given. Resolves to undefined if no address is known or
+   * no valid answer arrives in time.
    */
   ask(
     table: string,
@@ -115,7 +123,7 @@
     return this.askAt(address, { table, after, timeoutMilliseconds })
   }
 
-  /** Queries a random active instance nearby. */
+  /** Queries a random active instance of the same failure domain; resolves to undefined like `ask`. */
   askNear(table: string, after: number): Promise<MirrorPage | undefined> {
     const timeoutMilliseconds = this.parts.timeoutMilliseconds
     const address = this.choose(this.parts.nearAddresses())
--- a/packages/daemon/src/gateway/stalenessMonitor.ts
+++ b/packages/daemon/src/gateway/stalenessMonitor.ts
@@ -1,6 +1,10 @@
 /**
- * Monitors the age of the rows by which this instance serves, and queries peers before the rows are too old. Owns the
- * times of the peers' last answers; the rule is in decisions/admitting/configurationStaleness.
+ * Monitors the age of the operator's and the endpoints' rows by which this instance serves. Queries peers for newer
+ * rows before the rows reach their bound, rejects requests while the rows are too old, and reports when that begins and
+ * ends. Without the monitor, an instance that has lost the store would go on serving by revoked keys and deleted routes.
+ *
+ * Owns the send times of the queries that peers answered; decisions/admitting/configurationStaleness decides when to
+ * query and when to reject. All times are in milliseconds.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -39,15 +43,16 @@
   return new Map(tables)
 }
 
-/** The state on which the instance began or stopped refusing requests. */
+/** The state in which the instance began or stopped refusing requests because of the age of a table's rows. */
 export interface StalenessChange {
   readonly isRefusing: boolean
+  /** The table whose rows are too old; if the refusals ended, the table whose rows were. */
   readonly table: string
   readonly rows: RowStaleness
   readonly reachability: ContactAges
 }
 
-/** Fields of the log line about such a change; an infinite age is omitted from its JSON. */
+/** Returns the log fields of a change; an age is undefined, and so omitted from the JSON, if there was no contact yet. */
 export function stalenessFields(change: StalenessChange): Readonly<Record<string, unknown>> {
   const { isRefusing, table, rows, reachability } = change
   return {
@@ -59,7 +64,7 @@
   }
 }
 
-/** Fields of a log line about the last contact with the store and with peers. */
+/** Returns log fields with the times since the last contact with the store and with peers. */
 export function reachabilityFields({
   answeredAgoMilliseconds,
   heardAgoMilliseconds,
@@ -77,7 +82,7 @@
 /** What the monitor needs. */
 export interface StalenessMonitorParts {
   readonly clock: Clock
-  /** By name, which is used as the detail of a refusal. */
+  /** The tables by name; the name of the table that is too old is the detail of a refusal. */
   readonly tables: ReadonlyMap<string, MonitoredTable>
   readonly reachability: () => ContactAges
   /** The instance began or stopped refusing requests because of the age of its rows. */
@@ -85,18 +90,24 @@
   readonly onFault: (error: unknown) => void
 }
 
-/** Time between two checks. A check costs no call unless rows are old, and a staleness bound spans ten of them. */
+/**
+ * Time between two checks. A check sends no query unless rows are old, and about ten checks fit into a staleness
+ * bound.
+ */
 const CHECK_INTERVAL_MILLISECONDS = 200
-/** Peers queried at each check: one of them may be cut off from the store as well. */
+/** Queries sent for a table at each check: a queried peer may be without a connection to the store as well. */
 const PEERS_PER_CHECK = 2
-/** Most queries for a table that are pending at a time: their answers share the link that delays them. */
+/** Limit of the pending queries for a table: more answers would slow down the link whose delay keeps them pending. */
 const MAXIMUM_PENDING_QUERIES = 16
 
-/** Keeps an instance from serving by rows that are too old through its own fault. */
+/** Keeps an instance from serving by old rows while the store or a peer that may have newer ones is in contact. */
 export class StalenessMonitor {
-  /** Send time of the newest query that a peer answered, by table. */
+  /**
+   * Send time of the newest query that a peer answered, by table. An answer counts whether or not it holds newer rows,
+   * since those are applied.
+   */
   private readonly confirmedAt = new Map<string, Milliseconds>()
-  /** Number of pending queries, by table. */
+  /** Number of queries that no peer has answered and that have not failed, by table. */
   private readonly pendingQueries = new Map<string, number>()
   private timer: Timer | undefined
   private staleTable: string | undefined
@@ -114,7 +125,7 @@
     this.timer?.cancel()
   }
 
-  /** Throws if no request may be served because the known rows are too old. */
+  /** Throws `NotRunError` with `KnowledgeTooOld` if requests have to be refused because a table's rows are too old. */
   check(): void {
     const table = this.findStaleTable()
     if (table === undefined) return
@@ -144,7 +155,7 @@
     })
   }
 
-  /** Queries overlap, so that one query that waits behind a full link does not hold up the next. */
+  /** Sends queries without waiting for earlier ones, so that an answer delayed by a full link holds up no query. */
   private queryPeers(name: string, { mirror, boundMilliseconds }: MonitoredTable): void {
     for (let query = 0; query < PEERS_PER_CHECK; query += 1) {
       const pending = this.pendingQueries.get(name) ?? 0
