--- a/packages/daemon/src/callers/acceptQueue.ts
+++ b/packages/daemon/src/callers/acceptQueue.ts
@@ -22,12 +22,13 @@
    * one).
    */
   readonly noteUnaccepted: (cause: string) => void
-  /** From now on queued connections are accepted, or are reset for this cause. */
+  /** From now on queued connections are accepted, or may be reset; `detail` is then the error or the cause. */
   readonly noteDrainingChange: (isAccepted: boolean, detail: string) => void
 }
 
 /**
- * More connections may arrive while some are accepted; this bounds the time and the memory that one close may cost.
+ * Maximum number of attempts to accept a connection per close. More connections may arrive while some are accepted, and
+ * this limits the time and the memory that one close may take.
  */
 const MAXIMUM_ACCEPTED = 1_024
 
@@ -47,6 +48,7 @@
   private native: NativeSockets | undefined
   /** Why the library is unavailable; a load that failed is not retried. */
   private loadError: string | undefined
+  /** Whether the last close that had to accept connections could do so; changes are reported to the observer. */
   private isDrainable = true
   private acceptedCount = 0
 
@@ -61,8 +63,8 @@
   }
 
   /**
-   * Closes a listener with `close`, and lets it serve the connections that were queued before like any other
-   * connection.
+   * Closes a listener with `close`, and lets the listener serve the connections that were queued before the close like
+   * any other connection.
    */
   drainAndClose(server: Server, close: () => void): void {
     const accepted: number[] = []
@@ -124,7 +126,7 @@
     }
   }
 
-  /** A connection that fails does not keep the others from being served; its error is thrown after them. */
+  /** Hands over all connections even if some fail; throws the error of the last one that failed afterwards. */
   private handOverEach(server: Server, left: IterableIterator<number>): void {
     for (const descriptor of left) {
       try {
--- a/packages/daemon/src/callers/callerServer.ts
+++ b/packages/daemon/src/callers/callerServer.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for callers of the OpenAI-style kind. Owns its connections and their limit; delegates every answer to
- * the request path.
+ * The listener for callers of the OpenAI-style kind. Answers queries (GET below `/v1/`: addresses, models, past requests)
+ * itself and delegates all other requests to the request pipeline. Owns its connections and their limit.
  */
 
 import { createServer } from 'node:http'
@@ -39,7 +39,10 @@
 /** How long a keep-alive connection may stay idle. */
 const IDLE_MILLISECONDS = 65_000
 
-/** Factor on the connection limit: up to it, connections beyond the limit still get an error answer. */
+/**
+ * Factor on the connection limit. Requests on connections between the limit and this multiple of the limit get an error
+ * answer; connections beyond the multiple are closed without one.
+ */
 const HARD_LIMIT_FACTOR = 2
 
 /** The listener for callers. */
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Accepts no new connections and closes idle ones; connections in use stay, and queued ones are accepted and
-   * answered.
+   * Accepts no new connections and closes idle ones. Connections in use stay open, and those that wait in the accept
+   * queue are accepted and answered if the system allows that.
    */
   refuseNew(): void {
     this.parts.acceptQueue.drainAndClose(this.server, () => this.server.close())
--- a/packages/daemon/src/callers/httpCallerConnection.ts
+++ b/packages/daemon/src/callers/httpCallerConnection.ts
@@ -1,5 +1,5 @@
 /**
- * A caller's request and answer over HTTP, as the filters see them. Owns whether the caller has disconnected.
+ * A caller's request and answer over HTTP, in the form that the filters of the request pipeline use. Owns whether the caller has disconnected.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -49,7 +49,10 @@
     return this.response.destroyed || this.response.write(chunk)
   }
 
-  /** Resolves once the answer was sent: an instance that stops earlier cuts the answer off. */
+  /**
+   * Resolves once the answer is sent or the caller has disconnected. An instance that stops before would interrupt the
+   * answer.
+   */
   end(chunk?: Buffer): Promise<void> {
     if (this.response.destroyed) return Promise.resolve()
     this.response.end(chunk)
--- a/packages/daemon/src/callers/nativeSockets.ts
+++ b/packages/daemon/src/callers/nativeSockets.ts
@@ -1,7 +1,7 @@
 /**
- * Calls into the system's C library for which Node.js has no function. Only this module knows the library that makes
- * them, which may be missing; it is loaded on first use, so that a process that never uses it pays neither time nor
- * memory.
+ * Calls into the system's C library for which Node.js has no function. The calls are made through a native library,
+ * which may be missing and which only this module knows. The native library is loaded on first use, so that a process
+ * that never makes these calls spends neither time nor memory on it.
  */
 
 import { createRequire } from 'node:module'
@@ -19,7 +19,7 @@
   override readonly name = 'NativeSocketsMissing'
 }
 
-/** The part of the library that is used. */
+/** The functions of the native library that this module uses. */
 interface ForeignFunctions {
   readonly load: (path: null) => {
     readonly func: (declaration: string) => (...values: readonly (number | null)[]) => number
--- a/packages/daemon/src/gateway/activeConfiguration.ts
+++ b/packages/daemon/src/gateway/activeConfiguration.ts
@@ -1,6 +1,8 @@
 /**
- * The operator's configuration as this instance follows it, and the failure domains that are being evacuated. Owns
- * both; the configuration never returns to an older version when the change feed is read again from an earlier point.
+ * The operator's configuration that is in force at this instance, and the failure domains that are being evacuated,
+ * both from the rows of the configuration table. Decides which row takes effect: a row that cannot be parsed does not,
+ * and the configuration never returns to an older version when the change feed is read again from an earlier point.
+ * Owns the configuration and the set of evacuated failure domains.
  */
 
 import { RouteTable } from '@rackwalk/router'
@@ -19,7 +21,7 @@
   readonly onRefused: (detail: string) => void
 }
 
-/** Longest fault text that is reported. */
+/** Length, in characters, to which a reported fault text is cut. */
 const LONGEST_DETAIL = 500
 /** Version before any configuration is known. */
 const NO_VERSION = -1
@@ -31,7 +33,7 @@
 
   constructor(private readonly parts: ActiveConfigurationParts) {}
 
-  /** Undefined until a configuration is known. */
+  /** The routes of the configuration in force; undefined until the first configuration is known. */
   get routes(): RouteTable | undefined {
     return this.known
   }
@@ -44,7 +46,8 @@
   /** Applies rows in their current state; with `isWhole` they are all rows that exist. */
   observe(rows: readonly ChangedRow[], isWhole: boolean): void {
     this.observeEvacuations(rows, isWhole)
-    // A feed that was behind returns every version that it missed, oldest first.
+    // A feed that was behind returns every version that it missed, oldest first; only the last one is applied. If the
+    // last change removed the row, the configuration in force stays.
     const row = rows.findLast(({ key }) => key === this.parts.source.key)
     if (row?.value !== undefined) this.apply(row.value)
   }
--- a/packages/daemon/src/gateway/adviceCoordinator.ts
+++ b/packages/daemon/src/gateway/adviceCoordinator.ts
@@ -1,7 +1,7 @@
 /**
  * Connects the advice that endpoints give about themselves (rate limits, leaving) with its consumers: the choice of
- * an endpoint here, the other instances, and the log. Owns the advice store and the send permits; relies on the
- * datagram exchange for broadcasts.
+ * an endpoint here, the other instances, and the log. Owns the advice store, the send permits and the guard for
+ * rejections by endpoints; relies on the datagram exchange for broadcasts.
  */
 
 import type { AdviceGossip, RecordedInstance, WarmUpBounds } from '@rackwalk/decisions'
--- a/packages/daemon/src/gateway/auxiliaryListeners.ts
+++ b/packages/daemon/src/gateway/auxiliaryListeners.ts
@@ -1,6 +1,7 @@
 /**
- * The short calls that an instance answers beside requests: readiness, directory, peers, metrics. Owns nothing;
- * relies on the adapter for the platform's protocol.
+ * The listeners of an instance beside the one for callers: readiness, directory, metrics, and peers. The first three
+ * answer short calls; the listener for peers also serves the requests that other instances relay. Owns nothing; relies
+ * on the adapter for the platform's protocol.
  */
 
 import type { Server } from 'node:http'
--- a/packages/daemon/src/gateway/crashCoordinator.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -77,7 +77,10 @@
     this.noteUnresponsive(gossip)
   }
 
-  /** Marks the endpoint starts (runs of an endpoint) that did not answer a probe as unresponsive in the directory. */
+  /**
+   * Notes in the directory the starts (runs of an endpoint) whose address accepts connections while their engine does
+   * not respond.
+   */
   private noteUnresponsive({ away = [] }: CrashGossip): void {
     for (const start of away) this.parts.directory().noteUnresponsive(start)
   }
--- a/packages/daemon/src/gateway/createActiveFleet.ts
+++ b/packages/daemon/src/gateway/createActiveFleet.ts
@@ -17,7 +17,7 @@
   readonly clock: Clock
 }
 
-/** An instance that has heard no other instance for this long is cut off from all of them. */
+/** Time without a message of any other instance after which this instance counts as cut off from all of them. */
 const CUT_OFF_MILLISECONDS: Milliseconds = 1_500
 
 /** Creates the fleet view of this instance. */
@@ -41,8 +41,8 @@
 }
 
 /**
- * Of the other active instances that this one hears, and that callers can therefore use: how many there are, and how
- * many are overloaded.
+ * Returns how many other active instances this one hears, so that callers can use them, and how many of these are
+ * overloaded. Both are 0 if this instance is cut off from all others.
  */
 export function heardInstances(
   { fleetLoad, overloaded }: EndpointSubsystem,
--- a/packages/daemon/src/gateway/createPeerClients.ts
+++ b/packages/daemon/src/gateway/createPeerClients.ts
@@ -31,7 +31,7 @@
     addressOf: instance => members.others.find(member => member.instance === instance)?.peerAddress,
     isSilent: instance => fleet.isSilent(instance),
     timeoutMilliseconds: LOAN_TIMEOUT_MILLISECONDS,
-    onMalformed: form => telemetry.noteMalformed(form),
+    onMalformed: input => telemetry.noteMalformed(input),
   })
 }
 
@@ -48,6 +48,6 @@
     nearAddresses: () => fleet.failureDomainAddresses(settings.instance.failureDomain),
     random,
     timeoutMilliseconds: ROWS_TIMEOUT_MILLISECONDS,
-    onMalformed: form => telemetry.noteMalformed(form),
+    onMalformed: input => telemetry.noteMalformed(input),
   })
 }
--- a/packages/daemon/src/gateway/cutOffGossip.ts
+++ b/packages/daemon/src/gateway/cutOffGossip.ts
@@ -43,7 +43,10 @@
   readonly broadcast: (services: readonly string[]) => void
 }
 
-/** Instances that reach no endpoint of some service, this one included. */
+/**
+ * Instances that reported, within `EXPIRY_INTERVALS` gossip intervals, that they reach no endpoint of some service; this
+ * instance included. No message says that endpoints are reached again: the reports expire.
+ */
 export class CutOffInstances {
   /** By instance, then by service: time of the last report. */
   private readonly reportedAt = new Map<string, Map<string, Milliseconds>>()
@@ -63,15 +66,15 @@
     this.reportedAt.set(instance, reports)
   }
 
-  /** Whether an instance lately reported that it is cut off from a service. */
+  /** Whether an instance has a report, not yet expired, that it is cut off from a service. */
   has(instance: string, service: string): boolean {
     const lastReportAt = this.reportedAt.get(instance)?.get(service)
     return lastReportAt !== undefined && this.isCurrent(lastReportAt)
   }
 
   /**
-   * Whether an instance lately reported that it is cut off from any service, so that callers should use another
-   * instance.
+   * Whether an instance has a report, not yet expired, that it is cut off from some service, so that callers should use
+   * another instance.
    */
   hasAny(instance: string): boolean {
     const reports = this.reportedAt.get(instance)
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps the endpoint directory in step with the platform's rows. Rows expire while the store is away. The rows of
- * live endpoints return soon after the outage; the endpoints of the others are gone. Owns the time at which the store
- * came back.
+ * Updates the endpoint directory from the platform's rows. Rows expire while the store does not answer, and those of
+ * live endpoints return soon after the outage. Therefore an endpoint whose row is missing during or right after an
+ * outage is removed only when the row does not return in time; at other times it is removed at once. Without this delay,
+ * an outage of the store would remove live endpoints. Owns the time at which the store last answered again.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
@@ -10,8 +11,8 @@
 import type { EndpointDirectory, EndpointRecord } from '@rackwalk/router'
 
 /**
- * How long an entry that is missing after an outage may still come back. The platform states about two seconds; an
- * entry that is missing for longer is gone.
+ * How long after an outage a missing row may still return. The platform states about two seconds; the endpoint of a row
+ * that is missing for longer is gone.
  */
 const LAPSE_MILLISECONDS = 1_800
 
@@ -60,7 +61,9 @@
     this.isReachable = isReachable
   }
 
-  /** Not positive when a missing entry can only mean that its endpoint is gone. */
+  /**
+   * How long a missing row may still return; 0 or less if the row is missing because its endpoint is gone.
+   */
   private get lapseMilliseconds(): Milliseconds {
     // The first rows after an outage arrive before the store counts as reachable again.
     if (!this.isReachable) return LAPSE_MILLISECONDS
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -234,7 +234,7 @@
       standingCrashes: () => this.crashes.guard.newsSnapshot,
       standingVersions: () => this.streams.origins.versionsSnapshot,
       clock,
-      onMalformed: form => telemetry.noteMalformed(form),
+      onMalformed: input => telemetry.noteMalformed(input),
     })
   }
 
--- a/packages/daemon/src/gateway/followedTables.ts
+++ b/packages/daemon/src/gateway/followedTables.ts
@@ -27,10 +27,11 @@
 import { EndpointFollower } from './endpointFollower.js'
 
 /**
- * Feed intervals: each call to the store has a price, and the store accepts a bounded number of calls per second.
- * This is how long a change query waits at the store, for tables that rarely change.
+ * How long a change query may wait at the store on a table that rarely changes; shorter if the table's staleness bound
+ * requires that. A long wait saves calls: each has a price, and the store accepts a bounded number per second.
  */
 const FEED_WAIT_MILLISECONDS = 2_000
+/** Shortest time between two calls for the configuration and the crash records, whose queries wait at the store. */
 const CONFIGURATION_PAUSE_MILLISECONDS = 20
 /**
  * How long a change query waits at the store on the table of crash records. While nothing changes, there is one call
@@ -90,7 +91,10 @@
   readonly waitMilliseconds: Milliseconds
   /** Whether peers may supply its rows while the store is unreachable. */
   readonly isServedByPeers: boolean
-  /** A nearby peer may supply rows that are no older than this; if absent, only the store is asked. */
+  /**
+   * While this instance is on standby, an active instance of its failure domain may supply rows that are no older than
+   * this; if absent, no peer is asked while the store answers.
+   */
   readonly peerStalenessMilliseconds?: Milliseconds
   readonly listener: MirrorListener
 }
@@ -137,7 +141,7 @@
   mirrors.get(MEMBER_TABLE)?.requestRead()
 }
 
-/** Rows that hardly ever change: gossip of reachable instances arrives before the store's rows do. */
+/** The crash records, which hardly ever change: gossip of reachable instances arrives before the store's rows do. */
 function crashTable({ crashRecords }: FollowedTablesParts): FollowedTable {
   return {
     table: CRASH_TABLE,
@@ -149,12 +153,12 @@
   }
 }
 
-/** Holdings that are recorded less often need not be read more often. */
+/** Returns the time between two reads of the holdings, which need not be read much more often than recorded. */
 function prepaidPause(ledger: PrepaidLedger): Milliseconds {
   return Math.max(PREPAID_PAUSE_MILLISECONDS, ledger.recordMilliseconds() * PREPAID_PAUSE_SHARE)
 }
 
-/** How long a change query waits at the store for a table with this staleness bound. */
+/** Returns how long a change query may wait at the store on a table with this staleness bound. */
 function feedWait(boundMilliseconds: Milliseconds): Milliseconds {
   return Math.min(FEED_WAIT_MILLISECONDS, maximumFeedWait(boundMilliseconds))
 }
--- a/packages/daemon/src/gateway/gatewayGauges.ts
+++ b/packages/daemon/src/gateway/gatewayGauges.ts
@@ -28,7 +28,10 @@
   readonly configuration: ActiveConfiguration
   readonly callerConnections: OpenConnections
   readonly callerListener: PausableListener
-  /** Mirror of the configuration table; its age is that of the store's last answer. */
+  /**
+   * Mirror of the configuration table; its age is the time since the store, or a peer that had read the store, last
+   * confirmed the rows.
+   */
   readonly configurationMirror: TableMirror | undefined
   readonly health: InstanceHealth
   readonly isReady: () => boolean
--- a/packages/daemon/src/gateway/gatewayListeners.ts
+++ b/packages/daemon/src/gateway/gatewayListeners.ts
@@ -10,9 +10,13 @@
 import { listenOn } from '../observe/listenOn.js'
 import type { PlainAnswer } from './platformAdapter.js'
 
-/** Callers may reuse a connection that was idle for almost the idle time, so it must still be open then. */
+/**
+ * Time added to the limits of a configuration. Callers may reuse a connection that was idle for almost the idle time,
+ * so the connection must still be open then.
+ */
 const IDLE_SLACK_MILLISECONDS = 1_000
 const LONGEST_HEADER_BYTES = 64 * 1024
+/** Time limit for the headers of a request until a configuration is in force. */
 const HEADER_MILLISECONDS = 10_000
 
 /** Creates the listener for callers; a configuration changes its limits. */
@@ -27,13 +31,13 @@
   return server
 }
 
-/** Applies the limits of a configuration to connections from now on. */
+/** Sets the time limits of a configuration for idle connections and for headers. */
 export function applyLimits(server: Server, limits: GatewayLimits): void {
   server.keepAliveTimeout = limits.idleMilliseconds + IDLE_SLACK_MILLISECONDS
   server.headersTimeout = limits.headerMilliseconds + IDLE_SLACK_MILLISECONDS
 }
 
-/** Longest body of a call to a plain listener. */
+/** Maximum size of the body of a short call; a caller that sends more is disconnected. */
 const LONGEST_PLAIN_BODY_BYTES = 64 * 1024
 /** A caller that takes longer to send a call is disconnected. */
 const PLAIN_CALL_MILLISECONDS = 10_000
--- a/packages/daemon/src/gateway/instanceCapacity.ts
+++ b/packages/daemon/src/gateway/instanceCapacity.ts
@@ -1,11 +1,11 @@
 /**
- * How many requests per second can this instance take? Computed from the processor share and the link in its
- * settings.
+ * Computes how many requests per second an instance can take: the smaller of what its processor share and what its link
+ * allow, both from its settings.
  */
 
 import type { GatewaySettings } from './gatewaySettings.js'
 
-/** Leaves half of a core free. */
+/** Requests per second that a core of speed 1 takes while half of the core stays free. */
 const REQUESTS_PER_CORE = 150
 /** A prompt in and out and events in and out, including headers. */
 const BYTES_PER_REQUEST = 50_000
@@ -18,7 +18,7 @@
   return linkMegabits * BYTES_PER_MEGABIT
 }
 
-/** Requests per second; at least 1. */
+/** Returns the requests per second that an instance can take; at least 1. */
 export function capacityOf(machine: GatewaySettings['instance']['capacity']): number {
   const byProcessor = machine.processorShare * machine.processorSpeed * REQUESTS_PER_CORE
   const byLink = (linkBytesPerSecond(machine) * LINK_SHARE) / BYTES_PER_REQUEST
--- a/packages/daemon/src/gateway/instanceHealth.ts
+++ b/packages/daemon/src/gateway/instanceHealth.ts
@@ -53,12 +53,12 @@
     this.starvation.stop()
   }
 
-  /** Throws if no request may be served because the known rows are too old. */
+  /** Throws `NotRunError` if requests have to be refused because a table's rows are too old. */
   checkStaleness(): void {
     this.staleness.check()
   }
 
-  /** Whether the known rows of a table are as recent as they have to be. */
+  /** Whether the age of a table's rows is within its staleness bound; false for a table without a bound. */
   isFresh(table: string): boolean {
     const monitored = this.parts.tables.get(table)
     return monitored !== undefined && monitored.mirror.age <= monitored.boundMilliseconds
--- a/packages/daemon/src/gateway/listenerPauses.ts
+++ b/packages/daemon/src/gateway/listenerPauses.ts
@@ -1,6 +1,7 @@
 /**
- * Briefly closes the listener for callers while this instance is overloaded, and broadcasts the overload to the other
- * instances. Owns the timer; the rule is in decisions/admitting/listenerPause.
+ * Briefly closes the listener for callers while this instance is overloaded, so that new connections go to other
+ * instances, and broadcasts the overload to the other instances. Owns the timer and the time of the last broadcast;
+ * decisions/admitting/listenerPause decides when and for how long to pause.
  */
 
 import { ListenerPause, listenerOpenMilliseconds } from '@rackwalk/decisions'
@@ -17,12 +18,12 @@
   /** Share of recent requests that this instance refused for reasons of its own. */
   readonly refusedShare: () => number
   readonly others: () => PeerOverload
-  /** Whether new requests may begin here. */
+  /** Whether this instance is ready for callers; without that, the listener is not paused. */
   readonly isServing: () => boolean
   /** Broadcasts that this instance is overloaded. */
   readonly gossipOverload: () => void
   readonly onPause: () => void
-  /** The instance began or stopped pausing its listener. */
+  /** The instance began or stopped pausing; between two pauses it counts as pausing while another pause may follow. */
   readonly onChange: (isPausing: boolean, refusedShare: number, others: PeerOverload) => void
   readonly onFault: (error: unknown) => void
 }
@@ -37,14 +38,14 @@
 
   constructor(private readonly parts: ListenerPausesParts) {}
 
-  /** Begins with an open window. */
+  /** Leaves the listener open for a random time and then decides whether to pause it. */
   start(): void {
     if (this.isStopped) return
     const { clock, random } = this.parts
     this.timer = clock.after(listenerOpenMilliseconds(random.next()), () => this.evaluate())
   }
 
-  /** Leaves the listener in its current state. */
+  /** Cancels the timer; a listener that is paused stays so. */
   stop(): void {
     this.isStopped = true
     this.timer?.cancel()
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -99,7 +99,7 @@
   /** Endpoint software versions that serve side by side, sent to new instances. */
   readonly standingVersions: () => readonly StreamOrigin[]
   readonly clock: Clock
-  readonly onMalformed: (form: MalformedInput) => void
+  readonly onMalformed: (input: MalformedInput) => void
 }
 
 /** Sends this instance's reports and receives those of others. */
@@ -155,7 +155,7 @@
 
   /**
    * This instance's row was written, so other instances can know it from now on. All peers get a full report again,
-   * since they dropped reports of an instance that they did not know.
+   * since they received the earlier ones before they could know this instance.
    */
   announce(): void {
     this.reportedPeers = new Set()
--- a/packages/daemon/src/gateway/loadReport.ts
+++ b/packages/daemon/src/gateway/loadReport.ts
@@ -1,6 +1,6 @@
 /**
  * The encoding of a load report, which instances send each other in datagrams. Owns nothing; bytes that do not have
- * this form are not decoded at all.
+ * this form are rejected as a whole.
  */
 
 import { parseJson } from '@rackwalk/stores'
--- a/packages/daemon/src/gateway/overloadGossip.ts
+++ b/packages/daemon/src/gateway/overloadGossip.ts
@@ -28,7 +28,7 @@
   return loads.some(({ endpoint }) => endpoint === OVERLOADED_ENTRY)
 }
 
-/** Instances that lately reported that they are overloaded. */
+/** Instances whose last report of an overload has not expired. */
 export class OverloadedInstances {
   private readonly reportedAt = new Map<string, Milliseconds>()
 
@@ -43,7 +43,7 @@
     this.reportedAt.set(instance, this.clock.monotonic())
   }
 
-  /** Whether an instance lately reported that it is overloaded. */
+  /** Whether an instance reported within `EXPIRY_INTERVALS` gossip intervals that it is overloaded. */
   has(instance: string): boolean {
     const lastReportAt = this.reportedAt.get(instance)
     if (lastReportAt === undefined) return false
--- a/packages/daemon/src/gateway/pausableListener.ts
+++ b/packages/daemon/src/gateway/pausableListener.ts
@@ -23,7 +23,10 @@
     /** IP:PORT. */
     private address: string,
     private readonly clock: Clock,
-    /** The address was taken by another process while the listener was paused; listening is retried. */
+    /**
+     * Listening again after a pause failed, as when another process has taken the address. Called for the first failure
+     * after each pause; listening is retried.
+     */
     private readonly onAddressTaken: (error: unknown) => void,
     private readonly acceptQueue = new AcceptQueue(),
   ) {}
@@ -33,7 +36,7 @@
     return this.server.listening
   }
 
-  /** Whether another process holds the address, so that no caller is accepted until the address is free again. */
+  /** Whether listening again after a pause has failed so far, so that no caller is accepted. */
   get isAddressTaken(): boolean {
     return this.isAddressHeld
   }
@@ -50,7 +53,7 @@
     this.acceptQueue.drainAndClose(this.server, () => NetServer.prototype.close.call(this.server))
   }
 
-  /** Listens again as soon as the address is free; does nothing after a close. */
+  /** Listens again, with retries while that fails; closes the listener if it was closed meanwhile. */
   async resume(): Promise<void> {
     while (!this.isClosed && !this.isListening) {
       try {
--- a/packages/daemon/src/gateway/peerCall.ts
+++ b/packages/daemon/src/gateway/peerCall.ts
@@ -14,12 +14,17 @@
   readonly body?: string
   /** Keeps connections alive; without it, each call opens its own. */
   readonly agent?: Agent
+  /** Maximum time from the call to the end of its answer. */
   readonly timeoutMilliseconds: Milliseconds
 }
 
+/** Maximum size of an answer, which limits the memory that a peer's answer can take. */
 const LONGEST_ANSWER_BYTES = 8 * 1024 * 1024
 
-/** Returns the text of a complete answer with status 200, or undefined if none arrived in time. */
+/**
+ * Returns the text of a complete answer with status 200; undefined if none arrived in time, the call failed, the status
+ * is another one, or the answer is too large.
+ */
 export function callPeer(call: PeerCall): Promise<string | undefined> {
   const { address, path, body, agent = false, timeoutMilliseconds } = call
   const { host, port } = parseAddress(address)
--- a/packages/daemon/src/gateway/peerLoanClient.ts
+++ b/packages/daemon/src/gateway/peerLoanClient.ts
@@ -81,7 +81,7 @@
   /** Whether an instance sends no heartbeats any more. */
   readonly isSilent: (instance: string) => boolean
   readonly timeoutMilliseconds: Milliseconds
-  readonly onMalformed: (form: MalformedInput) => void
+  readonly onMalformed: (input: MalformedInput) => void
 }
 
 /** Requests loans from other instances. */
--- a/packages/daemon/src/gateway/platformAdapter.ts
+++ b/packages/daemon/src/gateway/platformAdapter.ts
@@ -13,7 +13,7 @@
   readonly partition: string
 }
 
-/** An answer to a directory or readiness call. */
+/** An answer to a short call: readiness, directory, metrics, or a call of a peer. */
 export interface PlainAnswer {
   readonly status: number
   /** A string is sent as text; any other value is sent as JSON. */
--- a/packages/daemon/src/gateway/relayPeers.ts
+++ b/packages/daemon/src/gateway/relayPeers.ts
@@ -21,12 +21,12 @@
   readonly isOverloaded: (instance: string) => boolean
 }
 
-/** Connections to one instance; its own admission bounds the requests that it takes. */
+/** Limit of the connections to one instance; the admission of that instance bounds the requests that it takes. */
 const MAXIMUM_CONNECTIONS = 256
 
 /** The instances of the fleet that take relayed requests. */
 export class FleetRelayPeers implements RelayPeers {
-  /** By address. */
+  /** Connections by address of the instance. */
   private readonly agents = new Map<string, EndpointAgent>()
 
   constructor(private readonly parts: FleetRelayPeersParts) {}
@@ -50,7 +50,7 @@
     for (const agent of this.agents.values()) agent.destroy()
   }
 
-  /** The active instances that take relays, otherwise the standby ones. */
+  /** The active instances that serve, take relays and are not silent; if there are none, the idle ones that do. */
   private get candidates(): readonly MemberRow[] {
     const { fleet } = this.parts
     const takesRelays = ({ instance, takesRelays, state }: MemberRow) =>
--- a/packages/daemon/src/gateway/requestLogFields.ts
+++ b/packages/daemon/src/gateway/requestLogFields.ts
@@ -37,7 +37,10 @@
   }
 }
 
-/** The id of the first request of a resumed stream; empty if its caller does not name it. */
+/**
+ * Returns the id of the first request of the stream that this request resumes: empty if the caller does not name it,
+ * undefined if the request resumes no stream.
+ */
 function resumedRequest({ resumption }: GatewayRecord): string | undefined {
   return resumption === undefined ? undefined : (resumption.firstRequestId ?? '')
 }
--- a/packages/daemon/src/gateway/runGateway.ts
+++ b/packages/daemon/src/gateway/runGateway.ts
@@ -7,7 +7,7 @@
 import type { PlatformModule } from './platformAdapter.js'
 import { SettingsWatcher } from './settingsWatcher.js'
 
-/** Starts a gateway instance and handles the signals of its process. */
+/** Starts an instance. SIGINT and SIGTERM drain it and exit the process; SIGHUP reloads the settings file. */
 export async function runGateway(
   file: string,
   settings: GatewaySettings,
--- a/packages/daemon/src/gateway/settingsWatcher.ts
+++ b/packages/daemon/src/gateway/settingsWatcher.ts
@@ -15,7 +15,7 @@
   /** The file is not valid; all previous settings stay in force. */
   | { readonly kind: 'refused'; readonly faults: readonly string[]; readonly cause: string }
 
-/** The platform may change the file without sending a signal. */
+/** Time between two reads of the file, since the platform may change the file without sending a signal. */
 const POLL_MILLISECONDS = 1_000
 
 /** Reloads the settings on a signal and when the file changes. */
--- a/packages/daemon/src/gateway/starvationMonitor.ts
+++ b/packages/daemon/src/gateway/starvationMonitor.ts
@@ -16,15 +16,16 @@
   readonly ownState: () => Readonly<Record<string, unknown>>
   /** A team became starved, or is no longer. */
   readonly onChange: (event: StarvationEvent, fields: Readonly<Record<string, unknown>>) => void
-  /** A request of a starved team was also not served. */
+  /** A request of a team that counts as starved was not served. */
   readonly onUnserved: (team: TeamId, code: ResultCode) => void
 }
 
 type StarvationEvent = 'team_starved' | 'team_served'
 
+/** Time between two checks for teams that became starved or are served again. */
 const CHECK_INTERVAL_MILLISECONDS: Milliseconds = 1_000
 /**
- * Teams reported per check, so that an outage that affects all teams does not flood the log; the gauge counts all of
+ * Number of teams reported per check, those with the most requests first, so that an outage that affects all teams does not flood the log; the gauge counts all of
  * them.
  */
 const MAXIMUM_LOGGED_TEAMS = 8
@@ -63,7 +64,7 @@
     this.timer?.cancel()
   }
 
-  /** A request has ended. */
+  /** A request has ended. Requests without a known team, and refusals that the team causes, do not count. */
   noteRecord(record: GatewayRecord): void {
     const code: ResultCode = record.code ?? ResultCode.Internal
     if (record.team === undefined || CLIENT_CAUSED_CODES.has(code)) return
--- a/packages/daemon/src/gateway/streamCoordinator.ts
+++ b/packages/daemon/src/gateway/streamCoordinator.ts
@@ -1,6 +1,9 @@
 /**
- * Connects this instance's records of stream origins with the other instances: replicates them to the instances that
- * keep a stream's origin, and queries those for a stream that is resumed here. Owns the records and the queries.
+ * Connects this instance's records of stream origins with the other instances. The origin of a stream is the service
+ * and the endpoint software version that began it; a stream has to be resumed at an endpoint of the same version. Sends
+ * the origins of streams that begin here to the instances chosen as their replicas, and queries other instances for the
+ * origin of a stream that is resumed here. Without replicas, the origin would be lost with the instance that served the
+ * stream. Owns the records and the client for the queries.
  */
 
 import { DemandMeter } from '@rackwalk/coordination'
@@ -28,7 +31,7 @@
   readonly directory: () => EndpointDirectory
   readonly fleet: () => ActiveFleet
   readonly exchange: () => LoadExchange | undefined
-  /** Whether the store's list of endpoints was read a moment ago. */
+  /** Whether the list of endpoints is within its staleness bound. */
   readonly isListFresh: () => boolean
   readonly telemetry: GatewayTelemetry
 }
@@ -37,14 +40,14 @@
 export class StreamCoordinator {
   readonly origins: StreamOrigins
   private readonly originClient: StreamOriginClient
-  /** Rate of the streams that are replicated to other instances. */
+  /** Rate of the streams whose origins this instance replicates; the number of replicas depends on it. */
   private readonly announcedStreams: DemandMeter
 
   constructor(private readonly parts: StreamCoordinatorParts) {
     this.announcedStreams = new DemandMeter(parts.clock)
     this.originClient = new StreamOriginClient({
       others: () => this.others,
-      onMalformed: form => parts.telemetry.noteMalformed(form),
+      onMalformed: input => parts.telemetry.noteMalformed(input),
     })
     this.origins = new StreamOrigins({
       clock: parts.clock,
@@ -61,7 +64,7 @@
     this.originClient.close()
   }
 
-  /** An endpoint was listed, or is gone. */
+  /** An endpoint is gone, or its entry in the list changed in another way. */
   noteChange(record: EndpointRecord, change: string): void {
     if (change === 'gone') this.origins.noteUnlisted(record)
     else this.origins.noteListed(record)
@@ -74,7 +77,7 @@
     return all.filter(({ instance }) => !fleet.isSilent(instance))
   }
 
-  /** Streams for the same replica share its datagrams. */
+  /** Sends the origins of started streams to their replicas; streams of the same replica share datagrams. */
   private replicate(started: readonly StartedStream[]): void {
     const { others } = this
     this.announcedStreams.add(started.length)
--- a/packages/daemon/src/gateway/streamOriginClient.ts
+++ b/packages/daemon/src/gateway/streamOriginClient.ts
@@ -1,6 +1,8 @@
 /**
- * Queries between instances for the origin of a stream, over the listener for peers: first to the instances that keep
- * it, then to others. Owns the path, the encodings of the messages and the connections to peers.
+ * Queries between instances for the origin of a stream (the service and endpoint software version that began it), over
+ * the listener for peers. The first queries go to the replicas, the instances that are chosen to keep the origin. If no
+ * replica knows it, further instances are queried, provided that no replica answered or that the answers name more than
+ * one software version. Owns the path, the encodings of the messages and the connections to peers.
  */
 
 import { Agent } from 'node:http'
@@ -16,10 +18,10 @@
 import type { PlainAnswer } from './platformAdapter.js'
 
 const ORIGIN_PATH = '/streams/origin'
-/** Timeout of an answer; a caller waits for it twice at the most. */
+/** Timeout of one query; a caller waits for two rounds of queries at most, which run in parallel within a round. */
 const ANSWER_MILLISECONDS: Milliseconds = 90
 /**
- * Further instances that are queried when no replica knows the origin: the one that served the stream may be among
+ * Number of further instances that are queried after the replicas: the instance that served the stream may be among
  * them.
  */
 const FALLBACK_PEERS = 12
@@ -72,7 +74,7 @@
 export interface StreamOriginClientParts {
   /** Other instances that are not silent. */
   readonly others: () => readonly MemberRow[]
-  readonly onMalformed: (form: MalformedInput) => void
+  readonly onMalformed: (input: MalformedInput) => void
 }
 
 /** Queries other instances for the origins of streams. */
@@ -81,7 +83,7 @@
 
   constructor(private readonly parts: StreamOriginClientParts) {}
 
-  /** Returns what the others know of a stream; instances that do not answer in time are left out. */
+  /** Returns what the queried instances know of a stream; those that do not answer in time are left out. */
   async ask(stream: ResumedStream): Promise<readonly OriginAnswer[]> {
     const reachable = this.parts.others().filter(({ peerAddress }) => peerAddress !== '')
     const others = rankOriginReplicas(stream.key ?? '', reachable)
@@ -126,7 +128,10 @@
   }
 }
 
-/** Whether other instances may know what these do not. */
+/**
+ * Whether instances other than the replicas may know the origin: no answer names an origin, and either there is no
+ * answer or software versions are mixed.
+ */
 function mayOthersKnow(answers: readonly OriginAnswer[]): boolean {
   const isKnown = answers.some(({ origins }) => origins.length > 0)
   const versions = new Set(answers.flatMap(answer => answer.versions))
--- a/packages/daemon/src/gateway/unknownSenderMonitor.ts
+++ b/packages/daemon/src/gateway/unknownSenderMonitor.ts
@@ -26,7 +26,10 @@
 
   constructor(private readonly parts: UnknownSenderMonitorParts) {}
 
-  /** A datagram arrived in the name of an instance. Its address proves nothing; only the row in the store does. */
+  /**
+   * A datagram arrived in the name of an instance. The datagram does not prove that the instance exists; only its row
+   * in the store does, so an unknown name only triggers a read of the rows.
+   */
   note({ instance, incarnation }: Pick<PeerLoadReport, 'instance' | 'incarnation'>): void {
     const { hasIncarnation, onUnknown, readMembers, clock } = this.parts
     if (instance === this.parts.instance || hasIncarnation(instance, incarnation)) return
--- a/packages/daemon/src/tasks/adviceTask.ts
+++ b/packages/daemon/src/tasks/adviceTask.ts
@@ -1,7 +1,7 @@
 /**
  * Connects the advice that endpoints of the OpenAI-style kind give about themselves with its consumers: the choice of
- * an endpoint here, the peers, and the log. Owns the advice store; a peer that misses a broadcast gets the advice
- * from the endpoint itself.
+ * an endpoint here, the peers, and the log. Owns the advice store and the send permits; a peer that misses a
+ * broadcast gets the advice from the endpoint itself.
  */
 
 import type { AdviceGossip, RecordedInstance } from '@rackwalk/decisions'
@@ -51,16 +51,16 @@
   observe(gossip: readonly AdviceGossip[]): void {
     for (const message of gossip) {
       this.advices.observe(message)
-      // In this kind, a start is named after its endpoint.
       if (message.isLeaving !== true) continue
-      // The peer has it from an answer of the endpoint, so no older load report may set the state back here either.
+      // In this kind, a start (one run of an endpoint) is named after its endpoint. The source is 'answer', since the peer
+      // learned from an answer that the endpoint is leaving: no older load report may reset that state here either.
       this.parts.endpoints().noteLeaving(asId<EndpointId>(message.start), 'answer')
     }
   }
 
   private get recordedInstances(): readonly RecordedInstance[] {
     const instances = this.parts.membership().recentInstances
-    // Callers are spread over all instances.
+    // Callers are spread over all instances, so each instance counts as working.
     return instances.map(instance => ({ instance, isWorking: true }))
   }
 
--- a/packages/daemon/src/tasks/broadcastToPeers.ts
+++ b/packages/daemon/src/tasks/broadcastToPeers.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Sends a message to each live peer. `onFailed` is called for each peer that could not be reached; every message is
- * safe to repeat.
+ * Sends a message to each live peer. `onFailed` is called for each peer whose call failed; that peer may have received
+ * the message, since a call can also fail after its arrival. Every message is safe to repeat.
  */
 export function broadcastToPeers<Kind extends PeerMessageKind>(
   parts: BroadcastParts,
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -1,7 +1,7 @@
 /**
- * Connects what an instance of the OpenAI-style kind finds out about requests that crash endpoints with its
- * consumers: the peers at once, the table, and the log. Owns the guard and the interval between two reads of the
- * table.
+ * Passes on what an instance of the OpenAI-style kind finds out about requests and prompt parts that crash endpoints:
+ * to the peers at once, to the table of crash records in the table service, and to the log. Reads the table at intervals
+ * and applies its records. Owns the crash guard, which decides, and the rounds in which the table is written and read.
  */
 
 import { CrashTableSync } from '@rackwalk/coordination'
@@ -41,15 +41,21 @@
   readonly metrics: Metrics
   /** An endpoint crashed, as detected here or reported by a peer. */
   readonly onUnreachable: (endpoint: EndpointId) => void
-  /** The same, with the evidence of the termination. */
+  /**
+   * An endpoint has terminated or its engine does not respond, as probes of this instance found or a peer reported;
+   * `end` holds the source and the times of that evidence.
+   */
   readonly onKnownTermination: (endpoint: EndpointId, end: KnownTermination) => void
   readonly onFault: (error: unknown) => void
 }
 
-/** Time between two reads of the table, for an instance that peers could not reach; a read is one query. */
+/**
+ * Time between two rounds without a change, for an instance that missed broadcasts of its peers. A read of the table is
+ * one query.
+ */
 const SYNC_INTERVAL_MILLISECONDS: Milliseconds = 30_000
 
-/** Detects, records and shares requests that crash endpoints, in an instance of the OpenAI-style kind. */
+/** Detects requests that crash endpoints, records them and shares them with the peers. */
 export class CrashTask implements Task {
   readonly guard: CrashGuard
   private readonly records: CrashTableSync
@@ -120,7 +126,7 @@
     this.broadcast(gossip)
   }
 
-  /** A peer that misses the broadcast reads the table. */
+  /** Broadcasts gossip to all peers. A peer that misses the broadcast reads the marks and clearances from the table. */
   private broadcast(gossip: CrashGossip): void {
     const onFailed = () => this.parts.metrics.increment('crash_news_failed')
     broadcastToPeers(this.parts, 'crashNews', gossip, onFailed)
--- a/packages/daemon/src/tasks/endpointMonitor.ts
+++ b/packages/daemon/src/tasks/endpointMonitor.ts
@@ -29,8 +29,9 @@
   readonly onFault: (error: unknown) => void
 }
 
+/** Timeout of one query to an endpoint. */
 const REPORT_TIMEOUT_MILLISECONDS = 1_000
-/** Load report rounds per round of cache events. */
+/** Cache events are queried in every round of this number; load reports in every round. */
 const CACHE_EVENT_ROUNDS = 2
 
 /** Polls endpoints for their load and cache events, and learns which ones are leaving. */
@@ -38,8 +39,11 @@
   private timer: Timer | undefined
   private stopped = false
   private roundCount = 0
+  /** Versions of the models in each endpoint's memory, by its last report. */
   private readonly loaded = new Map<EndpointId, ReadonlyMap<ModelId, string>>()
+  /** Sequence of the last cache event applied, by endpoint. */
   private readonly eventPositions = new Map<EndpointId, number>()
+  /** Endpoints that have not yet answered the queries of an earlier round. */
   private readonly pendingPolls = new Set<EndpointId>()
 
   constructor(private readonly parts: EndpointMonitorParts) {}
@@ -57,12 +61,12 @@
     this.timer?.cancel()
   }
 
-  /** Returns the models in an endpoint's memory by its last report. */
+  /** Returns the models in an endpoint's memory, with their versions, by its last report; undefined without one. */
   loadedModels(endpointId: EndpointId): ReadonlyMap<ModelId, string> | undefined {
     return this.loaded.get(endpointId)
   }
 
-  /** The platform's list names endpoints too; an endpoint that it marks as leaving gets no new requests. */
+  /** Applies the platform's list of instances: a known endpoint that the list marks as leaving gets no new requests. */
   noteListed(listed: readonly ListedInstance[]): void {
     for (const { instanceId, state } of listed) {
       const endpointId = asId<EndpointId>(instanceId)
@@ -78,7 +82,10 @@
     }
   }
 
-  /** Polls every endpoint once. */
+  /**
+   * Polls every model endpoint that is not still being polled, and then lets waiting requests be admitted by the new
+   * reports.
+   */
   async round(): Promise<void> {
     this.roundCount += 1
     this.parts.endpoints.prune()
@@ -94,17 +101,17 @@
     })
   }
 
-  /** Sends one query at a time to each endpoint, so that a slow one does not hold up the others. */
+  /** Polls one endpoint unless its last poll is pending; rounds overlap, so a slow endpoint holds up no other. */
   private async poll(endpoint: ConfiguredEndpoint): Promise<void> {
     const { endpointId } = endpoint
     if (this.pendingPolls.has(endpointId)) return
     this.pendingPolls.add(endpointId)
     try {
       await this.pollLoad(endpoint)
-      // Cache events may arrive later than loads: they only refine the assumptions of routing.
+      // Cache events may arrive later than loads, since they only refine what routing assumes of an endpoint's cache.
       if (this.roundCount % CACHE_EVENT_ROUNDS === 0) await this.pollCacheEvents(endpoint)
     } catch {
-      // An endpoint that does not report is judged by its requests alone.
+      // An endpoint without reports is judged by its requests alone.
       this.parts.endpoints.noteReportFailed(endpointId)
       this.parts.reachability.noteReportFailed(endpointId)
     } finally {
--- a/packages/daemon/src/tasks/endpointReachabilityTask.ts
+++ b/packages/daemon/src/tasks/endpointReachabilityTask.ts
@@ -1,4 +1,7 @@
-/** Tracks which endpoints of the OpenAI-style kind this instance reaches. Owns the monitor of its links. */
+/**
+ * Tracks which endpoints of the OpenAI-style kind this instance reaches. Owns the monitor of its links, that is, its
+ * network paths to the endpoints.
+ */
 
 import { EndpointLinks, LinkMonitor } from '@rackwalk/router'
 import type { Catalogue, MonitoredEndpoint } from '@rackwalk/router'
@@ -31,7 +34,7 @@
   }
 
   async start(): Promise<void> {
-    // Links are probed only after a connection attempt has failed.
+    // Links are probed only after a connection attempt or the fetch of a report has failed.
   }
 
   async drain(): Promise<void> {
@@ -48,7 +51,10 @@
     if (endpoint !== undefined) this.links.noteConnectFailed(endpoint)
   }
 
-  /** The reports of an endpoint cannot be fetched: the endpoint or the link to it may be down. */
+  /**
+   * The reports of an endpoint cannot be fetched: the endpoint or the link to it may be down, so the links to the
+   * endpoints of its models are checked.
+   */
   noteReportFailed(endpointId: EndpointId): void {
     const spec = this.parts.catalogue.findEndpoint(endpointId)?.spec
     if (spec?.kind === 'model') for (const model of spec.models) this.links.startChecking(model)
--- a/packages/daemon/src/tasks/placementTask.ts
+++ b/packages/daemon/src/tasks/placementTask.ts
@@ -1,6 +1,6 @@
 /**
- * Turns placements into orders to engines while this instance is the planner. Owns the orders that are not yet
- * fulfilled; relies on the lease for which instance plans.
+ * Turns placements, which are resources of the configuration, into orders to engines to load or unload a model, while
+ * this instance is the planner. Owns the orders that are not yet fulfilled; the holder of the lease is the planner.
  */
 
 import type { Clock, EndpointId, Milliseconds, ModelId, Task, Timer } from '@rackwalk/shared'
@@ -25,14 +25,16 @@
   readonly lease: Lease
   readonly clock: Clock
   readonly logger: Logger
+  /** Maximum number of orders that are pending at a time. */
   readonly maximumLoads: number
   readonly loadedModels: (endpointId: EndpointId) => ReadonlyMap<ModelId, string> | undefined
   readonly onFault: (error: unknown) => void
 }
 
+/** Time between the end of a planning round and the next. */
 const ROUND_MILLISECONDS = 2_000
 const ORDER_TIMEOUT_MILLISECONDS = 2_000
-/** An order that was not fulfilled within this time is sent again. */
+/** Time after which an order that was accepted but not fulfilled may be sent again. */
 const ORDER_RETRY_MILLISECONDS = 60_000
 
 /**
@@ -43,7 +45,7 @@
 export class PlacementTask implements Task {
   private timer: Timer | undefined
   private stopped = false
-  /** Loads in progress, by endpoint and model, with the time of the order. */
+  /** Monotonic times of the orders that are pending, by endpoint, model and version (`orderKey`). */
   private readonly pendingLoads = new Map<string, Milliseconds>()
 
   constructor(private readonly parts: PlacementTaskParts) {}
@@ -119,6 +121,10 @@
     }
   }
 
+  /**
+   * Forgets orders that are too old, and those whose version the endpoint's last report lists as loaded. The latter
+   * holds for orders to unload as well: such an order is forgotten while the version is still loaded.
+   */
   private forgetSettledLoads(): void {
     const oldest = this.parts.clock.monotonic() - ORDER_RETRY_MILLISECONDS
     for (const [name, at] of this.pendingLoads) {
