--- a/packages/daemon/src/gateway/acceptProbe.ts
+++ b/packages/daemon/src/gateway/acceptProbe.ts
@@ -1,7 +1,8 @@
 /**
- * Measures how long a new caller connection waits to be accepted. The event loop accepts one connection per turn,
- * after all events that are ready on open connections, so no timer and no counter sees the wait. A connection that
- * the process opens to its own listener waits in the same queue. Owns that connection.
+ * Measures how long a new caller connection waits to be accepted, in milliseconds. The event loop accepts one connection
+ * per turn, after all events that are ready on open connections, so no timer and no counter of the process shows that
+ * wait. The probe is a connection that the process opens to its own listener, where it waits in the same queue as
+ * callers. Owns the probe and the delay that the last probe measured.
  */
 
 import { connect } from 'node:net'
@@ -11,13 +12,14 @@
 /** Time between two probes; each costs about as much as a refused connection. */
 const PROBE_MILLISECONDS = 200
 
-/** Measures the accept delay of new connections; probes only while `measure` is called. */
+/** Measures the accept delay of new connections; a probe begins only in a call of `measure`. */
 export class AcceptProbe {
   private probe: Socket | undefined
   /** Connections that were accepted before the probe was connected on its client side. */
   private acceptedEarly: { readonly socket: Socket; readonly acceptedAt: Milliseconds }[] = []
+  /** Monotonic time at which the last probe began. */
   private startedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Accept delay of the last probe. */
+  /** Accept delay of the last probe; 0 if that probe was closed before it was accepted. */
   private acceptDelay: Milliseconds = 0
 
   constructor(
@@ -48,9 +50,9 @@
     this.acceptedEarly = []
     this.startedAt = this.clock.monotonic()
     probe.on('connect', () => this.noteConnected(probe))
-    // A closed listener or a full queue does not show how long other connections wait, nor does a probe that was
-    // closed before it was accepted. Counting such a probe as waiting forever would make an instance with spare
-    // capacity refuse requests.
+    // A probe that fails because the listener is closed or its queue is full does not show how long other connections
+    // wait, nor does a probe that was closed before it was accepted. Such a probe counts as a delay of 0: counting it as
+    // waiting forever would make an instance with spare capacity refuse requests.
     probe.on('error', () => {})
     probe.on('close', () => this.noteClosed(probe))
     probe.unref()
--- a/packages/daemon/src/gateway/adviceGossip.ts
+++ b/packages/daemon/src/gateway/adviceGossip.ts
@@ -1,6 +1,7 @@
 /**
- * Gossip about the advice of endpoints, as datagrams between instances. The messages are encoded like crash gossip:
- * as outdated load reports, which earlier versions drop. Owns nothing.
+ * Gossip about the advice of endpoints (the request rate that an endpoint accepts, or that the endpoint is leaving), as
+ * datagrams between instances. The messages are encoded like crash gossip: as outdated load reports, which instances of
+ * earlier versions drop. The age of the advice, in milliseconds, is in the `pendingTokens` field. Owns nothing.
  */
 
 import { asId } from '@rackwalk/shared'
@@ -11,9 +12,9 @@
 
 /** Prefix of an entry's endpoint field; it cannot clash with an endpoint id, since no id contains a space. */
 const SAYS_PREFIX = 'says '
-/** Requests per second that the endpoint accepts. */
+/** Id of the part that holds the requests per second that the endpoint accepts. */
 const RATE_PART = 'rate'
-/** The endpoint is leaving. */
+/** Id of the part whose presence says that the endpoint is leaving. */
 const LEAVING_PART = 'leaving'
 
 /** Encodes advice as gossip reports. */
--- a/packages/daemon/src/gateway/crashGossip.ts
+++ b/packages/daemon/src/gateway/crashGossip.ts
@@ -1,6 +1,7 @@
 /**
- * Crash gossip: messages about requests that crash endpoints, as datagrams between instances. They are encoded as
- * outdated load reports (sequence 0), so that earlier versions, which do not know them, drop them. Owns nothing.
+ * The encoding of crash gossip (messages between instances about endpoint crashes and the requests and prompt parts that
+ * cause them) as datagrams. Each message is encoded as an outdated load report (sequence 0), so that instances of earlier
+ * versions, which do not know the message, drop it. A start in a message is one run of an endpoint. Owns nothing.
  */
 
 import type { CrashMark, CrashGossip } from '@rackwalk/decisions'
@@ -20,11 +21,12 @@
 const DEADLY_PARTS_ENTRY = 'parts deadly'
 const SOUND_PARTS_ENTRY = 'parts sound'
 const TRIED_PARTS_ENTRY = 'parts tried'
-/** Prompt parts in one entry, since a prompt may have many. */
+/** Maximum number of prompt parts in one entry; a prompt with more takes several entries. */
 export const PARTS_PER_ENTRY = 8
 /**
- * Entries in one datagram, where each part of an entry beyond the first counts as an entry as well: with ids of 40
- * characters, a datagram stays under 1,300 bytes.
+ * Maximum number of entries in one datagram, where each part of an entry beyond the first counts as an entry as well.
+ * With ids of 40 characters, such a datagram stays under 1,300 bytes. An entry with more parts than this is sent in a
+ * datagram of its own, which may be larger.
  */
 const ENTRIES_PER_DATAGRAM = 12
 
--- a/packages/daemon/src/gateway/gatewayMetrics.ts
+++ b/packages/daemon/src/gateway/gatewayMetrics.ts
@@ -10,8 +10,11 @@
 import type { Takeover } from '@rackwalk/coordination'
 import type { AnswerRecord, GatewayRecord, RefusedBodyOutcome } from '@rackwalk/router'
 
+/** Upper bounds of histogram buckets for the time to the first byte of an answer, in seconds. */
 const FIRST_BYTE_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.7, 1, 2, 5, 10]
+/** Upper bounds of histogram buckets for the longest pause between two events of a stream, in seconds. */
 const PAUSE_BUCKETS = [0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5]
+/** Upper bounds of histogram buckets for the total time of a request, in seconds. */
 const TOTAL_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 15, 60]
 
 /** Values that are read when the metrics are scraped. */
@@ -267,7 +270,7 @@
     }
   }
 
-  /** A request of a team that is served almost nothing was also not served. */
+  /** A request of a team that counts as starved (served almost nothing) was not served. */
   noteStarvedRequest(team: TeamId, code: ResultCode): void {
     this.starvedRequests.inc({ tenant: team, code: String(code) })
   }
--- a/packages/daemon/src/gateway/gatewayTelemetry.ts
+++ b/packages/daemon/src/gateway/gatewayTelemetry.ts
@@ -1,6 +1,7 @@
 /**
- * What an instance reports about itself: log lines, event counts, malformed input. Owns the logger, the batch of
- * changes and, once the parts that the gauges read exist, the metrics.
+ * What an instance reports about itself to operators: log lines, counts of events and of malformed input, and metrics.
+ * Owns the logger, the batch of changes (state changes that share a log line) and, once the parts that the gauges read
+ * exist, the metrics. Events before that are logged but not counted.
  */
 
 import { ResultCode } from '@rackwalk/shared'
@@ -68,7 +69,7 @@
     this.noteChange('member_state', state, { member, state })
   }
 
-  /** The holding of a terminated instance was closed. */
+  /** The holding (prepaid tokens that an instance may spend) of a terminated instance was closed. */
   noteTakeover(budget: string, takeover: Takeover): void {
     this.metrics?.noteTakeover(budget, takeover)
   }
@@ -80,8 +81,8 @@
     this.logger.warn('fault', { detail })
   }
 
-  noteMalformed(form: MalformedInput): void {
-    this.malformed.note(form)
+  noteMalformed(input: MalformedInput): void {
+    this.malformed.note(input)
   }
 
   noteMalformedRow({ table, partition, key }: RowAddress): void {
@@ -125,7 +126,7 @@
     this.note('waiting_connections', { isTaken, detail })
   }
 
-  /** A request of a team that is served almost nothing was also not served. */
+  /** A request of a team that counts as starved (served almost nothing) was not served. */
   noteStarvedRequest(team: TeamId, code: ResultCode): void {
     this.metrics?.noteStarvedRequest(team, code)
   }
