--- a/packages/daemon/src/gateway/acceptProbe.ts
+++ b/packages/daemon/src/gateway/acceptProbe.ts
@@ -80,14 +80,14 @@
   private match(probe: Socket, socket: Socket, acceptedAt: Milliseconds): void {
     if (probe !== this.probe || socket.remotePort !== probe.localPort) return
     socket.destroy()
-    this.end(acceptedAt - this.startedAt)
+    this.finishProbe(acceptedAt - this.startedAt)
   }
 
   private noteClosed(probe: Socket): void {
-    if (probe === this.probe) this.end(0)
+    if (probe === this.probe) this.finishProbe(0)
   }
 
-  private end(acceptDelay: Milliseconds): void {
+  private finishProbe(acceptDelay: Milliseconds): void {
     this.probe?.destroy()
     this.probe = undefined
     this.acceptedEarly = []
--- a/packages/daemon/src/gateway/adviceGossip.ts
+++ b/packages/daemon/src/gateway/adviceGossip.ts
@@ -11,7 +11,7 @@
 import type { GossipEntry } from './crashGossip.js'
 
 /** Prefix of an entry's endpoint field; it cannot clash with an endpoint id, since no id contains a space. */
-const SAYS_PREFIX = 'says '
+const ADVICE_PREFIX = 'says '
 /** Id of the part that holds the requests per second that the endpoint accepts. */
 const RATE_PART = 'rate'
 /** Id of the part whose presence says that the endpoint is leaving. */
@@ -28,12 +28,12 @@
 /** Decodes the advice in a gossip report; entries of other kinds are ignored. */
 export function decodeAdviceGossip({ loads }: PeerLoadReport): readonly AdviceGossip[] {
   return loads.flatMap(({ endpoint, pendingTokens, parts }) => {
-    if (!endpoint.startsWith(SAYS_PREFIX)) return []
+    if (!endpoint.startsWith(ADVICE_PREFIX)) return []
     const rate = parts.find(({ id }) => id === RATE_PART)?.tokens ?? 0
     const isLeaving = parts.some(({ id }) => id === LEAVING_PART)
     return [
       {
-        start: asId(endpoint.slice(SAYS_PREFIX.length)),
+        start: asId(endpoint.slice(ADVICE_PREFIX.length)),
         // A rate of 0 would keep all instances away from the endpoint for good.
         ...(rate > 0 ? { requestsPerSecond: rate } : {}),
         ...(isLeaving ? { isLeaving } : {}),
@@ -54,5 +54,5 @@
     ...(isLeaving === true ? [{ id: LEAVING_PART, tokens: 1 }] : []),
   ]
   const pendingTokens = Math.max(0, Math.round(ageMilliseconds))
-  return { endpoint: `${SAYS_PREFIX}${start}`, running: 0, pendingTokens, parts }
+  return { endpoint: `${ADVICE_PREFIX}${start}`, running: 0, pendingTokens, parts }
 }
--- a/packages/daemon/src/gateway/crashGossip.ts
+++ b/packages/daemon/src/gateway/crashGossip.ts
@@ -12,15 +12,15 @@
 /** Sequence of all gossip reports; no load report has it, since load reports count from 1. */
 const GOSSIP_SEQUENCE = 0
 /** Prefixes of an entry's endpoint field; they cannot clash with an endpoint id, since no id contains a space. */
-const ENDED_PREFIX = 'ended '
+const CRASHED_PREFIX = 'ended '
 const SUSPECTED_PREFIX = 'suspected '
 const CLEARED_PREFIX = 'cleared '
-const AWAY_PREFIX = 'away '
-const LIVES_PREFIX = 'lives '
-const PART_END_PREFIX = 'part-ended '
-const DEADLY_PARTS_ENTRY = 'parts deadly'
-const SOUND_PARTS_ENTRY = 'parts sound'
-const TRIED_PARTS_ENTRY = 'parts tried'
+const UNRESPONSIVE_PREFIX = 'away '
+const ALIVE_PREFIX = 'lives '
+const PART_CRASH_PREFIX = 'part-ended '
+const REFUSED_PARTS_ENTRY = 'parts deadly'
+const CLEARED_PARTS_ENTRY = 'parts sound'
+const TRIAL_PARTS_ENTRY = 'parts tried'
 /** Maximum number of prompt parts in one entry; a prompt with more takes several entries. */
 export const PARTS_PER_ENTRY = 8
 /**
@@ -43,10 +43,10 @@
   gossip: CrashGossip,
   identity: Pick<PeerLoadReport, 'instance' | 'incarnation'>,
 ): readonly PeerLoadReport[] {
-  const away = (gossip.away ?? []).map(start => startEntry(AWAY_PREFIX, start))
-  const lives = (gossip.lives ?? []).map(start => startEntry(LIVES_PREFIX, start))
+  const away = (gossip.away ?? []).map(start => startEntry(UNRESPONSIVE_PREFIX, start))
+  const lives = (gossip.lives ?? []).map(start => startEntry(ALIVE_PREFIX, start))
   const suspected = (gossip.suspected ?? []).map(mark => markEntry(SUSPECTED_PREFIX, mark))
-  const marks = gossip.marks.map(mark => markEntry(ENDED_PREFIX, mark))
+  const marks = gossip.marks.map(mark => markEntry(CRASHED_PREFIX, mark))
   const parts = partEntries(gossip)
   const cleared = gossip.cleared.map(clearedEntry)
   const entries = [...marks, ...suspected, ...cleared, ...away, ...lives, ...parts]
@@ -80,15 +80,15 @@
 
 /** Decodes crash gossip; entries of other kinds are ignored. */
 export function decodeCrashGossip({ loads }: PeerLoadReport): CrashGossip {
-  const away = loads.flatMap(({ endpoint }) => startsOf(AWAY_PREFIX, endpoint))
-  const lives = loads.flatMap(({ endpoint }) => startsOf(LIVES_PREFIX, endpoint))
+  const away = loads.flatMap(({ endpoint }) => startsOf(UNRESPONSIVE_PREFIX, endpoint))
+  const lives = loads.flatMap(({ endpoint }) => startsOf(ALIVE_PREFIX, endpoint))
   const suspected = loads.flatMap(entry => marksOf(SUSPECTED_PREFIX, entry))
   return {
     ...(away.length === 0 ? {} : { away }),
     ...(lives.length === 0 ? {} : { lives }),
     ...(suspected.length === 0 ? {} : { suspected }),
     ...partGossipOf(loads),
-    marks: loads.flatMap(entry => marksOf(ENDED_PREFIX, entry)),
+    marks: loads.flatMap(entry => marksOf(CRASHED_PREFIX, entry)),
     cleared: loads.flatMap(({ endpoint, parts }) => {
       if (!endpoint.startsWith(CLEARED_PREFIX)) return []
       const fingerprint = endpoint.slice(CLEARED_PREFIX.length)
@@ -101,14 +101,14 @@
   const { partEnds = [], deadlyParts = [], soundParts = [], triedParts = [] } = gossip
   return [
     ...partEnds.flatMap(({ start, parts, wasIsolated = false, ageMilliseconds }) =>
-      keyEntries(`${PART_END_PREFIX}${start}`, parts, {
+      keyEntries(`${PART_CRASH_PREFIX}${start}`, parts, {
         running: Number(wasIsolated),
         pendingTokens: Math.round(ageMilliseconds),
       }),
     ),
-    ...keyEntries(DEADLY_PARTS_ENTRY, deadlyParts),
-    ...keyEntries(SOUND_PARTS_ENTRY, soundParts),
-    ...keyEntries(TRIED_PARTS_ENTRY, triedParts),
+    ...keyEntries(REFUSED_PARTS_ENTRY, deadlyParts),
+    ...keyEntries(CLEARED_PARTS_ENTRY, soundParts),
+    ...keyEntries(TRIAL_PARTS_ENTRY, triedParts),
   ]
 }
 
@@ -131,16 +131,16 @@
 
 function partGossipOf(loads: PeerLoadReport['loads']): Partial<CrashGossip> {
   const partEnds = loads.flatMap(({ endpoint, running, pendingTokens, parts }) =>
-    startsOf(PART_END_PREFIX, endpoint).map(start => {
+    startsOf(PART_CRASH_PREFIX, endpoint).map(start => {
       const wasIsolated = running > 0
       return { start, parts: keysOf(parts), wasIsolated, ageMilliseconds: pendingTokens }
     }),
   )
   const keysNamed = (name: string) =>
     loads.flatMap(({ endpoint, parts }) => (endpoint === name ? keysOf(parts) : []))
-  const deadlyParts = keysNamed(DEADLY_PARTS_ENTRY)
-  const soundParts = keysNamed(SOUND_PARTS_ENTRY)
-  const triedParts = keysNamed(TRIED_PARTS_ENTRY)
+  const deadlyParts = keysNamed(REFUSED_PARTS_ENTRY)
+  const soundParts = keysNamed(CLEARED_PARTS_ENTRY)
+  const triedParts = keysNamed(TRIAL_PARTS_ENTRY)
   return {
     ...(partEnds.length === 0 ? {} : { partEnds }),
     ...(deadlyParts.length === 0 ? {} : { deadlyParts }),
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -14,7 +14,7 @@
  * How long after an outage a missing row may still return. The platform states about two seconds; the endpoint of a row
  * that is missing for longer is gone.
  */
-const LAPSE_MILLISECONDS = 1_800
+const ROW_RETURN_MILLISECONDS = 1_800
 
 /** What the follower needs. */
 export interface EndpointFollowerParts {
@@ -28,7 +28,7 @@
 /** Follows the rows of endpoints. */
 export class EndpointFollower implements MirrorListener {
   private isReachable = true
-  private regainedAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private storeReturnedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: EndpointFollowerParts) {}
 
@@ -38,13 +38,13 @@
       const { key, value } = row
       const record = value === undefined ? undefined : parse(key, value)
       if (record !== undefined) directory.set(record)
-      else if (value === undefined) directory.removeAfter(key, this.lapseMilliseconds)
+      else if (value === undefined) directory.removeAfter(key, this.remainingReturnMilliseconds)
       else this.handleMalformed(row)
     }
     if (!isWhole) return
     const present = new Set(rows.map(row => row.key))
     const missing = directory.ids.filter(id => !present.has(id))
-    for (const id of missing) directory.removeAfter(id, this.lapseMilliseconds)
+    for (const id of missing) directory.removeAfter(id, this.remainingReturnMilliseconds)
   }
 
   /**
@@ -57,16 +57,16 @@
   }
 
   onReachabilityChange(isReachable: boolean): void {
-    if (isReachable && !this.isReachable) this.regainedAt = this.parts.clock.monotonic()
+    if (isReachable && !this.isReachable) this.storeReturnedAt = this.parts.clock.monotonic()
     this.isReachable = isReachable
   }
 
   /**
    * How long a missing row may still return; 0 or less if the row is missing because its endpoint is gone.
    */
-  private get lapseMilliseconds(): Milliseconds {
+  private get remainingReturnMilliseconds(): Milliseconds {
     // The first rows after an outage arrive before the store counts as reachable again.
-    if (!this.isReachable) return LAPSE_MILLISECONDS
-    return this.regainedAt + LAPSE_MILLISECONDS - this.parts.clock.monotonic()
+    if (!this.isReachable) return ROW_RETURN_MILLISECONDS
+    return this.storeReturnedAt + ROW_RETURN_MILLISECONDS - this.parts.clock.monotonic()
   }
 }
--- a/packages/daemon/src/gateway/gracefulShutdown.ts
+++ b/packages/daemon/src/gateway/gracefulShutdown.ts
@@ -45,7 +45,7 @@
   const cutOff = parts.inFlight()
   // Holdings that the store does not record in time are settled when the next incarnation takes them over: as much
   // counts as spent as the instance may have spent (the spending bound).
-  const isSettled = await Promise.race([parts.settle(), graceEnd(parts, startedAt)])
+  const isSettled = await Promise.race([parts.settle(), waitForExitTime(parts, startedAt)])
   return { cutOff, isSettled }
 }
 
@@ -63,7 +63,10 @@
 }
 
 /** Resolves to false at the time at which the process has to exit. */
-async function graceEnd(parts: GracefulShutdownParts, startedAt: Milliseconds): Promise<boolean> {
+async function waitForExitTime(
+  parts: GracefulShutdownParts,
+  startedAt: Milliseconds,
+): Promise<boolean> {
   const end = startedAt + exitDelay(parts.graceMilliseconds())
   await sleep(parts.clock, Math.max(0, end - parts.clock.monotonic()))
   return false
--- a/packages/daemon/src/gateway/loadExchange.ts
+++ b/packages/daemon/src/gateway/loadExchange.ts
@@ -111,7 +111,7 @@
   /** Set while new instances have yet to be sent the current state. */
   private newInstanceTimer: Timer | undefined
   /** Monotonic time of the last regular report. */
-  private sentAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private reportSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private heartbeatSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   private overloadSentAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** Time without a datagram after which an instance is silent; recomputed after each interval between reports. */
@@ -249,9 +249,11 @@
   private sendReport(): void {
     const now = this.parts.clock.monotonic()
     this.reportToNewPeers()
-    const report = this.parts.fleetLoad.nextReport(now - this.sentAt >= this.heartbeatInterval)
+    const report = this.parts.fleetLoad.nextReport(
+      now - this.reportSentAt >= this.heartbeatInterval,
+    )
     if (report === undefined) return
-    this.sentAt = now
+    this.reportSentAt = now
     this.sendTo(this.parts.reportPeers(), report)
   }
 
