--- a/packages/daemon/src/callers/callerServer.ts
+++ b/packages/daemon/src/callers/callerServer.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for callers of the OpenAI-style kind. Answers queries (GET below `/v1/`: addresses, models, past requests)
- * itself and delegates all other requests to the request pipeline. Owns its connections and their limit.
+ * The listener for callers of the OpenAI-style kind. Answers queries (GET below `/v1/`: addresses, models, past
+ * requests) itself and delegates all other requests to the request pipeline. Owns its connections and their limit.
  */
 
 import { createServer } from 'node:http'
--- a/packages/daemon/src/callers/httpCallerConnection.ts
+++ b/packages/daemon/src/callers/httpCallerConnection.ts
@@ -1,5 +1,6 @@
 /**
- * A caller's request and answer over HTTP, in the form that the filters of the request pipeline use. Owns whether the caller has disconnected.
+ * A caller's request and answer over HTTP, in the form that the filters of the request pipeline use. Owns whether the
+ * caller has disconnected.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -40,7 +41,8 @@
   refuse(refusal: RefusalFactory): Promise<void> {
     if (this.response.destroyed) return Promise.resolve()
     this.refusedBodies.refuse(this.response, refusal)
-    // The connection of a request whose body is still arriving stays open for a while; refusing does not wait for it.
+    // If the connection is to be closed while the request's body is still arriving, the refusal is written but the
+    // answer does not end before the connection does. This call does not wait for that.
     return this.response.writableEnded ? this.firstOf(['finish', 'close']) : Promise.resolve()
   }
 
--- a/packages/daemon/src/gateway/acceptProbe.ts
+++ b/packages/daemon/src/gateway/acceptProbe.ts
@@ -1,8 +1,8 @@
 /**
- * Measures how long a new caller connection waits to be accepted, in milliseconds. The event loop accepts one connection
- * per turn, after all events that are ready on open connections, so no timer and no counter of the process shows that
- * wait. The probe is a connection that the process opens to its own listener, where it waits in the same queue as
- * callers. Owns the probe and the delay that the last probe measured.
+ * Measures how long a new caller connection waits to be accepted, in milliseconds. The event loop accepts one
+ * connection per turn, after all events that are ready on open connections, so no timer and no counter of the process
+ * shows that wait. The probe is a connection that the process opens to its own listener, where it waits in the same
+ * queue as callers. Owns the probe and the delay that the last probe measured.
  */
 
 import { connect } from 'node:net'
@@ -51,15 +51,15 @@
     this.startedAt = this.clock.monotonic()
     probe.on('connect', () => this.noteConnected(probe))
     // A probe that fails because the listener is closed or its queue is full does not show how long other connections
-    // wait, nor does a probe that was closed before it was accepted. Such a probe counts as a delay of 0: counting it as
-    // waiting forever would make an instance with spare capacity refuse requests.
+    // wait, nor does a probe that was closed before it was accepted. Such a probe counts as a delay of 0: counting it
+    // as waiting forever would make an instance with spare capacity refuse requests.
     probe.on('error', () => {})
     probe.on('close', () => this.noteClosed(probe))
     probe.unref()
   }
 
   /**
-   * A probe is told apart from a caller by its local port, which is known once the probe is connected. The accepted
+   * A probe is distinguished from a caller by its local port, which is known once the probe is connected. The accepted
    * side of a probe is destroyed.
    */
   private noteAccepted(socket: Socket): void {
--- a/packages/daemon/src/gateway/crashGossip.ts
+++ b/packages/daemon/src/gateway/crashGossip.ts
@@ -1,7 +1,8 @@
 /**
- * The encoding of crash gossip (messages between instances about endpoint crashes and the requests and prompt parts that
- * cause them) as datagrams. Each message is encoded as an outdated load report (sequence 0), so that instances of earlier
- * versions, which do not know the message, drop it. A start in a message is one run of an endpoint. Owns nothing.
+ * The encoding of crash gossip (messages between instances about endpoint crashes and the requests and prompt parts
+ * that cause them) as datagrams. Each message is encoded as an outdated load report (sequence 0), so that instances of
+ * earlier versions, which do not know the message, drop it. A start in a message is one run of an endpoint. Owns
+ * nothing.
  */
 
 import type { CrashMark, CrashGossip } from '@rackwalk/decisions'
--- a/packages/daemon/src/gateway/cutOffGossip.ts
+++ b/packages/daemon/src/gateway/cutOffGossip.ts
@@ -1,7 +1,8 @@
 /**
- * Gossip about instances that reach no endpoint of a service, as datagrams between instances, and a record of which
- * instances reported it lately. The messages are encoded like overload gossip, which earlier versions drop. Owns the
- * time of each instance's last report and the timer that repeats this instance's own.
+ * Gossip (datagrams between instances) about instances that are cut off from a service, that is, reach none of its
+ * endpoints, and a record of the instances whose report of that has not expired. The messages are encoded like overload
+ * gossip, which earlier versions drop. Owns the time of each instance's last report and the timer that repeats this
+ * instance's own.
  */
 
 import type { PeerLoadReport } from '@rackwalk/router'
@@ -44,8 +45,8 @@
 }
 
 /**
- * Instances that reported, within `EXPIRY_INTERVALS` gossip intervals, that they reach no endpoint of some service; this
- * instance included. No message says that endpoints are reached again: the reports expire.
+ * Instances that reported, within `EXPIRY_INTERVALS` gossip intervals, that they reach no endpoint of some service;
+ * this instance included. No message says that endpoints are reached again: the reports expire.
  */
 export class CutOffInstances {
   /** By instance, then by service: time of the last report. */
--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -1,8 +1,8 @@
 /**
  * Updates the endpoint directory from the platform's rows. Rows expire while the store does not answer, and those of
  * live endpoints return soon after the outage. Therefore an endpoint whose row is missing during or right after an
- * outage is removed only when the row does not return in time; at other times it is removed at once. Without this delay,
- * an outage of the store would remove live endpoints. Owns the time at which the store last answered again.
+ * outage is removed only when the row does not return in time; otherwise the endpoint is removed at once. Without
+ * this delay, an outage of the store would remove live endpoints. Owns the time at which the store last answered again.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -50,7 +50,7 @@
   readonly overloaded: OverloadedInstances
   /** Which endpoints this instance reaches. */
   readonly links: LinkMonitor<EndpointState>
-  /** Instances that lately reached no endpoint of some service. */
+  /** Instances whose report that they reach no endpoint of some service has not expired. */
   readonly cutOff: CutOffInstances
   /** The origins (endpoint software versions) of streams. */
   readonly streams: StreamCoordinator
--- a/packages/daemon/src/gateway/overloadGossip.ts
+++ b/packages/daemon/src/gateway/overloadGossip.ts
@@ -1,7 +1,7 @@
 /**
- * Gossip about overloaded instances, as datagrams between instances, and a record of which instances reported it
- * lately. The messages are encoded like crash gossip: as outdated load reports, which earlier versions drop. Owns the
- * time of each instance's last report.
+ * Gossip (datagrams between instances) about overloaded instances, and a record of the instances whose report of their
+ * overload has not expired. The messages are encoded like crash gossip: as outdated load reports, which earlier
+ * versions drop. Owns the time of each instance's last report.
  */
 
 import type { PeerLoadReport } from '@rackwalk/router'
--- a/packages/daemon/src/gateway/pausableListener.ts
+++ b/packages/daemon/src/gateway/pausableListener.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for callers, which can be paused: the kernel then refuses new connections, while open ones, including
- * idle ones, are still served. Owns whether and where it listens.
+ * The listener for callers, which can be paused: the kernel then refuses new connections, while open connections,
+ * including idle ones, are still served. Owns the address of the listener and whether the listener is closed.
  */
 
 import { Server as NetServer } from 'node:net'
--- a/packages/daemon/src/gateway/relayPeers.ts
+++ b/packages/daemon/src/gateway/relayPeers.ts
@@ -50,7 +50,7 @@
     for (const agent of this.agents.values()) agent.destroy()
   }
 
-  /** The active instances that serve, take relays and are not silent; if there are none, the idle ones that do. */
+  /** The active instances that serve, take relays and are not silent; if there are none, the idle instances that do. */
   private get candidates(): readonly MemberRow[] {
     const { fleet } = this.parts
     const takesRelays = ({ instance, takesRelays, state }: MemberRow) =>
--- a/packages/daemon/src/gateway/stalenessMonitor.ts
+++ b/packages/daemon/src/gateway/stalenessMonitor.ts
@@ -1,7 +1,8 @@
 /**
  * Monitors the age of the operator's and the endpoints' rows by which this instance serves. Queries peers for newer
  * rows before the rows reach their bound, rejects requests while the rows are too old, and reports when that begins and
- * ends. Without the monitor, an instance that has lost the store would go on serving by revoked keys and deleted routes.
+ * ends. Without the monitor, an instance whose own load delays its copy of the rows would go on serving by revoked
+ * keys and deleted routes.
  *
  * Owns the send times of the queries that peers answered; decisions/admitting/configurationStaleness decides when to
  * query and when to reject. All times are in milliseconds.
@@ -52,7 +53,9 @@
   readonly reachability: ContactAges
 }
 
-/** Returns the log fields of a change; an age is undefined, and so omitted from the JSON, if there was no contact yet. */
+/**
+ * Returns the log fields of a change; an age is undefined, and so omitted from the JSON, if there was no contact yet.
+ */
 export function stalenessFields(change: StalenessChange): Readonly<Record<string, unknown>> {
   const { isRefusing, table, rows, reachability } = change
   return {
@@ -91,8 +94,7 @@
 }
 
 /**
- * Time between two checks. A check sends no query unless rows are old, and about ten checks fit into a staleness
- * bound.
+ * Time between two checks. A check sends no query unless rows are old, and a staleness bound of 3 s, the default, spans 15.
  */
 const CHECK_INTERVAL_MILLISECONDS = 200
 /** Queries sent for a table at each check: a queried peer may be without a connection to the store as well. */
--- a/packages/daemon/src/gateway/starvationMonitor.ts
+++ b/packages/daemon/src/gateway/starvationMonitor.ts
@@ -25,8 +25,8 @@
 /** Time between two checks for teams that became starved or are served again. */
 const CHECK_INTERVAL_MILLISECONDS: Milliseconds = 1_000
 /**
- * Number of teams reported per check, those with the most requests first, so that an outage that affects all teams does not flood the log; the gauge counts all of
- * them.
+ * Number of teams reported per check, those with the most requests first, so that an outage that affects all teams does
+ * not flood the log; the gauge counts all of them.
  */
 const MAXIMUM_LOGGED_TEAMS = 8
 
--- a/packages/daemon/src/gateway/streamGossip.ts
+++ b/packages/daemon/src/gateway/streamGossip.ts
@@ -1,6 +1,7 @@
 /**
- * Gossip about the origins of streams (the service and endpoint software version that began each) and about the versions
- * that serve, as datagrams between instances. The messages are encoded like crash gossip: as outdated load reports, which earlier versions drop. Owns nothing.
+ * Gossip about the origins of streams (the service and endpoint software version that began each) and about the
+ * versions that serve, as datagrams between instances. The messages are encoded like crash gossip: as outdated load
+ * reports, which earlier versions drop. Owns nothing.
  */
 
 import { asId, groupBy } from '@rackwalk/shared'
--- a/packages/daemon/src/tasks/adviceTask.ts
+++ b/packages/daemon/src/tasks/adviceTask.ts
@@ -52,8 +52,9 @@
     for (const message of gossip) {
       this.advices.observe(message)
       if (message.isLeaving !== true) continue
-      // In this kind, a start (one run of an endpoint) is named after its endpoint. The source is 'answer', since the peer
-      // learned from an answer that the endpoint is leaving: no older load report may reset that state here either.
+      // In this kind, a start (one run of an endpoint) is named after its endpoint. The source is 'answer', since the
+      // peer learned from an answer that the endpoint is leaving: no older load report may reset that state here
+      // either.
       this.parts.endpoints().noteLeaving(asId<EndpointId>(message.start), 'answer')
     }
   }
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -1,7 +1,8 @@
 /**
  * Passes on what an instance of the OpenAI-style kind finds out about requests and prompt parts that crash endpoints:
- * to the peers at once, to the table of crash records in the table service, and to the log. Reads the table at intervals
- * and applies its records. Owns the crash guard, which decides, and the rounds in which the table is written and read.
+ * to the peers at once, to the table of crash records in the table service, and to the log. Reads the table at
+ * intervals and applies its records. Owns the crash guard, which decides, and the rounds in which the table is written
+ * and read.
  */
 
 import { CrashTableSync } from '@rackwalk/coordination'
--- a/packages/daemon/src/tasks/endpointMonitor.ts
+++ b/packages/daemon/src/tasks/endpointMonitor.ts
@@ -34,7 +34,7 @@
 /** Cache events are queried in every round of this number; load reports in every round. */
 const CACHE_EVENT_ROUNDS = 2
 
-/** Polls endpoints for their load and cache events, and learns which ones are leaving. */
+/** Polls endpoints for their load and cache events, and notes which endpoints are leaving. */
 export class EndpointMonitor implements Task {
   private timer: Timer | undefined
   private stopped = false
