--- a/packages/daemon/src/gateway/endpointFollower.ts
+++ b/packages/daemon/src/gateway/endpointFollower.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps the endpoint directory in step with the platform's rows. Rows expire while the store is away. The rows of
- * live endpoints return soon after the outage; the endpoints of the others are gone. Owns the time at which the store
- * came back.
+ * Updates the endpoint directory from the platform's rows. Rows expire while the store does not answer, and those of
+ * live endpoints return soon after the outage. Therefore an endpoint whose row is missing during or right after an
+ * outage is removed only when the row does not return in time; otherwise the endpoint is removed at once. Without
+ * this delay, an outage of the store would remove live endpoints. Owns the time at which the store last answered again.
  */
 
 import type { Clock, Milliseconds } from '@rackwalk/shared'
@@ -10,10 +11,10 @@
 import type { EndpointDirectory, EndpointRecord } from '@rackwalk/router'
 
 /**
- * How long an entry that is missing after an outage may still come back. The platform states about two seconds; an
- * entry that is missing for longer is gone.
+ * How long after an outage a missing row may still return. The platform states about two seconds; the endpoint of a row
+ * that is missing for longer is gone.
  */
-const LAPSE_MILLISECONDS = 1_800
+const ROW_RETURN_MILLISECONDS = 1_800
 
 /** What the follower needs. */
 export interface EndpointFollowerParts {
@@ -27,7 +28,7 @@
 /** Follows the rows of endpoints. */
 export class EndpointFollower implements MirrorListener {
   private isReachable = true
-  private regainedAt: Milliseconds = Number.NEGATIVE_INFINITY
+  private storeReturnedAt: Milliseconds = Number.NEGATIVE_INFINITY
 
   constructor(private readonly parts: EndpointFollowerParts) {}
 
@@ -37,13 +38,13 @@
       const { key, value } = row
       const record = value === undefined ? undefined : parse(key, value)
       if (record !== undefined) directory.set(record)
-      else if (value === undefined) directory.removeAfter(key, this.lapseMilliseconds)
+      else if (value === undefined) directory.removeAfter(key, this.remainingReturnMilliseconds)
       else this.handleMalformed(row)
     }
     if (!isWhole) return
     const present = new Set(rows.map(row => row.key))
     const missing = directory.ids.filter(id => !present.has(id))
-    for (const id of missing) directory.removeAfter(id, this.lapseMilliseconds)
+    for (const id of missing) directory.removeAfter(id, this.remainingReturnMilliseconds)
   }
 
   /**
@@ -56,14 +57,16 @@
   }
 
   onReachabilityChange(isReachable: boolean): void {
-    if (isReachable && !this.isReachable) this.regainedAt = this.parts.clock.monotonic()
+    if (isReachable && !this.isReachable) this.storeReturnedAt = this.parts.clock.monotonic()
     this.isReachable = isReachable
   }
 
-  /** Not positive when a missing entry can only mean that its endpoint is gone. */
-  private get lapseMilliseconds(): Milliseconds {
+  /**
+   * How long a missing row may still return; 0 or less if the row is missing because its endpoint is gone.
+   */
+  private get remainingReturnMilliseconds(): Milliseconds {
     // The first rows after an outage arrive before the store counts as reachable again.
-    if (!this.isReachable) return LAPSE_MILLISECONDS
-    return this.regainedAt + LAPSE_MILLISECONDS - this.parts.clock.monotonic()
+    if (!this.isReachable) return ROW_RETURN_MILLISECONDS
+    return this.storeReturnedAt + ROW_RETURN_MILLISECONDS - this.parts.clock.monotonic()
   }
 }
