--- a/packages/stand-ins/src/exploration/checkers.ts
+++ b/packages/stand-ins/src/exploration/checkers.ts
@@ -1,6 +1,6 @@
 /**
- * The promises that exploration holds each run to. Each reads what callers, endpoints and the table saw,
- * never what a node believes.
+ * The guarantees that are checked in every explored run. The checkers read only what callers, endpoints
+ * and the table observed, never the state that a node keeps in memory.
  */
 
 import type { BudgetId, IncarnationId } from '@rackwalk/shared'
@@ -9,29 +9,29 @@
 import type { MemoryTable } from '../platform/memoryTable.js'
 import type { History } from './history.js'
 
-/** A promise of the brief that a run broke. */
-export class PromiseBroken extends Error {
+/** A run violated one of the checked guarantees. */
+export class GuaranteeViolation extends Error {
   constructor(
-    readonly promise: string,
+    readonly guarantee: string,
     detail: string,
   ) {
-    super(`${promise}: ${detail}`)
+    super(`${guarantee}: ${detail}`)
   }
 }
 
-/** A run as the checkers look at it. */
+/** The parts of a run that the checkers read. */
 export interface CheckedRun {
   readonly table: MemoryTable
   readonly history: History
   readonly budgets: readonly BudgetId[]
-  /** Greatest limit that each budget ever had. */
-  readonly greatestLimits: ReadonlyMap<BudgetId, number>
+  /** The highest limit that each budget has had in the run. */
+  readonly highestLimits: ReadonlyMap<BudgetId, number>
   readonly nodes: readonly { readonly incarnation: IncarnationId }[]
-  /** Errors that the code under test threw where it must not. */
-  readonly faults: readonly unknown[]
+  /** Errors that the code under test must not throw but did. */
+  readonly unexpectedErrors: readonly unknown[]
 }
 
-/** What must hold at every point of a run. */
+/** Checks the guarantees that must hold at every point of a run. */
 export async function checkAlways(run: CheckedRun): Promise<void> {
   for (const budgetId of run.budgets) {
     checkSpend(run, budgetId)
@@ -39,10 +39,10 @@
   }
   checkExecutions(run)
   checkRefusals(run)
-  if (run.faults.length > 0) throw run.faults[0]
+  if (run.unexpectedErrors.length > 0) throw run.unexpectedErrors[0]
 }
 
-/** What must hold once everything was healed and has come to rest. */
+/** Checks the guarantees that must hold after all faults are healed and all pending work is done. */
 export async function checkAtEnd(run: CheckedRun): Promise<void> {
   await checkAlways(run)
   const bills = await readBills(run)
@@ -50,42 +50,43 @@
   for (const budgetId of run.budgets) await checkBooks(run, budgetId, bills)
 }
 
-/** A team's spend never exceeds its prepaid budget. */
+/** Checks that a team's spend doesn't exceed its prepaid budget. */
 function checkSpend(run: CheckedRun, budgetId: BudgetId): void {
   const spent = run.history.deliveredTokens(budgetId)
-  const limit = run.greatestLimits.get(budgetId) ?? 0
-  if (spent > limit) throw new PromiseBroken('overspend', `${budgetId} ${spent} > ${limit}`)
+  const limit = run.highestLimits.get(budgetId) ?? 0
+  if (spent > limit) throw new GuaranteeViolation('overspend', `${budgetId} ${spent} > ${limit}`)
 }
 
-/** The row itself never promises more than there is. */
+/** Checks that the settled and allocated tokens of a budget's row don't exceed its limit. */
 async function checkRow(run: CheckedRun, budgetId: BudgetId): Promise<void> {
   const row = await readRow(run, budgetId)
   const promised = row.settled + allocatedTokens(row)
-  const limit = run.greatestLimits.get(budgetId) ?? 0
+  const limit = run.highestLimits.get(budgetId) ?? 0
   if (promised > limit) {
-    throw new PromiseBroken('row', `${budgetId} promises ${promised} of ${limit}`)
+    throw new GuaranteeViolation('row', `${budgetId} promises ${promised} of ${limit}`)
   }
 }
 
-/** A request marked as not repeatable runs at most once. */
+/** Checks that a request that is marked as not repeatable runs at most once. */
 function checkExecutions(run: CheckedRun): void {
   const executed = new Set<string>()
   for (const request of run.history.requests) {
     if (request.repeatable || !request.executed) continue
-    if (executed.has(request.key)) throw new PromiseBroken('at most once', request.key)
+    if (executed.has(request.key)) throw new GuaranteeViolation('at most once', request.key)
     executed.add(request.key)
   }
 }
 
-/** A request that was refused as not run was truly not run. */
+/** Checks that a request that was refused as "not run" did not run. */
 function checkRefusals(run: CheckedRun): void {
-  const liar = run.history.requests.find(
+  const executedRefusal = run.history.requests.find(
     request => request.refusedWith !== undefined && request.executed,
   )
-  if (liar !== undefined) throw new PromiseBroken('not run', liar.requestId)
+  if (executedRefusal !== undefined)
+    throw new GuaranteeViolation('not run', executedRefusal.requestId)
 }
 
-/** Each request whose answer was delivered is billed, and billed once. */
+/** Checks that each request whose answer was delivered is billed exactly once. */
 function checkBilledOnce(run: CheckedRun, bills: readonly SettleEntry[]): void {
   const billed = new Map(bills.map(bill => [bill.billKey, bill]))
   for (const request of run.history.requests) {
@@ -93,12 +94,12 @@
     const tokens = billed.get(request.key)?.billedTokens
     if (tokens !== request.deliveredTokens) {
       const detail = `${request.requestId} got ${request.deliveredTokens}, billed ${tokens}`
-      throw new PromiseBroken('billed once', detail)
+      throw new GuaranteeViolation('billed once', detail)
     }
   }
 }
 
-/** When all is given back, what is settled is what was billed, and nothing is stranded. */
+/** Checks that, after all allocations are returned, settled equals billed and no tokens stay allocated. */
 async function checkBooks(
   run: CheckedRun,
   budgetId: BudgetId,
@@ -109,10 +110,11 @@
     .filter(bill => bill.budgetId === budgetId)
     .reduce((sum, bill) => sum + bill.billedTokens, 0)
   if (row.settled !== billed) {
-    throw new PromiseBroken('books', `${budgetId} settled ${row.settled}, billed ${billed}`)
+    throw new GuaranteeViolation('books', `${budgetId} settled ${row.settled}, billed ${billed}`)
   }
   const left = allocatedTokens(row)
-  if (left !== 0) throw new PromiseBroken('stranded', `${budgetId} ${JSON.stringify(row.holders)}`)
+  if (left !== 0)
+    throw new GuaranteeViolation('stranded', `${budgetId} ${JSON.stringify(row.holders)}`)
 }
 
 async function readBills(run: CheckedRun): Promise<readonly SettleEntry[]> {
--- a/packages/stand-ins/src/exploration/explore.ts
+++ b/packages/stand-ins/src/exploration/explore.ts
@@ -1,37 +1,37 @@
 /**
- * Runs scripts of the OpenAI-style kind's coordination under random schedules, and gives what broke with
- * the way to it.
+ * Runs scripts against the coordination code of the OpenAI-style kind under random schedules. A failure is
+ * returned with the path that replays it.
  */
 
 import fc from 'fast-check'
 import { scriptArbitrary } from './script.js'
 import type { Variant } from './variants.js'
-import { PromiseBroken } from './checkers.js'
+import { GuaranteeViolation } from './checkers.js'
 import { World } from './world.js'
 
-/** How many runs, and from which seed. */
+/** The number of runs, their seed and the code under test. */
 export interface ExploreOptions {
   readonly runs: number
   readonly seed: number
   readonly variant: Variant
-  /** Shrinks a failing run; slower, for people who have to read it. */
+  /** Whether a failing run is shrunk to a short one that is easier to read. Shrinking takes longer. */
   readonly shrink?: boolean
-  /** Only a breach of this promise ends the exploration; for controls. */
+  /** If given, only a violation of this guarantee ends the exploration. For runs of broken variants. */
   readonly promise?: string
-  /** Replays one run of an earlier exploration. */
+  /** The path of a failed run, to replay just that run of an earlier exploration. */
   readonly path?: string
 }
 
-/** What came of an exploration. */
+/** The result of an exploration. */
 export interface ExploreResult {
   readonly runs: number
-  /** How often each thing happened in all runs. */
+  /** How often each kind of event happened, summed over all runs. */
   readonly coverage: Readonly<Record<string, number>>
-  /** The first promise that a run broke, with what replays it. */
+  /** The first violation, with the path and the script that replay it. */
   readonly failure?: { readonly message: string; readonly path: string; readonly script: string }
 }
 
-/** Runs random scripts under random schedules; the same seed gives the same runs. */
+/** Runs random scripts under random schedules. The same seed gives the same runs. */
 export async function explore(options: ExploreOptions): Promise<ExploreResult> {
   const coverage: Record<string, number> = {}
   const property = fc.asyncProperty(fc.scheduler(), scriptArbitrary, async (scheduler, script) => {
@@ -39,7 +39,7 @@
     try {
       await world.run()
     } catch (thrown) {
-      if (isOfInterest(thrown, options.promise)) throw thrown
+      if (isRelevant(thrown, options.promise)) throw thrown
     }
     addUp(coverage, world.coverage())
   })
@@ -63,9 +63,9 @@
   }
 }
 
-function isOfInterest(thrown: unknown, promise: string | undefined): boolean {
-  if (promise === undefined) return true
-  return thrown instanceof PromiseBroken && thrown.promise === promise
+function isRelevant(thrown: unknown, guarantee: string | undefined): boolean {
+  if (guarantee === undefined) return true
+  return thrown instanceof GuaranteeViolation && thrown.guarantee === guarantee
 }
 
 function addUp(sums: Record<string, number>, counts: Readonly<Record<string, number>>): void {
--- a/packages/stand-ins/src/exploration/faultyPeers.ts
+++ b/packages/stand-ins/src/exploration/faultyPeers.ts
@@ -1,4 +1,4 @@
-/** Messages between the nodes of a run: delayed, lost, answered late, as the script says. */
+/** The network between the nodes of a run: delays and drops messages and replies as the script demands. */
 
 import type { Scheduler } from 'fast-check'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
@@ -15,7 +15,7 @@
 
 const CALL_TIMEOUT_MILLISECONDS = 1_000
 
-/** One node as the network sees it. */
+/** The parts of a node that the network uses. */
 export interface NetworkNode {
   readonly incarnation: IncarnationId
   readonly handlers: PeerHandlers
@@ -66,7 +66,7 @@
     return this.withTimeout(answer, gate)
   }
 
-  /** A caller gives up after a while; what it asked for may be done all the same. */
+  /** Rejects after the call timeout. The peer may still carry out the request. */
   private withTimeout<Reply>(answer: Promise<Reply>, gate: Gate): Promise<Reply> {
     return new Promise((resolve, reject) => {
       const timer = this.clock.after(CALL_TIMEOUT_MILLISECONDS, () => {
@@ -87,7 +87,7 @@
     await gate()
     const node = this.nodes.get(target)
     if (node === undefined || node.isDead || this.loses(sender, target)) throw unreachable()
-    // A paused peer answers when it wakes, if the caller still waits.
+    // A paused peer replies when it resumes, provided that the caller is still waiting.
     await node.gate()
     const handler = node.handlers[kind] as PeerHandler<Kind> | undefined
     if (handler === undefined) throw unreachable()
--- a/packages/stand-ins/src/exploration/faultyTable.ts
+++ b/packages/stand-ins/src/exploration/faultyTable.ts
@@ -1,4 +1,4 @@
-/** The way of a node to the table of a run: delayed, lost, answered late, as the script says. */
+/** A node's connection to the table of a run: delays and drops requests and replies as the script demands. */
 
 import type { Scheduler } from 'fast-check'
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
@@ -14,21 +14,21 @@
 } from '@rackwalk/stores'
 import type { MemoryTable } from '../platform/memoryTable.js'
 
-/** Faults of one node's way to the table. */
+/** Faults of one node's connection to the table. */
 export interface TableFaults {
-  /** Nothing gets through. */
+  /** Whether no operation reaches the table. */
   isCut: boolean
-  /** Share of operations of which the question or the answer is lost. */
+  /** Share of operations whose request or reply is lost. */
   lossShare: number
 }
 
-/** Resolves when its node may go on: not at all when it is dead, later when it is paused. */
+/** Resolves when the node may continue: never if the node is dead, after its resumption if it is paused. */
 export type Gate = () => Promise<void>
 
 /**
- * One node's view of the common table. The scheduler decides when each question arrives
- * and when each answer does; a lost answer leaves the write in force, and a question that
- * the node has given up on may still arrive later.
+ * One node's view of the shared table. The scheduler decides when each request and each reply arrives.
+ * A write whose reply is lost stays in force, and a write that the node has given up on may still arrive
+ * later.
  */
 export class FaultyTable implements TableService {
   constructor(
@@ -63,7 +63,7 @@
     return result
   }
 
-  /** The node hears nothing, and the write arrives at some later time. */
+  /** Fails the call as ambiguous and lets the write reach the table at a later time. */
   private async lateWrite(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     void this.step('late write').then(() => this.table.transactMany(parts))
     return this.fail(ResultCode.PlatformAmbiguous)
--- a/packages/stand-ins/src/exploration/history.ts
+++ b/packages/stand-ins/src/exploration/history.ts
@@ -1,22 +1,22 @@
-/** What was seen of the requests of a run from outside, for the checkers. */
+/** Records the requests of a run as callers and endpoints observe them, for the checkers. */
 
 import type { BudgetId, IdempotencyKey, RequestId, ResultCode, TokenCount } from '@rackwalk/shared'
 
-/** What was seen from outside of one request in a run. */
+/** One request of a run as its caller and its endpoint observed it. */
 export interface RequestHistory {
   readonly requestId: RequestId
   readonly budgetId: BudgetId
   readonly key: IdempotencyKey
   readonly repeatable: boolean
-  /** The endpoint worked on it. */
+  /** Whether an endpoint ran the request. */
   executed: boolean
-  /** The caller got the end of its answer, and was billed so much. */
+  /** Tokens billed for a completely delivered answer; undefined as long as the end is not delivered. */
   deliveredTokens: TokenCount | undefined
-  /** The caller was told that it was not run. */
+  /** The code of a refusal that says that the request was not run. */
   refusedWith: ResultCode | undefined
 }
 
-/** The history of one run, as callers and endpoints see it. */
+/** The requests of one run in order of their arrival. */
 export class History {
   readonly requests: RequestHistory[] = []
 
@@ -31,7 +31,7 @@
     return entry
   }
 
-  /** Tokens of the answers that callers have whole, each key once. */
+  /** Returns the tokens of the completely delivered answers; each idempotency key counts once. */
   deliveredTokens(budgetId: BudgetId): TokenCount {
     const byKey = new Map<IdempotencyKey, TokenCount>()
     for (const request of this.requests) {
--- a/packages/stand-ins/src/exploration/prepaidScript.ts
+++ b/packages/stand-ins/src/exploration/prepaidScript.ts
@@ -1,17 +1,17 @@
-/** What may happen to a prepaid budget on a few instances, and how likely. */
+/** The actions that may happen to a prepaid budget on a few instances, and how likely each is. */
 
 import fc from 'fast-check'
 import type { Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Nodes of a run; few, so that actions meet often. */
+/** Number of nodes of a run; small, so that actions often collide. */
 export const NODES = 3
 
-/** One thing that happens in a run. */
+/** One action of a run. */
 export type PrepaidAction =
   | { readonly kind: 'reserve'; readonly node: number; readonly tokens: TokenCount }
   | { readonly kind: 'settle'; readonly node: number; readonly share: number }
-  | { readonly kind: 'kill'; readonly node: number; readonly darkMilliseconds: Milliseconds }
-  | { readonly kind: 'lose-power'; readonly darkMilliseconds: Milliseconds }
+  | { readonly kind: 'kill'; readonly node: number; readonly downMilliseconds: Milliseconds }
+  | { readonly kind: 'lose-power'; readonly downMilliseconds: Milliseconds }
   | { readonly kind: 'leave'; readonly node: number }
   | { readonly kind: 'fault'; readonly node: number; readonly fault: PrepaidFault }
   | { readonly kind: 'peer-fault'; readonly node: number; readonly fault: PeerFault }
@@ -21,10 +21,10 @@
   | { readonly kind: 'raise' }
   | { readonly kind: 'wait'; readonly milliseconds: Milliseconds }
 
-/** How the store fails one node. */
+/** The way in which the store fails for one node. */
 export type PrepaidFault = 'cut' | 'unreachable' | 'turned-away' | 'lost' | 'late'
 
-/** `cut`: no call of a peer reaches or leaves the instance; `mute`: calls reach it, answers are lost. */
+/** `cut`: no peer call reaches or leaves the instance. `mute`: calls reach it, but its replies are lost. */
 export type PeerFault = 'none' | 'cut' | 'mute'
 
 const node = fc.integer({ min: 0, max: NODES - 1 })
@@ -65,7 +65,7 @@
     arbitrary: fc.record({
       kind: fc.constant('kill' as const),
       node,
-      darkMilliseconds: fc.integer({ min: 0, max: 3_000 }),
+      downMilliseconds: fc.integer({ min: 0, max: 3_000 }),
     }),
   },
   {
@@ -80,7 +80,7 @@
     weight: 1,
     arbitrary: fc.record({
       kind: fc.constant('lose-power' as const),
-      darkMilliseconds: fc.integer({ min: 0, max: 3_000 }),
+      downMilliseconds: fc.integer({ min: 0, max: 3_000 }),
     }),
   },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('leave' as const), node }) },
@@ -93,5 +93,5 @@
   { weight: 1, arbitrary: fc.constant({ kind: 'raise' as const }) },
 )
 
-/** Scripts that shrink to the shortest one that still breaks a promise. */
+/** Scripts that shrink to the shortest one that still violates a guarantee. */
 export const prepaidScriptArbitrary = fc.array(actionArbitrary, { minLength: 20, maxLength: 70 })
--- a/packages/stand-ins/src/exploration/prepaidVariants.ts
+++ b/packages/stand-ins/src/exploration/prepaidVariants.ts
@@ -1,6 +1,6 @@
 /**
- * The prepaid ledger as it ships, and copies with one thing broken on purpose: a checker that does not
- * notice proves nothing.
+ * The prepaid ledger as it ships, and copies with one deliberate defect each. They prove that the checkers
+ * detect such defects.
  */
 
 import { POOL_KEY, holderRowCodec } from '@rackwalk/coordination'
@@ -9,7 +9,7 @@
 
 type RowPut = RowTransaction['puts'][number]
 
-/** A way to break the ledger that the checker must notice. */
+/** A ledger whose surroundings may be replaced to introduce a defect. */
 export interface PrepaidVariant {
   readonly name: string
   storeOf?(store: RowStore): RowStore
@@ -19,7 +19,7 @@
 
 export const SOUND_LEDGER: PrepaidVariant = { name: 'sound' }
 
-/** Each forgets one thing on which the promise rests. */
+/** Ledgers that each lack one thing that the spending limit depends on. */
 export const BROKEN_LEDGERS: readonly PrepaidVariant[] = [
   {
     name: 'writes whatever others wrote meanwhile',
@@ -58,7 +58,7 @@
   },
 ]
 
-/** Tells nobody that callers ask, and borrows nothing: the checker of reach must notice. */
+/** Announces no demand and borrows no tokens. The check of the guarantee "reach" must detect this. */
 export const SECRETIVE_LEDGER: PrepaidVariant = {
   name: 'tells nobody that callers ask, and borrows nothing',
   storeOf: store => ({
@@ -74,7 +74,7 @@
   }),
 }
 
-/** A holder's row that tells of no demand; any other row as it is. */
+/** Returns a holder's row with its demand set to zero, and any other row unchanged. */
 function withoutDemand(put: RowPut): RowPut {
   const row = put.key === POOL_KEY ? undefined : holderRowCodec.decode(put.value)
   if (row === undefined) return put
--- a/packages/stand-ins/src/exploration/prepaidWorld.ts
+++ b/packages/stand-ins/src/exploration/prepaidWorld.ts
@@ -1,4 +1,4 @@
-/** Random histories of one prepaid budget on a few instances, checked against its limit. */
+/** Runs random actions on one prepaid budget of a few instances and checks the spend against its limit. */
 
 import fc from 'fast-check'
 import { VirtualClock, sleep } from '@rackwalk/shared'
@@ -16,45 +16,48 @@
 import type { LoanChannel, PrepaidReservation } from '@rackwalk/coordination'
 import { MemoryRowStore } from '../platform/memoryRowStore.js'
 import type { RowStoreFaults } from '../platform/memoryRowStore.js'
-import { PromiseBroken } from './checkers.js'
+import { GuaranteeViolation } from './checkers.js'
 import { NODES, prepaidScriptArbitrary } from './prepaidScript.js'
 import type { PeerFault, PrepaidAction, PrepaidFault } from './prepaidScript.js'
 import type { PrepaidVariant } from './prepaidVariants.js'
 
 const BUDGET = 'team'
 const FIRST_LIMIT: TokenCount = 6_000
-const RAISE: TokenCount = 1_500
-const PATIENCE_MILLISECONDS = 100
-const FEED_MILLISECONDS = 400
-const LATE_MILLISECONDS = 2_500
-const PEER_MILLISECONDS = 2
+const LIMIT_RAISE: TokenCount = 1_500
+const RESERVE_TIMEOUT_MILLISECONDS = 100
+const READ_INTERVAL_MILLISECONDS = 400
+const LATE_WRITE_MILLISECONDS = 2_500
+const PEER_ONE_WAY_MILLISECONDS = 2
 const PEER_TIMEOUT_MILLISECONDS = 90
 const EXHAUST_ROUNDS = 14
 const EXHAUST_TOKENS: readonly TokenCount[] = [700, 250, 60]
 
-/** The instance to which all callers come at the end, and what they ask for. */
-const CROWDED = 0
-const CROWD_REQUESTS = 20
-const CROWD_TOKENS: TokenCount = 60
-const CROWD_PAUSE_MILLISECONDS = 100
-/** Holders keep tokens for their own callers, and deaths strand some: so many times what is asked for. */
-const CROWD_SHARE = 2
-/** Requests that may be refused while the others learn of the demand. */
-const CROWD_REFUSALS = 3
-/** Long enough for every write on its way, every repeat of a repayment and some records. */
-const REST_MILLISECONDS = 6_000
+/** The instance that receives all requests at the end of a run, and those requests. */
+const STANDBY_INDEX = 0
+const STANDBY_REQUESTS = 20
+const STANDBY_REQUEST_TOKENS: TokenCount = 60
+const STANDBY_PAUSE_MILLISECONDS = 100
+/**
+ * The requests are checked only if at least this many times their tokens is left. The margin is needed
+ * because other holders keep tokens for their own callers and dead instances leave some tokens stranded.
+ */
+const STANDBY_MARGIN = 2
+/** Requests that may be refused until the other instances have learned of the demand. */
+const STANDBY_MAXIMUM_REFUSALS = 3
+/** Long enough for every pending write, every retry of a repayment and a few records. */
+const SETTLING_MILLISECONDS = 6_000
 
 interface WorldNode {
   readonly ledger: PrepaidLedger
   readonly faults: RowStoreFaults
   readonly reservations: PrepaidReservation[]
   isDead: boolean
-  /** Whether callers are sent there; what others know of it comes later. */
+  /** Whether callers are sent to this node. The other nodes learn of a change with a delay. */
   isActive: boolean
   peerFault: PeerFault
 }
 
-/** A monotonic clock of a process that began at some moment of the world's clock. */
+/** The monotonic clock of a process that started at some time of the world's clock. */
 class ProcessClock implements Clock {
   private readonly startedAt: Milliseconds
 
@@ -87,48 +90,48 @@
   private limit = FIRST_LIMIT
   private version = 1
   private starts = 0
-  /** Tokens handed out or reserved, over all instances and their deaths. */
+  /** Tokens spent or reserved, over all incarnations of all instances. */
   private spent: TokenCount = 0
 
   constructor(private readonly variant: PrepaidVariant) {
     for (let index = 0; index < NODES; index += 1) this.nodes.push(this.startNode(index))
   }
 
-  /** Throws where more than the limit was handed out. */
+  /** Runs the script and throws if the spend exceeds the limit or a standby can't serve its requests. */
   async run(script: readonly PrepaidAction[]): Promise<void> {
     await this.clock.advance(1_000)
     for (const action of script) {
       await this.perform(action)
-      this.check()
+      this.checkSpend()
     }
-    await this.askWhereNobodyAsked()
+    await this.requestAtStandby()
     await this.exhaust()
   }
 
   /**
-   * All callers come to one instance that stands by, once everything is healed and has come to rest. What
-   * the rows say is left is a lower bound of what exists, so each request must find its tokens there.
+   * Sends all requests to one standby instance after all faults are healed and pending work is done. The
+   * tokens left by the rows are a lower bound of the tokens left, so the requests must be served.
    */
-  private async askWhereNobodyAsked(): Promise<void> {
+  private async requestAtStandby(): Promise<void> {
     await this.perform({ kind: 'heal' })
-    for (const [index, node] of this.nodes.entries()) node.isActive = index !== CROWDED
-    await this.clock.advance(REST_MILLISECONDS)
-    if (this.leftByRows() < CROWD_SHARE * CROWD_REQUESTS * CROWD_TOKENS) return
+    for (const [index, node] of this.nodes.entries()) node.isActive = index !== STANDBY_INDEX
+    await this.clock.advance(SETTLING_MILLISECONDS)
+    if (this.remainingByRows() < STANDBY_MARGIN * STANDBY_REQUESTS * STANDBY_REQUEST_TOKENS) return
     this.count('crowded')
     const before = this.counts['refused'] ?? 0
-    for (let request = 0; request < CROWD_REQUESTS; request += 1) {
-      await this.reserve(CROWDED, CROWD_TOKENS)
-      await this.clock.advance(CROWD_PAUSE_MILLISECONDS)
+    for (let request = 0; request < STANDBY_REQUESTS; request += 1) {
+      await this.reserve(STANDBY_INDEX, STANDBY_REQUEST_TOKENS)
+      await this.clock.advance(STANDBY_PAUSE_MILLISECONDS)
     }
-    await this.clock.advance(PATIENCE_MILLISECONDS)
+    await this.clock.advance(RESERVE_TIMEOUT_MILLISECONDS)
     const refused = (this.counts['refused'] ?? 0) - before
-    if (refused > CROWD_REFUSALS) {
-      throw new PromiseBroken('reach', `${refused} of ${CROWD_REQUESTS} requests refused`)
+    if (refused > STANDBY_MAXIMUM_REFUSALS) {
+      throw new GuaranteeViolation('reach', `${refused} of ${STANDBY_REQUESTS} requests refused`)
     }
   }
 
-  /** Tokens that no row counts as handed out or reserved. */
-  private leftByRows(): TokenCount {
+  /** Returns the tokens that no row counts as settled or committed. */
+  private remainingByRows(): TokenCount {
     const outcome = this.store.read(PREPAID_TABLE, BUDGET)
     if (outcome.kind !== 'rows') return 0
     let left = this.limit
@@ -139,7 +142,7 @@
     return left
   }
 
-  /** Asks for all that is left, so that tokens counted twice are also spent twice. */
+  /** Requests all tokens that are left, so that tokens that were counted twice are also spent twice. */
   private async exhaust(): Promise<void> {
     await this.perform({ kind: 'heal' })
     this.spendReserved()
@@ -147,12 +150,12 @@
       for (let index = 0; index < NODES; index += 1) {
         for (const tokens of EXHAUST_TOKENS) await this.reserve(index, tokens)
       }
-      await this.clock.advance(FEED_MILLISECONDS)
-      this.check()
+      await this.clock.advance(READ_INTERVAL_MILLISECONDS)
+      this.checkSpend()
     }
   }
 
-  /** Everything reserved is handed out whole, so that none of it may be given out again. */
+  /** Settles all reservations at their full size, so that none of their tokens may be spent again. */
   private spendReserved(): void {
     for (const [index, { reservations }] of this.nodes.entries()) {
       while (reservations.length > 0) this.settle(index, 1)
@@ -167,9 +170,9 @@
       case 'settle':
         return this.settle(action.node, action.share)
       case 'kill':
-        return this.kill(action.node, action.darkMilliseconds)
+        return this.kill(action.node, action.downMilliseconds)
       case 'lose-power':
-        return this.losePower(action.darkMilliseconds)
+        return this.losePower(action.downMilliseconds)
       case 'leave':
         return this.leave(action.node)
       case 'fault':
@@ -193,8 +196,8 @@
 
   private reserve(index: number, tokens: TokenCount): Promise<void> {
     const node = this.nodeAt(index)
-    void node.ledger.reserve(BUDGET, tokens, PATIENCE_MILLISECONDS).then(outcome => {
-      // An answer to a process that died meanwhile is heard by nobody.
+    void node.ledger.reserve(BUDGET, tokens, RESERVE_TIMEOUT_MILLISECONDS).then(outcome => {
+      // The process died meanwhile, so no caller learns the outcome.
       if (node.isDead) return
       this.count(outcome.kind)
       if (outcome.kind !== 'reserved') return
@@ -214,16 +217,19 @@
     this.spent -= reservation.tokens - actual
   }
 
-  private async kill(index: number, darkMilliseconds: Milliseconds): Promise<void> {
+  private async kill(index: number, downMilliseconds: Milliseconds): Promise<void> {
     this.stop(index)
-    await this.clock.advance(darkMilliseconds)
+    await this.clock.advance(downMilliseconds)
     this.nodes[index] = this.startNode(index)
   }
 
-  /** All die at one moment, in a cut or not, and nobody is left who knows what was spent. */
-  private async losePower(darkMilliseconds: Milliseconds): Promise<void> {
+  /**
+   * Kills all instances at the same time, cut off from the store or not. No instance is left that knows
+   * what was spent.
+   */
+  private async losePower(downMilliseconds: Milliseconds): Promise<void> {
     for (let index = 0; index < NODES; index += 1) this.stop(index)
-    await this.clock.advance(darkMilliseconds)
+    await this.clock.advance(downMilliseconds)
     for (let index = 0; index < NODES; index += 1) this.nodes[index] = this.startNode(index)
   }
 
@@ -250,7 +256,7 @@
     faults.isUnreachable = fault === 'unreachable'
     faults.isTurnedAway = fault === 'turned-away'
     faults.losesAnswers = fault === 'lost'
-    faults.lateMilliseconds = fault === 'late' ? LATE_MILLISECONDS : 0
+    faults.lateMilliseconds = fault === 'late' ? LATE_WRITE_MILLISECONDS : 0
   }
 
   private heal(): void {
@@ -261,7 +267,7 @@
   }
 
   private raise(): void {
-    this.limit += RAISE
+    this.limit += LIMIT_RAISE
     this.version += 1
     for (const { ledger } of this.nodes) this.configure(ledger)
   }
@@ -280,7 +286,7 @@
       startedAt: 0,
       policy: new DemandHoldingPolicy(),
       isActive: () => started.isActive,
-      otherInstances: () => OTHERS[index] ?? [],
+      otherInstances: () => OTHER_INSTANCES[index] ?? [],
       limits: { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 },
       loanChannel: this.variant.channelOf?.(channel) ?? channel,
       onEvent: event => this.count(event),
@@ -298,25 +304,25 @@
     }
     this.configure(ledger)
     ledger.start()
-    this.feed(started, store)
+    this.scheduleRead(started, store)
     return started
   }
 
-  /** Calls of one instance to others; what a dead incarnation hears no longer matters. */
+  /** Returns the loan calls of one instance to the others. Calls from or to a dead incarnation time out. */
   private channelOf(index: number): LoanChannel {
     const call = async <Answer>(
       lender: string,
       perform: (peer: WorldNode) => Answer | Promise<Answer>,
     ): Promise<Answer | undefined> => {
       const caller = this.nodeAt(index)
-      const peer = this.nodeAt(NAMES.indexOf(lender))
-      await sleep(this.clock, PEER_MILLISECONDS)
+      const peer = this.nodeAt(INSTANCE_NAMES.indexOf(lender))
+      await sleep(this.clock, PEER_ONE_WAY_MILLISECONDS)
       if (caller.peerFault === 'cut' || peer.peerFault === 'cut' || peer.isDead || caller.isDead) {
         await sleep(this.clock, PEER_TIMEOUT_MILLISECONDS)
         return undefined
       }
       const answer = await perform(peer)
-      await sleep(this.clock, PEER_MILLISECONDS)
+      await sleep(this.clock, PEER_ONE_WAY_MILLISECONDS)
       return peer.peerFault === 'mute' || peer.isDead ? undefined : answer
     }
     return {
@@ -331,13 +337,13 @@
     }
   }
 
-  private feed(node: WorldNode, store: RowStore): void {
-    this.clock.after(FEED_MILLISECONDS, () => {
+  private scheduleRead(node: WorldNode, store: RowStore): void {
+    this.clock.after(READ_INTERVAL_MILLISECONDS, () => {
       if (node.isDead) return
       void store.readPartition(PREPAID_TABLE, BUDGET).then(outcome => {
         if (outcome.kind === 'rows') node.ledger.observe(outcome.rows, true)
       })
-      this.feed(node, store)
+      this.scheduleRead(node, store)
     })
   }
 
@@ -345,9 +351,9 @@
     ledger.configure([{ budget: BUDGET, limit: this.limit }], this.version)
   }
 
-  private check(): void {
+  private checkSpend(): void {
     if (this.spent <= this.limit) return
-    throw new PromiseBroken('prepaid', `${this.spent} of ${this.limit} tokens handed out`)
+    throw new GuaranteeViolation('prepaid', `${this.spent} of ${this.limit} tokens handed out`)
   }
 
   private nodeAt(index: number): WorldNode {
@@ -370,16 +376,16 @@
   lateMilliseconds: 0,
 }
 
-const NAMES = Array.from({ length: NODES }, (_, index) => `node-${index}`)
-const OTHERS = NAMES.map(own => NAMES.filter(name => name !== own))
+const INSTANCE_NAMES = Array.from({ length: NODES }, (_, index) => `node-${index}`)
+const OTHER_INSTANCES = INSTANCE_NAMES.map(own => INSTANCE_NAMES.filter(name => name !== own))
 
-/** What came of exploring the ledger. */
+/** The result of exploring the ledger. */
 export interface PrepaidExploration {
   readonly counts: Readonly<Record<string, number>>
   readonly failure: string | undefined
 }
 
-/** Runs random histories; the same seed gives the same ones. */
+/** Runs random scripts. The same seed gives the same scripts. */
 export async function explorePrepaid(options: {
   readonly runs: number
   readonly seed: number
--- a/packages/stand-ins/src/exploration/script.ts
+++ b/packages/stand-ins/src/exploration/script.ts
@@ -1,18 +1,21 @@
 /**
- * What may happen in a run, and how likely. Scripts shrink to the shortest one that still breaks a
- * promise.
+ * The actions of a run and how likely each is. Scripts shrink to the shortest one that still violates a
+ * guarantee.
  */
 
 import fc from 'fast-check'
 
-/** Nodes, budgets and keys of a run; few, so that actions meet often. */
+/** Numbers of nodes, budgets and keys of a run; small, so that actions often collide. */
 export const NODES = 4
 export const BUDGETS = 2
 const KEYS = 6
-/** Deaths that leave somebody to bury the dead; held entries outlive their holders in the object store. */
+/**
+ * The number of nodes that may die. At least one must survive to seal and reclaim the dead ones. Held
+ * journal entries outlive their holders in the object store.
+ */
 export const MAXIMUM_DEATHS = 3
 
-/** One thing that happens in a run. `steps` says how far the run goes on before the next. */
+/** One action of a run. `steps` is the number of scheduled steps before the next action. */
 export type Action =
   | {
       readonly kind: 'request'
@@ -57,7 +60,7 @@
   key: fc.nat(KEYS - 1),
   repeatable: fc.boolean(),
   bound: fc.integer({ min: 1, max: 100 }),
-  // Mostly the whole bound, so that a budget comes to its end within a run.
+  // Mostly the whole bound, so that a budget runs out within a run.
   spentShare: fc.constantFrom(1, 1, 1, 0.5, 0),
   steps,
 })
@@ -71,7 +74,7 @@
 const fleetAction = (kind: 'outage' | 'heal') =>
   fc.record({ kind: fc.constant(kind), steps }) as fc.Arbitrary<Action>
 
-const reapAction = (kind: 'seal' | 'reclaim') =>
+const targetAction = (kind: 'seal' | 'reclaim') =>
   fc.record({ kind: fc.constant(kind), node, target: node, steps }) as fc.Arbitrary<Action>
 
 const action: fc.Arbitrary<Action> = fc.oneof(
@@ -90,8 +93,8 @@
     weight: 2,
     arbitrary: fc.record({ kind: fc.constant('cut' as const), node, other: node, steps }),
   },
-  { weight: 2, arbitrary: reapAction('seal') },
-  { weight: 2, arbitrary: reapAction('reclaim') },
+  { weight: 2, arbitrary: targetAction('seal') },
+  { weight: 2, arbitrary: targetAction('reclaim') },
   {
     weight: 1,
     arbitrary: fc.record({
@@ -111,7 +114,7 @@
   },
 )
 
-/** A run's script and the share of messages that get lost in it. */
+/** A run's actions, the share of messages that are lost in it and the seed of its random faults. */
 export interface Script {
   readonly actions: readonly Action[]
   readonly lossShare: number
--- a/packages/stand-ins/src/exploration/variants.ts
+++ b/packages/stand-ins/src/exploration/variants.ts
@@ -1,6 +1,6 @@
 /**
- * The code as it ships, and copies with one thing broken on purpose: a checker that does not notice proves
- * nothing.
+ * The code as it ships, and copies with one deliberate defect each. They prove that the checkers detect
+ * such defects.
  */
 
 import type { Reservation, ReservationResult, SealOutcome } from '@rackwalk/coordination'
@@ -36,7 +36,7 @@
   TransactionId,
 } from '@rackwalk/shared'
 
-/** Which classes a run uses: the real ones, or one that was broken on purpose. */
+/** The classes that a run uses: the real ones, or one of them with a deliberate defect. */
 export interface Variant {
   readonly name: string
   createJournal(parts: JournalParts): Journal
@@ -45,7 +45,7 @@
   createSealer(parts: SealerParts): Sealer
   createArchive(parts: HeldEntryArchiveParts): HeldEntryArchive
   table(table: TableService): TableService
-  /** Whether a request that ran but could not be billed is called not run. */
+  /** Whether a request that ran but couldn't be billed is refused as "not run". */
   readonly refusesUnbilled: boolean
 }
 
@@ -61,7 +61,7 @@
   refusesUnbilled: false,
 }
 
-/** Spends without an allocation when there is none. */
+/** Grants a reservation even if no tokens are allocated for it. */
 class UnreservedLedger extends BudgetLedger {
   override async reserve(budgetId: BudgetId, tokens: TokenCount): Promise<ReservationResult> {
     const result = await super.reserve(budgetId, tokens)
@@ -71,16 +71,16 @@
   }
 }
 
-/** Lends tokens without journalling the debit. */
-class ForgetfulLender extends BudgetLedger {
+/** Lends tokens without recording the debit in the journal. */
+class UnjournaledLender extends BudgetLedger {
   override async lend(request: PeerRequest<'lend'>): Promise<PeerReply<'lend'>> {
     const view = this.inspect(request.budgetId)
     return { tokens: Math.min(view.available, request.tokens) }
   }
 }
 
-/** Gives the end of an answer out before its bill is safe. */
-class HastyLedger extends BudgetLedger {
+/** Releases the end of an answer before its bill is durable or held by peers. */
+class EarlyReleaseLedger extends BudgetLedger {
   override settle(reservation: Reservation, entry: SettleEntry, attachment?: RowWrite) {
     const ticket = super.settle(reservation, entry, attachment)
     return { ...ticket, durableOrHeld: Promise.resolve('held' as const) }
@@ -88,7 +88,7 @@
 }
 
 /** Dispatches on a claim that the table has not confirmed. */
-class TrustingClaims extends Claims {
+class UnconfirmedClaims extends Claims {
   override async claim(
     teamId: TeamId,
     key: IdempotencyKey,
@@ -101,7 +101,7 @@
 }
 
 /** Seals without asking peers for the entries that they hold. */
-class ImpatientSealer extends Sealer {
+class UnaskingSealer extends Sealer {
   constructor(parts: SealerParts) {
     super({ ...parts, isConfirmedDead: () => true })
   }
@@ -111,8 +111,8 @@
   }
 }
 
-/** Takes a lost answer for a failure, as if nothing could have taken effect. */
-class AmnesiacTable implements TableService {
+/** Reports an ambiguous outcome as a failure, as if the write could not have taken effect. */
+class AmbiguityHidingTable implements TableService {
   constructor(private readonly table: TableService) {}
 
   get(key: RowKey) {
@@ -136,8 +136,8 @@
   }
 }
 
-/** Reads every budget as twice as large as it is. */
-class GenerousTable extends AmnesiacTable {
+/** Reads the limit of every budget as twice its value. */
+class DoubledLimitTable extends AmbiguityHidingTable {
   override async get(key: RowKey) {
     const row = await super.get(key)
     const budget = row?.value as unknown as Partial<BudgetRow> | undefined
@@ -146,17 +146,17 @@
   }
 }
 
-/** A variant that was broken on purpose, and the promise that it must be caught breaking. */
+/** A variant with a deliberate defect, and the guarantee whose violation must be detected. */
 export interface BrokenVariant extends Variant {
   readonly breaks: string
 }
 
-/** Holders that all die take what they held with them. */
-class EmptyArchive extends HeldEntryArchive {
+/** Archives nothing, so that held entries are lost when all their holders die. */
+class DiscardingArchive extends HeldEntryArchive {
   override async write(): Promise<void> {}
 }
 
-/** For each checker at least one variant that it must catch. */
+/** At least one variant for each checker, which that checker must detect. */
 export const BROKEN_VARIANTS: readonly BrokenVariant[] = [
   {
     ...SOUND,
@@ -168,43 +168,43 @@
     ...SOUND,
     name: 'lends unjournalled',
     breaks: 'overspend',
-    createLedger: parts => new ForgetfulLender(parts),
+    createLedger: parts => new UnjournaledLender(parts),
   },
   {
     ...SOUND,
     name: 'doubles limits',
     breaks: 'row',
-    table: table => new GenerousTable(table),
+    table: table => new DoubledLimitTable(table),
   },
   {
     ...SOUND,
     name: 'forgets lost answers',
     breaks: 'stranded',
-    table: table => new AmnesiacTable(table),
+    table: table => new AmbiguityHidingTable(table),
   },
   {
     ...SOUND,
     name: 'releases unbilled',
     breaks: 'billed once',
-    createLedger: parts => new HastyLedger(parts),
+    createLedger: parts => new EarlyReleaseLedger(parts),
   },
   {
     ...SOUND,
     name: 'seals unasked',
     breaks: 'billed once',
-    createSealer: parts => new ImpatientSealer(parts),
+    createSealer: parts => new UnaskingSealer(parts),
   },
   {
     ...SOUND,
     name: 'keeps held entries in memory only',
     breaks: 'billed once',
-    createArchive: parts => new EmptyArchive(parts),
+    createArchive: parts => new DiscardingArchive(parts),
   },
   {
     ...SOUND,
     name: 'trusts lost claims',
     breaks: 'at most once',
-    createClaims: parts => new TrustingClaims(parts),
+    createClaims: parts => new UnconfirmedClaims(parts),
   },
   {
     ...SOUND,
--- a/packages/stand-ins/src/exploration/world.ts
+++ b/packages/stand-ins/src/exploration/world.ts
@@ -1,4 +1,4 @@
-/** One run of exploration: nodes, table and network on a clock and a scheduler of its own. */
+/** One explored run: nodes, a table and a network on their own clock and scheduler. */
 
 import type { Scheduler } from 'fast-check'
 import { RackwalkError, ResultCode, SeededRandom, VirtualClock, asId } from '@rackwalk/shared'
@@ -19,17 +19,17 @@
 
 const TEAM = asId<TeamId>('team')
 const FIRST_LIMIT = 200
-/** Rounds in which a healed world has to come to rest. */
+/** Rounds within which a healed run must finish all pending work. */
 const CLOSING_ROUNDS = 16
 const CLOSING_STEP_MILLISECONDS = 1_000
 /** Scheduled steps that one round may take. */
 const MAXIMUM_STEPS = 5_000
-/** Steps in which entries that wait for the table come to be held. */
+/** Steps within which peers come to hold the journal entries that wait for the table. */
 const HOLDING_STEPS = 40
 
 type RequestAction = Extract<Action, { kind: 'request' }>
 
-/** One run: nodes with the real coordination code, driven by a script, watched by checkers. */
+/** One run: nodes with the real coordination code, driven by a script and verified by the checkers. */
 export class World {
   readonly table = new MemoryTable()
   readonly objects = new MemoryObjects()
@@ -38,11 +38,11 @@
   readonly counters = new MemoryCounters()
   readonly nodes: WorldNode[] = []
   readonly budgets: readonly BudgetId[]
-  /** Greatest limit that each budget ever had. */
-  readonly greatestLimits = new Map<BudgetId, number>()
+  /** The highest limit that each budget has had in the run. */
+  readonly highestLimits = new Map<BudgetId, number>()
   private readonly random: SeededRandom
   private readonly network: FaultyNetwork
-  private readonly buried = new Set<WorldNode>()
+  private readonly reclaimed = new Set<WorldNode>()
   private requests = 0
   private transactions = 0
 
@@ -56,7 +56,7 @@
     this.budgets = Array.from({ length: BUDGETS }, (_, index) => asId<BudgetId>(`budget-${index}`))
   }
 
-  /** Runs the script, heals everything, and checks that the books close. */
+  /** Runs the script, heals all faults and checks that settled tokens match the bills. */
   async run(): Promise<void> {
     await this.create()
     this.network.lossShare = this.script.lossShare
@@ -65,11 +65,11 @@
       await this.perform(action)
       await this.advanceSteps(action.steps)
     }
-    await this.close()
+    await this.healAndFinish()
     await checkAtEnd(this)
   }
 
-  /** What happened in the run, for judging whether runs exercise the code. */
+  /** Returns how often each kind of event happened, to judge whether runs exercise the code. */
   coverage(): Readonly<Record<string, number>> {
     const { requests } = this.history
     return {
@@ -111,7 +111,7 @@
   }
 
   private async createBudget(budgetId: BudgetId): Promise<void> {
-    this.greatestLimits.set(budgetId, FIRST_LIMIT)
+    this.highestLimits.set(budgetId, FIRST_LIMIT)
     await createBudget(this.table, { budgetId, teamId: TEAM, limit: FIRST_LIMIT })
   }
 
@@ -159,7 +159,7 @@
     }
   }
 
-  /** The path of one request through the coordination parts, as the router takes it. */
+  /** Takes one request through the coordination parts in the same order as the router does. */
   private async request(action: RequestAction): Promise<void> {
     const node = this.nodeAt(action.node)
     if (node.isDead) return
@@ -224,16 +224,16 @@
     seen.refusedWith = code
   }
 
-  /** Only an unconfirmed claim says "not run"; a running one says "unknown". */
+  /** Records a refusal for an unconfirmed claim only: a running claim leaves "unknown", not "not run". */
   private refuseByClaim(seen: RequestHistory, claim: ClaimResult): void {
     if (claim.kind === 'unconfirmed') this.refuse(seen, ResultCode.ClaimUnconfirmed)
   }
 
   private kill(node: WorldNode): void {
-    if (this.mayLose(node)) node.kill()
+    if (this.mayKill(node)) node.kill()
   }
 
-  /** An outage of the table in which all nodes but one lose power, once peers hold what waits. */
+  /** Cuts the table off, lets peers hold the pending entries, and then kills all nodes but one. */
   private async losePower(survivor: WorldNode): Promise<void> {
     for (const node of this.nodes) {
       node.tableFaults.isCut = true
@@ -249,15 +249,15 @@
     this.network.lossShare = this.script.lossShare
   }
 
-  /** Anybody may be sealed, alive or dead: sealing has to be safe either way. */
+  /** Seals a node, alive or dead: sealing must be safe in both cases. */
   private async seal(node: WorldNode, target: WorldNode): Promise<void> {
-    if (node === target || node.isDead || !this.mayLose(target)) return
-    target.isSealedBySomebody = true
+    if (node === target || node.isDead || !this.mayKill(target)) return
+    target.isSealed = true
     await node.sealer.seal(target.record)
   }
 
-  /** Somebody stays to bury the dead; held entries outlive all their holders. */
-  private mayLose(node: WorldNode): boolean {
+  /** Whether a node may die: enough nodes must survive to seal and reclaim the dead ones. */
+  private mayKill(node: WorldNode): boolean {
     const survivors = this.survivors()
     return !survivors.includes(node) || survivors.length > NODES - MAXIMUM_DEATHS
   }
@@ -272,14 +272,14 @@
     const stored = await this.table.get(key)
     if (stored === undefined) return
     const row = withLimit(stored.value as unknown as BudgetRow, limit)
-    this.greatestLimits.set(budgetId, Math.max(limit, this.greatestLimits.get(budgetId) ?? 0))
+    this.highestLimits.set(budgetId, Math.max(limit, this.highestLimits.get(budgetId) ?? 0))
     const condition = { kind: 'version', version: stored.version } as const
     const value = row as unknown as JsonValue
     await this.table.transact(this.nextTransaction(), [{ kind: 'put', key, condition, value }])
   }
 
-  /** Heals, lets everything end, buries the dead and gives back what is left. */
-  private async close(): Promise<void> {
+  /** Heals all faults, finishes pending work, seals and reclaims dead nodes and returns allocations. */
+  private async healAndFinish(): Promise<void> {
     for (const node of this.nodes) {
       node.tableFaults.lossShare = 0
       node.resume()
@@ -292,36 +292,36 @@
         void this.track(node.flush())
         if (isGivingBack) void this.track(node.ledger.returnAll())
       }
-      this.buryTheDead()
+      this.reclaimDeadNodes()
       await this.advanceSteps(MAXIMUM_STEPS)
       await this.clock.advance(CLOSING_STEP_MILLISECONDS)
     }
   }
 
-  private buryTheDead(): void {
-    const [undertaker] = this.survivors()
-    if (undertaker === undefined) return
+  private reclaimDeadNodes(): void {
+    const [survivor] = this.survivors()
+    if (survivor === undefined) return
     for (const node of this.nodes) {
-      const isGone = node.isDead || node.isSealedBySomebody
-      if (isGone && !this.buried.has(node)) void this.track(this.bury(undertaker, node))
+      const isGone = node.isDead || node.isSealed
+      if (isGone && !this.reclaimed.has(node)) void this.track(this.sealAndReclaim(survivor, node))
     }
   }
 
-  private async bury(undertaker: WorldNode, node: WorldNode): Promise<void> {
-    await undertaker.sealer.seal(node.record)
-    const outcome = await undertaker.reclaimer.reclaim(node.incarnation)
-    if (outcome === 'reclaimed') this.buried.add(node)
+  private async sealAndReclaim(survivor: WorldNode, node: WorldNode): Promise<void> {
+    await survivor.sealer.seal(node.record)
+    const outcome = await survivor.reclaimer.reclaim(node.incarnation)
+    if (outcome === 'reclaimed') this.reclaimed.add(node)
   }
 
   private survivors(): readonly WorldNode[] {
-    return this.nodes.filter(node => !node.isDead && !node.isSealedBySomebody)
+    return this.nodes.filter(node => !node.isDead && !node.isSealed)
   }
 
   private nodeAt(number: number): WorldNode {
     return this.nodes[number] as WorldNode
   }
 
-  /** Lets the scheduler release some of what is waiting, checking after each. */
+  /** Lets the scheduler run up to the given number of steps and runs the checkers after each. */
   private async advanceSteps(steps: number): Promise<void> {
     for (let step = 0; step < steps; step += 1) {
       if (this.scheduler.count() === 0) await settled()
@@ -336,18 +336,18 @@
     return this.scheduler.schedule(Promise.resolve(), label)
   }
 
-  /** Errors that say that the platform or the incarnation failed are part of a run. */
+  /** Records unexpected errors. Coded errors, of the platform or of an incarnation, are part of a run. */
   private track(work: Promise<unknown>): Promise<void> {
     return work.then(
       () => undefined,
       error => {
-        if (!(error instanceof RackwalkError)) this.faults.push(error)
+        if (!(error instanceof RackwalkError)) this.unexpectedErrors.push(error)
       },
     )
   }
 
-  /** Errors that no run may have. */
-  readonly faults: unknown[] = []
+  /** Errors that must not occur in any run. */
+  readonly unexpectedErrors: unknown[] = []
 
   private nextTransaction(): TransactionId {
     this.transactions += 1
--- a/packages/stand-ins/src/exploration/worldNode.ts
+++ b/packages/stand-ins/src/exploration/worldNode.ts
@@ -1,7 +1,4 @@
-/**
- * One node of a run: the real coordination parts over surroundings that fail as told. The smallest wiring
- * there is.
- */
+/** One node of a run: a minimal wiring of the real coordination parts to a faulty table and network. */
 
 import type { Scheduler } from 'fast-check'
 import { asId } from '@rackwalk/shared'
@@ -39,7 +36,7 @@
 import type { TableFaults } from './faultyTable.js'
 import type { Variant } from './variants.js'
 
-/** Parts that a node of a run is made from. */
+/** The dependencies of a node. */
 export interface WorldNodeParts {
   readonly number: number
   readonly table: MemoryTable
@@ -50,15 +47,15 @@
   readonly clock: Clock
   readonly nodes: () => readonly WorldNode[]
   readonly variant: Variant
-  /** Common to all nodes, to see what a run covered. */
+  /** Counters shared by all nodes; they show what a run covered. */
   readonly counters: Counters
 }
 
 const REGION = asId<RegionId>('region')
-const HOLD_COPIES = 2
+const REQUIRED_REPLICAS = 2
 const CLAIM_TIMEOUT_MILLISECONDS = 500
 
-/** The real coordination parts of one incarnation, over faulty surroundings. */
+/** The real coordination parts of one incarnation on a faulty table and network. */
 export class WorldNode implements NetworkNode {
   readonly incarnation: IncarnationId
   readonly record: IncarnationRecord
@@ -66,13 +63,13 @@
   readonly ledger: BudgetLedger
   readonly claims: Claims
   readonly registry: IncarnationRegistry
-  readonly peerHold: JournalReplicator
+  readonly journalReplicator: JournalReplicator
   readonly sealer: Sealer
   readonly reclaimer: Reclaimer
   readonly handlers: PeerHandlers
   readonly tableFaults: TableFaults = { isCut: false, lossShare: 0 }
   isDead = false
-  isSealedBySomebody = false
+  isSealed = false
   private readonly held = new HeldEntryStore()
   private readonly peers: PeerChannel
   private resumed: Promise<void> | undefined
@@ -102,13 +99,13 @@
       clock,
       counters,
     })
-    this.peerHold = new JournalReplicator({
+    this.journalReplicator = new JournalReplicator({
       incarnation,
       failureDomain: this.record.failureDomain,
       journal: this.journal,
       peers,
       candidates: () => this.others().map(memberInfo),
-      requiredReplicas: HOLD_COPIES,
+      requiredReplicas: REQUIRED_REPLICAS,
       archive,
     })
     this.ledger = variant.createLedger({
@@ -149,7 +146,7 @@
     parts.network.add(this)
   }
 
-  /** Resolves when this node may go on. */
+  /** Resolves when this node may continue; see `Gate`. */
   async gate(): Promise<void> {
     while (this.resumed !== undefined) await this.resumed
     if (this.isDead) await new Promise<never>(() => undefined)
@@ -172,13 +169,13 @@
     this.wake?.()
   }
 
-  /** One round of the journal's task: write, or else copy to peers. */
+  /** Runs one round of the journal's task: writes entries, or replicates them to peers if that fails. */
   async flush(): Promise<void> {
     await this.gate()
     const outcome = await this.journal.flush()
     await this.gate()
-    if (outcome === 'retry') await this.peerHold.replicate()
-    if (outcome === 'committed') await this.peerHold.release()
+    if (outcome === 'retry') await this.journalReplicator.replicate()
+    if (outcome === 'committed') await this.journalReplicator.release()
   }
 
   private createTable(): FaultyTable {
