--- a/packages/stand-ins/__tests__/crashReplay.spec.ts
+++ b/packages/stand-ins/__tests__/crashReplay.spec.ts
@@ -1,5 +1,10 @@
 import { describe, expect, it } from 'vitest'
-import { CountedEnds, IsolatedTry, NoMemory, replayCrashes } from '@rackwalk/stand-ins'
+import {
+  CrashCountLimit,
+  IsolationQuarantine,
+  UnlimitedRetries,
+  replayCrashes,
+} from '@rackwalk/stand-ins'
 import type { CrashLoad, CrashOutcome, CrashPolicy } from '@rackwalk/stand-ins'
 
 /**
@@ -11,11 +16,11 @@
 const LEAST_SERVED = 0.95
 
 const POLICIES: Readonly<Record<string, () => CrashPolicy>> = {
-  'each try is new': () => new NoMemory(),
-  'refused after one end': () => new CountedEnds(1, 'send'),
-  'refused after two ends, sent as any other between': () => new CountedEnds(2, 'send'),
-  'refused after two ends, sent by hash between': () => new CountedEnds(2, 'isolate'),
-  'refused after an end that was sent by hash': () => new IsolatedTry(),
+  'each try is new': () => new UnlimitedRetries(),
+  'refused after one end': () => new CrashCountLimit(1, 'send'),
+  'refused after two ends, sent as any other between': () => new CrashCountLimit(2, 'send'),
+  'refused after two ends, sent by hash between': () => new CrashCountLimit(2, 'isolate'),
+  'refused after an end that was sent by hash': () => new IsolationQuarantine(),
 }
 
 async function play(create: () => CrashPolicy, load: Omit<CrashLoad, 'seed'>) {
@@ -40,7 +45,7 @@
 
 describe('a request that ends endpoints, every quarter of a second', () => {
   it('costs what each way lets it cost', async () => {
-    expect(await table({ markedMilliseconds: 250, powerless: 0 })).toMatchInlineSnapshot(`
+    expect(await table({ markedMilliseconds: 250, powerFailures: 0 })).toMatchInlineSnapshot(`
       [
         "each try is new: 49.0 ends; served 0.008, brokenOff 0.609, refused 0.375",
         "refused after one end: 1.0 ends; served 0.926, brokenOff 0.002, refused 0.000",
@@ -52,9 +57,9 @@
   })
 
   it('costs three endpoints at the most, and others at the same model are served', async () => {
-    const { outcomes, sum } = await play(() => new IsolatedTry(), {
+    const { outcomes, sum } = await play(() => new IsolationQuarantine(), {
       markedMilliseconds: 250,
-      powerless: 0,
+      powerFailures: 0,
     })
     expect(Math.max(...outcomes.map(({ endsUnderMarked }) => endsUnderMarked))).toBeLessThan(4)
     // What still runs at the end of the replay counts as neither.
@@ -65,7 +70,7 @@
 
 describe('a rack that loses power', () => {
   it('makes requests refused that many send, where ends alone are counted', async () => {
-    expect(await table({ powerless: 3 })).toMatchInlineSnapshot(`
+    expect(await table({ powerFailures: 3 })).toMatchInlineSnapshot(`
       [
         "each try is new: 0.0 ends; served 0.651, brokenOff 0.308, refused 0.000",
         "refused after one end: 0.0 ends; served 0.569, brokenOff 0.278, refused 0.120",
@@ -77,7 +82,7 @@
   })
 
   it('proves nothing', async () => {
-    const { sum } = await play(() => new IsolatedTry(), { powerless: 3 })
+    const { sum } = await play(() => new IsolationQuarantine(), { powerFailures: 3 })
     expect(sum('refused')).toBe(0)
   })
 })
--- a/packages/stand-ins/__tests__/largeFleet.spec.ts
+++ b/packages/stand-ins/__tests__/largeFleet.spec.ts
@@ -63,7 +63,7 @@
       await fleet.loseAll(1_500)
       const first = await fleet.run(700)
       // [28 named and 26 active.]
-      expect(fleet.named.size).toBeLessThanOrEqual(before.length + 2)
+      expect(fleet.announcedAddresses.size).toBeLessThanOrEqual(before.length + 2)
       expect(fleet.active.length).toBeLessThanOrEqual(before.length + 2)
       expect(share(first)).toBeGreaterThan(0.9)
       const later = await fleet.run(2_000)
--- a/packages/stand-ins/__tests__/namedRate.spec.ts
+++ b/packages/stand-ins/__tests__/namedRate.spec.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest'
-import { DividedRate, UnheededRate, licensedRate, replayNamedRate } from '@rackwalk/stand-ins'
+import { EqualShareRate, IgnoredRate, rankedQuota, replayNamedRate } from '@rackwalk/stand-ins'
 import type { NamedRateLoad, RatePolicy, RatePolicyParts } from '@rackwalk/stand-ins'
 
 /**
@@ -35,7 +35,7 @@
 
   it('is kept where no instance hears another', async () => {
     for (const instances of [8, 75, 195]) {
-      const { mostInWindow } = await replayNamedRate(loadOf(instances, 1.3, { isDeaf: true }))
+      const { mostInWindow } = await replayNamedRate(loadOf(instances, 1.3, { isGossipLost: true }))
       expect(mostInWindow).toBeLessThanOrEqual(allowed(1.3))
     }
   })
@@ -48,10 +48,10 @@
 })
 
 const POLICIES: Readonly<Record<string, (parts: RatePolicyParts) => RatePolicy>> = {
-  'nobody reads it': () => new UnheededRate(),
-  'each keeps to the whole': ({ advices }) => new DividedRate(advices, 1),
-  'divided by those that are heard': ({ advices, users }) => new DividedRate(advices, users),
-  'licences by hash': licensedRate,
+  'nobody reads it': () => new IgnoredRate(),
+  'each keeps to the whole': ({ advices }) => new EqualShareRate(advices, 1),
+  'divided by those that are heard': ({ advices, users }) => new EqualShareRate(advices, users),
+  'licences by hash': rankedQuota,
 }
 
 describe('ways of keeping a rate of 1.3 a second', () => {
@@ -64,8 +64,8 @@
         [75, 12],
         [195, 195],
       ] as const) {
-        for (const isDeaf of [false, true]) {
-          const more = { users, isDeaf, policy, requestsPerSecond: 300 }
+        for (const isGossipLost of [false, true]) {
+          const more = { users, isGossipLost, policy, requestsPerSecond: 300 }
           const outcome = await replayNamedRate(loadOf(instances, 1.3, more))
           const { mostInWindow, takenPerSecond } = outcome
           cells.push(`${mostInWindow} (${takenPerSecond.toFixed(1)}/s)`)
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -38,12 +38,12 @@
 export type { LongPromptVariation } from './replay/longPromptLoad.js'
 export { EngineModel } from './engine/engineModel.js'
 export type { CacheChange, EngineCapacity } from './engine/engineModel.js'
-export { CountedEnds, IsolatedTry, NoMemory, replayCrashes } from './replay/crashReplay.js'
+export { CrashCountLimit, IsolationQuarantine, UnlimitedRetries, replayCrashes } from './replay/crashReplay.js'
 export type { CrashLoad, CrashOutcome, CrashPolicy } from './replay/crashReplay.js'
 export {
-  DividedRate,
-  UnheededRate,
-  licensedRate,
+  EqualShareRate,
+  IgnoredRate,
+  rankedQuota,
   replayNamedRate,
 } from './replay/namedRateReplay.js'
 export type { NamedRateLoad, RatePolicy, RatePolicyParts } from './replay/namedRateReplay.js'
--- a/packages/stand-ins/src/replay/crashReplay.ts
+++ b/packages/stand-ins/src/replay/crashReplay.ts
@@ -1,7 +1,7 @@
 /**
- * Replays a request that ends each endpoint that begins to run it, beside innocent ones, on virtual time: how many
- * endpoints are lost, and what the others pay, by what is done about it. Owns the endpoints' lives; the rule that the
- * product follows is the real one.
+ * Replays, on virtual time, a request that crashes each endpoint that starts to run it, together with harmless
+ * requests. The outcome is the number of crashed endpoints and the fate of the harmless requests under a given policy.
+ * The replay models the endpoints; the product's policy is the real one.
  */
 
 import { RequestQuarantine, rendezvousChoice } from '@rackwalk/decisions'
@@ -9,27 +9,27 @@
 import { SeededRandom, VirtualClock, asId, randomBelow } from '@rackwalk/shared'
 import type { EndpointStart, Milliseconds, RequestFingerprint } from '@rackwalk/shared'
 
-/** What is done about requests under which endpoints ended. */
+/** Decides what becomes of requests that were running when endpoints crashed. */
 export interface CrashPolicy {
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict
-  noteEnd(mark: CrashMark): void
+  noteCrash(mark: CrashMark): void
   noteAnswered(fingerprint: RequestFingerprint): void
 }
 
-/** Each try is a new request: what was done before. */
-export class NoMemory implements CrashPolicy {
+/** Remembers no crashes, so that each attempt counts as a new request. The baseline. */
+export class UnlimitedRetries implements CrashPolicy {
   verdict(): QuarantineVerdict {
     return 'send'
   }
 
-  noteEnd(): void {}
+  noteCrash(): void {}
 
   noteAnswered(): void {}
 }
 
-/** After so many ends a request is refused; until then it is sent as any other, or isolated. */
-export class CountedEnds implements CrashPolicy {
-  private readonly ends = new Map<RequestFingerprint, Set<EndpointStart>>()
+/** Refuses a request after the given number of crashes. Before that, the request is sent normally or isolated. */
+export class CrashCountLimit implements CrashPolicy {
+  private readonly crashes = new Map<RequestFingerprint, Set<EndpointStart>>()
 
   constructor(
     private readonly refusedFrom: number,
@@ -37,71 +37,73 @@
   ) {}
 
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
-    const count = this.ends.get(fingerprint)?.size ?? 0
+    const count = this.crashes.get(fingerprint)?.size ?? 0
     if (count >= this.refusedFrom) return 'refuse'
     return count > 0 ? this.verdictBefore : 'send'
   }
 
-  noteEnd({ fingerprint, start }: CrashMark): void {
-    const ends = this.ends.get(fingerprint) ?? new Set()
-    ends.add(start)
-    this.ends.set(fingerprint, ends)
+  noteCrash({ fingerprint, start }: CrashMark): void {
+    const starts = this.crashes.get(fingerprint) ?? new Set()
+    starts.add(start)
+    this.crashes.set(fingerprint, starts)
   }
 
   noteAnswered(fingerprint: RequestFingerprint): void {
-    this.ends.delete(fingerprint)
+    this.crashes.delete(fingerprint)
   }
 }
 
-/** What the product does. */
-export class IsolatedTry implements CrashPolicy {
-  private readonly suspicions = new RequestQuarantine()
+/** The product's policy: isolates a suspect request and refuses it after a crash in isolation. */
+export class IsolationQuarantine implements CrashPolicy {
+  private readonly quarantine = new RequestQuarantine()
 
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict {
-    return this.suspicions.verdict(fingerprint)
+    return this.quarantine.verdict(fingerprint)
   }
 
-  noteEnd(mark: CrashMark): void {
-    this.suspicions.noteMark(mark)
+  noteCrash(mark: CrashMark): void {
+    this.quarantine.noteMark(mark)
   }
 
   noteAnswered(fingerprint: RequestFingerprint): void {
-    const starts = this.suspicions.openMarksOf(fingerprint).map(({ start }) => start)
-    this.suspicions.clear(fingerprint, starts)
+    const starts = this.quarantine.openMarksOf(fingerprint).map(({ start }) => start)
+    this.quarantine.clear(fingerprint, starts)
   }
 }
 
-/** What comes, and what fails beside the marked request. */
+/** The crash-inducing ("marked") request and the power failures of a replay. */
 export interface CrashLoad {
-  /** Time between two tries of the marked request; undefined where there is none. */
+  /** Time between two attempts of the marked request; undefined for a load without such a request. */
   readonly markedMilliseconds?: Milliseconds
-  /** Endpoints that lose power at once, every two seconds; 0 for none. */
-  readonly powerless: number
+  /** Number of endpoints that lose power at the same time, every two seconds; 0 for none. */
+  readonly powerFailures: number
   readonly seed: number
 }
 
-/** What became of it. */
+/** Crashes caused by the marked request, and the fate of the other requests. */
 export interface CrashOutcome {
+  /** Number of crashes that the marked request caused. */
   readonly endsUnderMarked: number
   readonly others: number
   readonly served: number
+  /** Requests that were interrupted by a crash. */
   readonly brokenOff: number
   readonly refused: number
 }
 
 const ENDPOINTS = 8
 const RUN_MILLISECONDS = 20_000
-const OTHERS_MILLISECONDS = 20
-/** So many of the others are the same few requests, as pages that many read. */
-const POPULAR = 5
-/** Time to the first event, and for the whole answer. */
+const OTHERS_INTERVAL_MILLISECONDS = 20
+/** One in this many of the other requests is the same one, as many callers request a popular page. */
+const POPULAR_ONE_IN = 5
+/** Time until the first event of an answer, and from there until its end. */
 const FIRST_EVENT = { least: 60, spread: 340 }
 const ANSWER_MILLISECONDS = 1_200
 const CRASH_MILLISECONDS = 100
-const BACK_MILLISECONDS = 3_000
-const POWER_MILLISECONDS = 2_000
-/** From an end to the knowledge of all instances: a look at the address and a datagram. */
-const NEWS_MILLISECONDS = 25
+const RESTART_MILLISECONDS = 3_000
+const POWER_FAILURE_INTERVAL_MILLISECONDS = 2_000
+/** Time from a crash until all instances know of it: a probe of the address and a gossip datagram. */
+const GOSSIP_MILLISECONDS = 25
 const MARKED = asId<RequestFingerprint>('marked')
 
 interface RunningRequest {
@@ -117,7 +119,7 @@
   running: Set<RunningRequest>
 }
 
-/** Plays one load under one policy. */
+/** Replays one load under one policy. */
 export async function replayCrashes(policy: CrashPolicy, load: CrashLoad): Promise<CrashOutcome> {
   const replay = new CrashReplay(policy, load)
   return replay.run()
@@ -141,10 +143,11 @@
   }
 
   async run(): Promise<CrashOutcome> {
-    const { markedMilliseconds, powerless } = this.load
-    this.every(OTHERS_MILLISECONDS, () => this.sendOther())
+    const { markedMilliseconds, powerFailures } = this.load
+    this.every(OTHERS_INTERVAL_MILLISECONDS, () => this.sendOther())
     if (markedMilliseconds !== undefined) this.every(markedMilliseconds, () => this.sendMarked())
-    if (powerless > 0) this.every(POWER_MILLISECONDS, () => this.losePower(powerless))
+    if (powerFailures > 0)
+      this.every(POWER_FAILURE_INTERVAL_MILLISECONDS, () => this.losePower(powerFailures))
     await this.clock.advance(RUN_MILLISECONDS)
     return this.outcome
   }
@@ -163,13 +166,13 @@
     this.clock.after(CRASH_MILLISECONDS, () => {
       if (!endpoint.running.has(request)) return
       this.outcome.endsUnderMarked += 1
-      this.end(endpoint)
+      this.crash(endpoint)
     })
   }
 
   private sendOther(): void {
     this.outcome.others += 1
-    const isPopular = this.random.next() < 1 / POPULAR
+    const isPopular = this.random.next() < 1 / POPULAR_ONE_IN
     const name = isPopular ? 'popular' : `other ${this.outcome.others}`
     const sent = this.send(asId(name))
     if (sent === undefined) {
@@ -204,22 +207,22 @@
 
   private losePower(count: number): void {
     for (const endpoint of this.endpoints.filter(({ isUp }) => isUp).slice(0, count)) {
-      this.end(endpoint)
+      this.crash(endpoint)
     }
   }
 
-  private end(endpoint: ReplayedEndpoint): void {
+  private crash(endpoint: ReplayedEndpoint): void {
     const lost = [...endpoint.running]
     const { start } = endpoint
     endpoint.isUp = false
     endpoint.running = new Set()
     this.outcome.brokenOff += lost.filter(({ fingerprint }) => fingerprint !== MARKED).length
-    this.clock.after(NEWS_MILLISECONDS, () => {
+    this.clock.after(GOSSIP_MILLISECONDS, () => {
       for (const { fingerprint, wasIsolated, isAnswered } of lost) {
-        if (!isAnswered) this.policy.noteEnd({ fingerprint, start, wasIsolated })
+        if (!isAnswered) this.policy.noteCrash({ fingerprint, start, wasIsolated })
       }
     })
-    this.clock.after(BACK_MILLISECONDS, () => {
+    this.clock.after(RESTART_MILLISECONDS, () => {
       endpoint.isUp = true
       endpoint.start = asId(`${endpoint.id}@${this.clock.monotonic()}`)
     })
--- a/packages/stand-ins/src/replay/escrowRestartReplay.ts
+++ b/packages/stand-ins/src/replay/escrowRestartReplay.ts
@@ -1,6 +1,6 @@
 /**
- * Replays on virtual time what an outage of the table and a death of all instances cost one budget of the
- * OpenAI-style kind: when its callers are served again, and what is spent in all.
+ * Replays, on virtual time, an outage of the table followed by a crash of all instances, for one budget of
+ * the OpenAI-style kind. The outcome shows when callers are served again and how many tokens are spent.
  */
 
 import {
@@ -38,19 +38,19 @@
 import { MemoryTable } from '../platform/memoryTable.js'
 import { LaggingList, SimulatedNetwork, SimulatedTable } from '../platform/simulatedPlatform.js'
 
-/** What happens to the instances. */
+/** The faults of a replay. */
 export interface EscrowRestartScenario {
   readonly seed: number
-  /** Time for which the table is out of reach before all instances die. */
+  /** Time for which the table is unreachable before all instances crash. */
   readonly outageMilliseconds: Milliseconds
 }
 
-/** What came of it. */
+/** The outcome of a replay. */
 export interface EscrowRestartOutcome {
   readonly limit: TokenCount
-  /** Tokens of answers whose ends callers were given, over all incarnations. */
+  /** Tokens of completely delivered answers, over all incarnations. */
   readonly spent: TokenCount
-  /** Requests served of those made, in each span of five seconds after the restart. */
+  /** Share of the requests that are served, for each span of five seconds after the restart. */
   readonly servedAfterwards: readonly number[]
 }
 
@@ -60,12 +60,12 @@
 const REQUEST_BOUND: TokenCount = 3_000
 const REQUEST_COST: TokenCount = 2_000
 const REQUEST_MILLISECONDS = 300
-const PAUSE_MILLISECONDS = 100
+const REQUEST_INTERVAL_MILLISECONDS = 100
 const LIST_LAG_MILLISECONDS = 10_000
 const START_MILLISECONDS = 5_000
-const WARM_MILLISECONDS = 2_000
-const BEFORE_MILLISECONDS = 8_000
-const DARK_MILLISECONDS = 1_000
+const WARM_UP_DELAY_MILLISECONDS = 2_000
+const BEFORE_OUTAGE_MILLISECONDS = 8_000
+const DOWNTIME_MILLISECONDS = 1_000
 const SPAN_MILLISECONDS = 5_000
 const SPANS_AFTERWARDS = 12
 
@@ -75,7 +75,7 @@
   isDead: boolean
 }
 
-/** Plays the scenario once. */
+/** Replays the scenario once. */
 export function replayEscrowRestart(
   scenario: EscrowRestartScenario,
 ): Promise<EscrowRestartOutcome> {
@@ -92,7 +92,7 @@
   private instances: ReplayedInstance[] = []
   private incarnations = 0
   private requests = 0
-  private isTableLost = false
+  private isTableUnreachable = false
   private spent: TokenCount = 0
 
   constructor(private readonly scenario: EscrowRestartScenario) {
@@ -103,16 +103,16 @@
     await this.createBudget()
     this.startAll()
     await this.clock.advance(START_MILLISECONDS)
-    await this.ask(BEFORE_MILLISECONDS)
-    this.isTableLost = true
-    await this.ask(this.scenario.outageMilliseconds)
+    await this.sendRequests(BEFORE_OUTAGE_MILLISECONDS)
+    this.isTableUnreachable = true
+    await this.sendRequests(this.scenario.outageMilliseconds)
     this.killAll()
-    await this.clock.advance(DARK_MILLISECONDS)
-    this.isTableLost = false
+    await this.clock.advance(DOWNTIME_MILLISECONDS)
+    this.isTableUnreachable = false
     this.startAll()
     const servedAfterwards: number[] = []
     for (let span = 0; span < SPANS_AFTERWARDS; span += 1) {
-      servedAfterwards.push(await this.ask(SPAN_MILLISECONDS))
+      servedAfterwards.push(await this.sendRequests(SPAN_MILLISECONDS))
     }
     this.killAll()
     return { limit: LIMIT, spent: this.spent, servedAfterwards }
@@ -129,15 +129,15 @@
     ])
   }
 
-  /** Sends one request after the other to instances at random; the share that is served. */
-  private async ask(milliseconds: Milliseconds): Promise<number> {
-    const asked = Math.floor(milliseconds / PAUSE_MILLISECONDS)
+  /** Sends requests to random instances at a fixed interval. Returns the share that is served. */
+  private async sendRequests(milliseconds: Milliseconds): Promise<number> {
+    const sent = Math.floor(milliseconds / REQUEST_INTERVAL_MILLISECONDS)
     let served = 0
-    for (let request = 0; request < asked; request += 1) {
+    for (let request = 0; request < sent; request += 1) {
       void this.serve().then(isServed => (served += isServed ? 1 : 0))
-      await this.clock.advance(PAUSE_MILLISECONDS)
+      await this.clock.advance(REQUEST_INTERVAL_MILLISECONDS)
     }
-    return asked === 0 ? 1 : served / asked
+    return sent === 0 ? 1 : served / sent
   }
 
   private async serve(): Promise<boolean> {
@@ -172,7 +172,7 @@
         () => undefined,
       )
     } catch (thrown) {
-      // A journal without room refuses the entry, and the caller gets no end of its answer.
+      // A full journal rejects the entry, and the caller doesn't get the end of its answer.
       if (!(thrown instanceof RackwalkError)) throw thrown
     }
   }
@@ -206,7 +206,7 @@
         callerAddress: address,
         operatorAddress: address,
       },
-      table: new SimulatedTable(this.table, this.clock, () => this.isTableLost),
+      table: new SimulatedTable(this.table, this.clock, () => this.isTableUnreachable),
       objects: this.objects,
       instances: this.list,
       peers: this.network.channelOf(incarnation),
@@ -229,7 +229,7 @@
     }
     this.instances.push({ node, listed, isDead: false })
     node.start()
-    this.clock.after(WARM_MILLISECONDS, () => void node.warm([BUDGET]))
+    this.clock.after(WARM_UP_DELAY_MILLISECONDS, () => void node.warm([BUDGET]))
   }
 }
 
--- a/packages/stand-ins/src/replay/fleetReplay.ts
+++ b/packages/stand-ins/src/replay/fleetReplay.ts
@@ -1,7 +1,7 @@
 /**
- * A large fleet on virtual time: the product's own membership, choice of active instances and prepaid
- * ledger on each instance, one store, and callers who ask any instance for addresses. It measures who
- * takes part in what, and what that costs the store.
+ * Replays a large fleet on virtual time. Each instance runs the product's own membership, choice of active
+ * instances and prepaid ledger on one shared store, and callers get addresses from any instance. The replay
+ * measures which instances are active and share budgets, and how many store calls that takes.
  */
 
 import { ActiveFleet } from '@rackwalk/daemon'
@@ -24,29 +24,29 @@
 import { MemoryRowStore } from '../platform/memoryRowStore.js'
 import type { RowStoreFaults } from '../platform/memoryRowStore.js'
 
-/** A fleet and what comes to it. */
+/** The size of a fleet and its load. */
 export interface FleetShape {
   readonly instances: number
   readonly failureDomains: number
   readonly budgets: number
   /** Tokens of each budget. */
   readonly limit: TokenCount
-  /** Requests with a budget a second, of all callers together. */
+  /** Requests with a budget per second, of all callers together. */
   readonly requestsPerSecond: number
-  /** Plain requests and checks a second that come to each instance, whether it is active or not. */
+  /** Plain requests and probes per second that arrive at each instance, active or not. */
   readonly anywherePerSecond: number
-  /** Requests a second of one team whose callers all stay with the last instance. */
+  /** Requests per second of one team whose callers all stay with the last instance. */
   readonly stayingPerSecond: number
 }
 
-/** What became of requests with a budget. */
+/** Numbers of requests with a budget that were sent and served. */
 export interface FleetOutcome {
   asked: number
   served: number
 }
 
-/** What one life of an instance works with. */
-interface Life {
+/** The parts of one incarnation of an instance. */
+interface IncarnationParts {
   readonly index: number
   readonly name: string
   readonly incarnation: string
@@ -57,37 +57,40 @@
   readonly peers: PeerLoads
 }
 
-interface Member extends Life {
+interface Member extends IncarnationParts {
   readonly members: MemberDirectory
   readonly fleet: ActiveFleet
   readonly ledger: PrepaidLedger
   readonly mirrors: readonly TableMirror[]
   isAlive: boolean
-  signs: number
+  sequence: number
   usedAt: Milliseconds
 }
 
 const REQUEST_TOKENS: TokenCount = 3_000
 const REQUEST_MILLISECONDS = 300
-const PATIENCE_MILLISECONDS = 100
-/** Callers keep the answer of a directory for so long. */
-const ADDRESS_MILLISECONDS = 1_000
-/** Signs of life go round this often in a fleet of this size, as bytes are bounded: 80 each, 5,000 a second. */
-const signMilliseconds = (instances: number) => Math.max(250, (instances * 80 * 1_000) / 5_000)
-const MISSING_SIGNS = 4
-/** What an instance tells of its work reaches the others after some of this time. */
+const RESERVE_TIMEOUT_MILLISECONDS = 100
+/** Time for which callers cache the addresses that an instance gave them. */
+const ADDRESS_CACHE_MILLISECONDS = 1_000
+/**
+ * Returns the time between two heartbeats of an instance. It grows with the fleet, because heartbeats of 80
+ * bytes each are limited to 5,000 bytes per second.
+ */
+const heartbeatMilliseconds = (instances: number) => Math.max(250, (instances * 80 * 1_000) / 5_000)
+const MISSED_HEARTBEATS = 4
+/** Time between two load reports of an instance that uses endpoints. */
 const REPORT_MILLISECONDS = 230
 const MEMBER_PAUSE_MILLISECONDS = 700
 const STANDBY_MEMBER_PAUSE_MILLISECONDS = 1_400
 const PREPAID_PAUSE_MILLISECONDS = 400
-/** Processes of a fleet that lost power start within this time of each other. */
+/** Time within which all processes of a fleet start after a power failure. */
 const START_SPREAD_MILLISECONDS = 300
 const REGION = 'region'
 
-/** One fleet; the same seed gives the same run. */
+/** A replayed fleet. The same seed gives the same run. */
 export class FleetReplay {
   readonly clock = new VirtualClock()
-  /** Calls to the store since the last reset. */
+  /** Number of calls to the store since the last `run` began. */
   storeCalls = 0
   private readonly random: SeededRandom
   private readonly store = new MemoryRowStore(this.clock)
@@ -104,7 +107,7 @@
     this.members = Array.from({ length: shape.instances }, (_, index) => this.start(index))
   }
 
-  /** Callers ask for so long; what became of their requests. */
+  /** Sends requests for the given time. Returns how many requests with a budget were sent and served. */
   async run(milliseconds: Milliseconds): Promise<FleetOutcome> {
     this.outcome = { asked: 0, served: 0 }
     this.storeCalls = 0
@@ -112,20 +115,20 @@
     this.repeat(
       this.shape.requestsPerSecond,
       end,
-      () => void this.ask(this.callerTarget(), this.budget()),
+      () => void this.sendRequest(this.callerTarget(), this.budget()),
     )
     this.repeat(
       this.shape.stayingPerSecond,
       end,
-      () => void this.ask(this.members.at(-1), STAYING_BUDGET),
+      () => void this.sendRequest(this.members.at(-1), STAYING_BUDGET),
     )
-    this.repeat(this.shape.anywherePerSecond * this.shape.instances, end, () => this.askAnywhere())
+    this.repeat(this.shape.anywherePerSecond * this.shape.instances, end, () => this.sendAnywhere())
     this.refreshAddresses(end)
     await this.clock.advance(milliseconds)
     return this.outcome
   }
 
-  /** All instances lose power at once and start again after `dark`, their processes within a moment. */
+  /** Kills all instances at the same time and restarts them after the downtime, with a small random spread. */
   async loseAll(dark: Milliseconds): Promise<void> {
     for (const member of this.members) this.kill(member)
     await this.clock.advance(dark)
@@ -137,17 +140,17 @@
     await this.clock.advance(START_SPREAD_MILLISECONDS)
   }
 
-  /** Instances that take themselves for active. */
+  /** Instances that consider themselves active. */
   get active(): readonly string[] {
     return this.members.filter(({ fleet }) => fleet.isSelfActive).map(({ name }) => name)
   }
 
-  /** Every address that any instance names to callers. */
-  get named(): ReadonlySet<string> {
+  /** All addresses that any instance announces to callers. */
+  get announcedAddresses(): ReadonlySet<string> {
     return new Set(this.members.flatMap(({ fleet }) => fleet.addresses(REGION)))
   }
 
-  /** The most instances that an active one divides a budget by. */
+  /** The highest number of instances by which an active one divides a budget. */
   get mostSharers(): number {
     const active = this.members.filter(({ fleet }) => fleet.isSelfActive)
     const sharers = active.flatMap(({ ledger }) =>
@@ -163,7 +166,7 @@
   }
 
   private get silenceMilliseconds(): Milliseconds {
-    return MISSING_SIGNS * signMilliseconds(this.shape.instances)
+    return MISSED_HEARTBEATS * heartbeatMilliseconds(this.shape.instances)
   }
 
   private repeat(perSecond: number, end: Milliseconds, act: () => void): void {
@@ -179,7 +182,7 @@
     const asked = this.members[randomBelow(this.random, this.members.length)]
     const named = asked?.isAlive === true ? asked.fleet.addresses(REGION) : []
     if (named.length > 0) this.addresses = named
-    this.clock.after(ADDRESS_MILLISECONDS / 10, () => {
+    this.clock.after(ADDRESS_CACHE_MILLISECONDS / 10, () => {
       if (this.clock.monotonic() < end) this.refreshAddresses(end)
     })
   }
@@ -193,16 +196,20 @@
     return `team-${randomBelow(this.random, this.shape.budgets)}`
   }
 
-  private askAnywhere(): void {
+  private sendAnywhere(): void {
     this.members[randomBelow(this.random, this.members.length)]?.requestRate.add(1)
   }
 
-  private async ask(member: Member | undefined, budget: string): Promise<void> {
+  private async sendRequest(member: Member | undefined, budget: string): Promise<void> {
     this.outcome.asked += 1
     if (member?.isAlive !== true) return
     member.requestRate.add(1)
     member.usedAt = this.clock.monotonic()
-    const outcome = await member.ledger.reserve(budget, REQUEST_TOKENS, PATIENCE_MILLISECONDS)
+    const outcome = await member.ledger.reserve(
+      budget,
+      REQUEST_TOKENS,
+      RESERVE_TIMEOUT_MILLISECONDS,
+    )
     if (outcome.kind !== 'reserved' || !member.isAlive) return
     this.outcome.served += 1
     this.clock.after(REQUEST_MILLISECONDS, () => {
@@ -221,7 +228,7 @@
   private start(index: number): Member {
     this.starts += 1
     const { clock } = this
-    const life: Life = {
+    const parts: IncarnationParts = {
       index,
       name: `instance-${index}`,
       incarnation: `start-${this.starts}`,
@@ -230,37 +237,37 @@
       requestRate: new DemandMeter(clock),
       peers: new PeerLoads(clock),
     }
-    const members = this.directoryOf(life, () => fleet.isSelfActive)
+    const members = this.directoryOf(parts, () => fleet.isSelfActive)
     const isSelfUsing = () => clock.monotonic() - member.usedAt < USING_MILLISECONDS
-    const fleet: ActiveFleet = this.fleetOf(life, members, isSelfUsing)
-    const ledger = this.ledgerOf(life, fleet)
+    const fleet: ActiveFleet = this.fleetOf(parts, members, isSelfUsing)
+    const ledger = this.ledgerOf(parts, fleet)
     const member: Member = {
-      ...life,
+      ...parts,
       members,
       fleet,
       ledger,
       isAlive: true,
-      signs: 0,
+      sequence: 0,
       usedAt: Number.NEGATIVE_INFINITY,
       mirrors: [
-        this.memberMirror(life.store, members, fleet),
-        this.prepaidMirror(life.store, ledger, fleet),
+        this.memberMirror(parts.store, members, fleet),
+        this.prepaidMirror(parts.store, ledger, fleet),
       ],
     }
     for (const mirror of member.mirrors) mirror.start()
     members.start()
     ledger.start()
-    this.scheduleSigns(member)
+    this.scheduleGossip(member)
     return member
   }
 
-  private connect(): Pick<Life, 'store' | 'faults'> {
+  private connect(): Pick<IncarnationParts, 'store' | 'faults'> {
     const { store, faults } = this.store.connect()
-    return { store: this.counting(store), faults }
+    return { store: this.countCalls(store), faults }
   }
 
-  private directoryOf(life: Life, isActive: () => boolean): MemberDirectory {
-    const { index, name, incarnation, store, storeClock, requestRate } = life
+  private directoryOf(parts: IncarnationParts, isActive: () => boolean): MemberDirectory {
+    const { index, name, incarnation, store, storeClock, requestRate } = parts
     return new MemberDirectory({
       self: {
         instance: name,
@@ -287,7 +294,7 @@
   }
 
   private fleetOf(
-    { peers }: Life,
+    { peers }: IncarnationParts,
     members: MemberDirectory,
     hasOwnEndpointLoad: () => boolean,
   ): ActiveFleet {
@@ -306,8 +313,8 @@
     })
   }
 
-  private ledgerOf(life: Life, fleet: ActiveFleet): PrepaidLedger {
-    const { name, incarnation, store, storeClock } = life
+  private ledgerOf(parts: IncarnationParts, fleet: ActiveFleet): PrepaidLedger {
+    const { name, incarnation, store, storeClock } = parts
     const ledger = new PrepaidLedger({
       instance: name,
       incarnation,
@@ -361,32 +368,32 @@
     })
   }
 
-  /** Users tell of their work soon, the others of no more than that they live. */
-  private scheduleSigns(member: Member): void {
+  /** Schedules gossip: frequent load reports if the instance uses endpoints, else empty ones as heartbeats. */
+  private scheduleGossip(member: Member): void {
     const { incarnation } = member
-    const interval = signMilliseconds(this.shape.instances)
+    const interval = heartbeatMilliseconds(this.shape.instances)
     const isUsing = () => this.clock.monotonic() - member.usedAt < 500
-    const tell = () => {
+    const sendReport = () => {
       if (!member.isAlive) return
-      member.signs += 1
+      member.sequence += 1
       const loads = isUsing()
         ? [{ endpoint: 'engine', running: 0, pendingTokens: 0, parts: [] }]
         : []
       const report = {
         instance: member.name,
         incarnation,
-        sequence: member.signs,
+        sequence: member.sequence,
         isWhole: false,
         loads,
       }
       for (const other of this.members) if (other !== member) other.peers.observe(report)
       member.peers.expire(this.silenceMilliseconds)
-      this.clock.after(isUsing() ? REPORT_MILLISECONDS : interval, tell)
+      this.clock.after(isUsing() ? REPORT_MILLISECONDS : interval, sendReport)
     }
-    this.clock.after(this.random.next() * interval, tell)
+    this.clock.after(this.random.next() * interval, sendReport)
   }
 
-  private counting(store: RowStore): RowStore {
+  private countCalls(store: RowStore): RowStore {
     const count = <Answer>(answer: Answer): Answer => {
       this.storeCalls += 1
       return answer
@@ -400,5 +407,5 @@
   }
 }
 
-/** The budget of the team whose callers stay with one instance. */
+/** The budget of the team whose callers all stay with one instance. */
 const STAYING_BUDGET = 'team-staying'
--- a/packages/stand-ins/src/replay/largeFleetLoad.ts
+++ b/packages/stand-ins/src/replay/largeFleetLoad.ts
@@ -1,6 +1,6 @@
 /**
- * The load of a large fleet: four hundred requests a second with prompts, on eighty engines, by a dozen
- * instances that take callers and a dozen others with which the callers of one team each stay.
+ * The load of a large fleet: four hundred requests with prompts per second on eighty engines. They arrive at
+ * a dozen active instances and at a dozen others, each of which is used by the callers of one team.
  */
 
 import type { Milliseconds, RandomSource } from '@rackwalk/shared'
@@ -9,10 +9,10 @@
 import type { PromptKind } from './promptKind.js'
 import type { ReplayedLoad } from './replay.js'
 
-/** How a load differs from the usual one. */
+/** Differences of a load from the default one. */
 export interface LargeFleetVariation {
   readonly reportMilliseconds: Milliseconds
-  /** Factor on the rate of all requests. */
+  /** Factor by which the rate of all requests is multiplied. */
   readonly rate?: number
   readonly milliseconds?: Milliseconds
 }
@@ -21,7 +21,7 @@
 const PAUSE_GOAL_MILLISECONDS = 300
 const RUN_MILLISECONDS = 12_000
 const ENGINES = 82
-/** Requests a second, as seen: those of the active instances, then of the others. */
+/** Requests per second of each instance, as observed in a fleet: first the active instances, then the others. */
 const INSTANCES = [
   ...[28, 27, 25, 25, 25, 23, 23, 22, 22, 21, 20, 20, 20],
   ...[32, 19, 16, 10, 7, 6, 5, 4, 3, 3, 3, 2, 2],
@@ -80,7 +80,7 @@
   cacheTokens: 260_000,
 }
 
-/** The load; `random` draws what conversations are like. */
+/** Returns the load. `random` draws the sizes of the conversations' prompt parts. */
 export function largeFleetLoad(random: RandomSource, variation: LargeFleetVariation): ReplayedLoad {
   const rate = () => variation.rate ?? 1
   return {
--- a/packages/stand-ins/src/replay/longPromptLoad.ts
+++ b/packages/stand-ins/src/replay/longPromptLoad.ts
@@ -1,6 +1,6 @@
 /**
- * A load of long prompts among running streams: a tenth of the tokens handed out belong to answers
- * whose prompts make up most of what is read.
+ * A load of long prompts among running streams: the answers to long prompts make up a tenth of all
+ * generated tokens, but their prompts make up most of the prefill work.
  */
 
 import type { Milliseconds, RandomSource } from '@rackwalk/shared'
@@ -9,14 +9,14 @@
 import type { PromptKind } from './promptKind.js'
 import type { ReplayedLoad } from './replay.js'
 
-/** How a load differs from the usual one. */
+/** Differences of a load from the default one. */
 export interface LongPromptVariation {
-  /** Factor on the rate of all requests, by the time since the start. */
+  /** Factor by which the rate of all requests is multiplied, as a function of the time since the start. */
   readonly rate?: (now: Milliseconds) => number
-  /** How many times as long each engine takes for everything. */
+  /** Factor by which all times of each engine are multiplied. */
   readonly slowness?: readonly number[]
   readonly losses?: ReplayedLoad['losses']
-  /** Requests that each engine works on at once. */
+  /** Number of requests that each engine runs concurrently. */
   readonly slots?: number
   /** Whether every request has a long prompt. */
   readonly isAllLong?: boolean
@@ -59,7 +59,7 @@
   events: { mean: 95.8, spread: 0.69, maximum: 226 },
 }
 
-/** The load on eight engines, two of them slower; `random` draws what conversations are like. */
+/** Returns the load on eight engines, two of which are slower. `random` draws the sizes of prompt parts. */
 export function longPromptLoad(
   random: RandomSource,
   variation: LongPromptVariation = {},
--- a/packages/stand-ins/src/replay/namedRateReplay.ts
+++ b/packages/stand-ins/src/replay/namedRateReplay.ts
@@ -1,7 +1,8 @@
 /**
- * Replays a fleet before endpoints of which one names a rate, on virtual time: how many requests the whole fleet sends it,
- * at whatever size, and what becomes of the rest. Owns the endpoints' answers and the news between instances; what each
- * instance knows and keeps to is the product's own.
+ * Replays, on virtual time, a fleet in front of endpoints of which one advises a request rate. The outcome is the number
+ * of requests that the whole fleet sends to that endpoint, for fleets of any size, and the share of all requests that are
+ * served. The replay models the endpoints' answers and the gossip between instances; each instance runs the product's
+ * own code for advice and quotas.
  */
 
 import type { AdviceGossip, EndpointAdvice, RecordedInstance } from '@rackwalk/decisions'
@@ -16,30 +17,30 @@
 } from '@rackwalk/shared'
 import type { Clock, EndpointStart, Milliseconds } from '@rackwalk/shared'
 
-/** What an instance does about a rate that an endpoint named. */
+/** Decides whether an instance may send a request to an endpoint that has advised a rate. */
 export interface RatePolicy {
   allows(endpoint: EndpointState): boolean
 }
 
-/** What a policy rests on. */
+/** The inputs of a policy. */
 export interface RatePolicyParts {
   readonly clock: Clock
   readonly instance: string
   readonly recorded: readonly RecordedInstance[]
   readonly advices: EndpointAdviceStore
-  /** Instances to which callers come, as far as this one hears of them. */
+  /** Number of instances that serve callers, as far as gossip reaches this one. */
   readonly users: number
 }
 
-/** Nobody reads it: what was done before. */
-export class UnheededRate implements RatePolicy {
+/** Ignores the advised rate. The baseline. */
+export class IgnoredRate implements RatePolicy {
   allows(): boolean {
     return true
   }
 }
 
-/** Each of so many instances keeps to its part of it by itself. */
-export class DividedRate implements RatePolicy {
+/** Limits each instance to an equal part of the rate, without coordination. */
+export class EqualShareRate implements RatePolicy {
   constructor(
     private readonly advices: EndpointAdviceStore,
     private readonly parts: number,
@@ -53,8 +54,8 @@
   }
 }
 
-/** What the product does. */
-export function licensedRate({ recorded, instance, ...parts }: RatePolicyParts): RatePolicy {
+/** Returns the product's policy: quotas of the rate by the instances' ranks. */
+export function rankedQuota({ recorded, instance, ...parts }: RatePolicyParts): RatePolicy {
   return new SendAdmission({
     ...parts,
     instance: () => instance,
@@ -63,41 +64,44 @@
   })
 }
 
-/** What is played. */
+/** The fleet and the load of a replay. */
 export interface NamedRateLoad {
   readonly instances: number
-  /** Those of them to which callers come. */
+  /** Number of those instances that serve callers. */
   readonly users: number
-  /** The rate that the first endpoint names, requests a second. */
+  /** The rate that the first endpoint advises, in requests per second. */
   readonly rate: number
-  /** Requests a second of all callers. */
+  /** Requests per second of all callers. */
   readonly requestsPerSecond: number
   readonly seed: number
-  /** No instance hears another. */
-  readonly isDeaf?: boolean
-  /** What the product does, where absent. */
+  /** Whether all gossip between instances is lost. */
+  readonly isGossipLost?: boolean
+  /** Creates the policy of each instance; the product's policy by default. */
   readonly policy?: (parts: RatePolicyParts) => RatePolicy
 }
 
-/** What became of it. */
+/** The outcome of a replay. */
 export interface NamedRateOutcome {
-  /** The most requests that reached the endpoint in four seconds, from instances told half a second before. */
+  /**
+   * The highest number of requests that reached the endpoint within four seconds, counting only instances
+   * that had received the advice at least half a second before.
+   */
   readonly mostInWindow: number
-  /** Requests that reached it while it named the rate, a second. */
+  /** Requests per second that reached the endpoint while it advised the rate. */
   readonly takenPerSecond: number
-  /** Share of all requests that found an endpoint. */
+  /** Share of all requests that could be sent to an endpoint. */
   readonly servedShare: number
 }
 
 const ENDPOINTS = 8
-const NAMING_FROM: Milliseconds = 2_000
+const ADVICE_FROM_MILLISECONDS: Milliseconds = 2_000
 const RUN_MILLISECONDS: Milliseconds = 26_000
 const WINDOW_MILLISECONDS: Milliseconds = 4_000
-const TOLD_MILLISECONDS: Milliseconds = 500
+const ADVICE_DELAY_MILLISECONDS: Milliseconds = 500
 const HEAD_MILLISECONDS = { least: 30, spread: 300 }
-const NEWS_MILLISECONDS: Milliseconds = 25
+const GOSSIP_MILLISECONDS: Milliseconds = 25
 const SERVICE = 'models'
-const SAYS_NOTHING: EndpointAdvice = {
+const NO_ADVICE: EndpointAdvice = {
   rate: 'none',
   isLeaving: false,
   restMilliseconds: undefined,
@@ -109,11 +113,11 @@
   readonly directory: EndpointDirectory
   readonly advices: EndpointAdviceStore
   readonly policy: RatePolicy
-  /** Time at which an answer first named the rate here. */
-  toldAt: Milliseconds
+  /** Time at which this instance first received an answer with the rate. */
+  advisedAt: Milliseconds
 }
 
-/** Plays one load. */
+/** Replays one load. */
 export async function replayNamedRate(load: NamedRateLoad): Promise<NamedRateOutcome> {
   return new NamedRateReplay(load).run()
 }
@@ -122,9 +126,9 @@
   private readonly clock = new VirtualClock()
   private readonly random: SeededRandom
   private readonly fleet: readonly ReplayedInstance[]
-  /** Times at which the endpoint was sent something by an instance that counts as told. */
-  private readonly counted: Milliseconds[] = []
-  private taken = 0
+  /** Times of requests to the endpoint from instances that had received the advice long enough before. */
+  private readonly countedTimes: Milliseconds[] = []
+  private sentToAdvising = 0
   private sent = 0
   private refused = 0
 
@@ -140,10 +144,10 @@
   async run(): Promise<NamedRateOutcome> {
     this.sendNext()
     await this.clock.advance(RUN_MILLISECONDS)
-    const seconds = (RUN_MILLISECONDS - NAMING_FROM) / 1_000
+    const seconds = (RUN_MILLISECONDS - ADVICE_FROM_MILLISECONDS) / 1_000
     return {
       mostInWindow: this.mostInWindow(),
-      takenPerSecond: this.taken / seconds,
+      takenPerSecond: this.sentToAdvising / seconds,
       servedShare: this.sent / (this.sent + this.refused),
     }
   }
@@ -161,15 +165,15 @@
     const advices = new EndpointAdviceStore({
       clock,
       onChange: () => {},
-      broadcast: news => this.tell(id, news),
+      broadcast: gossip => this.broadcastAdvice(id, gossip),
     })
-    const { users, isDeaf = false, policy: create = licensedRate } = this.load
-    const heard = isDeaf ? 1 : users
-    const policy = create({ clock, instance: id, recorded, advices, users: heard })
-    return { id, directory, advices, policy, toldAt: Number.POSITIVE_INFINITY }
+    const { users, isGossipLost = false, policy: create = rankedQuota } = this.load
+    const reachable = isGossipLost ? 1 : users
+    const policy = create({ clock, instance: id, recorded, advices, users: reachable })
+    return { id, directory, advices, policy, advisedAt: Number.POSITIVE_INFINITY }
   }
 
-  /** Requests come at random, as many callers' do. */
+  /** Schedules the next request. Intervals are exponential, as for many independent callers. */
   private sendNext(): void {
     const mean = 1_000 / this.load.requestsPerSecond
     this.clock.after(-mean * Math.log(1 - this.random.next()), () => {
@@ -193,41 +197,41 @@
     const head = HEAD_MILLISECONDS.least + HEAD_MILLISECONDS.spread * this.random.next()
     this.clock.after(head, () => {
       progress.end()
-      this.takeHead(instance, endpoint)
+      this.receiveAdvice(instance, endpoint)
     })
   }
 
-  private noteSent({ id, toldAt }: ReplayedInstance, start: EndpointStart): void {
+  private noteSent({ id, advisedAt }: ReplayedInstance, start: EndpointStart): void {
     const now = this.clock.monotonic()
-    this.reach(id, ({ advices }) => advices.notePeerRequests(start))
-    if (now >= NAMING_FROM) this.taken += 1
-    if (now >= toldAt + TOLD_MILLISECONDS) this.counted.push(now)
+    this.deliverGossip(id, ({ advices }) => advices.notePeerRequests(start))
+    if (now >= ADVICE_FROM_MILLISECONDS) this.sentToAdvising += 1
+    if (now >= advisedAt + ADVICE_DELAY_MILLISECONDS) this.countedTimes.push(now)
   }
 
-  private takeHead(instance: ReplayedInstance, { record }: EndpointState): void {
+  private receiveAdvice(instance: ReplayedInstance, { record }: EndpointState): void {
     const now = this.clock.monotonic()
-    const isNaming = record.id === recordOf(0).id && now >= NAMING_FROM
-    if (isNaming) instance.toldAt = Math.min(instance.toldAt, now)
-    const advice = isNaming ? { ...SAYS_NOTHING, rate: this.load.rate } : SAYS_NOTHING
+    const isAdvising = record.id === recordOf(0).id && now >= ADVICE_FROM_MILLISECONDS
+    if (isAdvising) instance.advisedAt = Math.min(instance.advisedAt, now)
+    const advice = isAdvising ? { ...NO_ADVICE, rate: this.load.rate } : NO_ADVICE
     instance.advices.note(record.start, advice, true)
   }
 
-  /** Datagrams reach all others after a moment, or nobody. */
-  private tell(from: string, news: AdviceGossip): void {
-    this.reach(from, ({ advices }) => advices.observe(news))
+  /** Delivers advice gossip to all other instances after a short delay, or to none if gossip is lost. */
+  private broadcastAdvice(from: string, gossip: AdviceGossip): void {
+    this.deliverGossip(from, ({ advices }) => advices.observe(gossip))
   }
 
-  private reach(from: string, hear: (instance: ReplayedInstance) => void): void {
-    if (this.load.isDeaf === true) return
-    this.clock.after(NEWS_MILLISECONDS, () => {
-      for (const instance of this.fleet) if (instance.id !== from) hear(instance)
+  private deliverGossip(from: string, deliver: (instance: ReplayedInstance) => void): void {
+    if (this.load.isGossipLost === true) return
+    this.clock.after(GOSSIP_MILLISECONDS, () => {
+      for (const instance of this.fleet) if (instance.id !== from) deliver(instance)
     })
   }
 
   private mostInWindow(): number {
-    const { counted } = this
-    const counts = counted.map(
-      from => counted.filter(at => at >= from && at < from + WINDOW_MILLISECONDS).length,
+    const { countedTimes } = this
+    const counts = countedTimes.map(
+      from => countedTimes.filter(at => at >= from && at < from + WINDOW_MILLISECONDS).length,
     )
     return Math.max(0, ...counts)
   }
--- a/packages/stand-ins/src/replay/prepaidMember.ts
+++ b/packages/stand-ins/src/replay/prepaidMember.ts
@@ -1,4 +1,4 @@
-/** One instance's prepaid ledger over a store in memory, as replays and tests of a budget start it. */
+/** Starts one instance's prepaid ledger on an in-memory store, for replays and tests of a budget. */
 
 import {
   DemandHoldingPolicy,
@@ -12,7 +12,7 @@
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 import type { MemoryRowStore, RowStoreFaults } from '../platform/memoryRowStore.js'
 
-/** What a member starts with. */
+/** Options of a member. */
 export interface PrepaidMemberOptions {
   readonly instance: string
   readonly incarnation: string
@@ -21,24 +21,24 @@
   readonly budget: string
   readonly limit: TokenCount
   readonly limits: LedgerLimits
-  /** Whether callers are sent to this instance; one that stands by follows no rows. */
+  /** Whether callers are sent to this instance. A standby doesn't read the budget's rows. */
   readonly isActive: boolean
-  /** The others to which callers are sent. */
+  /** Returns the other instances to which callers are sent. */
   readonly others: () => readonly string[]
   readonly loanChannel: LoanChannel
 }
 
-/** A ledger that runs, and the parts of it that a test turns. */
+/** A running ledger, and the parts that a test controls. */
 export interface PrepaidMember {
   readonly ledger: PrepaidLedger
   readonly faults: RowStoreFaults
   readonly mirror: TableMirror
 }
 
-/** Time between two reads of the budgets' rows. */
-const FEED_MILLISECONDS = 400
+/** Time between two reads of the budget's rows. */
+const READ_INTERVAL_MILLISECONDS = 400
 
-/** Starts a ledger that holds a part of one budget and follows its rows. */
+/** Starts a ledger that has a holding of one budget and reads its rows regularly. */
 export function startPrepaidMember(options: PrepaidMemberOptions): PrepaidMember {
   const { clock, isActive, budget, limit } = options
   const { store, faults } = options.rows.connect()
@@ -68,20 +68,20 @@
     clock,
     listener: { onRows: (rows, isWhole) => ledger.observe(rows, isWhole) },
     waitMilliseconds: 0,
-    pauseMilliseconds: () => FEED_MILLISECONDS,
+    pauseMilliseconds: () => READ_INTERVAL_MILLISECONDS,
     isWanted: () => isActive,
   })
   mirror.start()
   return { ledger, faults, mirror }
 }
 
-/** One way of a question between instances, and how long one waits for an answer that does not come. */
+/** The one-way latency between instances, and the timeout of a call. */
 export interface LoanTimes {
   readonly oneWayMilliseconds: Milliseconds
   readonly timeoutMilliseconds: Milliseconds
 }
 
-/** Carries loans to the ledgers that `find` gives; undefined where the lender is out of reach. */
+/** Returns a channel to the ledgers that `find` returns; undefined stands for an unreachable lender. */
 export function loanChannelTo(
   clock: Clock,
   times: LoanTimes,
--- a/packages/stand-ins/src/replay/promptKind.ts
+++ b/packages/stand-ins/src/replay/promptKind.ts
@@ -1,25 +1,25 @@
-/** Requests with prompts of shared and own parts, drawn as those of real callers scatter. */
+/** Draws requests whose prompts have shared and individual parts, with sizes distributed as in real traffic. */
 
 import { randomBelow } from '@rackwalk/shared'
 import type { Milliseconds, RandomSource, TokenCount } from '@rackwalk/shared'
 import type { EnginePromptPart } from '../engine/engineModel.js'
 import type { ReplayedKind } from './replay.js'
 
-/** Sizes that scatter as those of real requests do: many small ones, few large ones. */
+/** A log-normal distribution of sizes, as real requests have them: many small ones and few large ones. */
 interface SizeDistribution {
   readonly mean: TokenCount
   readonly spread: number
   readonly maximum: TokenCount
 }
 
-/** What a kind of request is like. */
+/** The rate, the goals and the sizes of a kind of request. */
 export interface PromptKind {
   readonly name: string
   readonly perSecond: number
   readonly goalMilliseconds: Milliseconds
   readonly pauseGoalMilliseconds: Milliseconds
   readonly tokensPerEvent: TokenCount
-  /** Beginnings that all conversations share. */
+  /** Number of distinct prompt beginnings that conversations share. */
   readonly beginnings: number
   readonly beginning: SizeDistribution
   readonly conversations: number
@@ -28,38 +28,38 @@
   readonly events: SizeDistribution
 }
 
-/** The kind as it arrives, at its rate times `rate`; `random` draws what conversations are like. */
+/** Returns a kind for a replay, with its rate multiplied by `rate`. `random` draws the sizes of shared parts. */
 export function replayedKind(
-  shape: PromptKind,
+  kind: PromptKind,
   rate: (now: Milliseconds) => number,
   random: RandomSource,
 ): ReplayedKind {
-  const beginnings = partsOf(`${shape.name}-beginning`, shape.beginnings, shape.beginning, random)
-  const histories = partsOf(`${shape.name}-history`, shape.conversations, shape.history, random)
+  const beginnings = drawParts(`${kind.name}-beginning`, kind.beginnings, kind.beginning, random)
+  const histories = drawParts(`${kind.name}-history`, kind.conversations, kind.history, random)
   let questions = 0
   return {
-    name: shape.name,
-    perSecond: now => shape.perSecond * rate(now),
-    goalMilliseconds: shape.goalMilliseconds,
-    pauseGoalMilliseconds: shape.pauseGoalMilliseconds,
+    name: kind.name,
+    perSecond: now => kind.perSecond * rate(now),
+    goalMilliseconds: kind.goalMilliseconds,
+    pauseGoalMilliseconds: kind.pauseGoalMilliseconds,
     nextRequest: chance => {
-      const conversation = randomBelow(chance, shape.conversations)
-      const beginning = beginnings[conversation % shape.beginnings]
+      const conversation = randomBelow(chance, kind.conversations)
+      const beginning = beginnings[conversation % kind.beginnings]
       const history = histories[conversation]
       questions += 1
       const question = {
-        id: `${shape.name}-question-${questions}`,
-        tokens: drawSize(chance, shape.question),
+        id: `${kind.name}-question-${questions}`,
+        tokens: drawSize(chance, kind.question),
       }
       return {
         parts: [beginning, history, question].filter(part => part !== undefined),
-        answerTokens: drawSize(chance, shape.events) * shape.tokensPerEvent,
+        answerTokens: drawSize(chance, kind.events) * kind.tokensPerEvent,
       }
     },
   }
 }
 
-function partsOf(
+function drawParts(
   name: string,
   count: number,
   sizes: SizeDistribution,
@@ -71,7 +71,7 @@
   }))
 }
 
-/** A size whose logarithm is normally distributed. */
+/** Draws a size whose logarithm is normally distributed. */
 function drawSize(random: RandomSource, { mean, spread, maximum }: SizeDistribution): TokenCount {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()))
   const normal = radius * Math.cos(2 * Math.PI * random.next())
--- a/packages/stand-ins/src/replay/replay.ts
+++ b/packages/stand-ins/src/replay/replay.ts
@@ -1,6 +1,6 @@
 /**
- * Replays a load on virtual time: requests arrive at several instances, each of which chooses an
- * endpoint by the product's own rule and knowledge, and engine models serve them.
+ * Replays a load on virtual time. Requests arrive at several instances, each of which chooses an endpoint
+ * with the product's own rule and load data. Engine models serve the requests.
  */
 
 import { rankEndpoints } from '@rackwalk/decisions'
@@ -22,19 +22,19 @@
 import type { EndpointId, Milliseconds, RandomSource, TokenCount } from '@rackwalk/shared'
 import { EngineModel } from '../engine/engineModel.js'
 import type { EngineCapacity, EnginePromptPart } from '../engine/engineModel.js'
-import { StreamWatch } from './streamWatch.js'
+import { StreamMonitor } from './streamWatch.js'
 
 /** A kind of request in a load. */
 export interface ReplayedKind {
   readonly name: string
-  /** Requests a second at a time since the start. */
+  /** Returns the requests per second at a time since the start. */
   readonly perSecond: (now: Milliseconds) => number
   readonly nextRequest: (random: RandomSource) => ReplayedRequest
   readonly goalMilliseconds: Milliseconds
   readonly pauseGoalMilliseconds: Milliseconds
 }
 
-/** The size of one request; its last prompt part is its own. */
+/** The size of one request. Its last prompt part is not shared with other requests. */
 interface ReplayedRequest {
   readonly parts: readonly EnginePromptPart[]
   readonly answerTokens: TokenCount
@@ -42,23 +42,23 @@
 
 /** A load and the engines that serve it. */
 export interface ReplayedLoad {
-  /** The part of all requests that comes to each instance, as a weight. */
+  /** For each instance, the weight with which it receives requests. */
   readonly instances: readonly number[]
-  /** Time between two reports of one instance to the others. */
+  /** Time between two load reports of one instance to the others. */
   readonly reportMilliseconds: Milliseconds
   readonly engines: readonly EngineCapacity[]
   readonly kinds: readonly ReplayedKind[]
   readonly tokensPerEvent: TokenCount
   readonly milliseconds: Milliseconds
-  /** Engines, by position, to which nothing is sent from a time on. */
+  /** Engines, by index, that receive no more requests from the given time on. */
   readonly losses: readonly { readonly engine: number; readonly at: Milliseconds }[]
 }
 
-/** What became of the requests of one kind. */
+/** The outcome of the requests of one kind. */
 export interface KindOutcome {
   requests: number
   lateFirstEvents: number
-  /** Streams whose first event was in time and a later pause too long. */
+  /** Streams whose first event was in time but that had a later pause above the goal. */
   latePauses: number
   readonly durations: Milliseconds[]
 }
@@ -70,14 +70,14 @@
 }
 
 const SERVICE = 'model'
-/** Time after which what was sent is told to those that are at home there. */
-const URGENT_MILLISECONDS = 20
+/** Time between two urgent reports, which tell the home instances of an endpoint about requests sent to it. */
+const URGENT_REPORT_MILLISECONDS = 20
 const FAILURE_DOMAIN = 'domain-0'
 const FAILURE_DOMAINS = 3
 const MEMORY_TOKENS = 260_000
-const PLENTY_OF_CONNECTIONS = 10_000
+const MAXIMUM_CONNECTIONS = 10_000
 
-/** One run of a load; the same seed gives the same run. */
+/** One run of a load. The same seed gives the same run. */
 export class Replay {
   private readonly clock = new VirtualClock()
   private readonly random: SeededRandom
@@ -94,10 +94,10 @@
     this.engines = load.engines.map(
       (capacity, index) => new EngineModel(engineId(index), capacity, this.clock),
     )
-    this.instances = load.instances.map((_, index) => this.instance(index))
+    this.instances = load.instances.map((_, index) => this.createInstance(index))
   }
 
-  /** What became of the requests that ended, by kind. */
+  /** Runs the load and returns the outcomes of finished requests by kind. */
   async run(): Promise<ReadonlyMap<string, KindOutcome>> {
     for (const kind of this.load.kinds) this.scheduleArrival(kind)
     for (const instance of this.instances) {
@@ -105,29 +105,30 @@
       this.clock.after(phase, () => this.scheduleReport(instance))
       this.scheduleUrgent(instance)
     }
-    for (const { engine, at } of this.load.losses) this.clock.after(at, () => this.lose(engine))
+    for (const { engine, at } of this.load.losses)
+      this.clock.after(at, () => this.removeEngine(engine))
     await this.clock.advance(this.load.milliseconds)
     return this.kinds
   }
 
-  /** The most requests that one engine had at once. */
+  /** The highest number of requests that one engine had at the same time. */
   get mostOnOneEngine(): number {
     return this.mostRunning
   }
 
-  /** How slow the first instance takes each engine to be, by position; 1 is usual. */
+  /** The slowness of each engine as the first instance estimates it, by index; 1 is average. */
   get knownSlowness(): readonly number[] {
     const directory = this.instances[0]?.directory
     const known = directory?.available(SERVICE) ?? []
     return known.map(endpoint => directory?.slownessOf(endpoint) ?? 1)
   }
 
-  private instance(index: number): ReplayedInstance {
+  private createInstance(index: number): ReplayedInstance {
     const { clock } = this
     const directory = new EndpointDirectory({
       clock,
       instances: () => this.load.instances.length,
-      maximumConnections: () => PLENTY_OF_CONNECTIONS,
+      maximumConnections: () => MAXIMUM_CONNECTIONS,
       coldMilliseconds: () => 0,
       onChange: () => {},
     })
@@ -155,7 +156,7 @@
     }
   }
 
-  private lose(engine: number): void {
+  private removeEngine(engine: number): void {
     for (const { directory } of this.instances) directory.remove(engineId(engine))
   }
 
@@ -168,9 +169,9 @@
     })
   }
 
-  /** What must be told at once goes round as in a small fleet. */
+  /** Schedules the urgent reports, at the interval of a small fleet. */
   private scheduleUrgent(instance: ReplayedInstance): void {
-    this.clock.after(URGENT_MILLISECONDS, () => {
+    this.clock.after(URGENT_REPORT_MILLISECONDS, () => {
       const reports = instance.fleetLoad.urgentReports(this.instances.map(({ name }) => name))
       for (const other of this.instances) {
         const report = other === instance ? undefined : reports.get(other.name)
@@ -244,13 +245,13 @@
       pendingTokens: () => endpoint.pendingTokens + fleetLoad.ofPeers(id).pendingTokens,
       onPace: milliseconds => endpoint.notePace(milliseconds),
     })
-    const watch = new StreamWatch(kind, this.load.tokensPerEvent, this.clock)
+    const monitor = new StreamMonitor(kind, this.load.tokensPerEvent, this.clock)
     engine.submit({
       parts: parts.slice(0, -1),
       promptTokens: prompt,
       answerTokens,
       onToken: () => {
-        if (!watch.noteToken()) return
+        if (!monitor.noteToken()) return
         progress.noteBegun()
         pace.noteEvents(1)
       },
@@ -259,22 +260,22 @@
         const { longestPause } = pace
         const goal = kind.pauseGoalMilliseconds
         if (longestPause !== undefined) fleetLoad.pauses.note(SERVICE, longestPause, goal)
-        this.note(kind, watch)
+        this.recordOutcome(kind, monitor)
       },
     })
   }
 
-  private note({ name }: ReplayedKind, watch: StreamWatch): void {
-    const known = this.kinds.get(name) ?? noOutcome()
+  private recordOutcome({ name }: ReplayedKind, monitor: StreamMonitor): void {
+    const known = this.kinds.get(name) ?? emptyOutcome()
     this.kinds.set(name, known)
     known.requests += 1
-    known.durations.push(watch.duration)
-    if (watch.isFirstLate) known.lateFirstEvents += 1
-    else if (watch.isPauseLate) known.latePauses += 1
+    known.durations.push(monitor.duration)
+    if (monitor.isFirstLate) known.lateFirstEvents += 1
+    else if (monitor.isPauseLate) known.latePauses += 1
   }
 }
 
-function noOutcome(): KindOutcome {
+function emptyOutcome(): KindOutcome {
   return { requests: 0, lateFirstEvents: 0, latePauses: 0, durations: [] }
 }
 
--- a/packages/stand-ins/src/replay/restartReplay.ts
+++ b/packages/stand-ins/src/replay/restartReplay.ts
@@ -1,6 +1,7 @@
 /**
- * Replays on virtual time what a cut from the store and a death of all instances cost one prepaid budget:
- * what its callers get during the cut, what of the tokens can be spent again, and what callers get then.
+ * Replays, on virtual time, a partition from the store followed by a crash of all instances, for one prepaid
+ * budget. The outcome shows the share of requests served during the partition, the share of unspent tokens
+ * that can still be spent after the restart, and the share of requests served then.
  */
 
 import { SeededRandom, VirtualClock, randomBelow } from '@rackwalk/shared'
@@ -10,30 +11,30 @@
 import { loanChannelTo, startPrepaidMember } from './prepaidMember.js'
 import type { PrepaidMember } from './prepaidMember.js'
 
-/** What happens to the instances and to the budget. */
+/** The faults and the load of a replay. */
 export interface RestartScenario {
   readonly seed: number
-  /** Time for which all instances are cut off from the store before all of them die. */
+  /** Time for which all instances are cut off from the store before all of them crash. */
   readonly cutMilliseconds: Milliseconds
-  /** Whether instances reach each other during the cut. */
+  /** Whether instances reach each other during the partition. */
   readonly hasPeers: boolean
-  /** Seconds for which the budget would last at its callers' demand when the cut begins. */
+  /** Seconds for which the budget lasts at its callers' demand when the partition begins. */
   readonly secondsLeft: number
-  /** Demand during the cut, as a share of that before. */
+  /** Demand during the partition, as a share of the demand before. */
   readonly demandInCut: number
 }
 
-/** What came of it; shares are 0 to 1. */
+/** The outcome of a replay. Shares are in [0, 1]. */
 export interface RestartOutcome {
-  /** Requests served during the cut, of those made. */
+  /** Share of the requests that are served during the partition. */
   readonly servedInCut: number
-  /** Tokens that can be spent after all instances have restarted, of those unspent at their death. */
+  /** Share of the tokens unspent at the crash that can be spent after all instances have restarted. */
   readonly regained: number
-  /** Requests served in the seconds after the restart, of those made. */
+  /** Share of the requests that are served in the five seconds after the restart. */
   readonly servedAfterwards: number
 }
 
-/** The load before the cut: callers of one team ask several instances. */
+/** The load before the partition: callers of one team send requests to several instances. */
 const INSTANCES = 7
 const REQUESTS_PER_SECOND = 10
 /** Three in ten requests are large. */
@@ -42,20 +43,20 @@
 const LARGE_SHARE = 0.3
 const MEAN_REQUEST = LARGE_SHARE * LARGE_REQUEST + (1 - LARGE_SHARE) * SMALL_REQUEST
 const REQUEST_MILLISECONDS = 500
-const PATIENCE_MILLISECONDS = 100
+const RESERVE_TIMEOUT_MILLISECONDS = 100
 const WARM_UP_MILLISECONDS = 10_000
-const DARK_MILLISECONDS = 1_000
-/** Long enough for each new instance to end its predecessor's holding. */
+const DOWNTIME_MILLISECONDS = 1_000
+/** Long enough for each new incarnation to close the holding of its predecessor. */
 const TAKEOVER_MILLISECONDS = 2_000
 const AFTERWARDS_MILLISECONDS = 5_000
-const LIMITS = { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 }
+const WRITE_LIMITS = { writesPerSecond: 600, partitionWritesPerSecond: 150, reserveShare: 0 }
 const LOAN_TIMES = { oneWayMilliseconds: 2, timeoutMilliseconds: 90 }
 
 interface ReplayedInstance extends PrepaidMember {
   isDead: boolean
 }
 
-/** Plays the scenario once. */
+/** Replays the scenario once. */
 export function replayRestart(scenario: RestartScenario): Promise<RestartOutcome> {
   return new RestartReplay(scenario).run()
 }
@@ -68,7 +69,7 @@
   private instances: ReplayedInstance[] = []
   private incarnations = 0
   private arePeersReachable = true
-  /** Tokens handed out or reserved, over all incarnations. */
+  /** Tokens spent or reserved, over all incarnations. */
   private spent: TokenCount = 0
 
   constructor(private readonly scenario: RestartScenario) {
@@ -80,36 +81,36 @@
   async run(): Promise<RestartOutcome> {
     const { cutMilliseconds, demandInCut } = this.scenario
     this.startAll()
-    await this.ask(WARM_UP_MILLISECONDS, 1)
+    await this.sendRequests(WARM_UP_MILLISECONDS, 1)
     this.cutAll()
-    const servedInCut = await this.ask(cutMilliseconds, demandInCut)
+    const servedInCut = await this.sendRequests(cutMilliseconds, demandInCut)
     this.killAll()
     const unspent = this.limit - this.spent
-    await this.clock.advance(DARK_MILLISECONDS)
+    await this.clock.advance(DOWNTIME_MILLISECONDS)
     this.startAll()
     await this.clock.advance(TAKEOVER_MILLISECONDS)
     const regained = (this.limit - this.settled) / unspent
-    const servedAfterwards = await this.ask(AFTERWARDS_MILLISECONDS, 1)
+    const servedAfterwards = await this.sendRequests(AFTERWARDS_MILLISECONDS, 1)
     this.killAll()
     return { servedInCut, regained, servedAfterwards }
   }
 
-  /** Sends requests to instances at random; the share that is served. */
-  private async ask(milliseconds: Milliseconds, demand: number): Promise<number> {
-    const asked = Math.floor((milliseconds * REQUESTS_PER_SECOND * demand) / 1_000)
+  /** Sends requests to random instances. Returns the share that is served. */
+  private async sendRequests(milliseconds: Milliseconds, demand: number): Promise<number> {
+    const sent = Math.floor((milliseconds * REQUESTS_PER_SECOND * demand) / 1_000)
     let served = 0
-    for (let request = 0; request < asked; request += 1) {
+    for (let request = 0; request < sent; request += 1) {
       void this.serve().then(isServed => (served += isServed ? 1 : 0))
-      await this.clock.advance(milliseconds / asked)
+      await this.clock.advance(milliseconds / sent)
     }
-    if (asked === 0) await this.clock.advance(milliseconds)
-    return asked === 0 ? 1 : served / asked
+    if (sent === 0) await this.clock.advance(milliseconds)
+    return sent === 0 ? 1 : served / sent
   }
 
   private async serve(): Promise<boolean> {
     const instance = this.instances[randomBelow(this.random, INSTANCES)]
     const tokens = this.random.next() < LARGE_SHARE ? LARGE_REQUEST : SMALL_REQUEST
-    const outcome = await instance?.ledger.reserve(BUDGET, tokens, PATIENCE_MILLISECONDS)
+    const outcome = await instance?.ledger.reserve(BUDGET, tokens, RESERVE_TIMEOUT_MILLISECONDS)
     if (outcome?.kind !== 'reserved' || instance?.isDead !== false) return false
     this.spent += tokens
     this.clock.after(REQUEST_MILLISECONDS, () => {
@@ -118,7 +119,7 @@
     return true
   }
 
-  /** Tokens that count as spent once all holdings of the dead were ended. */
+  /** Tokens that count as spent after all holdings of the crashed incarnations are closed. */
   private get settled(): TokenCount {
     const outcome = this.rows.read(PREPAID_TABLE, BUDGET)
     const pool = outcome.kind === 'rows' && outcome.rows.find(({ key }) => key === POOL_KEY)
@@ -142,7 +143,7 @@
 
   private startAll(): void {
     this.arePeersReachable = true
-    this.instances = NAMES.map((_, index) => this.start(index))
+    this.instances = INSTANCE_NAMES.map((_, index) => this.start(index))
   }
 
   private start(index: number): ReplayedInstance {
@@ -155,22 +156,22 @@
       rows,
       budget: BUDGET,
       limit,
-      limits: LIMITS,
+      limits: WRITE_LIMITS,
       isActive: true,
-      others: () => NAMES.filter(name => name !== nameOf(index)),
+      others: () => INSTANCE_NAMES.filter(name => name !== nameOf(index)),
       loanChannel: loanChannelTo(clock, LOAN_TIMES, lender => this.find(lender)),
     })
     return { ...member, isDead: false }
   }
 
   private find(lender: string) {
-    const peer = this.instances[NAMES.indexOf(lender)]
+    const peer = this.instances[INSTANCE_NAMES.indexOf(lender)]
     return this.arePeersReachable && peer?.isDead === false ? peer.ledger : undefined
   }
 }
 
 const BUDGET = 'team'
-const NAMES = Array.from({ length: INSTANCES }, (_, index) => nameOf(index))
+const INSTANCE_NAMES = Array.from({ length: INSTANCES }, (_, index) => nameOf(index))
 
 function nameOf(index: number): string {
   return `instance-${index + 1}`
--- a/packages/stand-ins/src/replay/streamWatch.ts
+++ b/packages/stand-ins/src/replay/streamWatch.ts
@@ -1,15 +1,15 @@
-/** Judges one replayed stream as its caller does: by its first event and by its pauses. */
+/** Compares the first event and the pauses of one replayed stream with the caller's goals. */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** What a caller accepts. */
+/** The longest times until the first event and between two events that a caller accepts. */
 interface StreamGoals {
   readonly goalMilliseconds: Milliseconds
   readonly pauseGoalMilliseconds: Milliseconds
 }
 
-/** One stream, from its arrival on. */
-export class StreamWatch {
+/** Tracks one stream from the arrival of its request. */
+export class StreamMonitor {
   private tokens = 0
   private readonly startedAt: Milliseconds
   private lastEventAt: Milliseconds
@@ -25,12 +25,12 @@
     this.lastEventAt = this.startedAt
   }
 
-  /** Time since the stream was asked for. */
+  /** Time since the request arrived. */
   get duration(): Milliseconds {
     return this.clock.monotonic() - this.startedAt
   }
 
-  /** Notes one more token; true where it makes an event whole. */
+  /** Records one more token. Returns whether the token completes an event. */
   noteToken(): boolean {
     this.tokens += 1
     if (this.tokens % this.tokensPerEvent !== 0) return false
--- a/packages/stand-ins/src/replay/weakProcessorReplay.ts
+++ b/packages/stand-ins/src/replay/weakProcessorReplay.ts
@@ -1,8 +1,8 @@
 /**
- * Callers of one team before one instance whose processor is weak. The instance's event loop takes one new
- * connection in each turn, after everything that is ready on those it has; a connection that waits to be taken is
- * seen by nobody, and its caller leaves after a while and comes again. Owns the loop, the callers and what came of
- * their requests; the rules under test are the product's own.
+ * Replays the callers of one team that use one instance with a weak processor. The instance's event loop accepts one
+ * new connection in each turn, after it has processed all ready events of its open connections. A connection that waits
+ * in the accept queue is invisible to the process; its caller gives up after a timeout and tries again. The replay
+ * models the event loop, the callers and the outcomes of their requests; the rules under test are the product's own.
  */
 
 import {
@@ -18,69 +18,69 @@
 import type { Milliseconds } from '@rackwalk/shared'
 import TinyQueue from 'tinyqueue'
 
-/** Which signs the instance sees, and what it does with those that have left. */
+/** The overload signals that the instance uses, and its measures against abandoned requests. */
 export interface WeakProcessorPolicy {
   readonly seesDelay: boolean
-  /** Whether it makes connections to itself and sees how long they wait. */
+  /** Whether the instance connects to itself and measures how long such a probe waits to be accepted. */
   readonly seesAcceptWait: boolean
   readonly seesAbandoned: boolean
-  /** Whether it waits for the word that a caller has left before it sends a request on. */
+  /** Whether the instance waits for a possible disconnect of the caller before it forwards a request. */
   readonly confirmsCallers: boolean
-  /** Whether it closes its listener for moments while it is overloaded. */
+  /** Whether the instance closes its listener for short times while it is overloaded. */
   readonly pausesListener: boolean
-  /** Others that take callers; those that are not overloaded serve whoever turns to them. */
+  /** Other instances that accept callers. Those that are not overloaded serve all callers that move to them. */
   readonly others: PeerOverload
 }
 
-/** Requests a second that callers make for the first time: at first so many, and later so many. */
+/** First attempts of callers per second: the rate of an initial burst and the rate after it. */
 export interface WeakProcessorLoad {
   readonly burst: number
   readonly burstMilliseconds: Milliseconds
   readonly usual: number
-  /** Whether a caller whose connection does not come up goes elsewhere; one that stays gives its request up. */
+  /** Whether a caller whose connection is refused moves to another instance. Otherwise it drops its request. */
   readonly callersMove: boolean
 }
 
-/** What came of the requests in the part of the run that counts. */
+/** Numbers of requests by outcome, in the part of the run that counts. */
 export interface WeakProcessorOutcome {
-  /** Requests that callers made for the first time, wherever they went. */
+  /** First attempts of all requests, at this instance or another. */
   asked: number
   tries: number
   served: number
-  /** By other instances, to which callers turned as their connections did not come up. */
+  /** Served by other instances, because connections to this one were refused. */
   servedElsewhere: number
-  /** Told at once that they are not taken. */
+  /** Refused immediately with an answer. */
   refused: number
-  /** Got nothing for as long as they waited. */
+  /** Attempts that callers gave up after a timeout without an answer. */
   left: number
-  /** Sent to an endpoint after their callers had left. */
+  /** Forwarded to an endpoint after their callers had disconnected. */
   sentInVain: number
 }
 
-/** Work of 0.324 of a core, as time that it takes: to take a connection, to refuse a request, */
+/** Times that 0.324 of a core takes to accept a connection and to refuse a request. */
 const ACCEPT_MILLISECONDS: Milliseconds = 0.8
 const REFUSAL_MILLISECONDS: Milliseconds = 1.5
-/** to read a request, choose and send it on, and to pass its answer. */
+/** Times that 0.324 of a core takes to read, route and forward a request and to deliver its answer. */
 const REQUEST_MILLISECONDS: Milliseconds = 8
 const ANSWER_MILLISECONDS: Milliseconds = 4
 const ENGINE_MILLISECONDS: Milliseconds = 100
-/** Callers give up when nothing has come for this long, and try once more. */
-const PATIENCE_MILLISECONDS: Milliseconds = 2_000
-const TRIES = 2
+/** Time without an answer after which callers give up an attempt and try once more. */
+const CALLER_TIMEOUT_MILLISECONDS: Milliseconds = 2_000
+const MAXIMUM_ATTEMPTS = 2
 const RUN_MILLISECONDS: Milliseconds = 24_000
-/** What comes before this does not count. */
+/** Events before this time are not counted in the outcome. */
 const COUNTED_FROM_MILLISECONDS: Milliseconds = 12_000
 const RANK: ShedRank = { priority: 1, answerTokens: 50 }
-/** Callers of the team, each of whom remembers for so long that this instance has failed it. */
+/** Number of callers of the team. Each avoids this instance for some time after a refused connection. */
 const CALLERS = 60
-const REMEMBERED_MILLISECONDS: Milliseconds = 3_000
+const AVOIDANCE_MILLISECONDS: Milliseconds = 3_000
 
-/** A connection that the process makes to itself, and the time between two. */
+/** Marks a connection that the process makes to itself, and the time between two of them. */
 const PROBE = Symbol('probe')
-const PROBE_MILLISECONDS: Milliseconds = 200
+const PROBE_INTERVAL_MILLISECONDS: Milliseconds = 200
 
-/** One try of a caller. */
-interface CallerTry {
+/** One attempt of a caller to send a request. */
+interface CallerAttempt {
   readonly caller: number
   readonly number: number
   hasLeft: boolean
@@ -92,26 +92,26 @@
   readonly run: () => void
 }
 
-/** Plays one instance under a load. */
+/** Replays one instance under a load. */
 export class WeakProcessorReplay {
   private now: Milliseconds = 0
   private readonly scheduled = new TinyQueue<Scheduled>([], (left, right) => left.due - right.due)
-  /** Connections that the loop has not taken yet. */
-  private readonly backlog: (CallerTry | typeof PROBE)[] = []
-  private readonly probe = { isWaiting: false, madeAt: -PROBE_MILLISECONDS, waited: 0 }
-  /** What is ready on the connections that it has. */
+  /** Connections that the event loop has not yet accepted. */
+  private readonly backlog: (CallerAttempt | typeof PROBE)[] = []
+  private readonly probe = { isWaiting: false, madeAt: -PROBE_INTERVAL_MILLISECONDS, waited: 0 }
+  /** Handlers of the ready events of accepted connections. */
   private ready: (() => void)[] = []
   private readonly processor = new ProcessorLoadShedder()
   private readonly abandoned = new AbandonedRequests()
-  private lookDue: Milliseconds = SAMPLE_INTERVAL_MILLISECONDS
+  private sampleDue: Milliseconds = SAMPLE_INTERVAL_MILLISECONDS
   private readonly random: SeededRandom
-  /** Apart, so that requests come at the same times whether or not it matters who sends them. */
-  private readonly callers: SeededRandom
+  /** A separate generator, so that arrival times don't depend on the draws of callers and listener pauses. */
+  private readonly callerRandom: SeededRandom
   private readonly pause = new ListenerPause()
   private readonly refusals = new LocalRefusals()
   private isListening = true
-  /** Time until which a caller goes elsewhere. */
-  private readonly awayUntil: Milliseconds[] = new Array<Milliseconds>(CALLERS).fill(0)
+  /** For each caller, the time until which it uses other instances. */
+  private readonly avoidsUntil: Milliseconds[] = new Array<Milliseconds>(CALLERS).fill(0)
   private readonly outcome: WeakProcessorOutcome = {
     asked: 0,
     tries: 0,
@@ -128,21 +128,21 @@
     seed: number,
   ) {
     this.random = new SeededRandom(seed)
-    this.callers = new SeededRandom(seed)
+    this.callerRandom = new SeededRandom(seed)
   }
 
-  /** Plays the load to its end. */
+  /** Runs the load to its end and returns its outcome. */
   run(): WeakProcessorOutcome {
     this.scheduleNext(0)
-    if (this.policy.pausesListener) this.scheduleWindow()
-    while (this.now < RUN_MILLISECONDS) this.turn()
+    if (this.policy.pausesListener) this.scheduleListenerPause()
+    while (this.now < RUN_MILLISECONDS) this.runTurn()
     return this.outcome
   }
 
-  /** One turn of the loop: its timer, what is ready, one new connection. */
-  private turn(): void {
-    this.arrive()
-    if (this.now >= this.lookDue) this.look()
+  /** Runs one turn of the event loop: timers, then ready events, then one new connection. */
+  private runTurn(): void {
+    this.runDueEvents()
+    if (this.now >= this.sampleDue) this.takeSample()
     const ready = this.ready
     this.ready = []
     for (const run of ready) run()
@@ -152,7 +152,7 @@
     if (ready.length === 0 && taken === undefined) this.idle()
   }
 
-  private arrive(): void {
+  private runDueEvents(): void {
     for (let next = this.scheduled.peek(); next !== undefined; next = this.scheduled.peek()) {
       if (next.due > this.now) return
       this.scheduled.pop()
@@ -161,31 +161,34 @@
   }
 
   private idle(): void {
-    const next = Math.min(this.scheduled.peek()?.due ?? RUN_MILLISECONDS, this.lookDue)
+    const next = Math.min(this.scheduled.peek()?.due ?? RUN_MILLISECONDS, this.sampleDue)
     this.now = Math.max(this.now, next)
   }
 
-  private work(milliseconds: Milliseconds): void {
+  private spend(milliseconds: Milliseconds): void {
     this.now += milliseconds
   }
 
-  private look(): void {
+  private takeSample(): void {
     const { seesDelay, seesAcceptWait, seesAbandoned } = this.policy
-    const look: ProcessorSample = {
-      delayMilliseconds: seesDelay ? this.now - this.lookDue : 0,
-      acceptMilliseconds: seesAcceptWait ? this.lookAtProbe() : 0,
+    const sample: ProcessorSample = {
+      delayMilliseconds: seesDelay ? this.now - this.sampleDue : 0,
+      acceptMilliseconds: seesAcceptWait ? this.probeWaitMilliseconds() : 0,
       abandonedShare: seesAbandoned ? this.abandoned.share(this.now) : 0,
     }
-    this.processor.noteSample(look)
-    this.lookDue = this.now + SAMPLE_INTERVAL_MILLISECONDS
+    this.processor.noteSample(sample)
+    this.sampleDue = this.now + SAMPLE_INTERVAL_MILLISECONDS
   }
 
-  /** How long the last probe waited, or the one that still waits has; makes the next one where it is due. */
-  private lookAtProbe(): Milliseconds {
+  /**
+   * Returns how long the last probe waited, or how long a probe that is not yet accepted has waited. Starts
+   * the next probe when it is due.
+   */
+  private probeWaitMilliseconds(): Milliseconds {
     const { probe } = this
     const age = this.now - probe.madeAt
     if (probe.isWaiting) return age
-    if (age >= PROBE_MILLISECONDS) {
+    if (age >= PROBE_INTERVAL_MILLISECONDS) {
       if (!this.isListening) probe.waited = 0
       else this.makeProbe()
     }
@@ -199,23 +202,23 @@
   }
 
   private takeProbe(): void {
-    this.work(ACCEPT_MILLISECONDS)
-    this.endProbe(this.now - this.probe.madeAt)
+    this.spend(ACCEPT_MILLISECONDS)
+    this.finishProbe(this.now - this.probe.madeAt)
   }
 
-  private endProbe(waited: Milliseconds): void {
+  private finishProbe(waited: Milliseconds): void {
     this.probe.isWaiting = false
     this.probe.waited = waited
   }
 
-  /** Callers come whether or not the loop has time for them. */
+  /** Schedules the next first attempt, independently of the load of the event loop. */
   private scheduleNext(from: Milliseconds): void {
     const { burst, usual, burstMilliseconds } = this.load
     const rate = from < burstMilliseconds ? burst : usual
     const due = from - Math.log(1 - this.random.next()) * (1000 / rate)
     const run = () => {
       this.count('asked')
-      this.connect(Math.floor(this.callers.next() * CALLERS), 1)
+      this.connect(Math.floor(this.callerRandom.next() * CALLERS), 1)
       this.scheduleNext(due)
     }
     this.scheduled.push({ due, run })
@@ -223,99 +226,99 @@
 
   private connect(caller: number, number: number): void {
     const attempt = { caller, number, hasLeft: false, isOver: false }
-    if (this.now < (this.awayUntil[caller] ?? 0)) return this.serveElsewhere(attempt)
+    if (this.now < (this.avoidsUntil[caller] ?? 0)) return this.serveElsewhere(attempt)
     this.count('tries')
-    if (!this.isListening) return this.turnAway(attempt)
-    this.after(PATIENCE_MILLISECONDS, () => this.giveUp(attempt))
+    if (!this.isListening) return this.rejectConnection(attempt)
+    this.after(CALLER_TIMEOUT_MILLISECONDS, () => this.abandonAttempt(attempt))
     this.backlog.push(attempt)
   }
 
-  private giveUp(attempt: CallerTry): void {
+  private abandonAttempt(attempt: CallerAttempt): void {
     if (attempt.isOver) return
     attempt.hasLeft = true
     this.count('left')
-    if (attempt.number < TRIES) this.connect(attempt.caller, attempt.number + 1)
+    if (attempt.number < MAXIMUM_ATTEMPTS) this.connect(attempt.caller, attempt.number + 1)
   }
 
-  /** A connection that did not come up, or ended before anything was read. */
-  private turnAway(attempt: CallerTry): void {
+  /** Ends an attempt whose connection was refused, or closed before its request was read. */
+  private rejectConnection(attempt: CallerAttempt): void {
     attempt.isOver = true
     if (!this.load.callersMove) return
-    this.awayUntil[attempt.caller] = this.now + REMEMBERED_MILLISECONDS
+    this.avoidsUntil[attempt.caller] = this.now + AVOIDANCE_MILLISECONDS
     this.serveElsewhere(attempt)
   }
 
-  private serveElsewhere(attempt: CallerTry): void {
+  private serveElsewhere(attempt: CallerAttempt): void {
     attempt.isOver = true
     this.count('servedElsewhere')
   }
 
-  private scheduleWindow(): void {
-    this.after(listenerOpenMilliseconds(this.callers.next()), () => this.closeListener())
+  private scheduleListenerPause(): void {
+    this.after(listenerOpenMilliseconds(this.callerRandom.next()), () => this.closeListener())
   }
 
-  /** Whoever waits to be taken is turned away with the listener. */
+  /** Closes the listener for a time, which also closes all connections that wait to be accepted. */
   private closeListener(): void {
     const { pause, now } = this
     pause.noteRefusedShare(this.refusals.share(now), now)
-    const milliseconds = pause.pauseMilliseconds(this.policy.others, now, this.callers.next())
-    if (milliseconds === 0) return this.scheduleWindow()
+    const milliseconds = pause.pauseMilliseconds(this.policy.others, now, this.callerRandom.next())
+    if (milliseconds === 0) return this.scheduleListenerPause()
     this.isListening = false
     for (const waiting of this.backlog.splice(0)) {
-      if (waiting === PROBE) this.endProbe(0)
-      else if (!waiting.hasLeft) this.turnAway(waiting)
+      if (waiting === PROBE) this.finishProbe(0)
+      else if (!waiting.hasLeft) this.rejectConnection(waiting)
     }
     this.after(milliseconds, () => {
       this.isListening = true
-      this.scheduleWindow()
+      this.scheduleListenerPause()
     })
   }
 
-  private accept(attempt: CallerTry): void {
-    this.work(ACCEPT_MILLISECONDS)
+  private accept(attempt: CallerAttempt): void {
+    this.spend(ACCEPT_MILLISECONDS)
     this.ready.push(() => this.read(attempt))
   }
 
-  private read(attempt: CallerTry): void {
+  private read(attempt: CallerAttempt): void {
     if (!this.processor.admits(RANK, this.random.next())) return this.refuse(attempt)
     const readAt = this.now
     this.abandoned.noteRead(readAt)
-    // The end of the connection, where its caller has left, is read in the next turn.
+    // If the caller has disconnected, the event loop reads the end of the connection in its next turn.
     if (attempt.hasLeft) this.ready.push(() => this.abandoned.noteLeft(this.now - readAt, this.now))
     const isHeld = this.policy.confirmsCallers && this.abandoned.isElevated(readAt)
     if (isHeld)
       this.after(this.abandoned.confirmationMilliseconds(readAt), () => this.confirm(attempt))
-    else this.sendOn(attempt)
+    else this.forward(attempt)
   }
 
-  private confirm(attempt: CallerTry): void {
-    if (!attempt.hasLeft) return this.sendOn(attempt)
-    this.work(REFUSAL_MILLISECONDS)
+  private confirm(attempt: CallerAttempt): void {
+    if (!attempt.hasLeft) return this.forward(attempt)
+    this.spend(REFUSAL_MILLISECONDS)
     this.refusals.noteEnd(ResultCode.CallerLeftUnsent, this.now)
   }
 
-  private sendOn(attempt: CallerTry): void {
-    this.work(REQUEST_MILLISECONDS)
+  private forward(attempt: CallerAttempt): void {
+    this.spend(REQUEST_MILLISECONDS)
     if (attempt.hasLeft) this.count('sentInVain')
     this.after(ENGINE_MILLISECONDS, () => this.ready.push(() => this.answer(attempt)))
   }
 
-  private answer(attempt: CallerTry): void {
+  private answer(attempt: CallerAttempt): void {
     if (attempt.hasLeft) return
-    this.work(ANSWER_MILLISECONDS)
+    this.spend(ANSWER_MILLISECONDS)
     this.refusals.noteEnd(ResultCode.Ok, this.now)
     attempt.isOver = true
     this.count('served')
   }
 
-  private refuse(attempt: CallerTry): void {
-    this.work(REFUSAL_MILLISECONDS)
+  private refuse(attempt: CallerAttempt): void {
+    this.spend(REFUSAL_MILLISECONDS)
     this.refusals.noteEnd(ResultCode.ProcessorFull, this.now)
     if (attempt.hasLeft) return
     attempt.isOver = true
     this.count('refused')
     const wait = this.processor.recoveryMilliseconds
-    if (attempt.number < TRIES)
+    if (attempt.number < MAXIMUM_ATTEMPTS)
       this.after(wait, () => this.connect(attempt.caller, attempt.number + 1))
   }
 
