--- a/packages/stand-ins/src/platform/dynamodbStandIn.ts
+++ b/packages/stand-ins/src/platform/dynamodbStandIn.ts
@@ -1,4 +1,4 @@
-/** The table service's protocol over a table in memory. */
+/** Serves the table service's protocol from an in-memory table. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import * as z from 'zod'
@@ -10,8 +10,8 @@
 import type { MemoryTable } from './memoryTable.js'
 
 /**
- * Stands in for the table service: the few operations and the two condition expressions of
- * the DynamoDB API that rackwalk uses, over a table in memory, with faults on demand.
+ * Stands in for the table service. Supports the few operations and the two condition expressions of the
+ * DynamoDB API that rackwalk uses, on an in-memory table and with configurable faults.
  */
 export class DynamodbStandIn extends LocalServer {
   constructor(
@@ -31,7 +31,7 @@
     const document = JSON.parse(body.toString('utf8')) as unknown
     const kind = operation === 'TransactWriteItems' ? 'write' : 'read'
     await this.faults.delay()
-    if (this.faults.losesQuestion()) return void response.destroy()
+    if (this.faults.losesRequest()) return void response.destroy()
     if (!this.faults.admits(kind)) {
       return fail(response, 'ProvisionedThroughputExceededException', {})
     }
@@ -62,7 +62,7 @@
   private async query(query: z.infer<typeof querySchema>): Promise<Answer> {
     const values = query.ExpressionAttributeValues
     const range: QueryRange = {
-      // The client's lower bound is the smallest text after the excluded key.
+      // The client's lower bound is the smallest string after the excluded key.
       after: withoutSuffix(text(values, ':after')),
       before: text(values, ':before'),
       limit: query.Limit,
@@ -180,7 +180,7 @@
   return item[name]?.S ?? ''
 }
 
-/** Takes off the smallest suffix, which the client adds to exclude a key from a range. */
+/** Removes the smallest suffix, which the client appends to exclude a key from a range. */
 function withoutSuffix(key: string): string {
   return key.endsWith('\u0001') ? key.slice(0, -1) : key
 }
--- a/packages/stand-ins/src/platform/faultPlan.ts
+++ b/packages/stand-ins/src/platform/faultPlan.ts
@@ -1,33 +1,33 @@
-/** What may go wrong with the platform's stand-ins, switched by tests. */
+/** The configurable faults of the platform's stand-ins. */
 
 import type { Clock, Milliseconds, RandomSource } from '@rackwalk/shared'
 
-/** What may go wrong with the platform; tests switch it on and off. */
+/** The faults of a stand-in of the platform; tests switch them on and off. */
 export class FaultPlan {
-  /** Nothing is applied and nothing is answered. */
+  /** Whether all requests are dropped without an effect and without an answer. */
   outage = false
-  /** Share of writes that take effect though their answer is lost. */
+  /** Share of writes that take effect although their answer is lost. */
   lostAnswers = 0
-  /** Share of writes whose question is lost, so that nothing takes effect. */
-  lostQuestions = 0
+  /** Share of requests that are lost before they take effect. */
+  lostRequests = 0
   delayMilliseconds: Milliseconds = 0
   writesPerSecond = Number.POSITIVE_INFINITY
   readsPerSecond = Number.POSITIVE_INFINITY
-  private readonly buckets = { read: new Bucket(), write: new Bucket() }
+  private readonly buckets = { read: new TokenBucket(), write: new TokenBucket() }
 
   constructor(
     private readonly clock: Clock,
     private readonly random: RandomSource,
   ) {}
 
-  /** Whether one more operation fits into the rate of this second. */
+  /** Whether the rate limit allows one more operation. */
   admits(kind: 'read' | 'write'): boolean {
     const rate = kind === 'read' ? this.readsPerSecond : this.writesPerSecond
     return this.buckets[kind].take(rate, this.clock.monotonic())
   }
 
-  losesQuestion(): boolean {
-    return this.outage || this.random.next() < this.lostQuestions
+  losesRequest(): boolean {
+    return this.outage || this.random.next() < this.lostRequests
   }
 
   losesAnswer(): boolean {
@@ -40,7 +40,7 @@
   }
 }
 
-class Bucket {
+class TokenBucket {
   private tokens: number | undefined
   private at: Milliseconds = 0
 
--- a/packages/stand-ins/src/platform/memoryObjects.ts
+++ b/packages/stand-ins/src/platform/memoryObjects.ts
@@ -1,8 +1,8 @@
-/** An object store without its protocol. */
+/** An in-memory object store, used directly or behind a protocol stand-in. */
 
 import type { ObjectStore } from '@rackwalk/stores'
 
-/** An object store in memory. */
+/** Keeps objects in memory. Counts reads and writes. */
 export class MemoryObjects implements ObjectStore {
   private readonly objects = new Map<string, Buffer>()
   reads = 0
--- a/packages/stand-ins/src/platform/memoryRowStore.ts
+++ b/packages/stand-ins/src/platform/memoryRowStore.ts
@@ -1,6 +1,4 @@
-/**
- * The gateway kind's row store without its protocol, on the clock of the test, that fails as it is told.
- */
+/** An in-memory row store of the gateway kind, on the clock of the test and with faults per client. */
 
 import { sleep } from '@rackwalk/shared'
 import type { Clock, Milliseconds } from '@rackwalk/shared'
@@ -14,26 +12,26 @@
   StoredRow,
 } from '@rackwalk/stores'
 
-/** What becomes of the next calls of one client. */
+/** The faults of the next calls of one client. */
 export interface RowStoreFaults {
-  /** Nothing reaches the store, and no answer comes. */
+  /** Calls don't reach the store and time out; the client can't tell whether a write took effect. */
   isCut: boolean
-  /** No connection comes up, so that nothing was sent. */
+  /** Connections fail, so that the client knows that nothing was sent. */
   isUnreachable: boolean
-  /** The store turns this client away and does nothing. */
+  /** The store throttles the client: calls fail without an effect. */
   isTurnedAway: boolean
-  /** Writes are done, but their answers are lost. */
+  /** Writes take effect, but their answers are lost. */
   losesAnswers: boolean
-  /** Each answer takes so much longer. */
+  /** Additional delay of each answer. */
   slowMilliseconds: Milliseconds
   /** Writes take effect only after this time, if their conditions still hold. */
   lateMilliseconds: Milliseconds
 }
 
 const CALL_MILLISECONDS = 5
-/** A client waits this long for an answer that does not come. */
+/** Time after which a client gives up a call without an answer. */
 const TIMEOUT_MILLISECONDS = 1_000
-/** The store's clock began long before any test. */
+/** The store's time at the start of a test; not 0, because a real store's clock starts earlier. */
 const STORE_EPOCH_MILLISECONDS = 50_000
 
 interface HistoryEntry extends ChangedRow {
@@ -49,7 +47,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** One client's view, with faults of its own. */
+  /** Returns a client of the store with its own faults. */
   connect(): { readonly store: RowStore; readonly faults: RowStoreFaults } {
     const faults: RowStoreFaults = {
       isCut: false,
@@ -66,13 +64,13 @@
     return STORE_EPOCH_MILLISECONDS + this.clock.monotonic()
   }
 
-  /** Older changes can no longer be read. */
+  /** Drops the change history, so that clients can't read changes from before this call. */
   forgetHistory(): void {
     this.forgottenVersion = this.version
     this.history = []
   }
 
-  /** A write of whoever is not under test. */
+  /** Writes a row unconditionally, without a client and its faults. */
   put(table: string, key: string, value: string, partition = ''): void {
     this.apply({ conditions: [], puts: [{ table, partition, key, value }], removals: [] })
   }
@@ -133,19 +131,19 @@
 
   async write(transaction: RowTransaction): Promise<RowWriteOutcome> {
     const { faults, target } = this
-    if (faults.isCut) return this.silence({ kind: 'unknown' })
-    if (faults.isUnreachable) return this.silence({ kind: 'not-done', reason: 'unavailable' })
+    if (faults.isCut) return this.timeOut({ kind: 'unknown' })
+    if (faults.isUnreachable) return this.timeOut({ kind: 'not-done', reason: 'unavailable' })
     if (faults.isTurnedAway) return this.answer({ kind: 'not-done', reason: 'throttled' })
     if (faults.lateMilliseconds > 0) {
       this.clock.after(faults.lateMilliseconds, () => target.apply(transaction))
-      return this.silence({ kind: 'unknown' })
+      return this.timeOut({ kind: 'unknown' })
     }
     const outcome = target.apply(transaction)
-    return faults.losesAnswers ? this.silence({ kind: 'unknown' }) : this.answer(outcome)
+    return faults.losesAnswers ? this.timeOut({ kind: 'unknown' }) : this.answer(outcome)
   }
 
   readPartition(table: string, partition: string): Promise<RowReadOutcome> {
-    return this.reading(() => this.target.read(table, partition))
+    return this.performRead(() => this.target.read(table, partition))
   }
 
   async readChanges(
@@ -153,19 +151,19 @@
     after: number,
     waitMilliseconds: Milliseconds,
   ): Promise<ChangeFeedOutcome> {
-    const outcome = await this.reading(() => this.target.changes(table, after))
+    const outcome = await this.performRead(() => this.target.changes(table, after))
     if (outcome.kind !== 'changes' || outcome.rows.length > 0) return outcome
     await sleep(this.clock, waitMilliseconds)
-    return this.reading(() => this.target.changes(table, after))
+    return this.performRead(() => this.target.changes(table, after))
   }
 
   close(): void {}
 
-  private reading<Outcome>(
+  private performRead<Outcome>(
     read: () => Outcome,
   ): Promise<Outcome | { kind: 'failed'; reason: 'unknown' | 'throttled' }> {
     if (this.faults.isCut || this.faults.isUnreachable) {
-      return this.silence({ kind: 'failed', reason: 'unknown' })
+      return this.timeOut({ kind: 'failed', reason: 'unknown' })
     }
     if (this.faults.isTurnedAway) return this.answer({ kind: 'failed', reason: 'throttled' })
     return this.answer(read())
@@ -176,7 +174,7 @@
     return outcome
   }
 
-  private async silence<Outcome>(outcome: Outcome): Promise<Outcome> {
+  private async timeOut<Outcome>(outcome: Outcome): Promise<Outcome> {
     await sleep(this.clock, TIMEOUT_MILLISECONDS)
     return outcome
   }
--- a/packages/stand-ins/src/platform/memoryTable.ts
+++ b/packages/stand-ins/src/platform/memoryTable.ts
@@ -1,4 +1,4 @@
-/** The table service without its protocol. */
+/** An in-memory table, used directly or behind a protocol stand-in. */
 
 import type { TransactionId } from '@rackwalk/shared'
 import { encodeRowKey, nextRowVersion } from '@rackwalk/stores'
@@ -14,15 +14,15 @@
 } from '@rackwalk/stores'
 
 /**
- * A table in memory with the semantics of the table service: each operation is atomic and
- * strongly consistent. It keeps JSON text, so that what is read is never shared.
+ * An in-memory table with the semantics of the table service: each operation is atomic and strongly
+ * consistent. Values are stored as JSON text, so that readers never share objects.
  */
 export class MemoryTable implements TableService {
   private readonly partitions = new Map<string, Map<string, StoredRow>>()
   reads = 0
-  /** Transactions that were asked for. */
+  /** Number of attempted transactions. */
   writes = 0
-  /** Rows in those transactions. */
+  /** Number of rows in those transactions. */
   itemsWritten = 0
 
   async get(key: RowKey): Promise<Row | undefined> {
@@ -48,7 +48,7 @@
 
   async transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult> {
     const writes = parts.flatMap(part => part.writes.map(write => ({ id: part.id, write })))
-    // The DynamoDB API refuses a transaction that names a row twice.
+    // The DynamoDB API rejects a transaction that contains a row twice.
     const names = new Set(writes.map(({ write }) => encodeRowKey(write.key)))
     if (names.size < writes.length) throw new Error('a transaction names a row twice')
     this.writes += 1
--- a/packages/stand-ins/src/platform/s3StandIn.ts
+++ b/packages/stand-ins/src/platform/s3StandIn.ts
@@ -1,11 +1,11 @@
-/** The object store's protocol over objects in memory. */
+/** Serves the object store's protocol from in-memory objects. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { LocalServer } from '../localServer.js'
 import type { FaultPlan } from './faultPlan.js'
 import type { MemoryObjects } from './memoryObjects.js'
 
-/** Stands in for the object store: put, get and list of the S3 API, path style. */
+/** Stands in for the object store. Supports put, get and list of the S3 API with path-style URLs. */
 export class S3StandIn extends LocalServer {
   constructor(
     private readonly objects: MemoryObjects,
@@ -20,7 +20,7 @@
     response: ServerResponse,
   ): Promise<void> {
     await this.faults.delay()
-    if (this.faults.losesQuestion()) return void response.destroy()
+    if (this.faults.losesRequest()) return void response.destroy()
     const url = new URL(request.url ?? '/', 'http://objects')
     const [, , ...parts] = url.pathname.split('/')
     const key = decodeURIComponent(parts.join('/'))
--- a/packages/stand-ins/src/platform/simulatedPlatform.ts
+++ b/packages/stand-ins/src/platform/simulatedPlatform.ts
@@ -1,4 +1,4 @@
-/** The table, the network and the list of instances of a simulation, on virtual time. */
+/** Simulates the table, the network between instances and the instance list on virtual time. */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 import type { Clock, IncarnationId, Milliseconds, TransactionId } from '@rackwalk/shared'
@@ -22,24 +22,24 @@
 import type { MemoryTable } from './memoryTable.js'
 
 const TABLE_MILLISECONDS: Milliseconds = 5
-const NEAR_MILLISECONDS: Milliseconds = 1
+const PEER_MILLISECONDS: Milliseconds = 1
 const TIMEOUT_MILLISECONDS: Milliseconds = 1_000
 
-/** The common table as one instance reaches it, on virtual time. */
+/** One instance's connection to the shared table. Calls have a latency, or time out during an outage. */
 export class SimulatedTable implements TableService {
   constructor(
     private readonly table: MemoryTable,
     private readonly clock: Clock,
-    private readonly isLost: () => boolean,
+    private readonly isUnreachable: () => boolean,
   ) {}
 
   async get(key: RowKey) {
-    await this.arrive()
+    await this.delay()
     return this.table.get(key)
   }
 
   async query(partition: string, range?: QueryRange) {
-    await this.arrive()
+    await this.delay()
     return this.table.query(partition, range)
   }
 
@@ -48,18 +48,18 @@
   }
 
   async transactMany(parts: readonly TransactionWrites[]) {
-    await this.arrive()
+    await this.delay()
     return this.table.transactMany(parts)
   }
 
-  private async arrive(): Promise<void> {
-    if (!this.isLost()) return pause(this.clock, TABLE_MILLISECONDS)
+  private async delay(): Promise<void> {
+    if (!this.isUnreachable()) return pause(this.clock, TABLE_MILLISECONDS)
     await pause(this.clock, TIMEOUT_MILLISECONDS)
     throw new RackwalkError(ResultCode.PlatformUnavailable)
   }
 }
 
-/** The network between instances, on virtual time. */
+/** The network between instances. Calls have a latency, or time out if either instance has left. */
 export class SimulatedNetwork {
   private readonly members = new Map<IncarnationId, PeerHandlers>()
 
@@ -90,14 +90,14 @@
       await pause(this.clock, TIMEOUT_MILLISECONDS)
       throw new RackwalkError(ResultCode.PlatformUnavailable, 'peer')
     }
-    await pause(this.clock, NEAR_MILLISECONDS)
+    await pause(this.clock, PEER_MILLISECONDS)
     const handler = handlers[kind] as PeerHandler<Kind> | undefined
     if (handler === undefined) throw new RackwalkError(ResultCode.PlatformUnavailable, 'peer')
     return handler(request)
   }
 }
 
-/** The platform's list, which notices a death only after a while. */
+/** The platform's instance list. It lists removed instances for a further time. */
 export class LaggingList implements InstanceList {
   private readonly entries = new Map<ListedInstance, Milliseconds>()
 
