--- a/packages/stand-ins/__tests__/crashingRequest.spec.ts
+++ b/packages/stand-ins/__tests__/crashingRequest.spec.ts
@@ -22,12 +22,12 @@
 
 async function start(): Promise<ConfiguredFleet> {
   current = await new ConfiguredFleet({ instances: INSTANCES, engines: ENGINES }).start()
-  for (const engine of current.engines) engine.endsUnderWord = MARK
+  for (const engine of current.engines) engine.crashesOnWord = MARK
   return current
 }
 
 function ends(fleet: ConfiguredFleet): number {
-  return fleet.engines.reduce((sum, engine) => sum + engine.ends, 0)
+  return fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
 }
 
 function pause(milliseconds: number): Promise<void> {
--- a/packages/stand-ins/__tests__/deadlyMessages.spec.ts
+++ b/packages/stand-ins/__tests__/deadlyMessages.spec.ts
@@ -19,7 +19,7 @@
 
 async function start(): Promise<void> {
   fleet = await new ConfiguredFleet({ instances: INSTANCES, engines: ENGINES }).start()
-  for (const engine of fleet.engines) engine.endsUnderMessage = DEADLY
+  for (const engine of fleet.engines) engine.crashesOnMessage = DEADLY
 }
 
 afterEach(async () => {
@@ -57,7 +57,7 @@
         sendInTurn(DEADLY_INTERVAL_MILLISECONDS, deadlyChat),
         sendInTurn(SOUND_INTERVAL_MILLISECONDS, soundChat),
       ])
-      const ends = fleet.engines.reduce((sum, engine) => sum + engine.ends, 0)
+      const ends = fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
       expect(ends).toBeGreaterThan(0)
       expect(ends).toBeLessThanOrEqual(MOST_ENDS)
       expect(deadly.every(({ isWhole }) => !isWhole)).toBe(true)
--- a/packages/stand-ins/__tests__/endpointAdvice.spec.ts
+++ b/packages/stand-ins/__tests__/endpointAdvice.spec.ts
@@ -67,7 +67,7 @@
     const { fleet, first } = await start()
     await send(fleet, 1_000)
     const namedAt = Date.now()
-    first.says = { 'x-ratelimit-limit-requests': String(RATE * 60) }
+    first.answerHeaders = { 'x-ratelimit-limit-requests': String(RATE * 60) }
     const answers = await send(fleet, 9_000)
     const [toldAt = 0] = first.arrivals.filter(at => at >= namedAt)
     const most = mostInWindow(first.arrivals, toldAt + TOLD_MILLISECONDS)
@@ -85,7 +85,7 @@
     const { fleet, first } = await start()
     await send(fleet, 1_000)
     const saidAt = Date.now()
-    first.says = { 'x-endpoint-state': 'leaving' }
+    first.answerHeaders = { 'x-endpoint-state': 'leaving' }
     const answers = await send(fleet, 3_000)
     const [toldAt = 0] = first.arrivals.filter(at => at >= saidAt)
     expect(toldAt).toBeGreaterThan(0)
@@ -103,8 +103,8 @@
       const { fleet, first } = await start()
       await send(fleet, 1_000)
       const askedAt = Date.now()
-      first.turnsAwayWith = status
-      first.says = { 'retry-after': String(REST_SECONDS) }
+      first.rejectsWithStatus = status
+      first.answerHeaders = { 'retry-after': String(REST_SECONDS) }
       const answers = await send(fleet, REST_SECONDS * 1_000)
       const late = first.arrivals.filter(at => at > askedAt + GRACE_MILLISECONDS)
       // Each instance is asked for rest by an answer of its own.
@@ -143,12 +143,13 @@
     'with %i: every caller is told that its chat did not run, and when to come back',
     async status => {
       const { fleet } = await start()
-      const ran = () => fleet.engines.reduce((sum, { taken }) => sum + taken.length, 0)
+      const ran = () =>
+        fleet.engines.reduce((sum, { acceptedRequestIds }) => sum + acceptedRequestIds.length, 0)
       await send(fleet, 500)
       const ranBefore = ran()
       for (const engine of fleet.engines) {
-        engine.turnsAwayWith = status
-        engine.says = { 'retry-after': String(REST_SECONDS) }
+        engine.rejectsWithStatus = status
+        engine.answerHeaders = { 'retry-after': String(REST_SECONDS) }
       }
       const asked: Promise<Refusal>[] = []
       for (let number = 0; number < REQUESTS; number += 1) {
--- a/packages/stand-ins/__tests__/frontedEnds.spec.ts
+++ b/packages/stand-ins/__tests__/frontedEnds.spec.ts
@@ -38,9 +38,9 @@
   const fleet = await new ConfiguredFleet({ instances: INSTANCES, engines: ENGINES }).start()
   current = fleet
   for (const engine of fleet.engines) {
-    engine.endsUnderWord = MARK
+    engine.crashesOnWord = MARK
     engine.front = front
-    engine.backAfterMilliseconds = 2_000
+    engine.restartMilliseconds = 2_000
   }
   const [, others] = await Promise.all([
     sendInTurn(fleet, MARKED_INTERVAL_MILLISECONDS, () => ({ word: MARK })),
@@ -49,7 +49,7 @@
       prompt: `prompt ${count}`,
     })),
   ])
-  const ends = fleet.engines.reduce((sum, engine) => sum + engine.ends, 0)
+  const ends = fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
   const served = others.filter(({ isWhole }) => isWhole).length / others.length
   await fleet.stop()
   current = undefined
--- a/packages/stand-ins/__tests__/lostLinks.spec.ts
+++ b/packages/stand-ins/__tests__/lostLinks.spec.ts
@@ -78,7 +78,7 @@
     await start()
     links.cut('refused')
     await askFor(1_000)
-    expect(fleet.engines.map(({ ends }) => ends)).toEqual(fleet.engines.map(() => 0))
+    expect(fleet.engines.map(({ crashes }) => crashes)).toEqual(fleet.engines.map(() => 0))
     for (const { daemon } of fleet.fleet.members) {
       expect(daemon['crashes'].guard.suspects).toEqual([])
     }
--- a/packages/stand-ins/__tests__/processes.spec.ts
+++ b/packages/stand-ins/__tests__/processes.spec.ts
@@ -64,7 +64,7 @@
 
 afterEach(() => {
   for (const { process } of instances) process.kill('SIGKILL')
-  for (const engine of engines) engine.die()
+  for (const engine of engines) engine.terminate()
   platform.stop()
   rmSync(folder, { recursive: true })
 })
--- a/packages/stand-ins/__tests__/requestPath.spec.ts
+++ b/packages/stand-ins/__tests__/requestPath.spec.ts
@@ -102,7 +102,7 @@
     })
     await expect(answer).rejects.toThrow()
     await vi.waitFor(() => expect(engine!.cancelled).toBe(1), { timeout: 5_000 })
-    const [requestId = ''] = engine!.taken
+    const [requestId = ''] = engine!.acceptedRequestIds
     const record = await vi.waitUntil(async () => {
       const found = await explain(fleet, requestId)
       return found.code === undefined ? undefined : found
@@ -115,7 +115,7 @@
 
   it('turns to another engine when the first is dead before any byte', async () => {
     const fleet = await start({ engines: 2 })
-    fleet.engines[0]!.die()
+    fleet.engines[0]!.terminate()
     const demands = Array.from({ length: 12 }, (_, index) => ({ word: `w${index}-`, tokens: 3 }))
     const answers = await Promise.all(demands.map(d => streamChat(fleet.callers(), d)))
     expect(answers.every(answer => answer.isWhole)).toBe(true)
@@ -133,7 +133,7 @@
       expect(answer.isWhole).toBe(true)
       expect(answer.text).toBe(expectedText(demands[index]!))
     }
-    expect(late!.taken.length, 'attempts that were given up').toBeGreaterThan(0)
+    expect(late!.acceptedRequestIds.length, 'attempts that were given up').toBeGreaterThan(0)
   })
 
   it('goes on with an answer where the stand-in of an engine is told to', async () => {
@@ -157,7 +157,7 @@
 
   it('says that an answer broke off, never that it is whole, and bills nothing', async () => {
     const fleet = await start({ engines: 1 })
-    fleet.engines[0]!.breakAfterTokens = 4
+    fleet.engines[0]!.resetAfterTokens = 4
     const answer = await streamChat(fleet.callers(), { word: 'w', tokens: 20 })
     expect(answer).toMatchObject({ isWhole: false, errorCode: ResultCode.EndpointBrokeOff })
     expect(answer.text).toBe(expectedText({ word: 'w', tokens: 4 }))
@@ -197,7 +197,7 @@
       return `${name}: ${status} ${code} ${execution}`
     })
     expect(seen).toMatchSnapshot()
-    expect(fleet.engines.flatMap(engine => engine.taken)).toEqual([])
+    expect(fleet.engines.flatMap(engine => engine.acceptedRequestIds)).toEqual([])
   })
 
   it('runs what must not be repeated once, whatever instance is asked again', async () => {
@@ -254,11 +254,11 @@
     const fleet = await start({ engines: 2 })
     const [leaving] = fleet.engines
     leaving!.leave()
-    const before = leaving!.taken.length
+    const before = leaving!.acceptedRequestIds.length
     const demands = Array.from({ length: 10 }, () => ({ word: 'w', tokens: 2 }))
     const answers = await Promise.all(demands.map(d => streamChat(fleet.callers(1), d)))
     expect(answers.every(answer => answer.isWhole)).toBe(true)
-    expect(leaving!.taken.length).toBe(before)
+    expect(leaving!.acceptedRequestIds.length).toBe(before)
   })
 
   it('goes on through an outage of the store, and bills each request once afterwards', async () => {
--- a/packages/stand-ins/__tests__/waitsAtEndedEngine.spec.ts
+++ b/packages/stand-ins/__tests__/waitsAtEndedEngine.spec.ts
@@ -146,7 +146,7 @@
 /** Another engine is there from now on, at every instance. */
 async function addEngine({ fleet }: Play): Promise<EngineStandIn> {
   const engine = new EngineStandIn()
-  stops.push(() => engine.die())
+  stops.push(() => engine.terminate())
   await fleet.apply([endpoint('other', `http://127.0.0.1:${await engine.listen()}`)])
   return engine
 }
@@ -270,7 +270,7 @@
         errorCode: ResultCode.OutcomeUnknown,
         isAtOnce: true,
       })
-      expect(other.taken).toHaveLength(1)
+      expect(other.acceptedRequestIds).toHaveLength(1)
     },
     20_000,
   )
--- a/packages/stand-ins/src/configuredFleet.ts
+++ b/packages/stand-ins/src/configuredFleet.ts
@@ -81,7 +81,7 @@
 
   async stop(): Promise<void> {
     await this.fleet.stop()
-    for (const engine of this.engines) engine.die()
+    for (const engine of this.engines) engine.terminate()
     this.service.stop()
     this.platform.stop()
   }
--- a/packages/stand-ins/src/engine/engineModel.ts
+++ b/packages/stand-ins/src/engine/engineModel.ts
@@ -1,47 +1,47 @@
 /**
- * A model engine on virtual time. It works in steps: each generates one token of every answer in
- * progress and reads at most one piece of prompt, so that a long prompt slows all answers beside it.
+ * Models an engine on virtual time. The engine works in steps. Each step generates one token for every
+ * running answer and prefills at most one piece of prompts, so a long prompt slows all concurrent answers.
  */
 
 import type { Clock, EndpointId, Milliseconds, TokenCount } from '@rackwalk/shared'
 
-/** Speed and size of one engine. */
+/** The speed and the size of one engine. */
 export interface EngineCapacity {
-  /** Requests that run at once; the others wait. */
+  /** Number of requests that run concurrently; further ones wait. */
   readonly slots: number
-  /** Prompt tokens that one step reads at most, over all prompts. */
+  /** Maximum number of tokens, over all prompts, that one step prefills. */
   readonly pieceTokens: TokenCount
   readonly promptTokensPerMillisecond: number
-  /** What a step takes with nothing to do, */
+  /** Fixed duration of a step. */
   readonly stepMilliseconds: Milliseconds
-  /** more for each answer in progress, */
+  /** Additional duration of a step for each running answer. */
   readonly answerMilliseconds: Milliseconds
-  /** for each thousand tokens that those answers have before them, */
+  /** Additional duration for each thousand tokens in the contexts of the running answers. */
   readonly thousandContextMilliseconds: Milliseconds
-  /** and for each million pairs of a token read and a token before it. */
+  /** Additional duration for each million pairs of a prefilled token and a token that precedes it. */
   readonly millionPairsMilliseconds: Milliseconds
-  /** Tokens of prompt parts that are kept. */
+  /** Number of prompt tokens that the prefix cache holds. */
   readonly cacheTokens: TokenCount
 }
 
-/** A piece of prompt that engines keep by name. */
+/** A part of a prompt that engines cache under its id. */
 export interface EnginePromptPart {
   readonly id: string
   readonly tokens: TokenCount
 }
 
-/** A request as an engine sees it. */
+/** A request to an engine. */
 export interface EngineRequest {
   readonly parts: readonly EnginePromptPart[]
-  /** The whole prompt, parts that have no name included. */
+  /** Length of the whole prompt, including text that is in no part. */
   readonly promptTokens: TokenCount
   readonly answerTokens: TokenCount
-  /** One more token is made, the first when the prompt is read. */
+  /** Called for each generated token; for the first one at the end of the prefill. */
   readonly onToken: () => void
   readonly onEnd: () => void
 }
 
-/** What an engine's memory of prompts went through. */
+/** A change of an engine's prefix cache. */
 export interface CacheChange {
   readonly kind: 'stored' | 'removed'
   readonly ids: readonly string[]
@@ -49,9 +49,9 @@
 
 interface Run {
   readonly request: EngineRequest
-  /** Tokens of the prompt that lie before the next piece. */
+  /** Number of prompt tokens that are already prefilled or cached. */
   position: TokenCount
-  made: TokenCount
+  generatedTokens: TokenCount
 }
 
 /** One model engine. */
@@ -61,7 +61,7 @@
   private readonly waiting: EngineRequest[] = []
   private runs: Run[] = []
   private isStepping = false
-  /** Requests taken, and tokens of prompts with how many of them were found kept. */
+  /** Totals of submitted requests, their prompt tokens, and the tokens found in the prefix cache. */
   requests = 0
   promptTokens = 0
   hitTokens = 0
@@ -81,17 +81,17 @@
     return this.waiting.length
   }
 
-  /** Prompt tokens of requests that wait. */
+  /** Prompt tokens of waiting requests. */
   get waitingTokens(): TokenCount {
     return this.waiting.reduce((sum, { promptTokens }) => sum + promptTokens, 0)
   }
 
-  /** Share of the memory for prompts that is in use. */
+  /** Share of the prefix cache that is in use. */
   get cacheUse(): number {
     return this.cachedTokens / this.capacity.cacheTokens
   }
 
-  /** Takes a request. */
+  /** Queues a request; it runs as soon as a slot is free. */
   submit(request: EngineRequest): void {
     this.requests += 1
     this.waiting.push(request)
@@ -102,19 +102,24 @@
     this.admit()
     this.isStepping = this.runs.length > 0
     if (!this.isStepping) return
-    const generating = this.runs.filter(isRead)
-    const duration = this.generationTime() + this.readPiece()
+    const generating = this.runs.filter(isPrefilled)
+    const duration = this.generationTime() + this.prefillPiece()
     this.clock.after(duration, () => {
-      const isFirst = (run: Run) => isRead(run) && run.made === 0
-      for (const run of [...generating, ...this.runs.filter(isFirst)]) this.makeToken(run)
-      this.runs = this.runs.filter(({ request, made }) => made < request.answerTokens)
+      const isFirst = (run: Run) => isPrefilled(run) && run.generatedTokens === 0
+      for (const run of [...generating, ...this.runs.filter(isFirst)]) this.generateToken(run)
+      this.runs = this.runs.filter(
+        ({ request, generatedTokens: made }) => made < request.answerTokens,
+      )
       this.step()
     })
   }
 
   private generationTime(): Milliseconds {
     const { stepMilliseconds, answerMilliseconds, thousandContextMilliseconds } = this.capacity
-    const context = this.runs.reduce((sum, { position, made }) => sum + position + made, 0)
+    const context = this.runs.reduce(
+      (sum, { position, generatedTokens: made }) => sum + position + made,
+      0,
+    )
     const byAnswers = answerMilliseconds * this.runs.length
     return stepMilliseconds + byAnswers + (thousandContextMilliseconds * context) / 1000
   }
@@ -123,12 +128,12 @@
     while (this.runs.length < this.capacity.slots) {
       const request = this.waiting.shift()
       if (request === undefined) return
-      this.runs.push({ request, position: this.keptTokens(request), made: 0 })
+      this.runs.push({ request, position: this.cachedPromptTokens(request), generatedTokens: 0 })
     }
   }
 
-  /** Reads up to one piece, of the oldest prompts first; the time that it takes. */
-  private readPiece(): Milliseconds {
+  /** Prefills up to one piece, oldest prompts first. Returns the time that the prefill takes. */
+  private prefillPiece(): Milliseconds {
     const { pieceTokens, promptTokensPerMillisecond, millionPairsMilliseconds } = this.capacity
     let left = pieceTokens
     let pairs = 0
@@ -142,21 +147,21 @@
     return tokens / promptTokensPerMillisecond + (pairs / 1e6) * millionPairsMilliseconds
   }
 
-  private makeToken(run: Run): void {
-    run.made += 1
+  private generateToken(run: Run): void {
+    run.generatedTokens += 1
     run.request.onToken()
-    if (run.made >= run.request.answerTokens) run.request.onEnd()
+    if (run.generatedTokens >= run.request.answerTokens) run.request.onEnd()
   }
 
-  /** Tokens at the beginning of a prompt that are kept; its parts are kept from now on. */
-  private keptTokens({ parts, promptTokens }: EngineRequest): TokenCount {
+  /** Returns the number of leading prompt tokens found in the cache, and caches all parts of the prompt. */
+  private cachedPromptTokens({ parts, promptTokens }: EngineRequest): TokenCount {
     const firstMissing = parts.findIndex(({ id }) => !this.cache.has(id))
     const kept = firstMissing < 0 ? parts : parts.slice(0, firstMissing)
     const tokens = kept.reduce((sum, part) => sum + part.tokens, 0)
     this.promptTokens += promptTokens
     this.hitTokens += tokens
     this.store(parts)
-    // The last token of a prompt is read in any case: it makes the first one of the answer.
+    // The last prompt token is always prefilled, because it generates the first token of the answer.
     return Math.min(tokens, promptTokens - 1)
   }
 
@@ -190,6 +195,6 @@
   }
 }
 
-function isRead({ request, position }: Run): boolean {
+function isPrefilled({ request, position }: Run): boolean {
   return position >= request.promptTokens
 }
--- a/packages/stand-ins/src/engine/engineStandIn.ts
+++ b/packages/stand-ins/src/engine/engineStandIn.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine for tests: times, caches and refuses as one would. Its shapes are this project's own; no
- * real engine is met here.
+ * A stand-in for a model engine with the timing, the prefix cache and the refusals of an engine. Its load
+ * report, cache events and orders use this project's own formats, not those of a real engine.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -10,27 +10,30 @@
 import { LocalServer } from '../localServer.js'
 import { PrefixCache } from './prefixCache.js'
 
-/** How an engine behaves. */
+/** The behavior of an engine stand-in. */
 export interface EngineOptions {
   readonly models: readonly string[]
-  /** Requests generated for at the same time. */
+  /** Number of requests that run concurrently. */
   readonly slots: number
   /** Time between two tokens of an answer. */
   readonly tokenMilliseconds: number
   readonly prefillTokensPerSecond: number
-  /** Blocks of prompt text that the cache keeps. */
+  /** Number of blocks of prompt text that the prefix cache holds. */
   readonly cacheBlocks: number
-  /** Age of what a load report tells. */
+  /** Age of the state in a load report, and delay of cache events. */
   readonly reportLagMilliseconds: number
-  /** Every so many cache events one is lost; 0 for none. */
+  /** One in this many cache events is lost; 0 for none. */
   readonly eventGapEvery: number
   readonly defaultAnswerTokens: number
   readonly checksOrders: boolean
-  /** Whether it goes on after the last message of a chat that says so; one that does not begins anew. */
+  /**
+   * Whether the engine continues the last message of a chat that asks for it. Otherwise it starts a new
+   * answer.
+   */
   readonly continuesAnswers: boolean
 }
 
-/** What an API server or a sidecar does whose engine has ended. */
+/** The behavior of an API server or a sidecar whose engine has crashed. */
 export type EngineFront = 'closes' | 'silent' | 'answers 500' | 'answers 503'
 
 const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
@@ -46,9 +49,9 @@
   continuesAnswers: true,
 }
 
-/** Tokens of an answer that its caller has already; generation goes on after them. */
+/** Number of answer tokens that the caller already has; generation continues after them. */
 const RESUME_HEADER = 'x-resume-after'
-const KEPT_EVENTS = 1_000
+const MAXIMUM_EVENTS = 1_000
 
 const bodySchema = z.looseObject({
   model: z.string(),
@@ -59,7 +62,7 @@
   max_tokens: z.number().int().positive().nullish(),
   priority: z.number().default(0),
   continue_final_message: z.boolean().nullish(),
-  /** What the stand-in is to answer; a field of its own that the router passes on. */
+  /** The answer that the test demands. The router passes this additional field on unchanged. */
   stand_in: z
     .looseObject({ tokens: z.number().optional(), word: z.string().optional() })
     .optional(),
@@ -79,10 +82,10 @@
   readonly response: ServerResponse
   readonly promptTokens: number
   readonly answerTokens: number
-  /** Prompt tokens still to be taken in. */
+  /** Prompt tokens that are not yet prefilled. */
   prefillLeft: number
   sent: number
-  /** Tokens of the answer that were there before. */
+  /** Tokens of the answer that the request's last message already contains. */
   readonly begun: number
 }
 
@@ -92,14 +95,14 @@
 }
 
 /**
- * Stands in for a model engine: continuous batching with a token rate, a prefix cache of
- * limited size, priorities, cancelling, reports that lag, cache events with gaps, and
- * fenced orders. It leaves, dies or stalls on command.
+ * Stands in for a model engine: continuous batching with a token rate, a prefix cache of limited size,
+ * priorities, cancellation, delayed reports, cache events with gaps, and fenced orders. Tests make it
+ * leave, terminate, crash or stall.
  */
 export class EngineStandIn extends LocalServer {
   readonly options: EngineOptions
   private readonly cache: PrefixCache
-  private readonly loaded = new Map<string, string>()
+  private readonly loadedModels = new Map<string, string>()
   private waiting: Job[] = []
   private running: Job[] = []
   private snapshots: Snapshot[] = []
@@ -109,37 +112,37 @@
   private leaving = false
   private stalled = false
   private timer: NodeJS.Timeout | undefined
-  /** Requests that were taken, by the id that the router gave them. */
-  readonly taken: string[] = []
+  /** Router-assigned ids of all accepted requests. */
+  readonly acceptedRequestIds: string[] = []
   generatedTokens = 0
   cancelled = 0
-  /** Ends as it begins to run a request whose answer would have this word, and is back after a while. */
-  endsUnderWord: string | undefined
-  /** The same of a chat that holds a message with this content. */
-  endsUnderMessage: string | undefined
-  /** Time from such an end to the next start under the same address. */
-  backAfterMilliseconds = 1_500
-  /** What goes on listening at its address when it has ended so; nothing where undefined. */
+  /** The engine crashes when it starts to run a request whose demanded word is this one, and then restarts. */
+  crashesOnWord: string | undefined
+  /** The engine crashes when it starts to run a chat that contains a message with this content. */
+  crashesOnMessage: string | undefined
+  /** Time from a crash to the restart at the same address. */
+  restartMilliseconds = 1_500
+  /** The server that keeps listening at the address after a crash; undefined for none. */
   front: EngineFront | undefined
   private isBehindFront = false
-  /** How often it has ended so. */
-  ends = 0
+  /** Number of crashes caused by a request. */
+  crashes = 0
   private port = 0
-  private revival: NodeJS.Timeout | undefined
-  /** Headers of each answer to a chat, in which it says something of itself. */
-  says: Readonly<Record<string, string>> = {}
-  /** Times at which chats reached it. */
+  private restartTimer: NodeJS.Timeout | undefined
+  /** Headers added to each answer to a chat, such as advice of the endpoint. */
+  answerHeaders: Readonly<Record<string, string>> = {}
+  /** Wall-clock times at which chats arrived. */
   readonly arrivals: number[] = []
-  /** Turns each chat away unrun with this status; undefined where it takes them. */
-  turnsAwayWith: number | undefined
-  /** Breaks the connection off after so many tokens of each answer. */
-  breakAfterTokens: number | undefined
+  /** Status with which each chat is rejected before it runs; undefined to accept chats. */
+  rejectsWithStatus: number | undefined
+  /** Number of answer tokens after which the connection is destroyed; undefined for never. */
+  resetAfterTokens: number | undefined
 
   constructor(options: Partial<EngineOptions> = {}) {
     super()
     this.options = { ...DEFAULT_ENGINE_OPTIONS, ...options }
     this.cache = new PrefixCache(this.options.cacheBlocks)
-    for (const model of this.options.models) this.loaded.set(model, '1')
+    for (const model of this.options.models) this.loadedModels.set(model, '1')
   }
 
   override async listen(port = 0): Promise<number> {
@@ -149,12 +152,12 @@
     return bound
   }
 
-  /** Takes no new requests and says so; those in progress go on. */
+  /** Rejects new requests with the state "leaving". Running requests continue. */
   leave(): void {
     this.leaving = true
   }
 
-  /** Stops sending tokens without closing anything. */
+  /** Stops sending tokens, but keeps all connections open. */
   stall(): void {
     this.stalled = true
   }
@@ -163,10 +166,10 @@
     this.stalled = false
   }
 
-  /** Breaks off everything at once. */
-  die(): void {
+  /** Stops the engine immediately and closes all connections. */
+  terminate(): void {
     clearInterval(this.timer)
-    clearTimeout(this.revival)
+    clearTimeout(this.restartTimer)
     this.stop()
   }
 
@@ -180,7 +183,7 @@
     if (url.pathname === '/load') return answer(response, 200, this.laggedReport())
     if (url.pathname === '/cache-events') return this.answerEvents(url, response)
     const body: unknown = JSON.parse(raw.toString('utf8'))
-    if (url.pathname === '/orders') return this.obey(body, response)
+    if (url.pathname === '/orders') return this.applyOrder(body, response)
     if (url.pathname === '/v1/chat/completions') return this.chat(request, body, response)
     answer(response, 404, {})
   }
@@ -188,56 +191,56 @@
   private chat(request: IncomingMessage, document: unknown, response: ServerResponse): void {
     const body = bodySchema.parse(document)
     this.arrivals.push(Date.now())
-    for (const [name, value] of Object.entries(this.says)) response.setHeader(name, value)
-    if (this.turnsAwayWith !== undefined) return answer(response, this.turnsAwayWith, {})
+    for (const [name, value] of Object.entries(this.answerHeaders)) response.setHeader(name, value)
+    if (this.rejectsWithStatus !== undefined) return answer(response, this.rejectsWithStatus, {})
     if (this.leaving) return answer(response, 503, {}, { 'x-endpoint-state': 'leaving' })
-    if (!this.loaded.has(body.model)) return answer(response, 404, { error: 'not loaded' })
-    this.taken.push(String(request.headers['x-request-id']))
+    if (!this.loadedModels.has(body.model)) return answer(response, 404, { error: 'not loaded' })
+    this.acceptedRequestIds.push(String(request.headers['x-request-id']))
     const prompt = Buffer.from(JSON.stringify([body.messages, body.tools ?? null]))
     const cachedTokens = this.lookUp(prompt)
     const promptTokens = promptTokenEstimate(prompt.length)
-    const wished = body.stand_in?.tokens ?? this.options.defaultAnswerTokens
+    const demand = body.stand_in?.tokens ?? this.options.defaultAnswerTokens
     const begun = this.wordsToContinue(body)
     const job: Job = {
       body,
       response,
       promptTokens,
-      answerTokens: Math.min(wished, begun + (body.max_tokens ?? wished)),
+      answerTokens: Math.min(demand, begun + (body.max_tokens ?? demand)),
       prefillLeft: Math.max(1, promptTokens - cachedTokens),
       sent: begun + Number(request.headers[RESUME_HEADER] ?? 0),
       begun,
     }
-    response.once('close', () => this.forget(job))
+    response.once('close', () => this.cancel(job))
     this.waiting.push(job)
     this.waiting.sort((left, right) => left.body.priority - right.body.priority)
   }
 
-  /** Words of the last message where generation is to go on after them. */
+  /** Returns the number of words in the last message if generation continues after them, else 0. */
   private wordsToContinue({ continue_final_message, messages }: ChatBody): number {
     const text = messages.at(-1)?.['content']
-    const isToGoOn = this.options.continuesAnswers && continue_final_message === true
-    if (!isToGoOn || typeof text !== 'string') return 0
+    const isContinuation = this.options.continuesAnswers && continue_final_message === true
+    if (!isContinuation || typeof text !== 'string') return 0
     return text.split(' ').filter(word => word !== '').length
   }
 
-  /** Its process is gone; another one listens at its address after a while. */
-  private end(): void {
-    this.ends += 1
+  /** Simulates a crash of the engine's process and a restart at the same address. */
+  private crash(): void {
+    this.crashes += 1
     this.waiting = []
     this.running = []
-    if (this.front !== undefined) return this.endBehindFront()
-    this.die()
-    this.revival = setTimeout(() => void this.listen(this.port), this.backAfterMilliseconds)
+    if (this.front !== undefined) return this.crashBehindFront()
+    this.terminate()
+    this.restartTimer = setTimeout(() => void this.listen(this.port), this.restartMilliseconds)
   }
 
-  private endBehindFront(): void {
+  private crashBehindFront(): void {
     clearInterval(this.timer)
     this.isBehindFront = true
-    this.breakAll()
-    this.revival = setTimeout(() => {
+    this.closeAllConnections()
+    this.restartTimer = setTimeout(() => {
       this.isBehindFront = false
       this.timer = setInterval(() => this.step(), this.options.tokenMilliseconds)
-    }, this.backAfterMilliseconds)
+    }, this.restartMilliseconds)
   }
 
   private answerFront(response: ServerResponse): void {
@@ -246,11 +249,11 @@
     if (this.front === 'answers 503') return answer(response, 503, { error: 'no engine' })
   }
 
-  /** One step of the batch: takes prompts in, then sends a token of every answer. */
+  /** Runs one step of the batch: prefills prompts, then sends a token of every prefilled request. */
   private step(): void {
     this.takeSnapshot()
     if (this.stalled) return
-    if (!this.beginWaiting()) return
+    if (!this.startWaiting()) return
     let prefill = (this.options.prefillTokensPerSecond * this.options.tokenMilliseconds) / 1000
     for (const job of [...this.running]) {
       if (job.prefillLeft > 0) {
@@ -262,31 +265,31 @@
     }
   }
 
-  /** Begins what there are slots for; false where the engine has ended under it. */
-  private beginWaiting(): boolean {
+  /** Starts waiting requests while slots are free. Returns false if one of them crashes the engine. */
+  private startWaiting(): boolean {
     while (this.running.length < this.options.slots) {
       const next = this.waiting.shift()
       if (next === undefined) return true
       this.running.push(next)
-      if (!this.endsUnder(next.body)) continue
-      this.end()
+      if (!this.isCrashInducing(next.body)) continue
+      this.crash()
       return false
     }
     return true
   }
 
-  private endsUnder({ stand_in: wished, messages }: ChatBody): boolean {
-    const { endsUnderWord, endsUnderMessage } = this
-    if (wished?.word !== undefined && wished.word === endsUnderWord) return true
-    if (endsUnderMessage === undefined) return false
-    return JSON.stringify(messages).includes(endsUnderMessage)
+  private isCrashInducing({ stand_in: demand, messages }: ChatBody): boolean {
+    const { crashesOnWord, crashesOnMessage } = this
+    if (demand?.word !== undefined && demand.word === crashesOnWord) return true
+    if (crashesOnMessage === undefined) return false
+    return JSON.stringify(messages).includes(crashesOnMessage)
   }
 
   private sendToken(job: Job): void {
     const word = job.body.stand_in?.word ?? 'token'
     job.sent += 1
     this.generatedTokens += 1
-    if (this.breakAfterTokens !== undefined && job.sent > this.breakAfterTokens) {
+    if (this.resetAfterTokens !== undefined && job.sent > this.resetAfterTokens) {
       job.response.destroy()
       return
     }
@@ -308,7 +311,7 @@
     job.response.end('data: [DONE]\n\n')
   }
 
-  private forget(job: Job): void {
+  private cancel(job: Job): void {
     const wasOpen = this.running.includes(job) || this.waiting.includes(job)
     if (!wasOpen) return
     this.cancelled += 1
@@ -330,9 +333,9 @@
     const isLost = eventGapEvery > 0 && this.sequence % eventGapEvery === 0
     if (isLost) return
     const event = { sequence: this.sequence, kind, hashes }
-    // Events come as late as load reports do, in their order.
+    // Events are published in order, with the same delay as load reports.
     setTimeout(() => {
-      this.events = [...this.events, event].slice(-KEPT_EVENTS)
+      this.events = [...this.events, event].slice(-MAXIMUM_EVENTS)
     }, this.options.reportLagMilliseconds).unref()
   }
 
@@ -341,14 +344,14 @@
     answer(response, 200, { events: this.events.filter(event => event.sequence > after) })
   }
 
-  private obey(document: unknown, response: ServerResponse): void {
+  private applyOrder(document: unknown, response: ServerResponse): void {
     const order = orderSchema.parse(document)
     if (this.options.checksOrders && order.epoch < this.lastEpoch) {
       return answer(response, 409, { epoch: this.lastEpoch })
     }
     this.lastEpoch = Math.max(this.lastEpoch, order.epoch)
-    if (order.action === 'load') this.loaded.set(order.model, order.version)
-    else this.loaded.delete(order.model)
+    if (order.action === 'load') this.loadedModels.set(order.model, order.version)
+    else this.loadedModels.delete(order.model)
     answer(response, 200, {})
   }
 
@@ -371,7 +374,7 @@
       cacheUse: this.cache.use([]).fill,
       queuedPromptTokens: Math.max(0, queued),
       leaving: this.leaving,
-      loaded: [...this.loaded].map(([model, version]) => ({ model, version })),
+      loaded: [...this.loadedModels].map(([model, version]) => ({ model, version })),
     }
   }
 }
--- a/packages/stand-ins/src/engine/prefixCache.ts
+++ b/packages/stand-ins/src/engine/prefixCache.ts
@@ -1,10 +1,10 @@
-/** What one prompt did to the cache. */
-export interface CacheUse {
-  /** Leading blocks that were there. */
+/** The effect of one prompt on the cache. */
+export interface CacheUseResult {
+  /** Number of leading blocks that the cache already held. */
   readonly matched: number
   readonly stored: readonly string[]
   readonly removed: readonly string[]
-  /** Share of the cache in use. */
+  /** Share of the cache that is in use. */
   readonly fill: number
 }
 
@@ -14,7 +14,7 @@
 
   constructor(private readonly capacity: number) {}
 
-  use(hashes: readonly string[]): CacheUse {
+  use(hashes: readonly string[]): CacheUseResult {
     let matched = 0
     while (matched < hashes.length && this.blocks.has(hashes[matched] ?? '')) matched += 1
     const stored = hashes.filter(hash => !this.blocks.has(hash))
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -38,7 +38,12 @@
 export type { LongPromptVariation } from './replay/longPromptLoad.js'
 export { EngineModel } from './engine/engineModel.js'
 export type { CacheChange, EngineCapacity } from './engine/engineModel.js'
-export { CrashCountLimit, IsolationQuarantine, UnlimitedRetries, replayCrashes } from './replay/crashReplay.js'
+export {
+  CrashCountLimit,
+  IsolationQuarantine,
+  UnlimitedRetries,
+  replayCrashes,
+} from './replay/crashReplay.js'
 export type { CrashLoad, CrashOutcome, CrashPolicy } from './replay/crashReplay.js'
 export {
   EqualShareRate,
--- a/packages/stand-ins/src/localServer.ts
+++ b/packages/stand-ins/src/localServer.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
-const KEPT_MILLISECONDS = 60_000
+const KEEP_ALIVE_MILLISECONDS = 60_000
 
 /** An HTTP server on the loopback address; stand-ins say how it answers. */
 export abstract class LocalServer {
@@ -11,7 +11,7 @@
 
   constructor() {
     this.server = createServer((request, response) => void this.receive(request, response))
-    this.server.keepAliveTimeout = KEPT_MILLISECONDS
+    this.server.keepAliveTimeout = KEEP_ALIVE_MILLISECONDS
   }
 
   /** Listens, on a free port unless one is given, and gives the port. */
@@ -31,7 +31,7 @@
   }
 
   /** Breaks all connections off, and goes on listening. */
-  protected breakAll(): void {
+  protected closeAllConnections(): void {
     this.server.closeAllConnections()
   }
 
