--- a/packages/stand-ins/__tests__/heldAnswers.spec.ts
+++ b/packages/stand-ins/__tests__/heldAnswers.spec.ts
@@ -81,7 +81,7 @@
     for (const { status, body, ending } of replies) {
       expect({ status, body, ending }).toEqual({ status: 200, body: DOCUMENT, ending: 'length' })
     }
-    expect(endpoints.flatMap(({ taken }) => taken)).toHaveLength(2 * REQUESTS)
+    expect(endpoints.flatMap(({ receivedRequests: taken }) => taken)).toHaveLength(2 * REQUESTS)
   })
 
   it('is never asked for again where the request may run once', async () => {
@@ -92,7 +92,7 @@
       status: 409,
       error: { execution: 'unknown', repeatable: false },
     })
-    expect(endpoints.flatMap(({ taken }) => taken)).toHaveLength(1)
+    expect(endpoints.flatMap(({ receivedRequests: taken }) => taken)).toHaveLength(1)
   })
 
   it('is an error in place of it where nothing of it was passed on, however late it breaks', async () => {
--- a/packages/stand-ins/src/chatClient.ts
+++ b/packages/stand-ins/src/chatClient.ts
@@ -1,16 +1,16 @@
-/** A caller of the OpenAI-style kind, as tests and measurements need it. */
+/** A caller of the OpenAI-style kind, for tests and measurements. */
 
 import { Agent, request } from 'undici'
 import { TEAM_KEY } from './configuredFleet.js'
 
-/** What a caller asks of the stand-in of an engine. */
+/** A chat request, and the answer that the engine's stand-in generates for it. */
 export interface ChatDemand {
   readonly word: string
   readonly tokens: number
   readonly key?: string
   readonly headers?: Readonly<Record<string, string>>
   readonly prompt?: string
-  /** Contents of all its messages, in place of a prompt. */
+  /** Contents of all messages; replaces `prompt`. */
   readonly messages?: readonly string[]
   readonly maximumTokens?: number
   readonly signal?: AbortSignal
@@ -18,12 +18,12 @@
   readonly onText?: (text: string) => void
 }
 
-/** A whole streamed answer as its caller has it. */
+/** A streamed answer as its caller received it. */
 export interface ChatAnswer {
   readonly status: number
   readonly requestId: string
   readonly text: string
-  /** Whether the stream came to its proper end. */
+  /** Whether the stream ended with its end marker. */
   readonly isWhole: boolean
   readonly errorCode: number | undefined
   readonly firstByteMilliseconds: number
@@ -37,7 +37,7 @@
 
 const agent = new Agent({ connections: 1024, pipelining: 1, bodyTimeout: 0, headersTimeout: 0 })
 
-/** Sends a streamed chat request and reads its answer to the end. */
+/** Sends a streamed chat request and reads the whole answer. */
 export async function streamChat(address: string, demand: ChatDemand): Promise<ChatAnswer> {
   const started = performance.now()
   const response = await request(`${address}/v1/chat/completions`, {
@@ -76,12 +76,12 @@
   }
 }
 
-/** The text that the stand-in answers a demand with. */
+/** Returns the text that the engine's stand-in generates for a demand. */
 export function expectedText({ word, tokens }: Pick<ChatDemand, 'word' | 'tokens'>): string {
   return Array.from({ length: tokens }, (_, index) => `${word}${index + 1} `).join('')
 }
 
-/** The body of a chat request. */
+/** Returns the body of a chat request. */
 export function chatBody(demand: ChatDemand, stream: boolean): string {
   return JSON.stringify({
     model: 'assistant',
--- a/packages/stand-ins/src/configuredFleet.ts
+++ b/packages/stand-ins/src/configuredFleet.ts
@@ -1,6 +1,4 @@
-/**
- * A small fleet of the OpenAI-style kind that is configured and serves, for tests that begin there.
- */
+/** A small fleet of the OpenAI-style kind that is configured and serves requests, for tests. */
 
 import { hashApiKey } from '@rackwalk/router'
 import type { Logger } from '@rackwalk/daemon'
@@ -12,7 +10,7 @@
 import type { ResourceDocument } from './operatorClient.js'
 import { ServiceStandIn } from './serviceStandIn.js'
 
-/** What a configured fleet has. */
+/** Options of a configured fleet. */
 export interface ConfiguredFleetOptions extends Partial<Omit<FleetOptions, 'logger'>> {
   readonly engines?: number
   readonly engineOptions?: Partial<EngineOptions>
@@ -41,7 +39,7 @@
       instances: 3,
       operatorToken: 'operator-token',
       logger: SILENT,
-      // Short periods, since tests wait for what heartbeats bring.
+      // Short periods, because tests wait for state that arrives with heartbeats.
       timings: {
         heartbeatMilliseconds: 150,
         configurationMilliseconds: 300,
@@ -59,7 +57,7 @@
     return this
   }
 
-  /** Writes resources and waits until they are in force everywhere. */
+  /** Writes resources and waits until all instances have applied them. */
   async apply(resources: readonly ResourceDocument[]): Promise<void> {
     let revision = 0
     for (const resource of resources) {
@@ -70,7 +68,7 @@
     await this.fleet.whenInForce(revision)
   }
 
-  /** Callers' address of an instance. */
+  /** Returns the URL on which an instance serves callers. */
   callers(number = 0): string {
     return `http://${this.addresses(number).callers}`
   }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Fakes of the platform and of endpoints, for tests, benches and the quick start. */
+/** Stand-ins for the platform and for endpoints, for tests, benches and the quick start. */
 export { EngineStandIn } from './engine/engineStandIn.js'
 export type { EngineFront } from './engine/engineStandIn.js'
 export { LocalFleet } from './localFleet.js'
--- a/packages/stand-ins/src/localFleet.ts
+++ b/packages/stand-ins/src/localFleet.ts
@@ -1,4 +1,4 @@
-/** Several real daemons of the OpenAI-style kind in one process. */
+/** Runs several real daemons of the OpenAI-style kind in one process. */
 
 import { asId } from '@rackwalk/shared'
 import type { InstanceId } from '@rackwalk/shared'
@@ -8,18 +8,18 @@
 import type { LocalPlatform } from './localPlatform.js'
 import { OperatorClient } from './operatorClient.js'
 
-/** How a fleet in one process is laid out. */
+/** Options of a fleet in one process. */
 export interface FleetOptions {
   readonly instances: number
   readonly operatorToken: string
-  /** First ports of the listeners; undefined takes free ones. */
+  /** Ports of the first instance, counted up for the others; undefined for free ports. */
   readonly ports?: { readonly callers: number; readonly operators: number }
   readonly logger?: Logger
   readonly timings?: Partial<Settings['timings']>
   readonly limits?: Partial<Settings['limits']>
 }
 
-/** What a fleet needs of the platform's stand-ins, which may run in another thread. */
+/** The parts of the platform's stand-ins that a fleet uses; the stand-ins may run in another thread. */
 export type FleetPlatform = Pick<LocalPlatform, 'tableUrl' | 'objectUrl' | 'publishInstances'>
 
 /** One instance of the fleet with its addresses. */
@@ -32,7 +32,7 @@
 const FAILURE_DOMAINS = ['a', 'b', 'c', 'd']
 const READY_POLL_MILLISECONDS = 20
 
-/** Several real daemons in one process, over the platform's stand-ins. */
+/** Several real daemons in one process that use the platform's stand-ins. */
 export class LocalFleet {
   readonly members: FleetMember[] = []
 
@@ -40,18 +40,18 @@
     private readonly platform: FleetPlatform,
     private readonly options: FleetOptions,
   ) {
-    // The settings name secrets; the stand-ins take any.
+    // The settings require names of secrets; the stand-ins accept any secret.
     process.env['RACKWALK_STAND_IN_SECRET'] ??= 'stand-in'
   }
 
-  /** Starts all instances and waits until each serves. */
+  /** Starts all instances and waits until all of them serve. */
   async start(): Promise<void> {
     for (let number = 0; number < this.options.instances; number += 1) await this.add(number)
     await this.publish()
     await this.whenServing()
   }
 
-  /** Starts one instance under a number; a number used before is a replacement. */
+  /** Starts the instance with the given number. A number that was used before starts its replacement. */
   async add(number: number): Promise<FleetMember> {
     const settings = this.settingsOf(number)
     const daemon = new RackwalkDaemon(settings, {
@@ -64,7 +64,7 @@
     return member
   }
 
-  /** Tells the platform's list what is running. */
+  /** Publishes the running instances in the platform's instance list. */
   async publish(): Promise<void> {
     await this.platform.publishInstances(
       this.members.map(({ instanceId, addresses }) => ({
@@ -75,7 +75,7 @@
     )
   }
 
-  /** Resolves when all instances serve and know each other. */
+  /** Resolves when all instances serve and have all others in their membership. */
   async whenServing(): Promise<void> {
     const isReady = () =>
       this.members.every(
@@ -85,7 +85,7 @@
     while (!isReady()) await new Promise(resolve => setTimeout(resolve, READY_POLL_MILLISECONDS))
   }
 
-  /** Resolves when a configuration revision is in force everywhere. */
+  /** Resolves when all instances have applied the configuration revision. */
   async whenInForce(revision: number): Promise<void> {
     const isInForce = () =>
       this.members.every(({ daemon }) => daemon.node.configuration.revision >= revision)
@@ -97,7 +97,7 @@
     return new OperatorClient(member.addresses.operators, this.options.operatorToken)
   }
 
-  /** Ends one instance as a death would. */
+  /** Stops one instance without draining it, as a crash would. */
   async kill(member: FleetMember): Promise<void> {
     this.members.splice(this.members.indexOf(member), 1)
     await member.daemon.stop()
--- a/packages/stand-ins/src/localPlatform.ts
+++ b/packages/stand-ins/src/localPlatform.ts
@@ -1,6 +1,4 @@
-/**
- * The platform of the OpenAI-style kind on loopback: table, objects and the list of instances.
- */
+/** The stand-ins of the OpenAI-style kind's platform: table, object store and instance list. */
 
 import { SystemClock, SystemRandom } from '@rackwalk/shared'
 import { INSTANCE_LIST_KEY } from '@rackwalk/stores'
@@ -11,7 +9,7 @@
 import { MemoryTable } from './platform/memoryTable.js'
 import { S3StandIn } from './platform/s3StandIn.js'
 
-/** The platform's stand-ins on loopback ports of their own. */
+/** Runs the platform's stand-ins on their own loopback ports. */
 export class LocalPlatform {
   readonly table = new MemoryTable()
   readonly objects = new MemoryObjects()
@@ -44,7 +42,7 @@
     return `http://127.0.0.1:${this.objectPort}`
   }
 
-  /** Publishes the list of instances as the platform would, once it has noticed. */
+  /** Publishes the list of instances, as the platform does after it has noticed a change. */
   async publishInstances(instances: readonly ListedInstance[]): Promise<void> {
     await this.objects.put(INSTANCE_LIST_KEY, Buffer.from(JSON.stringify(instances)))
   }
--- a/packages/stand-ins/src/localServer.ts
+++ b/packages/stand-ins/src/localServer.ts
@@ -1,11 +1,11 @@
-/** An HTTP server on a loopback port that the system chooses; base of the stand-ins. */
+/** The base of stand-ins that are HTTP servers on a loopback port. */
 
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
 const KEEP_ALIVE_MILLISECONDS = 60_000
 
-/** An HTTP server on the loopback address; stand-ins say how it answers. */
+/** An HTTP server on the loopback address. Subclasses answer its requests. */
 export abstract class LocalServer {
   private readonly server: Server
 
@@ -14,7 +14,7 @@
     this.server.keepAliveTimeout = KEEP_ALIVE_MILLISECONDS
   }
 
-  /** Listens, on a free port unless one is given, and gives the port. */
+  /** Listens on the given port, or on a free one for 0, and returns the port. */
   listen(port = 0): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject)
@@ -30,7 +30,7 @@
     this.server.closeAllConnections()
   }
 
-  /** Breaks all connections off, and goes on listening. */
+  /** Closes all connections, but keeps listening. */
   protected closeAllConnections(): void {
     this.server.closeAllConnections()
   }
@@ -46,7 +46,7 @@
     try {
       for await (const chunk of request) chunks.push(chunk as Buffer)
     } catch {
-      // The other side broke its request off; there is nobody to answer.
+      // The client aborted its request, so no answer is needed.
       return
     }
     await this.handle(request, Buffer.concat(chunks), response)
--- a/packages/stand-ins/src/operatorClient.ts
+++ b/packages/stand-ins/src/operatorClient.ts
@@ -1,15 +1,15 @@
-/** An operator's calls to the operator API, for tests and the quick start. */
+/** A client of the operator API, for tests and the quick start. */
 
 import { request } from 'undici'
 
-/** A resource as an operator writes it. */
+/** A resource document that an operator writes. */
 export interface ResourceDocument {
   readonly kind: string
   readonly metadata: { readonly name: string; readonly labels?: Record<string, string> }
   readonly spec: unknown
 }
 
-/** Speaks the operator API, as tests and the quick start need it. */
+/** Calls the operator API of one instance with an operator's token. */
 export class OperatorClient {
   constructor(
     private readonly address: string,
--- a/packages/stand-ins/src/quickstart.ts
+++ b/packages/stand-ins/src/quickstart.ts
@@ -1,5 +1,5 @@
 /**
- * Brings a whole fleet of the OpenAI-style kind up in one process, configured as an operator would do it.
+ * Starts a whole fleet of the OpenAI-style kind in one process and configures it through the operator API.
  */
 
 import { readFileSync } from 'node:fs'
@@ -18,7 +18,7 @@
 const SERVICES = ['pitches', 'manuals']
 const CALLER_PORT = 8080
 const OPERATOR_PORT = 8090
-/** Documented in the README; a real operator makes up a token of its own. */
+/** The token that the README documents. A real operator chooses a secret token. */
 const OPERATOR_TOKEN = 'quickstart-operator'
 const EXAMPLE = new URL('../../../examples/quickstart.yaml', import.meta.url)
 
@@ -42,9 +42,9 @@
   const addresses = new Map([...engines, ...services].map(({ name, port }) => [name, port]))
   const revision = await configure(fleet.operator(), addresses)
   await fleet.whenInForce(revision)
-  announce(fleet)
-  process.once('SIGINT', () => void leave(fleet))
-  process.once('SIGTERM', () => void leave(fleet))
+  printAddresses(fleet)
+  process.once('SIGINT', () => void drainAndExit(fleet))
+  process.once('SIGTERM', () => void drainAndExit(fleet))
 }
 
 async function startEngines() {
@@ -58,7 +58,7 @@
   )
 }
 
-/** Applies the example; `{port:NAME}` and `{hash:KEY}` in it are filled in. */
+/** Applies the example's resources after filling in `{port:NAME}` and `{hash:KEY}`. Returns the revision. */
 async function configure(
   operator: OperatorClient,
   ports: ReadonlyMap<string, number>,
@@ -76,7 +76,7 @@
   return revision
 }
 
-function announce(fleet: LocalFleet): void {
+function printAddresses(fleet: LocalFleet): void {
   console.log('rackwalk ready')
   for (const { instanceId, addresses } of fleet.members) {
     console.log(`${instanceId} callers http://${addresses.callers}`)
@@ -84,7 +84,7 @@
   }
 }
 
-async function leave(fleet: LocalFleet): Promise<void> {
+async function drainAndExit(fleet: LocalFleet): Promise<void> {
   await fleet.drain()
   process.exit(0)
 }
--- a/packages/stand-ins/src/serviceStandIn.ts
+++ b/packages/stand-ins/src/serviceStandIn.ts
@@ -1,14 +1,14 @@
-/** A plain service for tests. */
+/** A stand-in for a plain service. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { LocalServer } from './localServer.js'
 
-/** Stands in for a plain service: it notes each execution and answers with its number. */
+/** Stands in for a plain service. Records each execution and answers with the number of executions. */
 export class ServiceStandIn extends LocalServer {
-  /** Body of each execution, in order. */
+  /** Request bodies of all executions, in order. */
   readonly executions: string[] = []
   delayMilliseconds = 0
-  /** Breaks the connection off after the execution, before an answer. */
+  /** Whether the connection is destroyed after the execution, before an answer. */
   dropsAnswers = false
 
   constructor(readonly name: string) {
--- a/packages/stand-ins/src/socketCaller.ts
+++ b/packages/stand-ins/src/socketCaller.ts
@@ -1,8 +1,8 @@
-/** A caller that reads an answer byte by byte, and tells by what it would take it for whole. */
+/** A caller that reads an answer from a raw socket and reports how the end of the answer was framed. */
 
 import { connect } from 'node:net'
 
-/** What the caller sends. */
+/** A request of the caller. */
 export interface SocketCall {
   /** Host and port. */
   readonly address: string
@@ -11,23 +11,23 @@
   readonly headers: Readonly<Record<string, string>>
   readonly body?: string
   readonly version?: '1.0' | '1.1'
-  /** Time for which the caller reads nothing once its request is sent. */
+  /** Time for which the caller doesn't read after it has sent its request. */
   readonly pauseMilliseconds?: number
 }
 
-/** What the caller has when its connection is over. */
+/** The answer that the caller has received when its connection is closed. */
 export interface SocketReply {
-  /** 0 where no head came. */
+  /** The status, or 0 if no complete head was received. */
   readonly status: number
   readonly headers: ReadonlyMap<string, string>
   readonly body: string
-  /** By what the caller takes the body for whole, or how it sees that it is not. */
+  /** How the body's end was recognized, or how the caller notices that the body is incomplete. */
   readonly ending: 'length' | 'last chunk' | 'closed' | 'cut' | 'reset' | 'no answer'
 }
 
 const HEAD_END = '\r\n\r\n'
 
-/** Sends a request over a connection of its own and reads until that ends. */
+/** Sends a request over a new connection and reads until the connection closes. */
 export function callOverSocket(call: SocketCall): Promise<SocketReply> {
   const [host = '', port = ''] = call.address.replace('http://', '').split(':')
   const body = call.body ?? ''
@@ -44,7 +44,7 @@
       setTimeout(() => socket.resume(), call.pauseMilliseconds)
     }
     socket.on('data', chunk => chunks.push(chunk))
-    // A reset that comes with the last bytes is reported as an end; its peer's address is gone.
+    // Node reports a reset that arrives with the last bytes as a normal end, but without a remote address.
     socket.on('end', () => (wasReset ||= socket.remoteAddress === undefined))
     socket.on('error', () => (wasReset = true))
     socket.on('close', () => resolve(readReply(Buffer.concat(chunks).toString('latin1'), wasReset)))
@@ -69,7 +69,7 @@
   const raw = text.slice(headEnd + HEAD_END.length)
   const broken = wasReset ? 'reset' : 'cut'
   if (headers.get('transfer-encoding') === 'chunked') {
-    const { body, isWhole } = unchunked(raw)
+    const { body, isWhole } = decodeChunks(raw)
     return { status, headers, body, ending: isWhole ? 'last chunk' : broken }
   }
   const length = headers.get('content-length')
@@ -79,7 +79,7 @@
   return { status, headers, body: raw, ending: raw.length === Number(length) ? 'length' : broken }
 }
 
-function unchunked(raw: string): { body: string; isWhole: boolean } {
+function decodeChunks(raw: string): { body: string; isWhole: boolean } {
   let body = ''
   let rest = raw
   for (;;) {
--- a/packages/stand-ins/src/socketEndpoint.ts
+++ b/packages/stand-ins/src/socketEndpoint.ts
@@ -1,29 +1,29 @@
-/** An endpoint whose answers are bytes on a socket, for tests of answers that end early. */
+/** An endpoint whose answers are raw bytes on a socket, for tests of interrupted answers. */
 
 import { createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 
-/** A request as the endpoint has it. */
+/** A request as the endpoint receives it. */
 export interface SocketRequest {
   readonly method: string
   readonly path: string
   readonly body: string
 }
 
-/** Writes an answer, or a part of one, and ends the connection or doesn't. */
+/** Writes a complete or partial answer and optionally closes the connection. */
 export type SocketAnswer = (socket: Socket, request: SocketRequest) => void
 
 const HEAD_END = '\r\n\r\n'
-const REPORTS: Readonly<Record<string, unknown>> = {
+const OWN_ANSWERS: Readonly<Record<string, unknown>> = {
   '/load': { running: 0, waiting: 0 },
   '/cache-events': { events: [] },
   '/orders': {},
 }
 
-/** Reads requests and leaves every byte of their answers to the test; reports of load it makes itself. */
+/** Parses requests and lets the test write their answers. Answers probes of load, cache events and orders. */
 export class SocketEndpoint {
-  /** Requests that were taken, reports apart. */
-  readonly taken: SocketRequest[] = []
+  /** Received requests, except those that the endpoint answers by itself. */
+  readonly receivedRequests: SocketRequest[] = []
   private readonly sockets = new Set<Socket>()
   private readonly server: Server
 
@@ -31,7 +31,7 @@
     this.server = createServer(socket => this.serve(socket))
   }
 
-  /** Listens on a free port and gives it. */
+  /** Listens on a free port and returns the port. */
   listen(): Promise<number> {
     return new Promise(resolve => {
       this.server.listen(0, '127.0.0.1', () => {
@@ -56,15 +56,15 @@
       const request = parseRequest(received)
       if (request === undefined) return
       received = ''
-      this.take(socket, request)
+      this.receive(socket, request)
     })
   }
 
-  private take(socket: Socket, request: SocketRequest): void {
+  private receive(socket: Socket, request: SocketRequest): void {
     const [path = ''] = request.path.split('?')
-    const report = REPORTS[path]
+    const report = OWN_ANSWERS[path]
     if (report === undefined) {
-      this.taken.push(request)
+      this.receivedRequests.push(request)
       return this.answer(socket, request)
     }
     const body = JSON.stringify(report)
@@ -72,7 +72,7 @@
   }
 }
 
-/** The request once it is there as a whole; callers send no chunks. */
+/** Returns the request, or undefined until it is complete. Chunked requests aren't supported. */
 function parseRequest(text: string): SocketRequest | undefined {
   const headEnd = text.indexOf(HEAD_END)
   if (headEnd < 0) return undefined
