--- a/packages/stand-ins/__tests__/answerEnds.spec.ts
+++ b/packages/stand-ins/__tests__/answerEnds.spec.ts
@@ -8,7 +8,10 @@
 import { EndpointClient, ANSWER_BUFFER_LIMITS } from '@rackwalk/router'
 import { SocketEndpoint } from '@rackwalk/stand-ins'
 
-/** Answers whose bytes are split anywhere and end anywhere, read over a real socket by a reader that pauses. */
+/**
+ * Guards against incomplete answers that are taken for complete ones, and against complete answers that are lost. Answers
+ * are split and interrupted at random positions and read over a real socket by a reader that pauses.
+ */
 
 const RUNS = { seed: 43, numRuns: 150 }
 const STALL_MILLISECONDS = 5_000
@@ -22,23 +25,23 @@
 interface Play {
   readonly framing: 'length' | 'chunks' | 'connection'
   readonly body: keyof typeof BODIES
-  /** Bytes of the framed answer that come. */
+  /** Number of bytes of an incomplete answer that are sent. */
   readonly cut: number
   readonly isWhole: boolean
   readonly splits: readonly number[]
   readonly end: 'closed' | 'reset'
-  /** Whether the end comes in the turn of the last bytes. */
+  /** Whether the connection ends in the same turn as the last bytes are sent. */
   readonly endsAtOnce: boolean
-  /** How long the reader waits after each chunk. */
+  /** Time for which the reader pauses after each chunk, in milliseconds. */
   readonly pauses: readonly number[]
   readonly isHeld: boolean
 }
 
-/** What the reader has. */
+/** The reader's view of an answer. */
 interface Reading {
   readonly kind: 'whole' | 'broken'
   readonly body: string
-  /** Whether more than the end of the connection says so. */
+  /** Whether the answer is delimited by more than the end of the connection. */
   readonly isDelimited: boolean
 }
 
@@ -70,7 +73,7 @@
   return chunks.map(chunk => `${chunk.length.toString(16)}\r\n${chunk}\r\n`).join('')
 }
 
-/** The bytes that come; one at least is missing where the answer is not to be whole. */
+/** Returns the bytes that are sent; at least one byte of an incomplete answer is missing. */
 function bytesOf(play: Play): string {
   const all = framed(play)
   return play.isWhole ? all : all.slice(0, Math.min(play.cut, all.length - 1))
@@ -102,15 +105,15 @@
 afterAll(() => endpoint.stop())
 
 const clock = new SystemClock()
-const holding = new EndpointClient(clock, STALL_MILLISECONDS)
-const passing = new EndpointClient(clock, STALL_MILLISECONDS, {
+const bufferingClient = new EndpointClient(clock, STALL_MILLISECONDS)
+const passingClient = new EndpointClient(clock, STALL_MILLISECONDS, {
   ...ANSWER_BUFFER_LIMITS,
   maximumAnswerBytes: 0,
 })
 
 async function read(play: Play): Promise<Reading> {
   current = play
-  const client = play.isHeld ? holding : passing
+  const client = play.isHeld ? bufferingClient : passingClient
   const result = await client.attempt({
     endpointId: ENDPOINT,
     address,
@@ -149,8 +152,8 @@
   })
 }
 
-/** Reads without a rule: whatever ends the reading without an error proves the answer whole. The broken control. */
-function readNaively(play: Play): Promise<Reading> {
+/** The broken control: takes an answer for whole whenever reading ends without an error. */
+function readWithoutRule(play: Play): Promise<Reading> {
   current = play
   return new Promise(resolve => {
     let body = ''
@@ -168,22 +171,22 @@
   })
 }
 
-/** Whether a reading breaks the promise. */
-function isWrong(play: Play, { kind, body, isDelimited }: Reading): boolean {
+/** Whether a reading violates the guarantee. */
+function violatesGuarantee(play: Play, { kind, body, isDelimited }: Reading): boolean {
   const { text } = BODIES[play.body]
   const provesNothing = play.framing === 'connection' && play.body === 'text'
   if (kind === 'broken') {
-    // A reset may overtake bytes that a paused reader has not taken; an orderly end never does.
+    // A reset may discard bytes that a paused reader has not yet read; an orderly end never does.
     return play.end === 'closed' && (play.isWhole || provesNothing)
   }
   if (provesNothing) return play.end === 'reset' || isDelimited || !text.startsWith(body)
   return body !== text
 }
 
-describe('an answer that ends anywhere', () => {
-  it('is taken for whole exactly where that is proven, and none that closed in order is lost', async () => {
+describe('an answer that is interrupted at a random position', () => {
+  it('is taken for whole only if its framing proves it, and none with an orderly close is lost', async () => {
     await fc.assert(
-      fc.asyncProperty(plays, async play => !isWrong(play, await read(play))),
+      fc.asyncProperty(plays, async play => !violatesGuarantee(play, await read(play))),
       RUNS,
     )
   })
@@ -197,7 +200,7 @@
     const found = await fc.check(
       fc.asyncProperty(plays, async drawn => {
         const play = { ...drawn, ...row }
-        return !isWrong(play, await readNaively(play))
+        return !violatesGuarantee(play, await readWithoutRule(play))
       }),
       RUNS,
     )
--- a/packages/stand-ins/__tests__/answersFramedAsComplete.spec.ts
+++ b/packages/stand-ins/__tests__/answersFramedAsComplete.spec.ts
@@ -4,10 +4,13 @@
 import { ConfiguredFleet, SocketEndpoint, TEAM_KEY, callOverSocket } from '@rackwalk/stand-ins'
 import type { SocketReply } from '@rackwalk/stand-ins'
 
-/** Half a JSON document reached callers as a complete 200 where its endpoint's connection ended early. */
+/**
+ * Guards against incomplete answers that reach callers as complete ones: half of a JSON document was delivered as a complete
+ * 200 when the endpoint's connection ended early.
+ */
 
 const STALL_MILLISECONDS = 400
-const LATER_MILLISECONDS = 30
+const LATE_RESET_MILLISECONDS = 30
 const DEADLINE_MILLISECONDS = 300
 const PARALLEL = 8
 
@@ -21,7 +24,7 @@
 const STREAM = `${EVENTS.join('')}data: [DONE]\n\n`
 const LINES = 'first line\nsecond line\n'
 
-/** What is asked for, and what the endpoint would answer. */
+/** The kinds of requests, with the content type and the body of the endpoint's complete answer. */
 const KINDS = {
   chat: { type: 'application/json', text: DOCUMENT },
   'chat stream': { type: 'text/event-stream', text: STREAM },
@@ -35,7 +38,7 @@
 const FRAMINGS = ['length', 'chunks', 'connection'] as const
 type Framing = (typeof FRAMINGS)[number]
 
-/** How much of the answer comes. */
+/** The part of the answer's body that the endpoint sends. */
 const PARTS = {
   none: () => '',
   half: (text: string) => text.slice(0, Math.floor(text.length / 2)),
@@ -43,11 +46,11 @@
 } as const
 type Part = keyof typeof PARTS
 
-/** What comes after it. */
+/** What the endpoint does with the connection after that part. */
 const ENDS: Readonly<Record<string, (socket: Socket) => void>> = {
   closed: socket => socket.end(),
   'reset at once': socket => socket.resetAndDestroy(),
-  'reset later': socket => setTimeout(() => socket.resetAndDestroy(), LATER_MILLISECONDS),
+  'reset later': socket => setTimeout(() => socket.resetAndDestroy(), LATE_RESET_MILLISECONDS),
   silence: () => undefined,
   deadline: () => undefined,
 }
@@ -58,7 +61,7 @@
   readonly framing: Framing
   readonly part: Part
   readonly end: string
-  /** Whether an answer in chunks has its last one. */
+  /** Whether a chunked answer ends with its last chunk. */
   readonly hasLastChunk: boolean
 }
 
@@ -118,7 +121,7 @@
   for (const endpoint of endpoints) endpoint.stop()
 })
 
-/** Each row has an endpoint of its own, so that none sees what another one did to a connection. */
+/** Returns the resources of one row. Each row has its own endpoint, so that rows share no connections. */
 function resourcesOf({ name, kind }: Row, address: string) {
   const metadata = { name }
   const isChat = kind.startsWith('chat')
@@ -145,7 +148,7 @@
   return { address, method: 'POST', path, headers, body: JSON.stringify(body) }
 }
 
-/** What the caller has, in words: whether it would take the body for whole, and what is in it. */
+/** Describes the caller's answer: status, content and the way in which the caller sees its end. */
 function describeReply(row: Row, { status, body, ending }: SocketReply): string {
   if (ending === 'no answer') return ending
   const code = /"error":\{"code":(\d+)/.exec(body)?.[1]
--- a/packages/stand-ins/__tests__/continuedAnswers.spec.ts
+++ b/packages/stand-ins/__tests__/continuedAnswers.spec.ts
@@ -6,8 +6,9 @@
 import { ConfiguredFleet, MODEL, TEAM_KEY } from '@rackwalk/stand-ins'
 
 /**
- * A chat was cut when its engine ended after the first pieces, though another engine could have gone on after them.
- * The order of events is forced: the test decides what each engine answers, and when it breaks off.
+ * Guards against chats that are interrupted although another engine can continue them: an engine terminated after the first
+ * pieces of an answer, and the chat failed. The order of events is forced: the test decides what each engine answers and
+ * when it terminates.
  */
 
 interface Usage {
@@ -29,7 +30,7 @@
   readonly error?: { readonly code: number }
 }
 
-interface AskedChat {
+interface HeldChat {
   readonly body: Readonly<Record<string, unknown>>
   readonly response: ServerResponse
 }
@@ -40,10 +41,10 @@
 const QUESTION = [{ role: 'user', content: 'hello' }]
 const WITH_USAGE = { stream_options: { include_usage: true } }
 
-/** An engine that keeps each chat until the test answers it. */
+/** An engine that holds each chat until the test answers it. */
 class HeldEngine {
-  readonly asked: AskedChat[] = []
-  onChat: ((chat: AskedChat) => void) | undefined
+  readonly chats: HeldChat[] = []
+  onChat: ((chat: HeldChat) => void) | undefined
   private readonly server: Server = createServer((request, response) => {
     const chunks: Buffer[] = []
     request.on('data', (chunk: Buffer) => chunks.push(chunk))
@@ -55,7 +56,7 @@
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Its process is gone. */
+  /** Terminates the engine: closes its listener and all connections. */
   stop(): void {
     this.server.close()
     this.server.closeAllConnections()
@@ -68,13 +69,13 @@
       return
     }
     const body = JSON.parse(raw.toString('utf8')) as Record<string, unknown>
-    this.asked.push({ body, response })
+    this.chats.push({ body, response })
     this.onChat?.({ body, response })
   }
 }
 
-/** Events of one run, as engines send them. */
-class Run {
+/** Writes the events of one streamed answer in the engines' format. */
+class Writer {
   private tokens = 0
 
   constructor(
@@ -106,8 +107,8 @@
     this.response.end('data: [DONE]\n\n')
   }
 
-  /** The beginning of an event that never becomes whole. */
-  half(): this {
+  /** Writes the beginning of an event that is never completed. */
+  incompleteEvent(): this {
     this.response.write('data: {"id":"half","choices":[{"index":0,"delta":{"content":"lost')
     return this
   }
@@ -175,7 +176,7 @@
   const texts: string[] = []
   const controller = new AbortController()
   const answer = read(address, { body, headers, texts, signal: controller.signal })
-  // Whoever leaves has no answer.
+  // A caller that disconnects gets no answer, and the rejection is expected.
   answer.catch(() => undefined)
   return { answer, texts, leave: () => controller.abort() }
 }
@@ -228,14 +229,14 @@
   readonly headers?: Readonly<Record<string, string>>
   readonly firstSpec?: object
   readonly secondSpec?: object
-  /** Whether the first engine reports tokens with each piece. */
+  /** Whether the first engine reports its token usage with each piece. */
   readonly reportsUsage?: boolean
-  /** What the first engine does after its pieces. */
-  readonly first?: (run: Run) => unknown
+  /** Writes further events of the first engine after its pieces. */
+  readonly first?: (run: Writer) => unknown
   readonly thirdSpec?: object
 }
 
-/** A chat that is at its engine, and other engines that came since. */
+/** Starts a fleet whose only engine has received a chat, and then adds a second engine. */
 async function begin(options: PlayOptions = {}) {
   const fleet = new ConfiguredFleet({ instances: 1, engines: 0 })
   stops.push(() => fleet.stop())
@@ -244,24 +245,24 @@
   await fleet.apply([{ kind: 'placements', metadata: { name: MODEL }, spec: placement }])
   const first = await addEngine(fleet, 'first', options.firstSpec ?? { continuesAnswers: true })
   const sent = send(fleet.callers(), options.body ?? {}, options.headers)
-  await expect.poll(() => first.asked.length, { interval: 5 }).toBe(1)
+  await expect.poll(() => first.chats.length, { interval: 5 }).toBe(1)
   const second = await addEngine(fleet, 'second', options.secondSpec ?? { continuesAnswers: true })
   return { fleet, first, second, sent }
 }
 
 type Play = Awaited<ReturnType<typeof begin>>
 
-/** The first engine sends three pieces and ends. */
-async function cut(play: Play, options: PlayOptions = {}): Promise<void> {
-  const [{ response } = never()] = play.first.asked
-  const run = new Run(response, FIRST_PROMPT, 'first', options.reportsUsage ?? true)
+/** Lets the first engine send three pieces and then terminates it. */
+async function terminateFirst(play: Play, options: PlayOptions = {}): Promise<void> {
+  const [{ response } = failWithoutChat()] = play.first.chats
+  const run = new Writer(response, FIRST_PROMPT, 'first', options.reportsUsage ?? true)
   run.pieces('a1 ', 'a2 ', 'ä3 ')
   options.first?.(run)
   await expect.poll(() => play.sent.texts.join(''), { interval: 5 }).toContain('a1 a2 ä3 ')
   play.first.stop()
 }
 
-function never(): never {
+function failWithoutChat(): never {
   throw new Error('nothing was asked')
 }
 
@@ -277,27 +278,27 @@
   return (await response.json()) as Record<string, unknown>
 }
 
-function goOn(play: Play, texts: readonly string[], reason = 'stop'): void {
+function continueAtSecond(play: Play, texts: readonly string[], reason = 'stop'): void {
   play.second.onChat = ({ response }) => {
-    new Run(response, SECOND_PROMPT, 'second')
+    new Writer(response, SECOND_PROMPT, 'second')
       .pieces(...texts)
       .finish(reason)
       .end()
   }
 }
 
-describe('a chat that had pieces of its answer when its engine ended', () => {
-  it('is continued at another engine after what its caller has, and billed once for both', async () => {
+describe('a chat whose engine terminates after pieces of its answer', () => {
+  it('is continued at another engine after the delivered pieces, and billed once for both', async () => {
     const play = await begin({ body: WITH_USAGE })
-    goOn(play, ['a4 ', 'a5 '])
-    await cut(play, { first: run => run.half() })
+    continueAtSecond(play, ['a4 ', 'a5 '])
+    await terminateFirst(play, { first: run => run.incompleteEvent() })
     const { chunks, text, isWhole, code } = await play.sent.answer
     expect({ text, isWhole, code }).toEqual({
       text: 'a1 a2 ä3 a4 a5 ',
       isWhole: true,
       code: undefined,
     })
-    expect(play.second.asked.map(({ body }) => body)).toMatchObject([
+    expect(play.second.chats.map(({ body }) => body)).toMatchObject([
       {
         messages: [...QUESTION, { role: 'assistant', content: 'a1 a2 ä3 ' }],
         continue_final_message: true,
@@ -328,17 +329,17 @@
 
   it('is never billed more than was asked for, whatever the second engine generates', async () => {
     const play = await begin()
-    goOn(play, ['a4 ', 'a5 ', 'a6 ', 'a7 '])
-    await cut(play)
+    continueAtSecond(play, ['a4 ', 'a5 ', 'a6 ', 'a7 '])
+    await terminateFirst(play)
     expect((await play.sent.answer).isWhole).toBe(true)
     expect(await recordOf(play)).toMatchObject({ billedTokens: FIRST_PROMPT + LIMIT })
   })
 
-  it('is ended as its engine would have where nothing of its limit is left', async () => {
+  it('ends with the reason length if its token limit is used up', async () => {
     const play = await begin({ body: { ...WITH_USAGE, max_tokens: 3 } })
-    await cut(play)
+    await terminateFirst(play)
     const { chunks, text, isWhole } = await play.sent.answer
-    expect({ text, isWhole, asked: play.second.asked }).toEqual({
+    expect({ text, isWhole, asked: play.second.chats }).toEqual({
       text: 'a1 a2 ä3 ',
       isWhole: true,
       asked: [],
@@ -349,28 +350,28 @@
     expect(await recordOf(play)).toMatchObject({ billedTokens: FIRST_PROMPT + 3 })
   })
 
-  it('is whole where its engine had said why it generates no more', async () => {
+  it('is whole if its engine had already sent a finish reason', async () => {
     const play = await begin()
-    await cut(play, { first: run => run.finish('stop') })
+    await terminateFirst(play, { first: run => run.finish('stop') })
     const { isWhole, chunks } = await play.sent.answer
-    expect({ isWhole, asked: play.second.asked.length }).toEqual({ isWhole: true, asked: 0 })
+    expect({ isWhole, asked: play.second.chats.length }).toEqual({ isWhole: true, asked: 0 })
     const reasons = chunks.flatMap(({ choices }) => choices?.[0]?.finish_reason ?? [])
     expect(reasons).toEqual(['stop'])
   })
 })
 
-const CUT = { isWhole: false, code: ResultCode.EndpointBrokeOff, asked: 0 }
+const INTERRUPTED = { isWhole: false, code: ResultCode.EndpointBrokeOff, asked: 0 }
 
-async function expectCut(options: PlayOptions): Promise<void> {
+async function expectInterrupted(options: PlayOptions): Promise<void> {
   const play = await begin(options)
-  await cut(play, options)
+  await terminateFirst(play, options)
   const { isWhole, code, text } = await play.sent.answer
-  expect({ isWhole, code, asked: play.second.asked.length }).toEqual(CUT)
+  expect({ isWhole, code, asked: play.second.chats.length }).toEqual(INTERRUPTED)
   expect(text).toContain('a1 a2 ä3 ')
   expect(await recordOf(play)).toMatchObject({ billedTokens: 0 })
 }
 
-describe('a chat is cut as before, and no other engine asked,', () => {
+describe('a chat is interrupted and not continued at another engine', () => {
   it.each([
     ['tools', { tools: [{ type: 'function', function: { name: 'look' } }] }],
     ['functions', { functions: [{ name: 'look' }] }],
@@ -383,23 +384,24 @@
     ['its own add_generation_prompt', { add_generation_prompt: true }],
     ['a last message of the assistant', { messages: [{ role: 'assistant', content: 'a' }] }],
     ['a picture', { messages: [{ role: 'user', content: [{ type: 'image_url' }] }] }],
-  ])('where it has %s', (_, body) => expectCut({ body }))
+  ])('where it has %s', (_, body) => expectInterrupted({ body }))
 
-  it('where it must not run twice', () => expectCut({ headers: { 'rackwalk-repeatable': 'no' } }))
+  it('where it must not run twice', () =>
+    expectInterrupted({ headers: { 'rackwalk-repeatable': 'no' } }))
 
   it('where a piece was no plain text', () =>
-    expectCut({ first: run => run.piece({ tool_calls: [{ index: 0 }] }) }))
+    expectInterrupted({ first: run => run.piece({ tool_calls: [{ index: 0 }] }) }))
 
-  it('where its tokens so far were not reported', () => expectCut({ reportsUsage: false }))
+  it('where its tokens so far were not reported', () => expectInterrupted({ reportsUsage: false }))
 
-  it('where the other engine is not said to continue', () => expectCut({ secondSpec: {} }))
+  it('where the other engine is not said to continue', () => expectInterrupted({ secondSpec: {} }))
 
   it('where the other engine runs another software version', () =>
-    expectCut({ secondSpec: { continuesAnswers: true, softwareVersion: '2' } }))
+    expectInterrupted({ secondSpec: { continuesAnswers: true, softwareVersion: '2' } }))
 })
 
 describe('a chat that was begun by one of two software versions', () => {
-  it('goes on at an engine of its own, whatever is stated of the others', async () => {
+  it('is continued at an engine of the same version only', async () => {
     const version = { continuesAnswers: true, softwareVersion: '1' }
     const play = await begin({ firstSpec: version, secondSpec: version })
     const others = await Promise.all(
@@ -407,53 +409,53 @@
         addEngine(play.fleet, name, { ...version, softwareVersion: '2' }),
       ),
     )
-    goOn(play, ['a4 ', 'a5 '])
-    await cut(play)
+    continueAtSecond(play, ['a4 ', 'a5 '])
+    await terminateFirst(play)
     const { text, isWhole } = await play.sent.answer
     expect({ text, isWhole }).toEqual({ text: 'a1 a2 ä3 a4 a5 ', isWhole: true })
-    expect(others.flatMap(({ asked }) => asked)).toEqual([])
+    expect(others.flatMap(({ chats }) => chats)).toEqual([])
   })
 })
 
-describe('a chat whose second engine does not come to the end either', () => {
-  it('is cut, costs nothing, is asked no third time, and is refused where that engine ended before a piece', async () => {
+describe('a chat whose second engine does not complete it either', () => {
+  it('is interrupted, not billed and not sent to a third engine, and is refused if the second terminated before a piece', async () => {
     const play = await begin()
     const third = await addEngine(play.fleet, 'third', { continuesAnswers: true })
     const others = [play.second, third]
     for (const engine of others) engine.onChat = () => engine.stop()
-    await cut(play)
+    await terminateFirst(play)
     const { isWhole, code } = await play.sent.answer
-    const asked = others.flatMap(engine => engine.asked).length
-    expect({ isWhole, code, asked }).toEqual({ ...CUT, asked: 1 })
+    const asked = others.flatMap(engine => engine.chats).length
+    expect({ isWhole, code, asked }).toEqual({ ...INTERRUPTED, asked: 1 })
     expect(await recordOf(play)).toMatchObject({ billedTokens: 0 })
     await expect
       .poll(async () => (await send(play.fleet.callers(), {}).answer).code, { timeout: 5_000 })
       .toBe(ResultCode.EndsEndpoints)
   })
 
-  it('is refused too where only the opening event had come', async () => {
+  it('is also refused if the second engine had sent only the opening event', async () => {
     const play = await begin()
     play.second.onChat = ({ response }) => {
-      new Run(response, SECOND_PROMPT, 'second')
+      new Writer(response, SECOND_PROMPT, 'second')
       setTimeout(() => play.second.stop(), 20)
     }
-    await cut(play)
+    await terminateFirst(play)
     expect((await play.sent.answer).code).toBe(ResultCode.EndpointBrokeOff)
     await expect
       .poll(async () => (await send(play.fleet.callers(), {}).answer).code, { timeout: 5_000 })
       .toBe(ResultCode.EndsEndpoints)
   })
 
-  it('stays innocent where the second engine had sent a piece, or lives', async () => {
+  it('is no suspect if the second engine had sent a piece or is still running', async () => {
     const play = await begin()
     let count = 0
     play.second.onChat = ({ response }) => {
       count += 1
-      if (count > 1) return void new Run(response, SECOND_PROMPT, 'again').pieces('b ').end()
-      new Run(response, SECOND_PROMPT, 'second').pieces('a4 ')
+      if (count > 1) return void new Writer(response, SECOND_PROMPT, 'again').pieces('b ').end()
+      new Writer(response, SECOND_PROMPT, 'second').pieces('a4 ')
       setTimeout(() => response.destroy(), 20)
     }
-    await cut(play)
+    await terminateFirst(play)
     const { code, text } = await play.sent.answer
     expect({ code, text }).toEqual({ code: ResultCode.EndpointBrokeOff, text: 'a1 a2 ä3 a4 ' })
     expect((await send(play.fleet.callers(), {}).answer).text).toBe('b ')
@@ -461,12 +463,12 @@
 })
 
 describe('a chat that is being continued', () => {
-  it('is given up where its caller leaves before the second engine answers, and billed what ran', async () => {
+  it('is cancelled if its caller disconnects before the second engine answers, and billed what ran', async () => {
     const play = await begin()
-    await cut(play)
-    await expect.poll(() => play.second.asked.length, { interval: 5 }).toBe(1)
-    const closed = new Promise(resolve => play.second.asked[0]?.response.once('close', resolve))
-    const id = String((play.second.asked[0] as AskedChat).response.req.headers['x-request-id'])
+    await terminateFirst(play)
+    await expect.poll(() => play.second.chats.length, { interval: 5 }).toBe(1)
+    const closed = new Promise(resolve => play.second.chats[0]?.response.once('close', resolve))
+    const id = String((play.second.chats[0] as HeldChat).response.req.headers['x-request-id'])
     play.sent.leave()
     await closed
     await expect
@@ -476,9 +478,9 @@
 
   it('ends at the deadline of the request', async () => {
     const play = await begin({ headers: { 'rackwalk-deadline-ms': '1500' } })
-    await cut(play)
+    await terminateFirst(play)
     const { code, isWhole } = await play.sent.answer
     expect({ code, isWhole }).toEqual({ code: ResultCode.DeadlinePassed, isWhole: false })
-    expect(play.second.asked).toHaveLength(1)
+    expect(play.second.chats).toHaveLength(1)
   })
 })
--- a/packages/stand-ins/__tests__/crashReplay.spec.ts
+++ b/packages/stand-ins/__tests__/crashReplay.spec.ts
@@ -8,12 +8,13 @@
 import type { CrashLoad, CrashOutcome, CrashPolicy } from '@rackwalk/stand-ins'
 
 /**
- * What is done about a request that ends endpoints, replayed: it comes every quarter of a second for 20 s beside 50 others a
- * second, or a rack loses power every two seconds and no request is to blame.
+ * Compares policies for crash-inducing requests. In one load, a request that crashes endpoints arrives every quarter of a
+ * second for 20 s together with 50 other requests per second. In the other load, a rack loses power every two seconds and
+ * no request causes a crash.
  */
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
-const LEAST_SERVED = 0.95
+const MINIMUM_SERVED = 0.95
 
 const POLICIES: Readonly<Record<string, () => CrashPolicy>> = {
   'each try is new': () => new UnlimitedRetries(),
@@ -43,8 +44,8 @@
   return rows
 }
 
-describe('a request that ends endpoints, every quarter of a second', () => {
-  it('costs what each way lets it cost', async () => {
+describe('a request that crashes endpoints, every quarter of a second', () => {
+  it('crashes as many endpoints as each policy permits', async () => {
     expect(await table({ markedMilliseconds: 250, powerFailures: 0 })).toMatchInlineSnapshot(`
       [
         "each try is new: 49.0 ends; served 0.008, brokenOff 0.609, refused 0.375",
@@ -56,20 +57,20 @@
     `)
   })
 
-  it('costs three endpoints at the most, and others at the same model are served', async () => {
+  it('crashes three endpoints at most, and other requests to the same model are served', async () => {
     const { outcomes, sum } = await play(() => new IsolationQuarantine(), {
       markedMilliseconds: 250,
       powerFailures: 0,
     })
     expect(Math.max(...outcomes.map(({ endsUnderMarked }) => endsUnderMarked))).toBeLessThan(4)
-    // What still runs at the end of the replay counts as neither.
+    // Requests that are still running at the end of the replay aren't counted.
     const ended = sum('served') + sum('brokenOff') + sum('refused')
-    expect(sum('served') / ended).toBeGreaterThanOrEqual(LEAST_SERVED)
+    expect(sum('served') / ended).toBeGreaterThanOrEqual(MINIMUM_SERVED)
   })
 })
 
 describe('a rack that loses power', () => {
-  it('makes requests refused that many send, where ends alone are counted', async () => {
+  it('leads to refusals of popular requests if a policy counts crashes alone', async () => {
     expect(await table({ powerFailures: 3 })).toMatchInlineSnapshot(`
       [
         "each try is new: 0.0 ends; served 0.651, brokenOff 0.308, refused 0.000",
@@ -81,7 +82,7 @@
     `)
   })
 
-  it('proves nothing', async () => {
+  it('leads to no refusals under the policy of the product', async () => {
     const { sum } = await play(() => new IsolationQuarantine(), { powerFailures: 3 })
     expect(sum('refused')).toBe(0)
   })
--- a/packages/stand-ins/__tests__/crashingRequest.spec.ts
+++ b/packages/stand-ins/__tests__/crashingRequest.spec.ts
@@ -5,18 +5,17 @@
 import type { ChatAnswer } from '@rackwalk/stand-ins'
 
 /**
- * A request that ends each engine that begins to run it was sent to engine after engine: chat answers may be made again, so
- * one try of it ended up to four engines, and no instance told the next what it had seen. The callers' own repeats came to
- * other instances and began anew.
+ * Guards against a request that crashes one engine after the other. Chats may be retried, so one attempt of a caller crashed
+ * up to four engines. Instances didn't gossip about crashes, so each retry of the caller at another instance started anew.
  */
 
 const MARK = 'ending'
 const INSTANCES = 3
 const ENGINES = 6
-const MOST_ENDS = 3
+const MAXIMUM_CRASHES = 3
 const REPEATS = 12
 const INTERVAL_MILLISECONDS = 250
-const LEAST_SERVED = 0.95
+const MINIMUM_SERVED = 0.95
 
 let current: ConfiguredFleet | undefined
 
@@ -26,7 +25,7 @@
   return current
 }
 
-function ends(fleet: ConfiguredFleet): number {
+function countCrashes(fleet: ConfiguredFleet): number {
   return fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
 }
 
@@ -34,8 +33,11 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds))
 }
 
-/** Sends it again and again, to one instance after the other. */
-async function repeat(fleet: ConfiguredFleet, word: string): Promise<readonly ChatAnswer[]> {
+/** Sends a chat with the word repeatedly, to the instances in turn. */
+async function sendRepeatedly(
+  fleet: ConfiguredFleet,
+  word: string,
+): Promise<readonly ChatAnswer[]> {
   const answers: Promise<ChatAnswer>[] = []
   for (let count = 0; count < REPEATS; count += 1) {
     answers.push(streamChat(fleet.callers(count % INSTANCES), { word, tokens: 8 }))
@@ -44,8 +46,8 @@
   return Promise.all(answers)
 }
 
-/** Other requests while it comes: each with a prompt of its own. */
-async function others(fleet: ConfiguredFleet): Promise<readonly ChatAnswer[]> {
+/** Sends other requests in the meantime, each with its own prompt. */
+async function sendOthers(fleet: ConfiguredFleet): Promise<readonly ChatAnswer[]> {
   const answers: Promise<ChatAnswer>[] = []
   const until = Date.now() + REPEATS * INTERVAL_MILLISECONDS
   while (Date.now() < until) {
@@ -62,19 +64,19 @@
   current = undefined
 })
 
-describe('a request that ends each engine that begins to run it', () => {
-  it('ends three engines at the most, and nearly all other callers are served', async () => {
+describe('a request that crashes each engine that starts to run it', () => {
+  it('crashes three engines at most, and nearly all other callers are served', async () => {
     const fleet = await start()
-    const [marked, served] = await Promise.all([repeat(fleet, MARK), others(fleet)])
-    expect(ends(fleet)).toBeGreaterThan(0)
-    expect(ends(fleet)).toBeLessThanOrEqual(MOST_ENDS)
+    const [marked, served] = await Promise.all([sendRepeatedly(fleet, MARK), sendOthers(fleet)])
+    expect(countCrashes(fleet)).toBeGreaterThan(0)
+    expect(countCrashes(fleet)).toBeLessThanOrEqual(MAXIMUM_CRASHES)
     expect(marked.every(({ isWhole }) => !isWhole)).toBe(true)
     const whole = served.filter(({ isWhole }) => isWhole)
-    expect(whole.length / served.length).toBeGreaterThanOrEqual(LEAST_SERVED)
+    expect(whole.length / served.length).toBeGreaterThanOrEqual(MINIMUM_SERVED)
   })
 })
 
-async function askMarked(fleet: ConfiguredFleet, instance: number): Promise<ChatAnswer> {
+async function sendMarked(fleet: ConfiguredFleet, instance: number): Promise<ChatAnswer> {
   return streamChat(fleet.callers(instance), { word: MARK, tokens: 8 })
 }
 
@@ -82,17 +84,17 @@
   readonly items: readonly { readonly fingerprint: string; readonly verdict: string }[]
 }
 
-async function crashes(fleet: ConfiguredFleet): Promise<CrashList['items']> {
+async function listCrashes(fleet: ConfiguredFleet): Promise<CrashList['items']> {
   const { body } = await fleet.fleet.operator().get('/v1/crashes')
   return (body as unknown as CrashList).items
 }
 
-describe('a request that is known to end engines', () => {
-  it('is refused at once by every instance, also by one that starts after all others died', async () => {
+describe('a request that is known to crash engines', () => {
+  it('is refused immediately by every instance, also by one that starts after all others crashed', async () => {
     const fleet = await start()
-    await repeat(fleet, MARK)
-    const before = ends(fleet)
-    const refusal = await askMarked(fleet, 0)
+    await sendRepeatedly(fleet, MARK)
+    const before = countCrashes(fleet)
+    const refusal = await sendMarked(fleet, 0)
     expect(refusal).toMatchObject({ status: 503, errorCode: ResultCode.EndsEndpoints })
     expect(refusal.totalMilliseconds).toBeLessThan(200)
     for (const member of [...fleet.fleet.members]) await fleet.fleet.kill(member)
@@ -100,26 +102,26 @@
     await fleet.fleet.publish()
     await fleet.fleet.whenServing()
     await expect
-      .poll(async () => (await askMarked(fleet, 0)).errorCode, { timeout: 20_000 })
+      .poll(async () => (await sendMarked(fleet, 0)).errorCode, { timeout: 20_000 })
       .toBe(ResultCode.EndsEndpoints)
-    expect(ends(fleet)).toBe(before)
+    expect(countCrashes(fleet)).toBe(before)
   })
 
   it('is listed for operators, and sent again once one has cleared it', async () => {
     const fleet = await start()
-    await repeat(fleet, MARK)
-    const [refused] = await crashes(fleet)
+    await sendRepeatedly(fleet, MARK)
+    const [refused] = await listCrashes(fleet)
     expect(refused?.verdict).toBe('refuse')
-    const before = ends(fleet)
+    const before = countCrashes(fleet)
     await fleet.fleet.operator().send('DELETE', `/v1/crashes/${refused?.fingerprint}`)
     await pause(INTERVAL_MILLISECONDS)
-    await askMarked(fleet, 1)
-    expect(ends(fleet)).toBeGreaterThan(before)
+    await sendMarked(fleet, 1)
+    expect(countCrashes(fleet)).toBeGreaterThan(before)
   })
 })
 
 describe('a control', () => {
-  it('loses more than three where no instance tells another', async () => {
+  it('loses more than three engines without gossip between instances', async () => {
     const fleet = await start()
     const original = GrpcPeerChannel.prototype.call
     const call = vi.spyOn(GrpcPeerChannel.prototype, 'call')
@@ -127,7 +129,7 @@
       if (kind === 'crashNews') return Promise.reject(new Error('not told'))
       return original.call(this, target, kind as 'members', request as never)
     })
-    await repeat(fleet, MARK)
-    expect(ends(fleet)).toBeGreaterThan(MOST_ENDS)
+    await sendRepeatedly(fleet, MARK)
+    expect(countCrashes(fleet)).toBeGreaterThan(MAXIMUM_CRASHES)
   })
 })
--- a/packages/stand-ins/__tests__/deadlyMessages.spec.ts
+++ b/packages/stand-ins/__tests__/deadlyMessages.spec.ts
@@ -2,24 +2,24 @@
 import { ConfiguredFleet, streamChat } from '@rackwalk/stand-ins'
 import type { ChatAnswer } from '@rackwalk/stand-ins'
 
-/** Guards against chats that are all different, and of which one message ends what begins to answer. */
+/** Guards against chats that are all different but share one message that crashes each engine that runs it. */
 
 const INSTANCES = 3
 const ENGINES = 8
 const RUN_MILLISECONDS = 6_000
-const DEADLY_INTERVAL_MILLISECONDS = 250
-const SOUND_INTERVAL_MILLISECONDS = 20
-const MOST_ENDS = 4
-const LEAST_SERVED = 0.95
+const CRASHING_INTERVAL_MILLISECONDS = 250
+const HARMLESS_INTERVAL_MILLISECONDS = 20
+const MAXIMUM_CRASHES = 4
+const MINIMUM_SERVED = 0.95
 const TOPICS = 5
-const DEADLY = 'the message that ends engines'
+const CRASHING_MESSAGE = 'the message that ends engines'
 const SYSTEM = 'you are an assistant'
 
 let fleet: ConfiguredFleet
 
 async function start(): Promise<void> {
   fleet = await new ConfiguredFleet({ instances: INSTANCES, engines: ENGINES }).start()
-  for (const engine of fleet.engines) engine.crashesOnMessage = DEADLY
+  for (const engine of fleet.engines) engine.crashesOnMessage = CRASHING_MESSAGE
 }
 
 afterEach(async () => {
@@ -41,28 +41,33 @@
   return Promise.all(answers)
 }
 
-const DEADLY_CHATS: Readonly<Record<string, (count: number) => readonly string[]>> = {
-  first: count => [DEADLY, SYSTEM, `topic ${count % TOPICS}`, `question ${count}`],
-  second: count => [SYSTEM, DEADLY, `topic ${count % TOPICS}`, `question ${count}`],
-  'next to last': count => [SYSTEM, `topic ${count % TOPICS}`, DEADLY, `question ${count}`],
+const CRASHING_CHATS: Readonly<Record<string, (count: number) => readonly string[]>> = {
+  first: count => [CRASHING_MESSAGE, SYSTEM, `topic ${count % TOPICS}`, `question ${count}`],
+  second: count => [SYSTEM, CRASHING_MESSAGE, `topic ${count % TOPICS}`, `question ${count}`],
+  'next to last': count => [
+    SYSTEM,
+    `topic ${count % TOPICS}`,
+    CRASHING_MESSAGE,
+    `question ${count}`,
+  ],
 }
 
-const soundChat = (count: number) => [SYSTEM, `topic ${count % TOPICS}`, `other ${count}`]
+const harmlessChat = (count: number) => [SYSTEM, `topic ${count % TOPICS}`, `other ${count}`]
 
 describe('chats of which one message ends what begins to answer, no two alike', () => {
-  for (const [place, deadlyChat] of Object.entries(DEADLY_CHATS)) {
+  for (const [place, deadlyChat] of Object.entries(CRASHING_CHATS)) {
     it(`end four engines at the most, and others are served, where that message is ${place}`, async () => {
       await start()
       const [deadly, sound] = await Promise.all([
-        sendInTurn(DEADLY_INTERVAL_MILLISECONDS, deadlyChat),
-        sendInTurn(SOUND_INTERVAL_MILLISECONDS, soundChat),
+        sendInTurn(CRASHING_INTERVAL_MILLISECONDS, deadlyChat),
+        sendInTurn(HARMLESS_INTERVAL_MILLISECONDS, harmlessChat),
       ])
       const ends = fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
       expect(ends).toBeGreaterThan(0)
-      expect(ends).toBeLessThanOrEqual(MOST_ENDS)
+      expect(ends).toBeLessThanOrEqual(MAXIMUM_CRASHES)
       expect(deadly.every(({ isWhole }) => !isWhole)).toBe(true)
       const served = sound.filter(({ isWhole }) => isWhole)
-      expect(served.length / sound.length).toBeGreaterThanOrEqual(LEAST_SERVED)
+      expect(served.length / sound.length).toBeGreaterThanOrEqual(MINIMUM_SERVED)
     })
   }
 })
--- a/packages/stand-ins/__tests__/endUnderSlowCaller.spec.ts
+++ b/packages/stand-ins/__tests__/endUnderSlowCaller.spec.ts
@@ -3,14 +3,17 @@
 import { afterAll, beforeAll, describe, expect, it } from 'vitest'
 import { ConfiguredFleet, SocketEndpoint, TEAM_KEY, callOverSocket } from '@rackwalk/stand-ins'
 
-/** An answer that ended with its connection while its caller read nothing raised an assertion that ended the instance. */
+/**
+ * Guards against a crash of the instance: an answer that ended with its connection while its caller wasn't reading
+ * raised an assertion.
+ */
 
 const PIECE = 'x'.repeat(60_000)
 const PIECE_MILLISECONDS = 10
-/** The connection ends well after the last bytes, with all of them taken from it. */
+/** The connection ends well after the last bytes, when the instance has read all of them. */
 const END_MILLISECONDS = 300
 const PAUSE_MILLISECONDS = 5_000
-/** Among these sizes are some that fill all buffers on the way and leave nothing behind at the endpoint. */
+/** Some of these sizes fill all buffers up to the caller exactly, so that no bytes remain at the endpoint. */
 const SIZES = Array.from({ length: 130 }, (_, index) => index + 5)
 
 let fleet: ConfiguredFleet
@@ -51,7 +54,7 @@
 }
 
 describe('an answer that ends with its connection while its caller reads nothing', () => {
-  it('arrives whole, whatever was in the buffers then', async () => {
+  it('arrives whole, however full the buffers are at that time', async () => {
     const replies = await Promise.all(SIZES.map(read))
     const broken = replies.filter(
       ({ status, missing, ending }) => status !== 200 || missing !== 0 || ending !== 'closed',
--- a/packages/stand-ins/__tests__/endpointAdvice.spec.ts
+++ b/packages/stand-ins/__tests__/endpointAdvice.spec.ts
@@ -3,21 +3,22 @@
 import type { ChatAnswer, EngineStandIn } from '@rackwalk/stand-ins'
 
 /**
- * Engines behind the published protocol say what they bear in the heads of their answers: a rate (`x-ratelimit-limit-requests`
- * by the minute, `RateLimit-Policy` with a window), when to come back, that they leave. This kind of daemon read a leaving
- * header in refusals alone and nothing else, so an engine that named 78 requests a minute got as many as one that named none.
+ * Guards against ignored advice of engines. Engines of the published protocol give advice in the headers of their answers: a
+ * rate (`x-ratelimit-limit-requests` per minute, `RateLimit-Policy` with a window), a time to retry after, and that they are
+ * leaving. This kind of daemon read only the leaving header, and only in refusals, so an engine that advised 78 requests per
+ * minute received as many requests as one without advice.
  */
 
 const INSTANCES = 3
 const ENGINES = 4
 const RATE = 1.3
 const WINDOW_MILLISECONDS = 4_000
-/** One and a half times what the rate allows in the window, and five more. */
+/** One and a half times the number of requests that the rate allows in the window, plus five. */
 const ALLOWED = 1.5 * RATE * (WINDOW_MILLISECONDS / 1_000) + 5
-/** An instance that was told keeps to it from then on. */
-const TOLD_MILLISECONDS = 500
+/** Time after the first advice from which on all instances keep to the rate. */
+const ADVICE_DELAY_MILLISECONDS = 500
 const INTERVAL_MILLISECONDS = 25
-const LEAST_SERVED = 0.99
+const MINIMUM_SERVED = 0.99
 
 let current: ConfiguredFleet | undefined
 
@@ -32,7 +33,7 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds))
 }
 
-/** Sends chats to the instances in turn for so long; each has a prompt of its own. */
+/** Sends chats with different prompts to the instances in turn for the given time. */
 async function send(fleet: ConfiguredFleet, duration: number): Promise<readonly ChatAnswer[]> {
   const answers: Promise<ChatAnswer>[] = []
   const until = Date.now() + duration
@@ -44,7 +45,7 @@
   return Promise.all(answers)
 }
 
-/** The most arrivals within the window, of those after this time. */
+/** Returns the highest number of arrivals in a window, counting only arrivals after the given time. */
 function mostInWindow(arrivals: readonly number[], after: number): number {
   const late = arrivals.filter(at => at > after)
   const counts = late.map(
@@ -62,26 +63,26 @@
   current = undefined
 })
 
-describe('an engine that names a rate', () => {
-  it('gets no more than that from the whole fleet, and all others are served elsewhere', async () => {
+describe('an engine that advises a rate', () => {
+  it('receives no more requests than that from the whole fleet, and the others are served elsewhere', async () => {
     const { fleet, first } = await start()
     await send(fleet, 1_000)
     const namedAt = Date.now()
     first.answerHeaders = { 'x-ratelimit-limit-requests': String(RATE * 60) }
     const answers = await send(fleet, 9_000)
     const [toldAt = 0] = first.arrivals.filter(at => at >= namedAt)
-    const most = mostInWindow(first.arrivals, toldAt + TOLD_MILLISECONDS)
+    const most = mostInWindow(first.arrivals, toldAt + ADVICE_DELAY_MILLISECONDS)
     expect(most).toBeGreaterThan(0)
     expect(most).toBeLessThanOrEqual(ALLOWED)
-    expect(servedShare(answers)).toBeGreaterThanOrEqual(LEAST_SERVED)
+    expect(servedShare(answers)).toBeGreaterThanOrEqual(MINIMUM_SERVED)
   })
 })
 
-/** Arrivals so long after the first one that was told are too late. */
+/** No chat may arrive later than this after the first answer with advice. */
 const GRACE_MILLISECONDS = 500
 
-describe('an engine that says in a good answer that it leaves', () => {
-  it('gets nothing new from any instance, and all others are served elsewhere', async () => {
+describe('an engine that announces in a successful answer that it is leaving', () => {
+  it('receives no new requests from any instance, and all are served elsewhere', async () => {
     const { fleet, first } = await start()
     await send(fleet, 1_000)
     const saidAt = Date.now()
@@ -90,39 +91,39 @@
     const [toldAt = 0] = first.arrivals.filter(at => at >= saidAt)
     expect(toldAt).toBeGreaterThan(0)
     expect(first.arrivals.filter(at => at > toldAt + GRACE_MILLISECONDS)).toEqual([])
-    expect(servedShare(answers)).toBeGreaterThanOrEqual(LEAST_SERVED)
+    expect(servedShare(answers)).toBeGreaterThanOrEqual(MINIMUM_SERVED)
   })
 })
 
-const REST_SECONDS = 6
+const RETRY_AFTER_SECONDS = 6
 
-describe('an engine that turns a chat away and asks for rest', () => {
+describe('an engine that rejects a chat and sends retry-after', () => {
   it.each([429, 503])(
-    'with %i gets little from any instance until the rest is over',
+    'with %i receives few requests from any instance until that time is over',
     async status => {
       const { fleet, first } = await start()
       await send(fleet, 1_000)
       const askedAt = Date.now()
       first.rejectsWithStatus = status
-      first.answerHeaders = { 'retry-after': String(REST_SECONDS) }
-      const answers = await send(fleet, REST_SECONDS * 1_000)
+      first.answerHeaders = { 'retry-after': String(RETRY_AFTER_SECONDS) }
+      const answers = await send(fleet, RETRY_AFTER_SECONDS * 1_000)
       const late = first.arrivals.filter(at => at > askedAt + GRACE_MILLISECONDS)
-      // Each instance is asked for rest by an answer of its own.
+      // Each instance must receive its own rejection before it knows of the advice.
       expect(late.length).toBeLessThanOrEqual(2 * INSTANCES)
-      expect(servedShare(answers)).toBeGreaterThanOrEqual(LEAST_SERVED)
+      expect(servedShare(answers)).toBeGreaterThanOrEqual(MINIMUM_SERVED)
     },
   )
 })
 
-/** A refusal as its caller has it. */
+/** A refusal as its caller receives it. */
 interface Refusal {
-  /** The status, the code and what is said of the run. */
-  readonly told: string
+  /** The status, the result code and the execution state. */
+  readonly summary: string
   readonly returnAfter: string | null
   readonly returnAfterMilliseconds: number
 }
 
-async function ask(address: string, prompt: string): Promise<Refusal> {
+async function sendRefused(address: string, prompt: string): Promise<Refusal> {
   const response = await fetch(`${address}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${TEAM_KEY}` },
@@ -130,7 +131,7 @@
   })
   const { error } = (await response.json()) as { error: { code: number; execution: string } }
   return {
-    told: `${response.status} ${error.code} ${error.execution}`,
+    summary: `${response.status} ${error.code} ${error.execution}`,
     returnAfter: response.headers.get('retry-after'),
     returnAfterMilliseconds: Number(response.headers.get('retry-after-ms')),
   }
@@ -138,9 +139,9 @@
 
 const REQUESTS = 120
 
-describe('engines that all turn chats away and ask for rest', () => {
+describe('engines that all reject chats and send retry-after', () => {
   it.each([429, 503])(
-    'with %i: every caller is told that its chat did not run, and when to come back',
+    'with %i: every caller learns that its chat did not run and when to retry',
     async status => {
       const { fleet } = await start()
       const ran = () =>
@@ -149,22 +150,22 @@
       const ranBefore = ran()
       for (const engine of fleet.engines) {
         engine.rejectsWithStatus = status
-        engine.answerHeaders = { 'retry-after': String(REST_SECONDS) }
+        engine.answerHeaders = { 'retry-after': String(RETRY_AFTER_SECONDS) }
       }
       const asked: Promise<Refusal>[] = []
       for (let number = 0; number < REQUESTS; number += 1) {
-        asked.push(ask(fleet.callers(number % INSTANCES), `prompt ${number}`))
+        asked.push(sendRefused(fleet.callers(number % INSTANCES), `prompt ${number}`))
         await pause(INTERVAL_MILLISECONDS / 5)
       }
       const refusals = await Promise.all(asked)
       expect(ran()).toBe(ranBefore)
-      // Who had no other engine left to ask, or no retry; and who came later.
-      const others = refusals.filter(({ told }) => !/^503 (3007|3016) not-run$/.test(told))
+      // 3007 and 3016: no other engine or no retry was left, or all engines were resting already.
+      const others = refusals.filter(({ summary }) => !/^503 (3007|3016) not-run$/.test(summary))
       expect(others).toEqual([])
       for (const { returnAfter, returnAfterMilliseconds } of refusals) {
         expect(returnAfter).toMatch(/^[1-9]\d*$/)
         expect(returnAfterMilliseconds).toBeGreaterThan(0)
-        expect(returnAfterMilliseconds).toBeLessThanOrEqual(2 * REST_SECONDS * 1_000)
+        expect(returnAfterMilliseconds).toBeLessThanOrEqual(2 * RETRY_AFTER_SECONDS * 1_000)
       }
     },
   )
--- a/packages/stand-ins/__tests__/frontedEnds.spec.ts
+++ b/packages/stand-ins/__tests__/frontedEnds.spec.ts
@@ -3,15 +3,16 @@
 import type { ChatAnswer, EngineFront } from '@rackwalk/stand-ins'
 
 /**
- * An API server went on listening beside its dead engine, so the look whether anybody listens told no end, and a chat that
- * ends what begins to run it was sent to engine after engine: up to four in one try, and anew with each repeat.
+ * Guards against crashes that a front hides. An API server kept listening after its engine had crashed, so the probe of the
+ * address showed no termination, and a crash-inducing chat was sent to one engine after the other: up to four in one attempt,
+ * and again with each retry.
  */
 
 const MARK = 'ending'
 const INSTANCES = 3
 const ENGINES = 8
-const MOST_ENDS = 3
-const LEAST_SERVED = 0.99
+const MAXIMUM_CRASHES = 3
+const MINIMUM_SERVED = 0.99
 const RUN_MILLISECONDS = 5_000
 const MARKED_INTERVAL_MILLISECONDS = 250
 const OTHER_INTERVAL_MILLISECONDS = 15
@@ -66,7 +67,7 @@
     const over: string[] = []
     for (const front of FRONTS) {
       const { ends, served } = await play(front)
-      const isKept = ends > 0 && ends <= MOST_ENDS && served >= LEAST_SERVED
+      const isKept = ends > 0 && ends <= MAXIMUM_CRASHES && served >= MINIMUM_SERVED
       if (!isKept) over.push(`${front}: ${ends} ends, ${served.toFixed(3)} served`)
     }
     expect(over).toEqual([])
--- a/packages/stand-ins/__tests__/heldAnswers.spec.ts
+++ b/packages/stand-ins/__tests__/heldAnswers.spec.ts
@@ -4,20 +4,20 @@
 import { ConfiguredFleet, SocketEndpoint, TEAM_KEY, callOverSocket } from '@rackwalk/stand-ins'
 import type { SocketAnswer, SocketCall } from '@rackwalk/stand-ins'
 
-/** What is held of an answer until it is whole, and what becomes of one that breaks off. */
+/** Which answers are buffered until they are whole, and the outcome of interrupted answers. */
 
 const DOCUMENT = JSON.stringify({ result: 'whole' })
 const LARGE = `{"result":"${'x'.repeat(3 * 1024 * 1024)}"}`
 const LENGTH_HEAD = head(`content-length: ${DOCUMENT.length}`)
 const CHUNKS_HEAD = head('transfer-encoding: chunked')
-/** More than the buffers between an endpoint and a caller that reads nothing take in. */
+/** More bytes than fit into all buffers between an endpoint and a caller that doesn't read. */
 const LONG = 'x'.repeat(24 * 1024 * 1024)
 const PAUSE_MILLISECONDS = 1_500
 const REQUESTS = 8
-/** After this time an answer that may be read while it arrives is held no more. */
-const PAST_HOLD_MILLISECONDS = 1_500
+/** After this time an answer that callers may read while it arrives is no longer buffered. */
+const AFTER_BUFFERING_MILLISECONDS = 1_500
 const TRICKLE_MILLISECONDS = 3_000
-/** Within this time all that was written has arrived. */
+/** Within this time all written bytes have arrived. */
 const ARRIVAL_MILLISECONDS = 300
 
 let fleet: ConfiguredFleet | undefined
@@ -31,7 +31,7 @@
   return `${text.length.toString(16)}\r\n${text}\r\n`
 }
 
-/** A service at two endpoints that answer alike. */
+/** Starts a fleet with a service at two endpoints that answer identically. */
 async function start(answer: SocketAnswer): Promise<ConfiguredFleet> {
   endpoints = [new SocketEndpoint(answer), new SocketEndpoint(answer)]
   const ports = await Promise.all(endpoints.map(endpoint => endpoint.listen()))
@@ -63,8 +63,8 @@
   })
 }
 
-/** Breaks off the first answer to each path, and gives the others whole. */
-function breakFirst(): SocketAnswer {
+/** Interrupts the first answer for each path and sends the others whole. */
+function interruptFirst(): SocketAnswer {
   const seen = new Set<string>()
   return (socket, { path }) => {
     if (seen.has(path)) return void socket.write(LENGTH_HEAD + DOCUMENT)
@@ -73,39 +73,39 @@
   }
 }
 
-describe('an answer that breaks off', () => {
-  it('is asked for again where the request may be repeated', async () => {
-    await start(breakFirst())
+describe('an interrupted answer', () => {
+  it('is requested again if the request may be repeated', async () => {
+    await start(interruptFirst())
     const replies = []
     for (let number = 0; number < REQUESTS; number += 1) replies.push(await call(`/${number}`))
     for (const { status, body, ending } of replies) {
       expect({ status, body, ending }).toEqual({ status: 200, body: DOCUMENT, ending: 'length' })
     }
-    expect(endpoints.flatMap(({ receivedRequests: taken }) => taken)).toHaveLength(2 * REQUESTS)
+    expect(endpoints.flatMap(({ receivedRequests }) => receivedRequests)).toHaveLength(2 * REQUESTS)
   })
 
-  it('is never asked for again where the request may run once', async () => {
-    await start(breakFirst())
+  it('is never requested again if the request may run only once', async () => {
+    await start(interruptFirst())
     const { status, body } = await call('/once', { method: 'POST', body: '{}' })
     const { error } = JSON.parse(body) as { error: { execution: string; repeatable: boolean } }
     expect({ status, error }).toMatchObject({
       status: 409,
       error: { execution: 'unknown', repeatable: false },
     })
-    expect(endpoints.flatMap(({ receivedRequests: taken }) => taken)).toHaveLength(1)
+    expect(endpoints.flatMap(({ receivedRequests }) => receivedRequests)).toHaveLength(1)
   })
 
-  it('is an error in place of it where nothing of it was passed on, however late it breaks', async () => {
+  it('is replaced by an error if no part of it was delivered, however late the interruption', async () => {
     await start(socket => {
       socket.write(head('transfer-encoding: chunked', 'text/plain') + chunk('first\n'))
-      setTimeout(() => socket.resetAndDestroy(), PAST_HOLD_MILLISECONDS)
+      setTimeout(() => socket.resetAndDestroy(), AFTER_BUFFERING_MILLISECONDS)
     })
     const { status, body, ending } = await call('/late')
     expect({ status, ending }).toEqual({ status: 502, ending: 'length' })
     expect(JSON.parse(body)).toMatchObject({ error: { code: 4008, execution: 'ran' } })
   })
 
-  it('is cut where it is too large to be held', async () => {
+  it('is cut if it is too large to be buffered', async () => {
     await start(socket => {
       socket.write(CHUNKS_HEAD + chunk(LARGE))
       setTimeout(() => socket.resetAndDestroy(), ARRIVAL_MILLISECONDS)
@@ -116,7 +116,7 @@
 })
 
 describe('an answer that is whole', () => {
-  it('arrives whole where it is too large to be held', async () => {
+  it('arrives whole if it is too large to be buffered', async () => {
     await start(socket => void socket.write(`${CHUNKS_HEAD}${chunk(LARGE)}0\r\n\r\n`))
     const { status, body, ending } = await call('/large')
     expect({ status, ending, isSame: body === LARGE }).toEqual({
@@ -126,7 +126,7 @@
     })
   })
 
-  it('has no body where its request asks for none', async () => {
+  it('has no body if the request is a HEAD request', async () => {
     await start(socket => void socket.write(LENGTH_HEAD))
     const { status, body, headers } = await call('/head', { method: 'HEAD' })
     expect({ status, body, length: headers.get('content-length') }).toEqual({
@@ -136,7 +136,7 @@
     })
   })
 
-  it('is not held for long where it may be read while it arrives', async () => {
+  it('is not buffered for long if callers may read it while it arrives', async () => {
     const { callers } = await startTrickle()
     const begun = performance.now()
     const { body } = await request(`${callers}/services/socket/lines`, {
@@ -173,7 +173,7 @@
   const finish = (socket: Socket) => socket.write(`${chunk('last\n')}0\r\n\r\n`)
   const started = await start(socket => {
     socket.write(head('transfer-encoding: chunked', 'text/plain') + chunk('first\n'))
-    // The newest chunk is kept back until another one comes.
+    // The instance keeps the newest chunk back until another one arrives.
     socket.write(chunk('second\n'))
     setTimeout(() => finish(socket), TRICKLE_MILLISECONDS)
   })
--- a/packages/stand-ins/__tests__/knowledgeWatch.spec.ts
+++ b/packages/stand-ins/__tests__/knowledgeWatch.spec.ts
@@ -6,9 +6,9 @@
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
 /**
- * One instance whose way to the store is bad while others reach it: by a full link, by a store that is silent to
- * it alone, or by a store that is away for all. A change is made; what does the instance serve by when its bound
- * has passed?
+ * Guards against requests that are served by stale data. One instance can't read the store properly because its link is
+ * full, because the store doesn't answer this instance, or because the store is unreachable for all. The tests write a change
+ * and check which value the instance serves by, or whether it refuses, after its staleness bound has passed.
  */
 
 const TABLE = 'op'
@@ -17,11 +17,11 @@
 
 type AskPeers = (after: number) => MirrorPage | undefined
 
-function instanceOn(store: MemoryRowStore, clock: VirtualClock, askPeers?: AskPeers) {
+function startInstance(store: MemoryRowStore, clock: VirtualClock, askPeers?: AskPeers) {
   const { store: client, faults } = store.connect()
   const known = { value: undefined as string | undefined }
   const answered = { at: Number.NEGATIVE_INFINITY }
-  /** Whether datagrams of other instances come through. */
+  /** Whether gossip datagrams of other instances arrive. */
   const heard = { isHeard: false }
   const mirror = new TableMirror({
     store: client,
@@ -49,10 +49,10 @@
   return { known, answered, heard, faults, mirror, watch, changes, clock }
 }
 
-type WatchedInstance = ReturnType<typeof instanceOn>
+type MonitoredInstance = ReturnType<typeof startInstance>
 
-/** What a request meets: the value by which it would be served, or the code of its refusal. */
-function serve({ watch, known }: WatchedInstance): string | ResultCode {
+/** Returns the value by which a request is served, or the code of its refusal. */
+function serve({ watch, known }: MonitoredInstance): string | ResultCode {
   try {
     watch.check()
     return known.value ?? 'nothing'
@@ -62,8 +62,8 @@
   }
 }
 
-/** What requests met from the bound on that began with a change, each value once. */
-async function servedAfterBound(instance: WatchedInstance, spanMilliseconds: number) {
+/** Returns the distinct results of requests after the staleness bound has passed since a change. */
+async function servedAfterBound(instance: MonitoredInstance, spanMilliseconds: number) {
   await instance.clock.advance(BOUND_MILLISECONDS)
   const met = new Set<string | ResultCode>()
   for (let passed = 0; passed < spanMilliseconds; passed += STEP_MILLISECONDS) {
@@ -73,25 +73,27 @@
   return [...met]
 }
 
-async function setUp(askPeers?: (peer: WatchedInstance, after: number) => MirrorPage | undefined) {
+async function setUp(
+  askPeers?: (peer: MonitoredInstance, after: number) => MirrorPage | undefined,
+) {
   const clock = new VirtualClock()
   const store = new MemoryRowStore(clock)
   store.put(TABLE, 'config', 'old')
-  const peer = instanceOn(store, clock)
-  const instance = instanceOn(store, clock, after => askPeers?.(peer, after))
+  const peer = startInstance(store, clock)
+  const instance = startInstance(store, clock, after => askPeers?.(peer, after))
   await clock.advance(4_000)
   return { clock, store, peer, instance }
 }
 
-describe('an instance whose sight of the configuration is old', () => {
-  it('has from a peer in time what the store tells it late', async () => {
+describe('an instance whose view of the configuration is stale', () => {
+  it('gets a change from a peer in time if the store answers too late', async () => {
     const { store, instance } = await setUp((peer, after) => peer.mirror.since(after))
     instance.faults.slowMilliseconds = 20_000
     store.put(TABLE, 'config', 'new')
     expect(await servedAfterBound(instance, 5_000)).toEqual(['new'])
   })
 
-  it('refuses while its link is so slow that it hears of others and nobody answers it', async () => {
+  it('refuses while its link is so slow that gossip arrives but no calls are answered', async () => {
     const { clock, store, instance } = await setUp()
     instance.faults.slowMilliseconds = 20_000
     store.put(TABLE, 'config', 'new')
@@ -103,7 +105,7 @@
     expect(instance.changes).toEqual([true, false])
   })
 
-  it('refuses while the store answers its other calls, and nobody tells it anything', async () => {
+  it('refuses while the store answers its other calls and no peer sends changes', async () => {
     const { clock, store, instance } = await setUp()
     instance.faults.isCut = true
     store.put(TABLE, 'config', 'new')
@@ -119,7 +121,7 @@
     await answering()
   })
 
-  it('serves on while the store is away for all, as its peers tell it', async () => {
+  it('keeps serving while the store is unreachable for all, if its peers answer', async () => {
     const { peer, instance } = await setUp((other, after) => other.mirror.since(after))
     instance.faults.isCut = true
     peer.faults.isCut = true
@@ -127,7 +129,7 @@
     expect(await servedAfterBound(instance, 8_000)).toEqual(['old'])
   })
 
-  it('serves on where it is cut off from everybody', async () => {
+  it('keeps serving if it is cut off from the store and all peers', async () => {
     const { instance } = await setUp()
     instance.faults.isCut = true
     expect(await servedAfterBound(instance, 8_000)).toEqual(['old'])
--- a/packages/stand-ins/__tests__/largeFleet.spec.ts
+++ b/packages/stand-ins/__tests__/largeFleet.spec.ts
@@ -2,15 +2,16 @@
 import { FleetReplay } from '@rackwalk/stand-ins'
 
 /**
- * A fleet of which few instances take callers, though something comes to each: plain requests and checks to
- * all, one team's callers to one that stands by. In brackets: what the same gave when whoever got half a
- * request a second shared every bound, and whoever was not heard yet was left out of the addresses.
+ * Guards against too many instances that share budgets in a large fleet. Few instances are active, but all receive some
+ * requests: plain requests and probes arrive at all, and one team's callers use a standby. The figures in brackets are the
+ * results of earlier rules, by which each instance with half a request per second shared every limit, and instances without
+ * a heartbeat so far were left out of the addresses.
  */
 
 const SMALL = 40
 const LARGE = 120
 const TIMEOUT_MILLISECONDS = 60_000
-/** Heartbeats of all are known, and who was not active has given back what it held. */
+/** Time after which the heartbeats of all instances are known and standbys have returned their holdings. */
 const SETTLE_MILLISECONDS = 9_000
 
 async function settledFleet(instances: number): Promise<FleetReplay> {
@@ -34,9 +35,9 @@
   return served / asked
 }
 
-describe('a large fleet to which something comes everywhere', () => {
+describe('a large fleet with requests at all instances', () => {
   it(
-    'costs each instance no more as it grows, and shares budgets among those that draw on them',
+    'makes no more store calls per instance as it grows, and shares budgets among their users only',
     async () => {
       const costs: number[] = []
       for (const instances of [SMALL, LARGE]) {
@@ -55,7 +56,7 @@
   )
 
   it(
-    'comes back from a loss of all power as the fleet that it was',
+    'has the same active instances after a power failure of all instances',
     async () => {
       const fleet = await settledFleet(LARGE)
       await fleet.run(2_000)
--- a/packages/stand-ins/__tests__/logEvents.spec.ts
+++ b/packages/stand-ins/__tests__/logEvents.spec.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '@rackwalk/daemon'
 import { ConfiguredFleet, MODEL, TEAM_KEY, chatBody, streamChat } from '@rackwalk/stand-ins'
 
-/** Log lines of an OpenAI-style instance: names of events, names and types of their fields. */
+/** Pins the log lines of an OpenAI-style instance: names of events, and names and types of their fields. */
 
 interface Line {
   readonly level: 'info' | 'warn'
@@ -29,7 +29,7 @@
     return this.lines.some(line => line.event === event)
   }
 
-  /** Level and field types of the last line of each event. */
+  /** Level and field types of the last line of each event, by event name. */
   get shapes(): Readonly<Record<string, unknown>> {
     const shapes = this.lines.map(({ level, event, fields }) => {
       const seen = JSON.parse(JSON.stringify(fields)) as Record<string, unknown>
@@ -84,7 +84,7 @@
     const seal = { kind: 'seal', sealedBy: 'somebody', entries: [] }
     const id = asId<TransactionId>('sealing')
     await fleet.platform.table.transact(id, [{ kind: 'put', key, condition, value: {} }])
-    // The writer finds a seal in the slot that it wanted to write next.
+    // The writer finds a seal in the slot that it writes next.
     const slots = await fleet.platform.table.query(tableKeys.journalPartition(incarnation))
     const next = tableKeys.journalSlotKey(incarnation, slots.length + 1)
     await fleet.platform.table.transact(id, [{ kind: 'put', key: next, condition, value: seal }])
--- a/packages/stand-ins/__tests__/lostLinks.spec.ts
+++ b/packages/stand-ins/__tests__/lostLinks.spec.ts
@@ -5,21 +5,21 @@
 import { EndpointLinks } from '../../../platform/__tests__/standIns/endpointLinks.js'
 import type { LinkCut } from '../../../platform/__tests__/standIns/endpointLinks.js'
 
-/** Guards against an instance that refuses its callers while others reach every engine. */
+/** Guards against an instance that refuses its callers while other instances reach all engines. */
 
 const INSTANCES = 3
 const ENGINES = 4
-/** All instances know of a cut within this time. */
-const CONTACT_MILLISECONDS = 3_000
-const JUDGED_MILLISECONDS = 1_500
+/** Time within which all instances know that links are cut. */
+const DETECTION_MILLISECONDS = 3_000
+const CHECKED_MILLISECONDS = 1_500
 const INTERVAL_MILLISECONDS = 40
 const DEADLINE_MILLISECONDS = 2_000
-const LEAST_SERVED = 2 / 3
+const MINIMUM_SERVED = 2 / 3
 
 let fleet: ConfiguredFleet
 let links: EndpointLinks
 
-/** The first instance reaches engines over links of its own. */
+/** Starts a fleet whose first instance reaches the engines over links that the test can cut. */
 async function start(): Promise<void> {
   fleet = await new ConfiguredFleet({ instances: INSTANCES, engines: ENGINES }).start()
   const catalogue = fleet.fleet.members[0]?.daemon['catalogue'] as Catalogue | undefined
@@ -46,7 +46,7 @@
   await fleet.stop()
 })
 
-async function askFor(milliseconds: number, instance = 0): Promise<readonly ChatAnswer[]> {
+async function sendFor(milliseconds: number, instance = 0): Promise<readonly ChatAnswer[]> {
   const answers: Promise<ChatAnswer | undefined>[] = []
   const until = Date.now() + milliseconds
   while (Date.now() < until) {
@@ -66,25 +66,25 @@
   for (const how of ['refused', 'hanging'] satisfies LinkCut[]) {
     it(`has its chats served through another one while connections are ${how}`, async () => {
       await start()
-      expect(servedShare(await askFor(400))).toBe(1)
+      expect(servedShare(await sendFor(400))).toBe(1)
       links.cut(how)
-      await askFor(CONTACT_MILLISECONDS)
-      const answers = await askFor(JUDGED_MILLISECONDS)
-      expect(servedShare(answers)).toBeGreaterThanOrEqual(LEAST_SERVED)
+      await sendFor(DETECTION_MILLISECONDS)
+      const answers = await sendFor(CHECKED_MILLISECONDS)
+      expect(servedShare(answers)).toBeGreaterThanOrEqual(MINIMUM_SERVED)
     })
   }
 
-  it('says of no engine that it has ended, and uses them soon after its links are back', async () => {
+  it('marks no engine as terminated, and uses the engines soon after its links are restored', async () => {
     await start()
     links.cut('refused')
-    await askFor(1_000)
+    await sendFor(1_000)
     expect(fleet.engines.map(({ crashes }) => crashes)).toEqual(fleet.engines.map(() => 0))
     for (const { daemon } of fleet.fleet.members) {
       expect(daemon['crashes'].guard.suspects).toEqual([])
     }
-    expect(servedShare(await askFor(500, 1))).toBe(1)
+    expect(servedShare(await sendFor(500, 1))).toBe(1)
     links.heal()
     await new Promise(resolve => setTimeout(resolve, 1_500))
-    expect(servedShare(await askFor(500))).toBe(1)
+    expect(servedShare(await sendFor(500))).toBe(1)
   })
 })
--- a/packages/stand-ins/__tests__/namedRate.spec.ts
+++ b/packages/stand-ins/__tests__/namedRate.spec.ts
@@ -3,13 +3,13 @@
 import type { NamedRateLoad, RatePolicy, RatePolicyParts } from '@rackwalk/stand-ins'
 
 /**
- * A rate that an endpoint names is one for the whole fleet, so a rule that holds for three instances may break at size: eight
- * instances that each keep to a rate of 1.3 send 42 in four seconds, and 195 that each send one request are over it before
- * any of them has sent a second one.
+ * Guards against fleets that exceed an advised rate. A rate that an endpoint advises holds for the whole fleet, so a rule
+ * that works for three instances may fail for more. Eight instances that each keep to a rate of 1.3 per second send 42
+ * requests in four seconds, and 195 instances that each send one request exceed the rate with their first requests.
  */
 
-/** One and a half times what the rate allows in four seconds, and five more. */
-function allowed(rate: number): number {
+/** One and a half times the number of requests that the rate allows in four seconds, plus five. */
+function maximumInWindow(rate: number): number {
   return 1.5 * rate * 4 + 5
 }
 
@@ -21,26 +21,27 @@
   return { instances, users: instances, rate, requestsPerSecond, seed: instances, ...more }
 }
 
-describe('a named rate', () => {
+describe('an advised rate', () => {
   it('is kept by a fleet of any size', async () => {
     const over: string[] = []
     for (const instances of SIZES) {
       for (const rate of RATES) {
         const { mostInWindow } = await replayNamedRate(loadOf(instances, rate))
-        if (mostInWindow > allowed(rate)) over.push(`${instances}, ${rate}/s: ${mostInWindow}`)
+        if (mostInWindow > maximumInWindow(rate))
+          over.push(`${instances}, ${rate}/s: ${mostInWindow}`)
       }
     }
     expect(over).toEqual([])
   })
 
-  it('is kept where no instance hears another', async () => {
+  it('is kept if all gossip between instances is lost', async () => {
     for (const instances of [8, 75, 195]) {
       const { mostInWindow } = await replayNamedRate(loadOf(instances, 1.3, { isGossipLost: true }))
-      expect(mostInWindow).toBeLessThanOrEqual(allowed(1.3))
+      expect(mostInWindow).toBeLessThanOrEqual(maximumInWindow(1.3))
     }
   })
 
-  it('is used, and all others are served, where callers come to a few of many instances', async () => {
+  it('is used, and all other requests are served, if few of many instances have callers', async () => {
     const outcome = await replayNamedRate(loadOf(75, 1.3, { users: 12 }))
     expect(outcome.takenPerSecond).toBeGreaterThan(0.5)
     expect(outcome.servedShare).toBe(1)
@@ -54,8 +55,8 @@
   'licences by hash': rankedQuota,
 }
 
-describe('ways of keeping a rate of 1.3 a second', () => {
-  it('send what each lets be sent in four seconds', async () => {
+describe('policies for a rate of 1.3 per second', () => {
+  it('differ in the number of requests that they permit in four seconds', async () => {
     const rows: string[] = []
     for (const [name, policy] of Object.entries(POLICIES)) {
       const cells: string[] = []
--- a/packages/stand-ins/__tests__/objectWhole.spec.ts
+++ b/packages/stand-ins/__tests__/objectWhole.spec.ts
@@ -4,7 +4,7 @@
 import { SocketEndpoint } from '@rackwalk/stand-ins'
 import { S3ObjectStore } from '@rackwalk/stores'
 
-/** What the client of the object store takes for whole, by how the answer is framed and how its connection ends. */
+/** Which answers the object store's client accepts as whole, by their framing and by the end of the connection. */
 
 const OBJECT = 'a segment of the journal'
 const HALF = OBJECT.slice(0, 12)
@@ -12,9 +12,9 @@
 const HALF_LIST = LIST.slice(0, LIST.indexOf('</ListBucketResult>'))
 
 type End = (socket: Socket) => void
-const inOrder: End = socket => socket.end()
-const byReset: End = socket => setTimeout(() => socket.resetAndDestroy(), 20)
-const stays: End = () => {}
+const closeOrderly: End = socket => socket.end()
+const resetLater: End = socket => setTimeout(() => socket.resetAndDestroy(), 20)
+const keepOpen: End = () => {}
 
 let endpoint: SocketEndpoint
 let store: S3ObjectStore
@@ -53,18 +53,18 @@
 
 describe('an object of the store', () => {
   it.each([
-    ['with its length', length(OBJECT), OBJECT, stays],
-    ['in chunks with the last one', CHUNKED, chunk(OBJECT) + LAST_CHUNK, stays],
+    ['with its length', length(OBJECT), OBJECT, keepOpen],
+    ['in chunks with the last one', CHUNKED, chunk(OBJECT) + LAST_CHUNK, keepOpen],
   ])('is taken %s', async (_, head, body, end) => {
     await startStore(head, body, end)
     expect(String(await store.get('segment'))).toBe(OBJECT)
   })
 
   it.each([
-    ['shorter than its length', length(OBJECT), HALF, inOrder],
-    ['in chunks without the last one', CHUNKED, chunk(HALF), inOrder],
-    ['up to an orderly end', '', HALF, inOrder],
-    ['up to a reset', '', HALF, byReset],
+    ['shorter than its length', length(OBJECT), HALF, closeOrderly],
+    ['in chunks without the last one', CHUNKED, chunk(HALF), closeOrderly],
+    ['up to an orderly end', '', HALF, closeOrderly],
+    ['up to a reset', '', HALF, resetLater],
   ])('is not taken %s', async (_, head, body, end) => {
     await startStore(head, body, end)
     const outcome = await store.get('segment').catch(toRackwalkError)
@@ -72,7 +72,7 @@
   })
 
   it('is not left out of a list that broke off', async () => {
-    await startStore('', HALF_LIST, inOrder)
+    await startStore('', HALF_LIST, closeOrderly)
     const outcome = await store.list('', 10).catch(toRackwalkError)
     expect(outcome).toMatchObject({ code: ResultCode.PlatformAmbiguous })
   })
--- a/packages/stand-ins/__tests__/operators.spec.ts
+++ b/packages/stand-ins/__tests__/operators.spec.ts
@@ -41,7 +41,7 @@
   return { code, output: output.join('\n') }
 }
 
-/** Takes out what differs from run to run. */
+/** Replaces the parts of a text that differ between runs by fixed placeholders. */
 function stable(text: string): string {
   return text
     .replaceAll(/instance-\d-[0-9a-f]{8}(\.[0-9a-z]+\.[0-9a-z]+)?/g, 'ID')
@@ -101,7 +101,7 @@
     fleet.platform.tableFaults.lostAnswers = 1
     const lost = await operator().put(team('asked', 5), headers)
     fleet.platform.tableFaults.lostAnswers = 0
-    // Either the repeat inside the server found its own change, or the operator is told to ask.
+    // Either the server's own retry found the change, or the operator must query the write's outcome.
     expect([200, 503]).toContain(lost.status)
     const record = await operator(2).get('/v1/writes/operator%2Flost-1')
     expect(record.body).toMatchObject({ accepted: true })
@@ -273,7 +273,7 @@
     }
     const codes = async (expected: number) =>
       vi.waitFor(async () => expect(await ask()).toBe(expected), { timeout: 5_000 })
-    // Nothing listens at its address.
+    // No process listens at the endpoint's address.
     await codes(ResultCode.EndpointRefused)
     const evacuated = await run(['evacuate', 'hall-a', '--reason', 'new power supply'])
     expect(evacuated).toMatchInlineSnapshot(`
--- a/packages/stand-ins/__tests__/processes.spec.ts
+++ b/packages/stand-ins/__tests__/processes.spec.ts
@@ -20,19 +20,19 @@
 } from '@rackwalk/stand-ins'
 import type { ChatAnswer } from '@rackwalk/stand-ins'
 
-/** Real `rackwalkd` processes, killed and frozen while they serve. */
+/** Checks bills and budgets when real `rackwalkd` processes are killed or frozen while they serve. */
 
 const PROGRAM = new URL('../../daemon/dist/main.js', import.meta.url).pathname
 const TOKEN = 'operator-token'
 const LIMIT = 400_000
 const INSTANCES = 3
-/** The system chooses: a port that the test chose could be taken before the process binds it. */
+/** The system chooses the port, because a port chosen by the test could be in use before the process binds it. */
 const ANY_PORT = '127.0.0.1:0'
 
 interface Instance {
   readonly name: string
   readonly process: ChildProcess
-  /** File that takes what the process prints. */
+  /** File with the output of the process. */
   readonly log: string
   readonly callers: string
   readonly operators: string
@@ -58,7 +58,7 @@
     instances.push(await startInstance(`entry-${number}`))
   }
   await publish(instances)
-  for (const instance of instances) await serving(instance)
+  for (const instance of instances) await waitUntilServing(instance)
   await configure()
 })
 
@@ -90,7 +90,7 @@
     env: { ...process.env, STAND_IN_SECRET: 'stand-in' },
     stdio: ['ignore', output, output],
   })
-  const { callerAddress, operatorAddress, peerAddress } = await startedLine(name, child, log)
+  const { callerAddress, operatorAddress, peerAddress } = await waitForStartedLine(name, child, log)
   return {
     name,
     process: child,
@@ -108,8 +108,12 @@
   readonly peerAddress: string
 }
 
-/** The line in which an instance tells the addresses that it got. */
-async function startedLine(name: string, child: ChildProcess, log: string): Promise<StartedLine> {
+/** Waits for the log line that contains the addresses of a started instance. */
+async function waitForStartedLine(
+  name: string,
+  child: ChildProcess,
+  log: string,
+): Promise<StartedLine> {
   let found: StartedLine | undefined
   const isStarted = () => {
     const lines = readFileSync(log, 'utf8').split('\n').slice(0, -1)
@@ -117,7 +121,7 @@
     return found !== undefined || child.exitCode !== null
   }
   await vi.waitUntil(isStarted, { timeout: 30_000, interval: 20 })
-  // An instance that ended will never serve: what it printed says why.
+  // A terminated instance never serves, and its output contains the reason.
   if (found === undefined) throw new Error(`${name} ended: ${readFileSync(log, 'utf8')}`)
   return found
 }
@@ -136,7 +140,7 @@
   )
 }
 
-async function serving(instance: Instance): Promise<void> {
+async function waitUntilServing(instance: Instance): Promise<void> {
   const client = new OperatorClient(instance.operators, TOKEN)
   let seen: unknown
   const isServing = async () => {
@@ -186,8 +190,8 @@
   }
 }
 
-/** Keeps asking an instance; answers that its death cut off come back as undefined. */
-async function askMany(instance: Instance, count: number): Promise<(ChatAnswer | undefined)[]> {
+/** Sends chats to an instance concurrently. Requests that fail because it is killed yield undefined. */
+async function sendMany(instance: Instance, count: number): Promise<(ChatAnswer | undefined)[]> {
   return Promise.all(
     Array.from({ length: count }, async (_, index) => {
       try {
@@ -204,7 +208,7 @@
   return stored?.value as unknown as BudgetRow
 }
 
-/** Every bill in every journal, and how many requests have one. */
+/** Returns the ids of all requests that have a bill in any journal. */
 async function billedRequests(): Promise<ReadonlySet<string>> {
   const rows = [
     ...(await platform.table.query(tableKeys.INCARNATIONS_PARTITION)),
@@ -218,12 +222,12 @@
   return new Set(bills.map(bill => bill.requestId))
 }
 
-function wholeOnes(answers: readonly (ChatAnswer | undefined)[]): readonly ChatAnswer[] {
+function wholeAnswers(answers: readonly (ChatAnswer | undefined)[]): readonly ChatAnswer[] {
   return answers.filter((answer): answer is ChatAnswer => answer?.isWhole === true)
 }
 
-/** Each whole answer is billed, and the row promises no more than there is. */
-async function checkBooks(whole: readonly ChatAnswer[]): Promise<void> {
+/** Checks that each whole answer is billed and that the budget's row doesn't exceed the limit. */
+async function checkBills(whole: readonly ChatAnswer[]): Promise<void> {
   await vi.waitUntil(
     async () => {
       const billed = await billedRequests()
@@ -235,7 +239,7 @@
   expect(row.settled + allocatedTokens(row)).toBeLessThanOrEqual(LIMIT)
 }
 
-async function untilReclaimed(name: string): Promise<void> {
+async function waitUntilReclaimed(name: string): Promise<void> {
   await vi.waitUntil(
     async () => {
       const retired = await platform.table.query(tableKeys.RETIRED_PARTITION)
@@ -248,48 +252,48 @@
 }
 
 describe('processes', () => {
-  it('keep the books when one is killed with streams open, and take its allocation back', async () => {
+  it('bill each answer once when one is killed with open streams, and reclaim its allocation', async () => {
     const [victim, second, third] = instances as [Instance, Instance, Instance]
-    const before = await askMany(victim, 10)
-    const open = [askMany(victim, 20), askMany(second, 20), askMany(third, 20)]
+    const before = await sendMany(victim, 10)
+    const open = [sendMany(victim, 20), sendMany(second, 20), sendMany(third, 20)]
     await new Promise(resolve => setTimeout(resolve, 150))
     victim.process.kill('SIGKILL')
     await publish([second, third])
     const answers = (await Promise.all(open)).flat()
-    const whole = wholeOnes([...before, ...answers])
+    const whole = wholeAnswers([...before, ...answers])
     expect(whole.length).toBeGreaterThanOrEqual(50)
-    await untilReclaimed(victim.name)
-    await checkBooks(whole)
+    await waitUntilReclaimed(victim.name)
+    await checkBills(whole)
   })
 
-  it('fence one that was frozen and taken for dead: it stops, and bills nothing more', async () => {
+  it('fence one that was frozen and declared dead: it stops and bills nothing more', async () => {
     const [frozen, second, third] = instances as [Instance, Instance, Instance]
     const exit = new Promise<number | null>(resolve => frozen.process.once('exit', resolve))
-    const open = askMany(frozen, 10)
+    const open = sendMany(frozen, 10)
     await new Promise(resolve => setTimeout(resolve, 100))
     frozen.process.kill('SIGSTOP')
     await publish([second, third])
-    const others = await askMany(second, 10)
-    await untilReclaimed(frozen.name)
+    const others = await sendMany(second, 10)
+    await waitUntilReclaimed(frozen.name)
     const journalBefore = await billedRequests()
     frozen.process.kill('SIGCONT')
     expect(await exit).toBe(75)
     expect(await billedRequests()).toEqual(journalBefore)
-    const late = wholeOnes(await open)
-    await checkBooks([...wholeOnes(others), ...late])
+    const late = wholeAnswers(await open)
+    await checkBills([...wholeAnswers(others), ...late])
   })
 
-  it('go on through an outage of the store, a kill in it, and close the books after it', async () => {
+  it('keep serving through an outage of the store with a kill, and bill each answer after it', async () => {
     const [victim, second, third] = instances as [Instance, Instance, Instance]
-    const before = await askMany(victim, 5)
+    const before = await sendMany(victim, 5)
     platform.tableFaults.outage = true
-    const during = (await Promise.all(instances.map(one => askMany(one, 10)))).flat()
-    expect(wholeOnes(during).length).toBe(30)
-    // Its bills live with its peers only.
+    const during = (await Promise.all(instances.map(one => sendMany(one, 10)))).flat()
+    expect(wholeAnswers(during).length).toBe(30)
+    // Only the peers of the killed instance hold its bills.
     victim.process.kill('SIGKILL')
     await publish([second, third])
     platform.tableFaults.outage = false
-    await untilReclaimed(victim.name)
-    await checkBooks(wholeOnes([...before, ...during]))
+    await waitUntilReclaimed(victim.name)
+    await checkBills(wholeAnswers([...before, ...during]))
   })
 })
--- a/packages/stand-ins/__tests__/refusedBodies.spec.ts
+++ b/packages/stand-ins/__tests__/refusedBodies.spec.ts
@@ -3,7 +3,10 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { ConfiguredFleet } from '@rackwalk/stand-ins'
 
-/** Callers with wrong keys and kept connections send whole bodies again and again, to callers' and operators' listeners. */
+/**
+ * Guards against refused bodies that fill the link: callers with wrong keys and keep-alive connections repeatedly send whole
+ * bodies to the callers' and the operators' listeners.
+ */
 
 const LINK_MEGABITS = 2
 const LINK_BYTES_PER_SECOND = (LINK_MEGABITS * 1_000_000) / 8
@@ -19,9 +22,9 @@
   await fleet.stop()
 })
 
-/** A body of which nobody can wait for the end, and what may be read of one that is refused. */
+/** The size of a body that is too long to be read, and the number of bytes of it that may be read. */
 const HUGE_BYTES = 200_000_000
-const MOST_READ_BYTES = 1_000_000
+const MAXIMUM_READ_BYTES = 1_000_000
 
 async function startFleet(limits: object = { linkMegabits: LINK_MEGABITS }): Promise<void> {
   fleet = await new ConfiguredFleet({ instances: 1, engines: 1, limits }).start()
@@ -41,8 +44,8 @@
   })
 }
 
-/** Bytes a second that refused callers send, who come again at once. */
-async function bytesInVain(address: string, path: string): Promise<number> {
+/** Returns the bytes per second sent by refused callers that retry immediately. */
+async function refusedBytesPerSecond(address: string, path: string): Promise<number> {
   let answers = 0
   const endsAt = Date.now() + SPAN_MILLISECONDS
   const call = async () => {
@@ -55,7 +58,7 @@
   return ((answers - CALLERS) * BODY.length * 1_000) / SPAN_MILLISECONDS
 }
 
-/** Sends a body as fast as it is taken, until the connection ends. */
+/** Sends a body as fast as the connection accepts it, until the connection closes. */
 function sendHugeBody(address: string, path: string): Promise<void> {
   const { hostname, port } = new URL(address)
   const chunk = Buffer.alloc(65_536)
@@ -73,7 +76,7 @@
   })
 }
 
-/** Bytes of refused bodies that the instance has read. */
+/** Returns the number of bytes of refused bodies that the instance has read. */
 async function bytesRead(): Promise<number> {
   const response = await fetch(new URL('/metrics', fleet.operators(0)))
   const text = await response.text()
@@ -84,24 +87,24 @@
   it.each([
     ['callers', '/v1/chat/completions'],
     ['operators', '/v1/teams'],
-  ] as const)('take no more of the link than it bears: %s', async (kind, path) => {
+  ] as const)('use no more than the bandwidth of the link: %s', async (kind, path) => {
     await startFleet()
-    const bytes = await bytesInVain(fleet[kind](0), path)
+    const bytes = await refusedBytesPerSecond(fleet[kind](0), path)
     expect(bytes).toBeLessThan(LINK_BYTES_PER_SECOND)
   })
 
   it.each([
     ['callers', '/v1/chat/completions'],
     ['operators', '/v1/teams'],
-  ] as const)('are not read on and on where no link is set: %s', async (kind, path) => {
+  ] as const)('are not read without end if no link bandwidth is set: %s', async (kind, path) => {
     await startFleet({})
     const ended = sendHugeBody(fleet[kind](0), path)
     const timeout = new Promise(resolve => setTimeout(resolve, SPAN_MILLISECONDS))
     await Promise.race([ended, timeout])
-    expect(await bytesRead()).toBeLessThan(MOST_READ_BYTES)
+    expect(await bytesRead()).toBeLessThan(MAXIMUM_READ_BYTES)
   })
 
-  it('are not sent where their callers wait to be asked', async () => {
+  it('are not sent if their callers wait for 100 Continue', async () => {
     await startFleet()
     const { hostname, port } = new URL(fleet.callers(0))
     const text = await new Promise<string>(resolve => {
--- a/packages/stand-ins/__tests__/replay.spec.ts
+++ b/packages/stand-ins/__tests__/replay.spec.ts
@@ -4,9 +4,9 @@
 import type { LongPromptVariation } from '@rackwalk/stand-ins'
 
 /**
- * Loads that have hurt callers, replayed against engine models on virtual time. A stream is late
- * where its first event or any pause is. Each limit lies between what the rule gives and what the
- * same load gave when a choice knew of no harm to streams and of no slow endpoint (in brackets).
+ * Replays loads that have caused late streams against engine models on virtual time. A stream is late if its first event
+ * or any later event is late. Each limit lies between the result of the current rule and the result of an earlier rule
+ * that ignored the delay of running streams and the slowness of endpoints (in brackets).
  */
 
 const SEEDS = [1, 2, 3]
@@ -35,14 +35,14 @@
 }
 
 describe('long prompts among running streams', () => {
-  it('leave the streams beside them in time at the usual rate', async () => {
+  it('leave concurrent streams in time at the usual rate', async () => {
     const { long, short } = await lateShares({})
     // [0.22, 0.06]
     expect(short).toBeLessThan(0.05)
     expect(long).toBeLessThan(0.08)
   })
 
-  it('leave most streams in time while a burst of both comes', async () => {
+  it('leave most streams in time during a burst of long and short prompts', async () => {
     const isBurst = (now: number) => now > 10_000 && now < 20_000
     const { long, short } = await lateShares({ rate: now => (isBurst(now) ? 1.7 : 1) })
     // [0.31, 0.10]
@@ -61,7 +61,7 @@
     expect(long).toBeLessThan(0.14)
   })
 
-  it('keep away from an endpoint that is four times as slow', async () => {
+  it('avoid an endpoint that is four times as slow', async () => {
     const slowness = [1, 1, 4, 1, 1, 1, 1, 1]
     const { long, short } = await lateShares({ slowness })
     // [0.18, 0.07]
@@ -69,7 +69,7 @@
     expect(long).toBeLessThan(0.08)
   })
 
-  it('are spread as before where every prompt is long and nothing can be kept apart', async () => {
+  it('are spread evenly if all prompts are long and can not be separated from short ones', async () => {
     const { long, short } = await lateShares({ isAllLong: true, rate: () => 0.5 })
     // [0.04, 0.05]
     expect(short).toBeLessThan(0.06)
@@ -79,7 +79,7 @@
   it('leave streams in time where endpoints have few slots', async () => {
     const slowness = Array.from({ length: 12 }, (_, index) => (index % 3 === 2 ? 1.3 : 1))
     const { long, short } = await lateShares({ slowness, slots: 12 })
-    // [0.10, 0.05; with harm alone, which knows of no slots, 0.25, 0.05]
+    // [0.10, 0.05; with a rule that knows the delay of streams but not slots, 0.25, 0.05]
     expect(short).toBeLessThan(0.05)
     expect(long).toBeLessThan(0.06)
   })
@@ -90,8 +90,8 @@
   })
 })
 
-describe('prompts that come to dozens of instances at once', () => {
-  /** Time between two reports of one instance to all others where two dozen use endpoints. */
+describe('prompts that arrive at dozens of instances at the same time', () => {
+  /** Time between two reports of one instance to all others if two dozen instances use endpoints. */
   const REPORT_MILLISECONDS = 230
 
   async function lateOf(rate: number): Promise<Record<string, number>> {
@@ -104,8 +104,8 @@
     return late
   }
 
-  // In brackets: without homes, each told of what others send by their reports alone.
-  it('do not gather where all knew a place to be free', async () => {
+  // In brackets: results without home instances of endpoints, where instances learned of requests from periodic reports alone.
+  it('do not gather at an endpoint that all instances know to be free', async () => {
     const { long, middle, short } = await lateOf(1)
     // [0.31, 0.09, 0.11]
     expect(long).toBeLessThan(0.15)
@@ -123,7 +123,7 @@
 })
 
 describe('the slowness of endpoints', () => {
-  it('is known within seconds, whatever they read', async () => {
+  it('is known within seconds, whatever prompts they prefill', async () => {
     const slowness = [1, 1, 1.3, 1, 1, 2, 1, 1]
     const load = longPromptLoad(new SeededRandom(101), { slowness })
     const replay = new Replay({ ...load, milliseconds: 8_000 }, 1)
--- a/packages/stand-ins/__tests__/requestPath.spec.ts
+++ b/packages/stand-ins/__tests__/requestPath.spec.ts
@@ -41,7 +41,7 @@
   return { status: response.statusCode, headers: response.headers, answer }
 }
 
-/** The registrar hears of an end a moment later; until then it says that it does not know. */
+/** Repeats a request until its key is no longer in use: the registrar learns of the first one's end with a delay. */
 async function postUntilEnded(path: string, body: string, headers: Record<string, string>) {
   for (;;) {
     const again = await post(path, body, headers)
@@ -127,7 +127,7 @@
     late!.stall()
     const demands = Array.from({ length: 8 }, (_, index) => ({ word: `w${index}-`, tokens: 60 }))
     const answers = demands.map(demand => streamChat(fleet.callers(), demand))
-    // While the second attempts are being answered, the first ones would like to go on.
+    // The first attempts resume while the second attempts are being answered.
     setTimeout(() => late!.resume(), 600)
     for (const [index, answer] of (await Promise.all(answers)).entries()) {
       expect(answer.isWhole).toBe(true)
--- a/packages/stand-ins/__tests__/slowPeerAnswers.spec.ts
+++ b/packages/stand-ins/__tests__/slowPeerAnswers.spec.ts
@@ -8,13 +8,13 @@
 import { MemoryRowStore } from '@rackwalk/stand-ins'
 
 /**
- * The store is away for all. One instance has a full link: datagrams of others come through, and answers to its own
- * questions come late.
+ * Guards against an instance that refuses requests although its peers keep it up to date. The store is unreachable for all
+ * instances. One instance has a full link: gossip of other instances arrives, but answers to its own calls are slow.
  */
 
 const TABLE = 'op'
 const BOUND_MILLISECONDS = 3_000
-/** Longer than a peer's answer is usually awaited. */
+/** Longer than the usual timeout of a peer's answer. */
 const SLOW_MILLISECONDS = 500
 const STEP_MILLISECONDS = 50
 
@@ -49,7 +49,7 @@
   return { mirror, faults, known }
 }
 
-/** A peer whose answers reach the asker late; undefined ones never do. */
+/** Starts a peer that answers after a delay, or never if the delay is undefined. Returns its address. */
 async function listenSlowly(mirror: TableMirror, delay: number | undefined): Promise<string> {
   const server: Server = createServer((request, response) => {
     if (delay === undefined) return
@@ -64,7 +64,7 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-/** An instance that hears datagrams all along and asks peers, of which the given delays are those of the answers. */
+/** Starts an instance that always receives gossip, and peers that answer its calls with the given delays. */
 async function setUp(delays: readonly (number | undefined)[]) {
   const store = new MemoryRowStore(clock)
   store.put(TABLE, 'config', 'old')
@@ -96,7 +96,7 @@
   return { store, peer, instance, watch }
 }
 
-/** What requests meet for so long: the value by which each would be served, or its refusal. */
+/** Returns the distinct results of requests in the given time: the values they are served by, or refusals. */
 async function serve(
   { watch, instance }: Awaited<ReturnType<typeof setUp>>,
   spanMilliseconds: number,
@@ -114,22 +114,22 @@
   return [...met]
 }
 
-describe('an instance whose own link is full while the store is away for all', () => {
-  it('serves on by what its peers tell it late', async () => {
+describe('an instance whose own link is full while the store is unreachable for all', () => {
+  it('keeps serving by late answers of its peers', async () => {
     const fleet = await setUp([SLOW_MILLISECONDS])
     fleet.instance.faults.isCut = true
     fleet.peer.faults.isCut = true
     expect(await serve(fleet, 2 * BOUND_MILLISECONDS)).toEqual(['old'])
   }, 15_000)
 
-  it('serves on where one of its peers is silent', async () => {
+  it('keeps serving if one of its peers does not answer', async () => {
     const fleet = await setUp([SLOW_MILLISECONDS, undefined])
     fleet.instance.faults.isCut = true
     fleet.peer.faults.isCut = true
     expect(await serve(fleet, 2 * BOUND_MILLISECONDS)).toEqual(['old'])
   }, 15_000)
 
-  it('has what its peers know within the bound, however late they tell it', async () => {
+  it('learns a change from its peers within the bound, although they answer late', async () => {
     const fleet = await setUp([SLOW_MILLISECONDS])
     fleet.instance.faults.isCut = true
     await sleep(clock, BOUND_MILLISECONDS)
@@ -138,7 +138,7 @@
     expect(await serve(fleet, BOUND_MILLISECONDS)).toEqual(['new'])
   }, 15_000)
 
-  it('refuses where answers come too late to speak for the present', async () => {
+  it('refuses if the answers of peers arrive too late to prove that its data is fresh', async () => {
     const fleet = await setUp([BOUND_MILLISECONDS])
     fleet.instance.faults.isCut = true
     fleet.peer.faults.isCut = true
--- a/packages/stand-ins/__tests__/waitsAtEndedEngine.spec.ts
+++ b/packages/stand-ins/__tests__/waitsAtEndedEngine.spec.ts
@@ -14,38 +14,39 @@
 import type { ChatAnswer, EngineFront } from '@rackwalk/stand-ins'
 
 /**
- * Chats of others waited at, or were cut by, an engine that was known to have ended, though another engine was free: a front that
- * goes on listening kept them until the wait for a first byte was over, or there were more of them than retries saved up.
- * The order of events is forced: the test itself is the engine's front and decides what each chat meets, and when.
+ * Guards against chats that wait at, or are interrupted by, an engine that is known to be terminated although another engine
+ * is free. A front that kept listening held the chats until the timeout of the first byte, or there were more of them than
+ * the retry budget allowed. The order of events is forced: the test is the engine's front and decides what happens to each
+ * chat, and when.
  */
 
-/** Long beside every look, so that whoever waits for it is told from who goes on at once. */
+/** Long compared with every probe, so that a chat that waits for this timeout differs from one that moves on immediately. */
 const FIRST_BYTE_MILLISECONDS = 4_000
 const FRONTS: readonly EngineFront[] = ['closes', 'silent', 'answers 500', 'answers 503']
 const STATUSES: Partial<Record<EngineFront, number>> = { 'answers 500': 500, 'answers 503': 503 }
-/** An engine has so many slots by default; all of them may be waiting when it ends. */
-const MANY = 64
+/** The default number of slots of an engine; requests in all slots may be waiting when it terminates. */
+const ALL_SLOTS = 64
 
 interface HeldRequest {
   readonly body: string
   readonly response: ServerResponse
 }
 
-/** An engine, or the front of one, that does with each request what the test says. */
+/** An engine, or the front of a terminated engine, whose treatment of each request the test controls. */
 class HeldEngine {
   readonly held: HeldRequest[] = []
-  /** What it does with questions and requests once its engine has ended. */
-  endedFront: EngineFront | undefined
-  /** Keeps what is asked of its state while it lives. */
+  /** The front's treatment of probes and requests after the termination of its engine. */
+  activeFront: EngineFront | undefined
+  /** Whether the running engine holds probes of its state without an answer. */
   holdsReports = false
   readonly heldReports: ServerResponse[] = []
-  /** Paths of everything that came there. */
+  /** Paths of all received requests. */
   readonly paths: (string | undefined)[] = []
-  /** Chats that were sent there after the end. */
-  sentAfterEnd = 0
-  /** Called once for the next question of a state after its end, before that is met as all others. */
-  onLook: (() => void) | undefined
-  /** Answers a request at once; held where undefined. */
+  /** Number of chats that were sent to the front after the termination. */
+  sentAfterTermination = 0
+  /** Called once for the next probe of the state after the termination, before the probe is treated as any other. */
+  onProbe: (() => void) | undefined
+  /** Answers requests immediately; undefined to hold them. */
   answers: ((request: HeldRequest) => void) | undefined
   private readonly server: Server = createServer(
     (request, response) => void this.take(request, response),
@@ -56,7 +57,7 @@
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`
   }
 
-  /** Nobody listens any more; what is held stays open. */
+  /** Stops listening. Connections of held requests stay open. */
   stopListening(): void {
     this.server.close()
   }
@@ -66,17 +67,21 @@
     this.server.closeAllConnections()
   }
 
-  /** The engine is gone, and what listens before it does this with all that come, and with those that are held from `first` on. */
+  /**
+   * Terminates the engine. From then on the front treats new requests, and the held ones from index `first` on, in the given
+   * way.
+   */
   end(front: EngineFront, first = 0): void {
-    this.endedFront = front
-    for (const { response } of this.held.slice(first)) this.meet(front, response)
+    this.activeFront = front
+    for (const { response } of this.held.slice(first)) this.answerAsFront(front, response)
   }
 
   private async take(request: IncomingMessage, response: ServerResponse): Promise<void> {
     this.paths.push(request.url)
     let body = ''
     for await (const chunk of request) body += String(chunk)
-    if (this.endedFront !== undefined) return this.meetLook(this.endedFront, request, response)
+    if (this.activeFront !== undefined)
+      return this.receiveAtFront(this.activeFront, request, response)
     if (request.url === '/load' && this.holdsReports) return void this.heldReports.push(response)
     if (request.url === '/load') return answerJson(response, 200, { running: 0, waiting: 0 })
     if (request.url?.startsWith('/cache-events') === true)
@@ -86,17 +91,21 @@
     this.answers?.({ body, response })
   }
 
-  private meetLook(front: EngineFront, { url }: IncomingMessage, response: ServerResponse): void {
-    const { onLook } = this
+  private receiveAtFront(
+    front: EngineFront,
+    { url }: IncomingMessage,
+    response: ServerResponse,
+  ): void {
+    const { onProbe } = this
     if (url === '/load') {
-      this.onLook = undefined
-      onLook?.()
+      this.onProbe = undefined
+      onProbe?.()
     }
-    if (url?.startsWith('/v1/chat') === true) this.sentAfterEnd += 1
-    this.meet(front, response)
+    if (url?.startsWith('/v1/chat') === true) this.sentAfterTermination += 1
+    this.answerAsFront(front, response)
   }
 
-  private meet(front: EngineFront, response: ServerResponse): void {
+  private answerAsFront(front: EngineFront, response: ServerResponse): void {
     const status = STATUSES[front]
     if (status !== undefined) answerJson(response, status, { error: 'no engine' })
     else if (front === 'closes') response.destroy()
@@ -127,7 +136,7 @@
   readonly front: HeldEngine
 }
 
-/** A fresh fleet whose only engine is the one that will end, so that whatever is sent first is there. */
+/** Starts a fleet whose only engine is the one that terminates later, so that the first requests go there. */
 async function begin(instances = 1): Promise<Play> {
   const limits = { firstByteMilliseconds: FIRST_BYTE_MILLISECONDS }
   const fleet = new ConfiguredFleet({ instances, engines: 0, limits })
@@ -143,7 +152,7 @@
   return { fleet, front }
 }
 
-/** Another engine is there from now on, at every instance. */
+/** Adds another engine and waits until all instances know of it. */
 async function addEngine({ fleet }: Play): Promise<EngineStandIn> {
   const engine = new EngineStandIn()
   stops.push(() => engine.terminate())
@@ -151,14 +160,14 @@
   return engine
 }
 
-async function whenHeld({ front }: Play, count: number): Promise<void> {
+async function waitUntilHeld({ front }: Play, count: number): Promise<void> {
   await expect
     .poll(() => front.held.length, { timeout: FIRST_BYTE_MILLISECONDS / 2, interval: 5 })
     .toBe(count)
 }
 
-/** Sends a chat to the front, and waits until it is there. */
-async function sendThere(
+/** Sends a chat and waits until the front holds it. */
+async function sendToFront(
   play: Play,
   instance = 0,
   headers: Readonly<Record<string, string>> = {},
@@ -167,11 +176,11 @@
   const count = front.held.length
   const prompt = `prompt ${count}`
   const answer = streamChat(fleet.callers(instance), { word: 'other', tokens: 4, prompt, headers })
-  await whenHeld(play, count + 1)
+  await waitUntilHeld(play, count + 1)
   return [answer]
 }
 
-/** What a caller had of its chat, and whether it came before the wait for a first byte was over. */
+/** Returns the outcome of a chat, and whether it ended before the timeout of the first byte. */
 function summary({ isWhole, text, errorCode, totalMilliseconds }: ChatAnswer) {
   return { isWhole, text, errorCode, isAtOnce: totalMilliseconds < FIRST_BYTE_MILLISECONDS }
 }
@@ -183,12 +192,12 @@
   isAtOnce: true,
 }
 
-describe('a chat of which nothing was answered, at an engine that ends behind a front', () => {
+describe('a chat without any answer, at an engine that terminates behind a front', () => {
   it.each(FRONTS.filter(front => front !== 'silent'))(
-    'is the first of a fresh instance and goes on at another engine: %s',
+    'is retried at another engine although it is the first chat of a new instance: %s',
     async front => {
       const play = await begin()
-      const [answer] = await sendThere(play)
+      const [answer] = await sendToFront(play)
       await addEngine(play)
       play.front.end(front)
       expect(summary((await answer)!)).toEqual(SERVED)
@@ -196,13 +205,13 @@
   )
 
   it.each(FRONTS)(
-    'goes on at once when another chat of the instance shows the end: %s',
+    'is retried immediately when another chat of the instance reveals the termination: %s',
     async front => {
       const play = await begin()
-      const [waiting] = await sendThere(play)
-      const [breaking] = await sendThere(play)
+      const [waiting] = await sendToFront(play)
+      const [breaking] = await sendToFront(play)
       await addEngine(play)
-      // The front keeps the first one's connection; only the second one tells the instance.
+      // The front holds the first chat's connection; only the second chat reveals the termination.
       play.front.end(front, 1)
       if (front === 'silent') play.front.held[1]?.response.destroy()
       expect(summary((await breaking)!)).toEqual(SERVED)
@@ -212,11 +221,11 @@
   )
 
   it.each(FRONTS)(
-    'goes on at once when another instance tells of the end: %s',
+    'is retried immediately when another instance reports the termination: %s',
     async front => {
       const play = await begin(2)
-      const [waiting] = await sendThere(play, 0)
-      const [breaking] = await sendThere(play, 1)
+      const [waiting] = await sendToFront(play, 0)
+      const [breaking] = await sendToFront(play, 1)
       await addEngine(play)
       play.front.end(front, 1)
       if (front === 'silent') play.front.held[1]?.response.destroy()
@@ -227,11 +236,11 @@
   )
 
   it.each(FRONTS.filter(front => front !== 'silent'))(
-    'goes on elsewhere with all the others that wait there, however many: %s',
+    'is retried at another engine like all other waiting chats, however many there are: %s',
     async front => {
       const play = await begin()
       const answers: Promise<ChatAnswer>[] = []
-      for (let count = 0; count < MANY; count += 1) answers.push(...(await sendThere(play)))
+      for (let count = 0; count < ALL_SLOTS; count += 1) answers.push(...(await sendToFront(play)))
       await addEngine(play)
       play.front.end(front)
       const ended = await Promise.all(answers)
@@ -242,25 +251,25 @@
     20_000,
   )
 
-  it('goes on with others only as far as retries are saved where the engine lives', async () => {
+  it('is retried only within the retry budget if the engine is still running', async () => {
     const play = await begin()
     const answers: Promise<ChatAnswer>[] = []
-    for (let count = 0; count < MANY; count += 1) answers.push(...(await sendThere(play)))
+    for (let count = 0; count < ALL_SLOTS; count += 1) answers.push(...(await sendToFront(play)))
     await addEngine(play)
     for (const { response } of play.front.held) response.destroy()
     const lost = (await Promise.all(answers)).filter(({ isWhole }) => !isWhole)
-    expect(lost.length).toBeGreaterThan(MANY / 2)
+    expect(lost.length).toBeGreaterThan(ALL_SLOTS / 2)
     expect(new Set(lost.map(({ errorCode }) => errorCode))).toEqual(
       new Set([ResultCode.EndpointFailed]),
     )
   }, 20_000)
 
   it.each(FRONTS)(
-    'is told at once what is known where it must not run twice: %s',
+    'gets an immediate "unknown" if it must not run twice: %s',
     async front => {
       const play = await begin()
-      const [waiting] = await sendThere(play, 0, { 'rackwalk-repeatable': 'no' })
-      const [breaking] = await sendThere(play)
+      const [waiting] = await sendToFront(play, 0, { 'rackwalk-repeatable': 'no' })
+      const [breaking] = await sendToFront(play)
       const other = await addEngine(play)
       play.front.end(front, 1)
       if (front === 'silent') play.front.held[1]?.response.destroy()
@@ -276,11 +285,11 @@
   )
 })
 
-describe('a chat that had pieces of its answer and whose connection is kept', () => {
-  it('does not hang until its stall is over when another chat of the instance shows the end', async () => {
+describe('a chat that has received pieces of its answer and whose connection stays open', () => {
+  it('does not wait for the stall timeout when another chat of the instance reveals the termination', async () => {
     const play = await begin()
-    const [begun] = await sendThere(play)
-    const [breaking] = await sendThere(play)
+    const [begun] = await sendToFront(play)
+    const [breaking] = await sendToFront(play)
     await addEngine(play)
     const [first, second] = play.front.held
     first?.response.writeHead(200, { 'content-type': 'text/event-stream' })
@@ -313,16 +322,16 @@
   }
 }
 
-/** Two calls to the front; the second one is broken off and shows the end, the first one is kept. */
-async function keepFirst(
+/** Makes two calls to the front. The second one is reset and reveals the termination; the first one stays held. */
+async function holdFirst(
   play: Play,
   call: (number: number) => Promise<PlainAnswer>,
   add: () => Promise<unknown>,
 ) {
   const waiting = call(0)
-  await whenHeld(play, 1)
+  await waitUntilHeld(play, 1)
   const breaking = call(1)
-  await whenHeld(play, 2)
+  await waitUntilHeld(play, 2)
   await add()
   play.front.end('silent')
   play.front.held[1]?.response.destroy()
@@ -334,21 +343,21 @@
   waiting: { status: 200, isAtOnce: true },
 }
 
-describe('a call whose answer is not streamed, at an engine that ends behind a front', () => {
-  it('goes on at once where it is a chat', async () => {
+describe('a call whose answer is not streamed, at an engine that terminates behind a front', () => {
+  it('is retried immediately if it is a chat', async () => {
     const play = await begin()
     const call = (number: number) => {
       const demand = { word: 'other', tokens: 4, prompt: `prompt ${number}` }
       return plainCall(`${play.fleet.callers()}/v1/chat/completions`, chatBody(demand, false))
     }
-    expect(await keepFirst(play, call, () => addEngine(play))).toEqual(ANSWERED)
+    expect(await holdFirst(play, call, () => addEngine(play))).toEqual(ANSWERED)
   }, 20_000)
 
-  it('goes on elsewhere where a half of its document had come', async () => {
+  it('is retried at another engine if half of its document had arrived', async () => {
     const play = await begin()
     const demand = { word: 'other', tokens: 4 }
     const answer = plainCall(`${play.fleet.callers()}/v1/chat/completions`, chatBody(demand, false))
-    await whenHeld(play, 1)
+    await waitUntilHeld(play, 1)
     await addEngine(play)
     const [first] = play.front.held
     first?.response.writeHead(200, { 'content-type': 'application/json', 'content-length': '100' })
@@ -357,7 +366,7 @@
     expect(await answer).toEqual({ status: 200, isAtOnce: true })
   }, 20_000)
 
-  describe('where it is a call to a plain service, which has no state to ask for', () => {
+  describe('if it is a call to a plain service, which has no state to probe', () => {
     const spec = { kind: 'service', service: 'booths' }
 
     async function beginService() {
@@ -376,24 +385,24 @@
       return { play: { ...play, front }, call, add }
     }
 
-    it('goes on at once where nobody listens any more', async () => {
+    it('is retried immediately if no process listens any more', async () => {
       const { play, call, add } = await beginService()
       const waiting = call(0)
-      await whenHeld(play, 1)
+      await waitUntilHeld(play, 1)
       const breaking = call(1)
-      await whenHeld(play, 2)
+      await waitUntilHeld(play, 2)
       await add()
       play.front.stopListening()
       play.front.held[1]?.response.destroy()
       expect({ breaking: await breaking, waiting: await waiting }).toEqual(ANSWERED)
     }, 20_000)
 
-    it('is sent nothing but calls, also when it breaks them off or answers an error', async () => {
+    it('leads to no probes of the service, also after a reset or an error', async () => {
       const { play, call, add } = await beginService()
       const breaking = call(0)
-      await whenHeld(play, 1)
+      await waitUntilHeld(play, 1)
       const failing = call(1)
-      await whenHeld(play, 2)
+      await waitUntilHeld(play, 2)
       await add()
       play.front.held[0]?.response.destroy()
       answerJson(play.front.held[1]!.response, 500, {})
--- a/packages/stand-ins/__tests__/weakProcessor.spec.ts
+++ b/packages/stand-ins/__tests__/weakProcessor.spec.ts
@@ -3,13 +3,13 @@
 import type { WeakProcessorOutcome, WeakProcessorPolicy } from '@rackwalk/stand-ins'
 
 /**
- * The callers of a team stay with one weak instance, which bears 78 requests a second: more come than that,
- * wait unseen before the instance, leave and come again.
+ * Guards against the collapse of a weak instance that can handle 78 requests per second and receives more. Requests wait in
+ * the accept queue, invisible to the process, until their callers give up and try again.
  */
 
-const BORNE = 78
+const CAPACITY_PER_SECOND = 78
 const SEEDS = [1, 2, 3]
-const BEFORE: WeakProcessorPolicy = {
+const WITHOUT_RULES: WeakProcessorPolicy = {
   seesDelay: true,
   seesAcceptWait: false,
   seesAbandoned: false,
@@ -17,7 +17,7 @@
   pausesListener: false,
   others: { count: 0, overloaded: 0 },
 }
-const NOW: WeakProcessorPolicy = {
+const WITH_RULES: WeakProcessorPolicy = {
   seesDelay: true,
   seesAcceptWait: true,
   seesAbandoned: true,
@@ -26,14 +26,17 @@
   others: { count: 0, overloaded: 0 },
 }
 
-const BESIDE_OTHERS: WeakProcessorPolicy = { ...NOW, others: { count: 7, overloaded: 0 } }
+const WITH_OTHER_INSTANCES: WeakProcessorPolicy = {
+  ...WITH_RULES,
+  others: { count: 7, overloaded: 0 },
+}
 
-/** What became of requests at so many times what is borne, summed over seeds. */
+/** Returns the outcomes per second at the given multiples of the capacity, averaged over seeds. */
 function play(policy: WeakProcessorPolicy, times: number, laterTimes = times, callersMove = true) {
   const load = {
-    burst: BORNE * times,
+    burst: CAPACITY_PER_SECOND * times,
     burstMilliseconds: 4_000,
-    usual: BORNE * laterTimes,
+    usual: CAPACITY_PER_SECOND * laterTimes,
     callersMove,
   }
   const outcomes = SEEDS.map(seed => new WeakProcessorReplay(policy, load, seed).run())
@@ -49,16 +52,16 @@
   }
 }
 
-describe('an instance that gets more than its processor bears', () => {
-  it('serves as before what it bears', () => {
-    const [before, now] = [play(BEFORE, 0.9), play(NOW, 0.9)]
-    // Five connections a second to itself take a part of its processor.
+describe('an instance that receives more than its processor can handle', () => {
+  it('serves as many requests as without the rules if it is not overloaded', () => {
+    const [before, now] = [play(WITHOUT_RULES, 0.9), play(WITH_RULES, 0.9)]
+    // The instance's five probe connections per second use a part of its processor.
     expect(now.served).toBeGreaterThan(0.98 * before.served)
     expect([now.refused, now.left, now.sentInVain]).toEqual([0, 0, 0])
   })
 
-  it('goes on serving at twice that, where it served nobody, and sends next to nothing on in vain', () => {
-    expect([play(BEFORE, 2), play(NOW, 2)]).toMatchInlineSnapshot(`
+  it('keeps serving at twice its capacity and forwards almost no abandoned requests', () => {
+    expect([play(WITHOUT_RULES, 2), play(WITH_RULES, 2)]).toMatchInlineSnapshot(`
       [
         {
           "left": 313,
@@ -74,14 +77,14 @@
         },
       ]
     `)
-    expect(play(NOW, 2).served).toBeGreaterThanOrEqual(0.35 * BORNE)
-    expect(play(NOW, 2).left).toBeLessThan(0.02 * BORNE * 2)
-    expect(play(NOW, 2).sentInVain).toBeLessThan(0.02 * BORNE * 2)
+    expect(play(WITH_RULES, 2).served).toBeGreaterThanOrEqual(0.35 * CAPACITY_PER_SECOND)
+    expect(play(WITH_RULES, 2).left).toBeLessThan(0.02 * CAPACITY_PER_SECOND * 2)
+    expect(play(WITH_RULES, 2).sentInVain).toBeLessThan(0.02 * CAPACITY_PER_SECOND * 2)
   })
 
-  it('comes back when what came too much is over', () => {
+  it('recovers after an overload', () => {
     const usual = 0.8
-    expect([play(BEFORE, 4, usual), play(NOW, 4, usual)]).toMatchInlineSnapshot(`
+    expect([play(WITHOUT_RULES, 4, usual), play(WITH_RULES, 4, usual)]).toMatchInlineSnapshot(`
       [
         {
           "left": 127,
@@ -97,17 +100,17 @@
         },
       ]
     `)
-    expect(play(NOW, 4, usual).served).toBeGreaterThan(0.9 * usual * BORNE)
+    expect(play(WITH_RULES, 4, usual).served).toBeGreaterThan(0.9 * usual * CAPACITY_PER_SECOND)
   })
 })
 
 describe('a team whose callers all stay with one weak instance', () => {
-  /** The share of its requests that some instance serves, at so many times what that instance bears. */
+  /** Returns the share of requests that any instance serves, at the given multiple of the capacity. */
   function servedShare(policy: WeakProcessorPolicy, times: number): number {
     const load = {
-      burst: BORNE * times,
+      burst: CAPACITY_PER_SECOND * times,
       burstMilliseconds: 4_000,
-      usual: BORNE * times,
+      usual: CAPACITY_PER_SECOND * times,
       callersMove: true,
     }
     const outcomes = SEEDS.map(seed => new WeakProcessorReplay(policy, load, seed).run())
@@ -115,16 +118,16 @@
       outcomes.reduce((total, outcome) => total + of(outcome), 0)
     const share =
       sum(({ served, servedElsewhere }) => served + servedElsewhere) / sum(({ asked }) => asked)
-    // Callers that waited as the counted time began are served within it.
+    // Requests that were waiting at the start of the counted time may be served within it, so the share may exceed 1.
     return Math.min(1, Number(share.toFixed(2)))
   }
 
-  it('is not starved while other instances have room', () => {
+  it('is served while other instances have capacity', () => {
     const times = [1, 2, 4]
     const stays = times.map(count =>
-      servedShare({ ...BESIDE_OTHERS, pausesListener: false }, count),
+      servedShare({ ...WITH_OTHER_INSTANCES, pausesListener: false }, count),
     )
-    const moves = times.map(count => servedShare(BESIDE_OTHERS, count))
+    const moves = times.map(count => servedShare(WITH_OTHER_INSTANCES, count))
     expect({ stays, moves }).toMatchInlineSnapshot(`
       {
         "moves": [
@@ -142,28 +145,28 @@
     expect(Math.min(...moves)).toBeGreaterThan(0.9)
   })
 
-  it('does not fill the link with bodies of requests that are refused', () => {
+  it('does not fill the link with bodies of refused requests', () => {
     const inVain = (policy: WeakProcessorPolicy) => {
       const { refused, left } = play(policy, 2)
       return refused + left
     }
-    const stays = inVain({ ...BESIDE_OTHERS, pausesListener: false })
-    expect({ stays, moves: inVain(BESIDE_OTHERS) }).toMatchInlineSnapshot(`
+    const stays = inVain({ ...WITH_OTHER_INSTANCES, pausesListener: false })
+    expect({ stays, moves: inVain(WITH_OTHER_INSTANCES) }).toMatchInlineSnapshot(`
       {
         "moves": 12,
         "stays": 279,
       }
     `)
-    expect(inVain(BESIDE_OTHERS)).toBeLessThan(0.1 * stays)
+    expect(inVain(WITH_OTHER_INSTANCES)).toBeLessThan(0.1 * stays)
   })
 
-  it('is served what that instance bears though its callers stay', () => {
+  it('is served up to the capacity of that instance even if its callers stay', () => {
     const served = (policy: WeakProcessorPolicy, times: number) =>
       play(policy, times, times, false).served
     const figures = [1, 2, 4].map(times => ({
       times,
-      refused: served({ ...BESIDE_OTHERS, pausesListener: false }, times),
-      turnedAway: served(BESIDE_OTHERS, times),
+      refused: served({ ...WITH_OTHER_INSTANCES, pausesListener: false }, times),
+      turnedAway: served(WITH_OTHER_INSTANCES, times),
     }))
     expect(figures).toMatchInlineSnapshot(`
       [
@@ -184,15 +187,16 @@
         },
       ]
     `)
-    for (const { turnedAway } of figures) expect(turnedAway).toBeGreaterThan(0.8 * BORNE)
+    for (const { turnedAway } of figures)
+      expect(turnedAway).toBeGreaterThan(0.8 * CAPACITY_PER_SECOND)
   })
 
-  it('is served as before where nobody else has room', () => {
+  it('is served as without pauses of the listener if no other instance has capacity', () => {
     const alone = [
-      { ...NOW, others: { count: 0, overloaded: 0 } },
-      { ...NOW, others: { count: 7, overloaded: 4 } },
+      { ...WITH_RULES, others: { count: 0, overloaded: 0 } },
+      { ...WITH_RULES, others: { count: 7, overloaded: 4 } },
     ]
-    const without = { ...NOW, pausesListener: false }
+    const without = { ...WITH_RULES, pausesListener: false }
     for (const policy of alone) {
       expect(servedShare(policy, 2)).toBe(servedShare(without, 2))
     }
