--- a/packages/stand-ins/__tests__/answersFramedAsComplete.spec.ts
+++ b/packages/stand-ins/__tests__/answersFramedAsComplete.spec.ts
@@ -169,17 +169,17 @@
 }
 
 async function play(chosen: readonly Row[]): Promise<readonly string[]> {
-  const told: string[] = []
+  const lines: string[] = []
   const waiting = [...chosen.entries()]
   const work = async () => {
     for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
       const [index, row] = next
       const reply = await callOverSocket(callOf(row))
-      told[index] = `${describeRow(row)} | ${describeReply(row, reply)}`
+      lines[index] = `${describeRow(row)} | ${describeReply(row, reply)}`
     }
   }
   await Promise.all(Array.from({ length: PARALLEL }, work))
-  return told
+  return lines
 }
 
 describe('what a caller gets of an answer that ends early or not', () => {
--- a/packages/stand-ins/__tests__/crashingRequest.spec.ts
+++ b/packages/stand-ins/__tests__/crashingRequest.spec.ts
@@ -126,7 +126,7 @@
     const original = GrpcPeerChannel.prototype.call
     const call = vi.spyOn(GrpcPeerChannel.prototype, 'call')
     call.mockImplementation(function (this: GrpcPeerChannel, target, kind, request) {
-      if (kind === 'crashNews') return Promise.reject(new Error('not told'))
+      if (kind === 'crashNews') return Promise.reject(new Error('gossip dropped by the test'))
       return original.call(this, target, kind as 'members', request as never)
     })
     await sendRepeatedly(fleet, MARK)
--- a/packages/stand-ins/__tests__/deadlyMessages.spec.ts
+++ b/packages/stand-ins/__tests__/deadlyMessages.spec.ts
@@ -55,19 +55,19 @@
 const harmlessChat = (count: number) => [SYSTEM, `topic ${count % TOPICS}`, `other ${count}`]
 
 describe('chats of which one message ends what begins to answer, no two alike', () => {
-  for (const [place, deadlyChat] of Object.entries(CRASHING_CHATS)) {
+  for (const [place, crashingChat] of Object.entries(CRASHING_CHATS)) {
     it(`end four engines at the most, and others are served, where that message is ${place}`, async () => {
       await start()
-      const [deadly, sound] = await Promise.all([
-        sendInTurn(CRASHING_INTERVAL_MILLISECONDS, deadlyChat),
+      const [crashing, harmless] = await Promise.all([
+        sendInTurn(CRASHING_INTERVAL_MILLISECONDS, crashingChat),
         sendInTurn(HARMLESS_INTERVAL_MILLISECONDS, harmlessChat),
       ])
-      const ends = fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
-      expect(ends).toBeGreaterThan(0)
-      expect(ends).toBeLessThanOrEqual(MAXIMUM_CRASHES)
-      expect(deadly.every(({ isWhole }) => !isWhole)).toBe(true)
-      const served = sound.filter(({ isWhole }) => isWhole)
-      expect(served.length / sound.length).toBeGreaterThanOrEqual(MINIMUM_SERVED)
+      const crashes = fleet.engines.reduce((sum, engine) => sum + engine.crashes, 0)
+      expect(crashes).toBeGreaterThan(0)
+      expect(crashes).toBeLessThanOrEqual(MAXIMUM_CRASHES)
+      expect(crashing.every(({ isWhole }) => !isWhole)).toBe(true)
+      const served = harmless.filter(({ isWhole }) => isWhole)
+      expect(served.length / harmless.length).toBeGreaterThanOrEqual(MINIMUM_SERVED)
     })
   }
 })
--- a/packages/stand-ins/__tests__/knowledgeWatch.spec.ts
+++ b/packages/stand-ins/__tests__/knowledgeWatch.spec.ts
@@ -22,7 +22,7 @@
   const known = { value: undefined as string | undefined }
   const answered = { at: Number.NEGATIVE_INFINITY }
   /** Whether gossip datagrams of other instances arrive. */
-  const heard = { isHeard: false }
+  const gossip = { isArriving: false }
   const mirror = new TableMirror({
     store: client,
     table: TABLE,
@@ -34,27 +34,27 @@
     pauseMilliseconds: () => 20,
   })
   const changes: boolean[] = []
-  const watch = new StalenessMonitor({
+  const monitor = new StalenessMonitor({
     clock,
     tables: new Map([[TABLE, { mirror, boundMilliseconds: BOUND_MILLISECONDS }]]),
     reachability: () => ({
-      heardAgoMilliseconds: heard.isHeard ? 20 : Number.POSITIVE_INFINITY,
+      heardAgoMilliseconds: gossip.isArriving ? 20 : Number.POSITIVE_INFINITY,
       answeredAgoMilliseconds: clock.monotonic() - answered.at,
     }),
     onChange: ({ isRefusing }) => changes.push(isRefusing),
     onFault: error => expect.unreachable(String(error)),
   })
   mirror.start()
-  watch.start()
-  return { known, answered, heard, faults, mirror, watch, changes, clock }
+  monitor.start()
+  return { known, answered, gossip, faults, mirror, monitor, changes, clock }
 }
 
 type MonitoredInstance = ReturnType<typeof startInstance>
 
 /** Returns the value by which a request is served, or the code of its refusal. */
-function serve({ watch, known }: MonitoredInstance): string | ResultCode {
+function serve({ monitor, known }: MonitoredInstance): string | ResultCode {
   try {
-    watch.check()
+    monitor.check()
     return known.value ?? 'nothing'
   } catch (thrown) {
     expect(thrown).toBeInstanceOf(NotRunError)
@@ -97,7 +97,7 @@
     const { clock, store, instance } = await setUp()
     instance.faults.slowMilliseconds = 20_000
     store.put(TABLE, 'config', 'new')
-    instance.heard.isHeard = true
+    instance.gossip.isArriving = true
     expect(await servedAfterBound(instance, 5_000)).toEqual([ResultCode.KnowledgeTooOld])
     instance.faults.slowMilliseconds = 0
     await clock.advance(30_000)
@@ -125,7 +125,7 @@
     const { peer, instance } = await setUp((other, after) => other.mirror.since(after))
     instance.faults.isCut = true
     peer.faults.isCut = true
-    instance.heard.isHeard = true
+    instance.gossip.isArriving = true
     expect(await servedAfterBound(instance, 8_000)).toEqual(['old'])
   })
 
--- a/packages/stand-ins/__tests__/objectWhole.spec.ts
+++ b/packages/stand-ins/__tests__/objectWhole.spec.ts
@@ -65,13 +65,13 @@
     ['in chunks without the last one', CHUNKED, chunk(HALF), closeOrderly],
     ['up to an orderly end', '', HALF, closeOrderly],
     ['up to a reset', '', HALF, resetLater],
-  ])('is not taken %s', async (_, head, body, end) => {
+  ])('is not accepted %s', async (_, head, body, end) => {
     await startStore(head, body, end)
     const outcome = await store.get('segment').catch(toRackwalkError)
     expect(outcome).toMatchObject({ code: ResultCode.PlatformAmbiguous })
   })
 
-  it('is not left out of a list that broke off', async () => {
+  it('is not silently missing from a list that was interrupted', async () => {
     await startStore('', HALF_LIST, closeOrderly)
     const outcome = await store.list('', 10).catch(toRackwalkError)
     expect(outcome).toMatchObject({ code: ResultCode.PlatformAmbiguous })
--- a/packages/stand-ins/__tests__/operators.spec.ts
+++ b/packages/stand-ins/__tests__/operators.spec.ts
@@ -54,7 +54,7 @@
 }
 
 describe('the operator API', () => {
-  it('refuses whoever is no operator, and never shows keys', async () => {
+  it('refuses callers without an operator token and never shows keys', async () => {
     const address = fleet.fleet.members[0]?.addresses.operators ?? ''
     const stranger = await new OperatorClient(address, 'nobody').get('/v1/teams')
     expect(stranger.status).toBe(401)
@@ -152,7 +152,7 @@
     expect(seen).toEqual(expected)
   })
 
-  it('explains a request from any instance, also after the deciding one died', async () => {
+  it('explains a request at any instance, also after the instance that served it has crashed', async () => {
     const member = await fleet.fleet.add(7)
     await fleet.fleet.publish()
     await fleet.fleet.whenServing()
@@ -242,7 +242,7 @@
     expect(seen.join('\n')).toMatchSnapshot()
   })
 
-  it('lists requests under which endpoints ended, and clears none that is not there', async () => {
+  it('lists requests that crashed endpoints, and reports an unknown one as not found', async () => {
     expect(await run(['crashes'])).toMatchInlineSnapshot(`
       {
         "code": 0,
@@ -252,7 +252,7 @@
     expect((await run(['clear', 'unknown'])).code).toBe(ExitCode.NotFound)
   })
 
-  it('empties a failure domain, says who has taken it in, and restores it', async () => {
+  it('evacuates a failure domain, shows which instances have applied it, and restores the domain', async () => {
     const engine = {
       kind: 'endpoints',
       metadata: { name: 'hall-engine' },
@@ -324,7 +324,7 @@
     )
   })
 
-  it('says that it cannot reach a server, with the code for it', async () => {
+  it('exits with the code Unavailable if the server is unreachable', async () => {
     const { code } = await run(['status', '--server', 'http://127.0.0.1:1'])
     expect(code).toBe(ExitCode.Unavailable)
   })
--- a/packages/stand-ins/__tests__/replay.spec.ts
+++ b/packages/stand-ins/__tests__/replay.spec.ts
@@ -5,7 +5,7 @@
 
 /**
  * Replays loads that have caused late streams against engine models on virtual time. A stream is late if its first event
- * or any later event is late. Each limit lies between the result of the current rule and the result of an earlier rule
+ * or any pause between events is late. Each limit lies between the result of the current rule and the result of an earlier rule
  * that ignored the delay of running streams and the slowness of endpoints (in brackets).
  */
 
@@ -69,7 +69,7 @@
     expect(long).toBeLessThan(0.08)
   })
 
-  it('are spread evenly if all prompts are long and can not be separated from short ones', async () => {
+  it('leave most streams in time if all prompts are long, so that none can be kept apart', async () => {
     const { long, short } = await lateShares({ isAllLong: true, rate: () => 0.5 })
     // [0.04, 0.05]
     expect(short).toBeLessThan(0.06)
--- a/packages/stand-ins/__tests__/requestPath.spec.ts
+++ b/packages/stand-ins/__tests__/requestPath.spec.ts
@@ -85,7 +85,7 @@
     expect(record.billedTokens).toBe(body.usage.total_tokens)
   })
 
-  it('cancels the stream of a caller that leaves and bills what ran', async () => {
+  it('cancels the stream of a caller that disconnects and bills the generated tokens', async () => {
     const fleet = await start({ engines: 1 })
     const [engine] = fleet.engines
     const controller = new AbortController()
@@ -113,7 +113,7 @@
     expect(record.billedTokens).toBeGreaterThan(0)
   })
 
-  it('turns to another engine when the first is dead before any byte', async () => {
+  it('retries at another engine if the first terminates before any byte', async () => {
     const fleet = await start({ engines: 2 })
     fleet.engines[0]!.terminate()
     const demands = Array.from({ length: 12 }, (_, index) => ({ word: `w${index}-`, tokens: 3 }))
@@ -121,7 +121,7 @@
     expect(answers.every(answer => answer.isWhole)).toBe(true)
   })
 
-  it('passes on nothing of an attempt that was given up, however late its chunks come', async () => {
+  it('delivers nothing of an abandoned attempt, however late its chunks arrive', async () => {
     const fleet = await start({ engines: 2, limits: { firstByteMilliseconds: 400 } })
     const [late] = fleet.engines
     late!.stall()
@@ -136,7 +136,7 @@
     expect(late!.acceptedRequestIds.length, 'attempts that were given up').toBeGreaterThan(0)
   })
 
-  it('goes on with an answer where the stand-in of an engine is told to', async () => {
+  it('forwards x-resume-after, so that the engine continues an answer', async () => {
     const fleet = await start({ engines: 1 })
     const headers = { 'x-resume-after': '3' }
     const answer = await streamChat(fleet.callers(), { word: 'w', tokens: 6, headers })
@@ -155,7 +155,7 @@
     expect(shape(record)).toMatchSnapshot()
   })
 
-  it('says that an answer broke off, never that it is whole, and bills nothing', async () => {
+  it('reports an interrupted answer as incomplete and bills nothing', async () => {
     const fleet = await start({ engines: 1 })
     fleet.engines[0]!.resetAfterTokens = 4
     const answer = await streamChat(fleet.callers(), { word: 'w', tokens: 20 })
@@ -200,7 +200,7 @@
     expect(fleet.engines.flatMap(engine => engine.acceptedRequestIds)).toEqual([])
   })
 
-  it('runs what must not be repeated once, whatever instance is asked again', async () => {
+  it('runs a request that must not be repeated once, whichever instances receive its retries', async () => {
     const fleet = await start()
     const headers = { 'rackwalk-repeatable': 'no', 'idempotency-key': 'hold-1' }
     const paths = [0, 1, 2].map(number => `${fleet.callers(number)}/services/pitches/hold`)
@@ -250,7 +250,7 @@
     fleet.fleet.members.splice(0, 1)
   })
 
-  it('gives a leaving engine nothing new once it has refused', async () => {
+  it('sends no new requests to a leaving engine after its first refusal', async () => {
     const fleet = await start({ engines: 2 })
     const [leaving] = fleet.engines
     leaving!.leave()
@@ -261,7 +261,7 @@
     expect(leaving!.acceptedRequestIds.length).toBe(before)
   })
 
-  it('goes on through an outage of the store, and bills each request once afterwards', async () => {
+  it('keeps serving through an outage of the store and bills each request once afterwards', async () => {
     const fleet = await start()
     await streamChat(fleet.callers(), { word: 'w', tokens: 3 })
     fleet.platform.tableFaults.outage = true
--- a/packages/stand-ins/__tests__/slowPeerAnswers.spec.ts
+++ b/packages/stand-ins/__tests__/slowPeerAnswers.spec.ts
@@ -25,11 +25,7 @@
   for (const stop of stops.splice(0)) stop()
 })
 
-type AskPeers = (
-  table: string,
-  after: number,
-  patience?: number,
-) => ReturnType<PeerRowClient['ask']>
+type AskPeers = (table: string, after: number, timeout?: number) => ReturnType<PeerRowClient['ask']>
 
 function mirrorOn(store: MemoryRowStore, askPeers?: AskPeers) {
   const { store: client, faults } = store.connect()
@@ -79,8 +75,8 @@
     timeoutMilliseconds: 400,
     onMalformed: ({ form }) => expect.unreachable(form),
   })
-  const instance = mirrorOn(store, (table, after, patience) => peerRows.ask(table, after, patience))
-  const watch = new StalenessMonitor({
+  const instance = mirrorOn(store, (table, after, timeout) => peerRows.ask(table, after, timeout))
+  const monitor = new StalenessMonitor({
     clock,
     tables: new Map([[TABLE, { mirror: instance.mirror, boundMilliseconds: BOUND_MILLISECONDS }]]),
     reachability: () => ({
@@ -90,21 +86,21 @@
     onChange: () => {},
     onFault: error => expect.unreachable(String(error)),
   })
-  watch.start()
-  stops.push(() => watch.stop())
+  monitor.start()
+  stops.push(() => monitor.stop())
   while (!instance.mirror.isLoaded || !peer.mirror.isLoaded) await sleep(clock, 10)
-  return { store, peer, instance, watch }
+  return { store, peer, instance, monitor }
 }
 
 /** Returns the distinct results of requests in the given time: the values they are served by, or refusals. */
 async function serve(
-  { watch, instance }: Awaited<ReturnType<typeof setUp>>,
+  { monitor, instance }: Awaited<ReturnType<typeof setUp>>,
   spanMilliseconds: number,
 ) {
   const met = new Set<string>()
   for (let passed = 0; passed < spanMilliseconds; passed += STEP_MILLISECONDS) {
     try {
-      watch.check()
+      monitor.check()
       met.add(instance.known.value ?? 'nothing')
     } catch {
       met.add('refused')
--- a/packages/stand-ins/src/replay/crashReplay.ts
+++ b/packages/stand-ins/src/replay/crashReplay.ts
@@ -9,7 +9,7 @@
 import { SeededRandom, VirtualClock, asId, randomBelow } from '@rackwalk/shared'
 import type { EndpointStart, Milliseconds, RequestFingerprint } from '@rackwalk/shared'
 
-/** Decides what becomes of requests that were running when endpoints crashed. */
+/** Decides whether requests that were running when endpoints crashed are sent, isolated or refused. */
 export interface CrashPolicy {
   verdict(fingerprint: RequestFingerprint): QuarantineVerdict
   noteCrash(mark: CrashMark): void
--- a/packages/stand-ins/src/replay/fleetReplay.ts
+++ b/packages/stand-ins/src/replay/fleetReplay.ts
@@ -129,9 +129,9 @@
   }
 
   /** Kills all instances at the same time and restarts them after the downtime, with a small random spread. */
-  async loseAll(dark: Milliseconds): Promise<void> {
+  async loseAll(downtime: Milliseconds): Promise<void> {
     for (const member of this.members) this.kill(member)
-    await this.clock.advance(dark)
+    await this.clock.advance(downtime)
     const starting = this.members.map((_, index) => index)
     for (const index of starting) {
       const delay = this.random.next() * START_SPREAD_MILLISECONDS
