--- a/packages/stand-ins/__tests__/crashReplay.spec.ts
+++ b/packages/stand-ins/__tests__/crashReplay.spec.ts
@@ -1,21 +1,27 @@
 import { describe, expect, it } from 'vitest'
-import { CountedEnds, IsolatedTry, NoMemory, replayCrashes } from '@rackwalk/stand-ins'
+import {
+  CrashCountLimit,
+  IsolationQuarantine,
+  UnlimitedRetries,
+  replayCrashes,
+} from '@rackwalk/stand-ins'
 import type { CrashLoad, CrashOutcome, CrashPolicy } from '@rackwalk/stand-ins'
 
 /**
- * What is done about a request that ends endpoints, replayed: it comes every quarter of a second for 20 s beside 50 others a
- * second, or a rack loses power every two seconds and no request is to blame.
+ * Compares policies for crash-inducing requests. In one load, a request that crashes endpoints arrives every quarter of a
+ * second for 20 s together with 50 other requests per second. In the other load, a rack loses power every two seconds and
+ * no request causes a crash.
  */
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8]
-const LEAST_SERVED = 0.95
+const MINIMUM_SERVED = 0.95
 
 const POLICIES: Readonly<Record<string, () => CrashPolicy>> = {
-  'each try is new': () => new NoMemory(),
-  'refused after one end': () => new CountedEnds(1, 'send'),
-  'refused after two ends, sent as any other between': () => new CountedEnds(2, 'send'),
-  'refused after two ends, sent by hash between': () => new CountedEnds(2, 'isolate'),
-  'refused after an end that was sent by hash': () => new IsolatedTry(),
+  'each try is new': () => new UnlimitedRetries(),
+  'refused after one end': () => new CrashCountLimit(1, 'send'),
+  'refused after two ends, sent as any other between': () => new CrashCountLimit(2, 'send'),
+  'refused after two ends, sent by hash between': () => new CrashCountLimit(2, 'isolate'),
+  'refused after an end that was sent by hash': () => new IsolationQuarantine(),
 }
 
 async function play(create: () => CrashPolicy, load: Omit<CrashLoad, 'seed'>) {
@@ -38,9 +44,9 @@
   return rows
 }
 
-describe('a request that ends endpoints, every quarter of a second', () => {
-  it('costs what each way lets it cost', async () => {
-    expect(await table({ markedMilliseconds: 250, powerless: 0 })).toMatchInlineSnapshot(`
+describe('a request that crashes endpoints, every quarter of a second', () => {
+  it('crashes as many endpoints as each policy permits', async () => {
+    expect(await table({ markedMilliseconds: 250, powerFailures: 0 })).toMatchInlineSnapshot(`
       [
         "each try is new: 49.0 ends; served 0.008, brokenOff 0.609, refused 0.375",
         "refused after one end: 1.0 ends; served 0.926, brokenOff 0.002, refused 0.000",
@@ -51,21 +57,21 @@
     `)
   })
 
-  it('costs three endpoints at the most, and others at the same model are served', async () => {
-    const { outcomes, sum } = await play(() => new IsolatedTry(), {
+  it('crashes three endpoints at most, and other requests to the same model are served', async () => {
+    const { outcomes, sum } = await play(() => new IsolationQuarantine(), {
       markedMilliseconds: 250,
-      powerless: 0,
+      powerFailures: 0,
     })
     expect(Math.max(...outcomes.map(({ endsUnderMarked }) => endsUnderMarked))).toBeLessThan(4)
-    // What still runs at the end of the replay counts as neither.
+    // Requests that are still running at the end of the replay aren't counted.
     const ended = sum('served') + sum('brokenOff') + sum('refused')
-    expect(sum('served') / ended).toBeGreaterThanOrEqual(LEAST_SERVED)
+    expect(sum('served') / ended).toBeGreaterThanOrEqual(MINIMUM_SERVED)
   })
 })
 
 describe('a rack that loses power', () => {
-  it('makes requests refused that many send, where ends alone are counted', async () => {
-    expect(await table({ powerless: 3 })).toMatchInlineSnapshot(`
+  it('leads to refusals of popular requests if a policy counts crashes alone', async () => {
+    expect(await table({ powerFailures: 3 })).toMatchInlineSnapshot(`
       [
         "each try is new: 0.0 ends; served 0.651, brokenOff 0.308, refused 0.000",
         "refused after one end: 0.0 ends; served 0.569, brokenOff 0.278, refused 0.120",
@@ -76,8 +82,8 @@
     `)
   })
 
-  it('proves nothing', async () => {
-    const { sum } = await play(() => new IsolatedTry(), { powerless: 3 })
+  it('leads to no refusals under the policy of the product', async () => {
+    const { sum } = await play(() => new IsolationQuarantine(), { powerFailures: 3 })
     expect(sum('refused')).toBe(0)
   })
 })
--- a/packages/stand-ins/__tests__/operators.spec.ts
+++ b/packages/stand-ins/__tests__/operators.spec.ts
@@ -41,7 +41,7 @@
   return { code, output: output.join('\n') }
 }
 
-/** Takes out what differs from run to run. */
+/** Replaces the parts of a text that differ between runs by fixed placeholders. */
 function stable(text: string): string {
   return text
     .replaceAll(/instance-\d-[0-9a-f]{8}(\.[0-9a-z]+\.[0-9a-z]+)?/g, 'ID')
@@ -54,7 +54,7 @@
 }
 
 describe('the operator API', () => {
-  it('refuses whoever is no operator, and never shows keys', async () => {
+  it('refuses callers without an operator token and never shows keys', async () => {
     const address = fleet.fleet.members[0]?.addresses.operators ?? ''
     const stranger = await new OperatorClient(address, 'nobody').get('/v1/teams')
     expect(stranger.status).toBe(401)
@@ -101,7 +101,7 @@
     fleet.platform.tableFaults.lostAnswers = 1
     const lost = await operator().put(team('asked', 5), headers)
     fleet.platform.tableFaults.lostAnswers = 0
-    // Either the repeat inside the server found its own change, or the operator is told to ask.
+    // Either the server's own retry found the change, or the operator must query the write's outcome.
     expect([200, 503]).toContain(lost.status)
     const record = await operator(2).get('/v1/writes/operator%2Flost-1')
     expect(record.body).toMatchObject({ accepted: true })
@@ -152,7 +152,7 @@
     expect(seen).toEqual(expected)
   })
 
-  it('explains a request from any instance, also after the deciding one died', async () => {
+  it('explains a request at any instance, also after the instance that served it has crashed', async () => {
     const member = await fleet.fleet.add(7)
     await fleet.fleet.publish()
     await fleet.fleet.whenServing()
@@ -242,7 +242,7 @@
     expect(seen.join('\n')).toMatchSnapshot()
   })
 
-  it('lists requests under which endpoints ended, and clears none that is not there', async () => {
+  it('lists requests that crashed endpoints, and reports an unknown one as not found', async () => {
     expect(await run(['crashes'])).toMatchInlineSnapshot(`
       {
         "code": 0,
@@ -252,7 +252,7 @@
     expect((await run(['clear', 'unknown'])).code).toBe(ExitCode.NotFound)
   })
 
-  it('empties a failure domain, says who has taken it in, and restores it', async () => {
+  it('evacuates a failure domain, shows which instances have applied it, and restores the domain', async () => {
     const engine = {
       kind: 'endpoints',
       metadata: { name: 'hall-engine' },
@@ -273,7 +273,7 @@
     }
     const codes = async (expected: number) =>
       vi.waitFor(async () => expect(await ask()).toBe(expected), { timeout: 5_000 })
-    // Nothing listens at its address.
+    // No process listens at the endpoint's address.
     await codes(ResultCode.EndpointRefused)
     const evacuated = await run(['evacuate', 'hall-a', '--reason', 'new power supply'])
     expect(evacuated).toMatchInlineSnapshot(`
@@ -324,7 +324,7 @@
     )
   })
 
-  it('says that it cannot reach a server, with the code for it', async () => {
+  it('exits with the code Unavailable if the server is unreachable', async () => {
     const { code } = await run(['status', '--server', 'http://127.0.0.1:1'])
     expect(code).toBe(ExitCode.Unavailable)
   })
--- a/packages/stand-ins/__tests__/requestPath.spec.ts
+++ b/packages/stand-ins/__tests__/requestPath.spec.ts
@@ -41,7 +41,7 @@
   return { status: response.statusCode, headers: response.headers, answer }
 }
 
-/** The registrar hears of an end a moment later; until then it says that it does not know. */
+/** Repeats a request until its key is no longer in use: the registrar learns of the first one's end with a delay. */
 async function postUntilEnded(path: string, body: string, headers: Record<string, string>) {
   for (;;) {
     const again = await post(path, body, headers)
@@ -85,7 +85,7 @@
     expect(record.billedTokens).toBe(body.usage.total_tokens)
   })
 
-  it('cancels the stream of a caller that leaves and bills what ran', async () => {
+  it('cancels the stream of a caller that disconnects and bills the generated tokens', async () => {
     const fleet = await start({ engines: 1 })
     const [engine] = fleet.engines
     const controller = new AbortController()
@@ -102,7 +102,7 @@
     })
     await expect(answer).rejects.toThrow()
     await vi.waitFor(() => expect(engine!.cancelled).toBe(1), { timeout: 5_000 })
-    const [requestId = ''] = engine!.taken
+    const [requestId = ''] = engine!.acceptedRequestIds
     const record = await vi.waitUntil(async () => {
       const found = await explain(fleet, requestId)
       return found.code === undefined ? undefined : found
@@ -113,30 +113,30 @@
     expect(record.billedTokens).toBeGreaterThan(0)
   })
 
-  it('turns to another engine when the first is dead before any byte', async () => {
+  it('retries at another engine if the first terminates before any byte', async () => {
     const fleet = await start({ engines: 2 })
-    fleet.engines[0]!.die()
+    fleet.engines[0]!.terminate()
     const demands = Array.from({ length: 12 }, (_, index) => ({ word: `w${index}-`, tokens: 3 }))
     const answers = await Promise.all(demands.map(d => streamChat(fleet.callers(), d)))
     expect(answers.every(answer => answer.isWhole)).toBe(true)
   })
 
-  it('passes on nothing of an attempt that was given up, however late its chunks come', async () => {
+  it('delivers nothing of an abandoned attempt, however late its chunks arrive', async () => {
     const fleet = await start({ engines: 2, limits: { firstByteMilliseconds: 400 } })
     const [late] = fleet.engines
     late!.stall()
     const demands = Array.from({ length: 8 }, (_, index) => ({ word: `w${index}-`, tokens: 60 }))
     const answers = demands.map(demand => streamChat(fleet.callers(), demand))
-    // While the second attempts are being answered, the first ones would like to go on.
+    // The first attempts resume while the second attempts are being answered.
     setTimeout(() => late!.resume(), 600)
     for (const [index, answer] of (await Promise.all(answers)).entries()) {
       expect(answer.isWhole).toBe(true)
       expect(answer.text).toBe(expectedText(demands[index]!))
     }
-    expect(late!.taken.length, 'attempts that were given up').toBeGreaterThan(0)
+    expect(late!.acceptedRequestIds.length, 'attempts that were given up').toBeGreaterThan(0)
   })
 
-  it('goes on with an answer where the stand-in of an engine is told to', async () => {
+  it('forwards x-resume-after, so that the engine continues an answer', async () => {
     const fleet = await start({ engines: 1 })
     const headers = { 'x-resume-after': '3' }
     const answer = await streamChat(fleet.callers(), { word: 'w', tokens: 6, headers })
@@ -155,9 +155,9 @@
     expect(shape(record)).toMatchSnapshot()
   })
 
-  it('says that an answer broke off, never that it is whole, and bills nothing', async () => {
+  it('reports an interrupted answer as incomplete and bills nothing', async () => {
     const fleet = await start({ engines: 1 })
-    fleet.engines[0]!.breakAfterTokens = 4
+    fleet.engines[0]!.resetAfterTokens = 4
     const answer = await streamChat(fleet.callers(), { word: 'w', tokens: 20 })
     expect(answer).toMatchObject({ isWhole: false, errorCode: ResultCode.EndpointBrokeOff })
     expect(answer.text).toBe(expectedText({ word: 'w', tokens: 4 }))
@@ -197,10 +197,10 @@
       return `${name}: ${status} ${code} ${execution}`
     })
     expect(seen).toMatchSnapshot()
-    expect(fleet.engines.flatMap(engine => engine.taken)).toEqual([])
+    expect(fleet.engines.flatMap(engine => engine.acceptedRequestIds)).toEqual([])
   })
 
-  it('runs what must not be repeated once, whatever instance is asked again', async () => {
+  it('runs a request that must not be repeated once, whichever instances receive its retries', async () => {
     const fleet = await start()
     const headers = { 'rackwalk-repeatable': 'no', 'idempotency-key': 'hold-1' }
     const paths = [0, 1, 2].map(number => `${fleet.callers(number)}/services/pitches/hold`)
@@ -250,18 +250,18 @@
     fleet.fleet.members.splice(0, 1)
   })
 
-  it('gives a leaving engine nothing new once it has refused', async () => {
+  it('sends no new requests to a leaving engine after its first refusal', async () => {
     const fleet = await start({ engines: 2 })
     const [leaving] = fleet.engines
     leaving!.leave()
-    const before = leaving!.taken.length
+    const before = leaving!.acceptedRequestIds.length
     const demands = Array.from({ length: 10 }, () => ({ word: 'w', tokens: 2 }))
     const answers = await Promise.all(demands.map(d => streamChat(fleet.callers(1), d)))
     expect(answers.every(answer => answer.isWhole)).toBe(true)
-    expect(leaving!.taken.length).toBe(before)
+    expect(leaving!.acceptedRequestIds.length).toBe(before)
   })
 
-  it('goes on through an outage of the store, and bills each request once afterwards', async () => {
+  it('keeps serving through an outage of the store and bills each request once afterwards', async () => {
     const fleet = await start()
     await streamChat(fleet.callers(), { word: 'w', tokens: 3 })
     fleet.platform.tableFaults.outage = true
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Fakes of the platform and of endpoints, for tests, benches and the quick start. */
+/** Stand-ins for the platform and for endpoints, for tests, benches and the quick start. */
 export { EngineStandIn } from './engine/engineStandIn.js'
 export type { EngineFront } from './engine/engineStandIn.js'
 export { LocalFleet } from './localFleet.js'
@@ -38,12 +38,17 @@
 export type { LongPromptVariation } from './replay/longPromptLoad.js'
 export { EngineModel } from './engine/engineModel.js'
 export type { CacheChange, EngineCapacity } from './engine/engineModel.js'
-export { CountedEnds, IsolatedTry, NoMemory, replayCrashes } from './replay/crashReplay.js'
+export {
+  CrashCountLimit,
+  IsolationQuarantine,
+  UnlimitedRetries,
+  replayCrashes,
+} from './replay/crashReplay.js'
 export type { CrashLoad, CrashOutcome, CrashPolicy } from './replay/crashReplay.js'
 export {
-  DividedRate,
-  UnheededRate,
-  licensedRate,
+  EqualShareRate,
+  IgnoredRate,
+  rankedQuota,
   replayNamedRate,
 } from './replay/namedRateReplay.js'
 export type { NamedRateLoad, RatePolicy, RatePolicyParts } from './replay/namedRateReplay.js'
