--- a/packages/router/src/routing/endpointLinks.ts
+++ b/packages/router/src/routing/endpointLinks.ts
@@ -8,12 +8,13 @@
 import type { Catalogue, ConfiguredEndpoint } from '../resources/catalogue.js'
 import type { MonitoredEndpoint } from './linkMonitor.js'
 
+/** Monotonic times of connection outcomes; negative infinity if there was none. */
 interface LinkRecord {
   connectedAt: Milliseconds
   failedAt: Milliseconds
 }
 
-/** The links of an instance of the OpenAI-style kind. */
+/** The links of one instance to its endpoints of the OpenAI-style kind. */
 export class EndpointLinks {
   private readonly records = new Map<EndpointId, LinkRecord>()
 
@@ -22,7 +23,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Returns the endpoints of a model or service. */
+  /** Returns the endpoints that serve a model or service, except evacuated ones. */
   endpointsOf(target: string): readonly MonitoredEndpoint[] {
     const { catalogue } = this
     const serving = catalogue.endpoints.filter(
@@ -31,15 +32,15 @@
     return serving.map(endpoint => this.monitored(endpoint, target))
   }
 
-  /** Returns the endpoints of all other models and services. */
+  /** Returns the endpoints, also evacuated ones, that do not serve the model or service. */
   endpointsOfOthers(target: string): readonly MonitoredEndpoint[] {
     const others = this.catalogue.endpoints.filter(endpoint => !serves(endpoint, target))
     return others.map(endpoint => this.monitored(endpoint, target))
   }
 
   /**
-   * Returns an endpoint as listed for a model or service; undefined if the catalogue does not list
-   * it.
+   * Returns an endpoint with the name of the model or service that it is used for; undefined if the
+   * catalogue does not list the endpoint. Whether the endpoint serves the target is not checked.
    */
   find(target: string, endpointId: EndpointId): MonitoredEndpoint | undefined {
     const endpoint = this.catalogue.endpoints.find(other => other.endpointId === endpointId)
--- a/packages/router/src/routing/endpointRouter.ts
+++ b/packages/router/src/routing/endpointRouter.ts
@@ -1,6 +1,8 @@
 /**
- * Makes the routing decision of each attempt: collects the views of the usable endpoints, asks the
- * routing policy and records the compared scores.
+ * Makes the routing decision of each attempt: collects the views of the usable endpoints, lets the
+ * routing policy choose one and records the compared scores. A request that may be crash-inducing
+ * is isolated instead (all instances send it to the same endpoint), and a request that is known to
+ * be crash-inducing is refused. Also chooses the engine that continues an interrupted answer.
  */
 
 import { rendezvousChoice, chooseIsolationEndpoint } from '@rackwalk/decisions'
@@ -24,21 +26,22 @@
   readonly catalogue: Catalogue
   readonly endpoints: EndpointTable
   readonly random: RandomSource
+  /** Returns the number of instances that send to the same endpoints. */
   readonly instances: () => number
   readonly crashes: CrashGuard
-  /** Logs a decision; called once for each. */
+  /** Called once for each decision, for the log. */
   readonly onDecision: (request: ParsedRequest, decision: RoutingRecord) => void
 }
 
-/** Recorded policy name if the request may be crash-inducing and is isolated. */
+/** Policy name in the record of a request that is isolated because it may be crash-inducing. */
 const ISOLATING_POLICY = 'isolated'
-/** Recorded policy name if an engine is to continue an answer that was interrupted at another. */
+/** Policy name in the record of an engine that is to continue an answer of another engine. */
 const CONTINUING_POLICY = 'continued'
 
 /** Endpoints that the request has been sent to. */
 export interface AttemptHistory {
   readonly tried: ReadonlySet<EndpointId>
-  /** Endpoints that reset the request exactly once. */
+  /** Endpoints at which the first attempt of the request failed and that were not tried again. */
   readonly resetOnce: ReadonlySet<EndpointId>
 }
 
@@ -53,7 +56,11 @@
 
   constructor(private readonly parts: EndpointRouterParts) {}
 
-  /** Chooses among the endpoints that have not been tried yet. Throws if there is none. */
+  /**
+   * Chooses the endpoint of the next attempt. Chooses among the endpoints that have not been tried
+   * yet; only an isolated request may be sent to a tried endpoint again. Throws if no endpoint may
+   * get the request, or if the request is known to be crash-inducing.
+   */
   choose(request: ParsedRequest, tries: AttemptHistory = NOT_TRIED): RoutingRecord {
     const { tried } = tries
     const hashes = request.call.kind === 'chat' ? prefixHashes(request.call.chat.prompt) : []
@@ -74,8 +81,9 @@
 
   /**
    * Chooses the engine that continues an interrupted answer, among those that support continuation
-   * and run the same software version. The request's fingerprint selects it by rendezvous hashing,
-   * as for a request that may be crash-inducing. Undefined if there is none.
+   * and run the same software version. Rendezvous hashing of the request's fingerprint selects the
+   * engine, as for a request that may be crash-inducing. Undefined if there is no such engine, or
+   * if the request has no fingerprint or is known to be crash-inducing.
    */
   chooseForContinuation(
     request: ParsedRequest,
@@ -102,8 +110,9 @@
   }
 
   /**
-   * Returns why no endpoint, tried or not, may get the request now. Undefined if one may get it, or
-   * if no endpoint exists.
+   * Returns why no endpoint, tried or not, may get the request now: the request is known to be
+   * crash-inducing, or the endpoints' advice refuses the request. Undefined if an endpoint may get
+   * the request, or if no endpoint exists.
    */
   refusalFor(request: ParsedRequest): NotRunError | undefined {
     const endsEndpoints = requestVerdict(this.parts.crashes, request) === 'refuse'
@@ -113,8 +122,9 @@
   }
 
   /**
-   * Chooses the endpoint at which all instances try a request that may be crash-inducing. Throws if
-   * the request is known to be crash-inducing.
+   * Chooses the endpoint to which all instances send a request that may be crash-inducing.
+   * Undefined if the request is not suspect or no endpoint is suitable. Throws if the request is
+   * known to be crash-inducing.
    */
   private isolate(
     request: ParsedRequest,
@@ -126,8 +136,8 @@
     if (verdict === 'refuse') throw new NotRunError(ResultCode.EndsEndpoints)
     if (verdict === 'send') return undefined
     const { crashes } = this.parts
-    // All chats that contain the same suspect message share one isolation key, so that together
-    // they cost only one endpoint.
+    // All chats that contain the same suspect message share one isolation key, so that they are
+    // sent to the same endpoint and crash at most that endpoint.
     const subject =
       crashes.promptParts.isolationKey(messageKeys(crashes, request)) ?? crashFingerprint
     if (subject === undefined) return undefined
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -1,6 +1,8 @@
 /**
- * The state of every endpoint as this instance knows it. Owns the requests in progress, the latest
- * load reports, endpoint health and the set of leaving endpoints. Makes no decisions.
+ * The state of every endpoint of the OpenAI-style kind as this instance knows it. Owns the number
+ * of this instance's requests in progress, the latest load reports, endpoint health and the set of
+ * leaving endpoints (endpoints that accept no new requests because they are about to terminate).
+ * Filters out the endpoints that may get no requests; the routing policy chooses among the others.
  */
 
 import { soonestRefusal } from '@rackwalk/decisions'
@@ -23,23 +25,30 @@
 interface EndpointState {
   inFlight: number
   report: LoadReport | undefined
+  /**
+   * Monotonic time at which the latest report arrived; before the first report, the time at which
+   * this state was created.
+   */
   reportAt: Milliseconds
   /** Monotonic time at which the latest report was requested. */
   reportAskedAt: Milliseconds
-  /** Requests sent there that the latest report may not include, oldest first. */
+  /** This instance's requests that the latest report may not include, oldest first. */
   recent: RecentRequest[]
   /**
-   * Monotonic time until which the endpoint gets no requests, because it terminated and may not be
-   * back.
+   * Monotonic time until which the endpoint gets no requests, because it terminated and may not
+   * have restarted yet.
    */
   unreachableUntil: Milliseconds
-  /** Requests sent there by this instance, as licences count them. */
+  /** Times of this instance's sends to the endpoint, as the quotas of send licences count them. */
   readonly sends: SendHistory
-  /** Monotonic time at which the endpoint was first said to be leaving. */
+  /**
+   * Monotonic time at which any source first said that the endpoint is leaving; undefined if the
+   * endpoint is not leaving.
+   */
   leavingSince: Milliseconds | undefined
   /**
-   * Whether an answer announced that the endpoint is leaving and no termination has been observed
-   * since. A report that says otherwise may be older than the answer.
+   * Whether an answer announced that the endpoint is leaving and no report failed to be fetched
+   * since. A report that says that the endpoint stays may be older than the answer.
    */
   hasAnnouncedLeaving: boolean
 }
@@ -47,34 +56,39 @@
 /** The source of the configured endpoints. */
 export type EndpointCatalogue = Pick<Catalogue, 'endpoints' | 'findEndpoint' | 'isEvacuated'>
 
-/** Source of the information that an endpoint is leaving. */
+/**
+ * Source of the information that an endpoint is leaving: the endpoint list, an answer of the
+ * endpoint, its load report, or another instance.
+ */
 export type LeavingSource = 'list' | 'answer' | 'report' | 'peer'
 
 function isLoaded({ report }: EndpointView, modelId: ModelId): boolean {
   return report?.loadedModels === undefined || report.loadedModels.includes(modelId)
 }
 
-/** Assumed age of a load report on arrival, in milliseconds. */
+/** Assumed age of a load report on arrival: a report describes a past state of the endpoint. */
 const REPORT_LAG_MILLISECONDS = 400
 /**
- * An endpoint that announced in an answer that it is leaving gets requests again after this time if
- * its reports say that it stays.
+ * Time since the first sign of leaving for which an endpoint that announced in an answer that it is
+ * leaving gets no requests, although its reports say that it stays. A report after this time ends
+ * the leaving. Without the limit, an endpoint that cancelled its shutdown would stay unused.
  */
 const LONGEST_LEAVING_MILLISECONDS = 60_000
 /**
- * An endpoint that terminated gets no requests for this time. An endpoint that is back sooner is
- * left unused for at most as long.
+ * Time for which an endpoint gets no requests after its prober last found it terminated. An
+ * endpoint that restarts sooner stays unused for at most this time.
  */
 const UNREACHABLE_MILLISECONDS = 1_000
-/** Prefill rate assumed for plain services, which do not configure one, in tokens per second. */
+/**
+ * Prefill rate assumed for plain services, in tokens per second. Plain services configure no rate;
+ * the high value makes their estimated prefill time negligible.
+ */
 const SERVICE_PREFILL_RATE = 1_000_000
 
 /** Called when an endpoint's state changes, for the log. */
 export type EndpointListener = (endpointId: EndpointId, change: string) => void
 
-/**
- * The state of every endpoint as this instance knows it: own requests, reports, health, leaving.
- */
+/** The state of every configured endpoint as this instance knows it. */
 export class EndpointTable {
   readonly prefixes: PrefixIndex
   private readonly states = new Map<EndpointId, EndpointState>()
@@ -90,14 +104,18 @@
     this.ejection = new OutlierEjection(clock)
   }
 
-  /** Returns views of the endpoints that may get new requests for a model. */
+  /**
+   * Returns views of the endpoints that may get new requests for a model. An endpoint whose report
+   * lists loaded models without this model is left out.
+   */
   modelCandidates(modelId: ModelId, hashes: readonly PrefixHash[]): readonly EndpointView[] {
     return this.viewsOf(this.modelPool(modelId), hashes).filter(view => isLoaded(view, modelId))
   }
 
   /**
-   * Returns why no endpoint of a model may get a request now; undefined unless its endpoints' own
-   * advice is the reason.
+   * Returns the refusal with the shortest wait that the endpoints' own advice gives for a model;
+   * undefined if advice refuses none of its usable endpoints. Other endpoints of the model may
+   * still accept requests, so callers first check that there is no candidate.
    */
   modelRefusal(modelId: ModelId): SendRefusal | undefined {
     return this.refusalIn(this.modelPool(modelId))
@@ -109,8 +127,8 @@
   }
 
   /**
-   * Returns why no endpoint of a plain service may get a request now; undefined unless its
-   * endpoints' own advice is the reason.
+   * Returns the refusal with the shortest wait that the endpoints' own advice gives for a plain
+   * service, under the conditions of `modelRefusal`.
    */
   serviceRefusal(service: string): SendRefusal | undefined {
     return this.refusalIn(this.servicePool(service))
@@ -136,7 +154,7 @@
     state.recent.push({ at: this.clock.monotonic(), promptTokens })
   }
 
-  /** Records that a request at the endpoint is over. */
+  /** Records that a request of this instance at the endpoint is over. */
   noteRequestEnded(endpointId: EndpointId): void {
     this.stateOf(endpointId).inFlight -= 1
   }
@@ -159,7 +177,7 @@
     const asOf = state.reportAt - REPORT_LAG_MILLISECONDS
     state.recent = state.recent.filter(sent => sent.at > asOf)
     if (report.leaving) this.noteLeaving(endpointId, 'report')
-    // An endpoint that reports that it stays has come back. The list and the peers may lag behind.
+    // The report is newer than what the endpoint list and the peers say about leaving.
     else this.noteStaying(endpointId)
   }
 
@@ -171,7 +189,7 @@
     this.onChange(endpointId, `leaving (${source})`)
   }
 
-  /** Endpoints known to be leaving; sent to peers. */
+  /** Ids of the endpoints known to be leaving, which this instance sends to its peers. */
   get leaving(): readonly EndpointId[] {
     return [...this.states].flatMap(([id, state]) => (state.leavingSince === undefined ? [] : [id]))
   }
@@ -181,7 +199,10 @@
     return [...this.states.values()].reduce((sum, state) => sum + state.inFlight, 0)
   }
 
-  /** Removes the state of idle endpoints that are no longer configured. */
+  /**
+   * Removes the state of endpoints that are no longer configured and have none of this instance's
+   * requests in progress.
+   */
   prune(): void {
     for (const endpointId of this.states.keys()) {
       const isIdle = this.states.get(endpointId)?.inFlight === 0
@@ -193,8 +214,8 @@
   }
 
   /**
-   * Records that the endpoint terminated. Its prober calls this again for as long as the endpoint
-   * is not back.
+   * Records that the endpoint terminated. The prober of the endpoint repeats the call until the
+   * endpoint has restarted.
    */
   noteUnreachable(endpointId: EndpointId): void {
     this.stateOf(endpointId).unreachableUntil = this.clock.monotonic() + UNREACHABLE_MILLISECONDS
@@ -206,8 +227,9 @@
   }
 
   /**
-   * Records that the endpoint's reports cannot be fetched. The endpoint may have restarted, which
-   * voids the announcements in its earlier answers.
+   * Records that a report of the endpoint could not be fetched. The endpoint may have restarted;
+   * then the announcement of leaving in an earlier answer no longer holds, and the next report that
+   * says that the endpoint stays ends the leaving.
    */
   noteReportFailed(endpointId: EndpointId): void {
     this.stateOf(endpointId).hasAnnouncedLeaving = false
@@ -246,8 +268,8 @@
   }
 
   /**
-   * Returns why the endpoints of a model or service may get no requests now; of several reasons,
-   * the one that expires first.
+   * Returns the refusals of the usable endpoints by their own advice; of several, the one with the
+   * shortest wait. Undefined if advice refuses none of them.
    */
   private refusalIn(pool: readonly ConfiguredEndpoint[]): SendRefusal | undefined {
     const usable = this.usable(pool)
@@ -258,7 +280,8 @@
 
   private sendTargetOf({ endpointId, spec }: ConfiguredEndpoint): SendTarget {
     return {
-      // The platform of these endpoints does not distinguish one start from the next.
+      // The platform of these endpoints does not distinguish one start (run) of an endpoint from
+      // the next.
       start: endpointStart(endpointId, undefined),
       service: spec.kind === 'service' ? spec.service : endpointId,
       coldMilliseconds: 0,
@@ -267,8 +290,9 @@
   }
 
   /**
-   * Returns the times of the latest contact with an endpoint. Only its reports are recorded as
-   * contacts.
+   * Returns the times of the latest contact with an endpoint. Only load reports are recorded as
+   * contacts: `askedAt` is when the latest report was requested, `readAt` is always negative
+   * infinity.
    */
   lastHeard(endpointId: EndpointId): LastContactTimes {
     const readAt = Number.NEGATIVE_INFINITY
--- a/packages/router/src/routing/linkMonitor.ts
+++ b/packages/router/src/routing/linkMonitor.ts
@@ -1,8 +1,9 @@
 /**
  * Tracks which endpoints this instance can reach. Owns the connection checks that follow a failed
- * connect, and the set of services that this instance is cut off from. The rule is in
- * decisions/choosing/endpointReach. A failed check says nothing about the state of the endpoint
- * itself and is not reported as such.
+ * connect, and the set of services that this instance is cut off from, that is, of which it can
+ * connect to no endpoint. The rule is in decisions/choosing/endpointReachability. A failed check
+ * may be due to the link or to the endpoint, so it never counts as a sign that the endpoint has
+ * terminated.
  */
 
 import { connect } from 'node:net'
@@ -39,11 +40,11 @@
 }
 
 /**
- * A connection that is not established within this time counts as failed. Kept short because a
- * request may be waiting for the check.
+ * A connection that is not established within this time counts as failed. The time is short because
+ * a request may be waiting for the check.
  */
 const CONNECT_MILLISECONDS: Milliseconds = 150
-/** Interval between checks of failed links, so that they are used again soon after they recover. */
+/** Pause between checks of a service, short so that links are used again soon after a recovery. */
 const CHECK_MILLISECONDS: Milliseconds = 400
 
 interface LinkedEndpoint<Endpoint> extends EndpointLink {
@@ -52,7 +53,7 @@
 
 /** Monitors the links from one instance to its endpoints. */
 export class LinkMonitor<Endpoint extends MonitoredEndpoint> {
-  /** Services whose links are being checked. */
+  /** Services whose links are being checked repeatedly. */
   private readonly checkedServices = new Set<string>()
   private readonly unreachableServices = new Set<string>()
   /** Addresses of unreachable endpoints by service, as of the latest check. */
@@ -68,17 +69,17 @@
     this.isStopped = true
   }
 
-  /** Services without any reachable endpoint. */
+  /** Services of which this instance reaches no endpoint, as of the latest checks. */
   get cutOffServices(): readonly string[] {
     return [...this.unreachableServices]
   }
 
-  /** Whether no endpoint of a service is reachable. */
+  /** Whether this instance reaches no endpoint of a service, as of the latest check. */
   isCutOff(service: string): boolean {
     return this.unreachableServices.has(service)
   }
 
-  /** Returns the endpoints of a service that are unreachable. */
+  /** Returns the endpoints of a service that were unreachable at the latest check. */
   unreachableEndpoints(service: string): ReadonlySet<Endpoint> {
     const lost = this.unreachableAddresses.get(service)
     if (lost === undefined) return new Set()
@@ -86,15 +87,18 @@
   }
 
   /**
-   * Records a failed connection and starts to check whether other endpoints of the service are
-   * reachable.
+   * Records a failed connection and starts to check whether this instance reaches the endpoints of
+   * the service.
    */
   noteConnectFailed(endpoint: Endpoint): void {
     endpoint.noteConnectFailed()
     this.startChecking(endpoint.service)
   }
 
-  /** Checks the links of a service until none of its endpoints is unreachable. */
+  /**
+   * Checks the links of a service at least once, and then repeatedly until none of its endpoints is
+   * unreachable.
+   */
   startChecking(service: string): void {
     if (this.checkedServices.has(service) || this.isStopped) return
     this.checkedServices.add(service)
@@ -104,10 +108,11 @@
   }
 
   /**
-   * Whether this instance reaches any endpoint other than the one at `address`. If it reaches none,
-   * a refused connection at `address` says something about this instance's links and not about the
-   * endpoint. Returns true if there is no other endpoint. Endpoints of other services are checked
-   * last; they are needed because all endpoints of one service may have terminated.
+   * Whether this instance reaches any endpoint other than the one at `address`. If not, a refused
+   * connection at `address` may be due to this instance's links and proves nothing about the
+   * endpoint. Returns true if there is no other endpoint. If the other endpoints of the service
+   * fail, endpoints of other services are checked, since all endpoints of one service may have
+   * terminated.
    */
   async reachesOthers(address: string, service: string): Promise<boolean> {
     const { endpointsOf, endpointsOfOthers } = this.parts
@@ -145,9 +150,9 @@
   }
 
   /**
-   * Updates the reachability of a service. Only check results count: requests go to the endpoints
-   * that look idle, so endpoints that terminate one after the other would look like a cut link to
-   * them.
+   * Updates the reachability of a service. Runs only after a check, not after the failed connection
+   * of a request: requests go to the endpoints that look idle, so without a check of other
+   * endpoints, several that terminate one after the other would look like a lost link.
    */
   private updateReachability(service: string): void {
     const links = this.linksOf(service)
--- a/packages/router/src/routing/noCandidate.ts
+++ b/packages/router/src/routing/noCandidate.ts
@@ -1,5 +1,7 @@
 /**
- * The error for a request of the OpenAI-style kind that no endpoint may get, with its retry time.
+ * Creates the error for a request of the OpenAI-style kind that may be sent to no endpoint. If the
+ * endpoints' own advice (such as Retry-After) is the reason, the error tells the caller when to
+ * retry.
  */
 
 import { allRefusedError } from '@rackwalk/decisions'
@@ -14,22 +16,23 @@
   readonly random: RandomSource
 }
 
-/** A request for which there is no endpoint. */
+/** A request that may be sent to no endpoint. */
 interface UnroutableRequest {
   readonly call: Call
   readonly target: string
 }
 
 /**
- * Returns the refusal that the endpoints' advice gives; without one, the error that no endpoint
- * exists.
+ * Returns the refusal that the endpoints' advice gives, or the `NoEndpoint` error if advice refuses
+ * none of the usable endpoints.
  */
 export function noCandidateError(parts: NoCandidateParts, request: UnroutableRequest): NotRunError {
   return refusalByAdvice(parts, request) ?? new NotRunError(ResultCode.NoEndpoint)
 }
 
 /**
- * Returns the refusal that the endpoints' advice gives; undefined if no advice forbids the request.
+ * Returns the refusal with the shortest wait that the endpoints' advice gives; undefined if advice
+ * refuses none of the usable endpoints.
  */
 export function refusalByAdvice(
   { endpoints, random }: NoCandidateParts,
--- a/packages/router/src/routing/prefixIndex.ts
+++ b/packages/router/src/routing/prefixIndex.ts
@@ -1,6 +1,7 @@
 /**
- * An index of the prompt prefixes that each endpoint probably has cached. Owns block hashes by
- * endpoint. A wrong entry costs time but never causes a wrong answer.
+ * An index of the prompt prefixes that each engine probably has in its cache. Routing uses the
+ * index to send a request to an engine that need not read the whole prompt again. Owns the block
+ * hashes of each endpoint. A wrong entry costs time but never causes a wrong answer.
  */
 
 import { createHash } from 'node:crypto'
@@ -8,9 +9,12 @@
 
 /** Bytes of prompt text per block of the index. */
 export const PREFIX_BLOCK_BYTES = 512
-/** Tokens per block assumed in estimates. */
+/** Number of tokens that estimates assume per block. */
 export const PREFIX_BLOCK_TOKENS = 128
-/** Maximum number of blocks hashed per prompt. Longer prompts are compared by these alone. */
+/**
+ * Maximum number of blocks hashed per prompt, which bounds the work per request. Of a longer prompt
+ * only these first blocks are compared.
+ */
 const MAXIMUM_BLOCKS = 64
 
 /** Hash of a prompt up to the end of one block; it covers all preceding blocks too. */
@@ -31,7 +35,8 @@
 }
 
 /**
- * A cache change that an engine reports. A gap in the sequence numbers shows that events were lost.
+ * A change of an engine's cache, as the engine reports it. A gap in the sequence numbers shows that
+ * events were lost.
  */
 export interface CacheEvent {
   readonly sequence: number
@@ -47,22 +52,28 @@
   lastSequence: number | undefined
 }
 
-/** A block that has not been confirmed for this long is assumed to be evicted. */
+/**
+ * A block that was neither reported as stored nor sent in a prompt for this long is assumed to be
+ * evicted.
+ */
 const BLOCK_EXPIRY_MILLISECONDS = 10 * 60_000
-/** Maximum number of blocks kept per endpoint. */
+/** Maximum number of blocks kept per endpoint; beyond it, the oldest blocks are dropped. */
 const MAXIMUM_BLOCKS_PER_ENDPOINT = 20_000
 
 /**
  * Estimates which prompt prefixes each endpoint has cached. Cache events arrive late and with gaps,
- * so the index is only a hint: it also learns from this instance's own routing, its entries expire,
- * and an endpoint's blocks are dropped when a gap may have hidden removals.
+ * so the index is only a hint: the index also records the prompts that this instance sends, entries
+ * expire, and all blocks of an endpoint are dropped when a gap may have hidden removals.
  */
 export class PrefixIndex {
   private readonly endpoints = new Map<EndpointId, EndpointBlocks>()
 
   constructor(private readonly clock: Clock) {}
 
-  /** Returns the number of tokens in the longest prefix that an endpoint probably has cached. */
+  /**
+   * Returns the estimated number of tokens in the longest prefix that an endpoint probably has
+   * cached.
+   */
   cachedTokens(endpointId: EndpointId, hashes: readonly PrefixHash[]): TokenCount {
     const known = this.endpoints.get(endpointId)?.blocks
     if (known === undefined) return 0
@@ -77,13 +88,16 @@
   }
 
   /**
-   * Records that a prompt was sent to the endpoint, so its blocks will probably be cached there.
+   * Records that a prompt was routed to the endpoint, which will probably have its blocks cached.
    */
   noteSent(endpointId: EndpointId, hashes: readonly PrefixHash[]): void {
     this.store(this.blocksOf(endpointId), hashes)
   }
 
-  /** Applies an engine's events. Returns true if a gap was found and the blocks were dropped. */
+  /**
+   * Applies an engine's events; events that were already applied are skipped. Returns whether a gap
+   * in the sequence numbers was found. At a gap, the blocks recorded before are dropped.
+   */
   apply(endpointId: EndpointId, events: readonly CacheEvent[]): boolean {
     const known = this.blocksOf(endpointId)
     let hadGap = false
--- a/packages/router/src/routing/routingPolicy.ts
+++ b/packages/router/src/routing/routingPolicy.ts
@@ -1,7 +1,7 @@
 /**
  * The routing policies of the OpenAI-style kind, which choose one of the usable endpoints for a
- * request. There is one class for each policy name in the resource schema. Randomness comes only
- * from the random source that a policy is given.
+ * request. There is one class for each policy name in the resource schema. All randomness comes
+ * from the random source passed to a policy, so that tests can reproduce a choice.
  */
 
 import { randomBelow } from '@rackwalk/shared'
@@ -12,7 +12,7 @@
 /** Chooses one of the usable endpoints. */
 export interface RoutingPolicy {
   readonly name: RoutingPolicyName
-  /** Undefined only if there are no candidates. */
+  /** Returns the chosen endpoint; undefined only if there are no candidates. */
   choose(
     candidates: readonly EndpointView[],
     demand: RoutedDemand,
@@ -29,7 +29,7 @@
   }
 }
 
-/** Chooses the candidates in turn. */
+/** Chooses the candidates in the order of their list, each request the next one. */
 class RoundRobinPolicy implements RoutingPolicy {
   readonly name = 'round-robin'
   private position = 0
@@ -50,8 +50,8 @@
 }
 
 /**
- * Chooses the less loaded of two random endpoints, by its report and the requests sent since then
- * (Mitzenmacher 2001).
+ * Chooses the one of two random endpoints that has fewer requests, estimated from its report and
+ * the requests sent since the report (Mitzenmacher 2001).
  */
 class TwoChoicesPolicy implements RoutingPolicy {
   readonly name = 'two-choices'
@@ -62,24 +62,30 @@
 }
 
 /**
- * Number of random endpoints scored besides those that probably have the prompt cached. With more,
- * all instances find the same best endpoint in the same stale reports (docs/measurements.md).
+ * Number of random endpoints scored besides those that probably have the prompt cached. With a
+ * larger sample, all instances choose the same endpoint, because they compare the same stale
+ * reports (docs/measurements.md).
  */
 const SAMPLE_SIZE = 2
-/** Number of endpoints with the longest cached prefix that are always scored. */
+/** Number of endpoints scored in any case: those with the longest cached prefixes. */
 const CACHED_CANDIDATES = 2
-/** Milliseconds that each running request adds to the time to first token, due to batching. */
+/**
+ * Milliseconds that each running or waiting request adds to the time to first token, since an
+ * engine processes its requests in batches.
+ */
 const BATCHING_MILLISECONDS = 2
 /** Prompt tokens assumed for a waiting request of unknown size. */
 const ASSUMED_PROMPT_TOKENS = 600
 
 /**
- * Chooses the endpoint with the smallest expected time to first token: the queued prompt tokens
- * plus those of this request, minus the cached ones, divided by the engine's prefill rate. Reports
- * lag, so the requests that this instance sent since the latest report are added. The other
- * instances are assumed to have sent similar requests, which keeps all instances from turning to
- * the same endpoint at once. The cost does not grow with the number of endpoints (compare Prequal,
- * NSDI 2024).
+ * Chooses the endpoint with the smallest expected time to first token. The estimate is the number
+ * of queued prompt tokens plus the uncached tokens of this request, divided by the engine's prefill
+ * rate, plus a fixed time for each request at the endpoint and for each request above its capacity.
+ * Reports lag, so tokens that the engine has read since the report are subtracted, and the requests
+ * that this instance sent since the report are added. Each other instance is assumed to have sent a
+ * share of as many requests, which keeps all instances from choosing the same endpoint at once.
+ * The number of scored endpoints does not grow with the number of candidates (compare Prequal, NSDI
+ * 2024).
  */
 class ExpectedFirstTokenPolicy implements RoutingPolicy {
   readonly name = 'expected-first-token'
@@ -108,7 +114,7 @@
   return prefill + running * BATCHING_MILLISECONDS + overCapacityPenalty
 }
 
-/** Milliseconds that each request above an engine's capacity adds to the wait for a slot. */
+/** Milliseconds that each request above `maximumInFlight` adds to the wait for a slot. */
 const OVER_CAPACITY_MILLISECONDS = 250
 
 function promptTokensAhead(view: EndpointView, demand: RoutedDemand): number {
@@ -120,10 +126,16 @@
   return Math.max(0, Math.max(reported, waiting) + sentSince - drained)
 }
 
-/** Share of this instance's own traffic that each other instance is assumed to send as well. */
+/**
+ * Requests that each other instance is assumed to have sent since the report, as a share of those
+ * that this instance sent.
+ */
 const ASSUMED_PEER_SHARE = 0.15
 
-/** Returns the estimated number of requests that an endpoint has now. */
+/**
+ * Returns the estimated number of requests that an endpoint has now. Without a report, every
+ * instance is assumed to have as many requests there as this instance.
+ */
 export function estimatedRequests(view: EndpointView, demand: RoutedDemand): number {
   if (view.report === undefined) return view.inFlight * demand.instances
   const sendingFactor = 1 + (demand.instances - 1) * ASSUMED_PEER_SHARE
@@ -131,7 +143,10 @@
   return Math.max(view.inFlight, view.report.running + view.report.waiting + sentSince)
 }
 
-/** Creates the policy of a name. A policy may keep a position, so each router has its own. */
+/**
+ * Creates the policy with the given name. Policies are not shared, since a policy may have state,
+ * such as the position of round-robin.
+ */
 export function createRoutingPolicy(name: RoutingPolicyName): RoutingPolicy {
   switch (name) {
     case 'random':
@@ -180,8 +195,8 @@
 }
 
 /**
- * Returns the views rotated to a random start, so that ties are not always broken in the same
- * order.
+ * Returns the views rotated to a random first element, so that ties are not always broken in the
+ * same order.
  */
 function rotated(views: readonly EndpointView[], random: RandomSource): readonly EndpointView[] {
   const start = randomBelow(random, views.length)
