--- a/packages/router/src/filters/admit.ts
+++ b/packages/router/src/filters/admit.ts
@@ -1,6 +1,7 @@
 /**
- * Admits requests for which some endpoint has room. Owns the queues of the models and services. A
- * request that cannot be served in time is refused at once instead of waiting for its deadline.
+ * Admits requests for which some endpoint has room, and queues the others for a limited time. Owns
+ * the queue of each model and service. A chat whose first token is expected after its deadline is
+ * refused at once instead of taking a queue place until then.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
@@ -19,14 +20,15 @@
   readonly endpoints: EndpointTable
   readonly clock: Clock
   readonly random: RandomSource
+  /** Returns the number of instances that send to the same endpoints. */
   readonly instances: () => number
   /** Throws if this instance accepts no new requests. */
   readonly checkServing: () => void
 }
 
 /**
- * Admits a request if an endpoint has room, queues it for a short time if none has, and refuses it
- * at once if waiting is useless.
+ * Admits a request if an endpoint has room, and queues the request for a limited time otherwise.
+ * Refuses the request at once if no endpoint may get it or if its answer cannot be in time.
  */
 export class AdmitFilter implements Filter<DeduplicatedRequest, AdmittedRequest> {
   private readonly queues = new Map<string, FairQueue>()
@@ -47,13 +49,16 @@
   }
 
   /**
-   * Admits waiting requests of a model or service. Called whenever a request is over or a report
-   * arrives.
+   * Admits as many waiting requests of a model or service as there are free slots. Called whenever
+   * a request is over.
    */
   admitWaiting(target: string): void {
     this.queues.get(target)?.admitWaiting()
   }
 
+  /**
+   * Admits waiting requests of all models and services. Called whenever load reports have arrived.
+   */
   admitAllWaiting(): void {
     for (const queue of this.queues.values()) queue.admitWaiting()
   }
@@ -84,8 +89,8 @@
   }
 
   /**
-   * Throws if the first token is expected after the deadline, because the answer cannot be in time
-   * then.
+   * Throws if the first token of a chat is expected after the deadline at every endpoint, because
+   * the answer cannot be in time then. Service calls are not checked.
    */
   private checkDeadline(request: DeduplicatedRequest, views: readonly EndpointView[]): void {
     if (request.call.kind !== 'chat') return
--- a/packages/router/src/filters/answerDelivery.ts
+++ b/packages/router/src/filters/answerDelivery.ts
@@ -6,12 +6,13 @@
 export interface AnswerDelivery {
   /** Delivers a chunk. Returns false if the caller's buffer should drain first. */
   deliver(chunk: Buffer): boolean
-  /** Chunks that must not be sent before the bill is durable. */
+  /** Chunks at the end of the answer that must not be sent before the bill is durable. */
   readonly withheldChunks: readonly Buffer[]
   /** Whether the answer contains an end marker, which proves that it is complete. */
   readonly hasEndMarker: boolean
-  /** Whether the answer is complete if its framing says that it is. */
+  /** Whether the answer is complete, given that reading it ended without an error. */
   readonly isComplete: boolean
+  /** Returns the usage that the engine reported, or an estimate from the delivered events. */
   usage(): ReportedUsage
 }
 
--- a/packages/router/src/filters/answerHeaders.ts
+++ b/packages/router/src/filters/answerHeaders.ts
@@ -5,15 +5,15 @@
 /** Response headers that describe one connection and not the answer. */
 const DROPPED_HEADERS = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length'])
 
-/** Returns the headers to pass on, together with the request id. */
+/** Returns the headers of the answer that describe the answer itself, and adds the request id. */
 export function answerHeaders({ answer, requestId }: DispatchedRequest): Record<string, string> {
   const kept = Object.entries(answer.headers).filter(([name]) => !DROPPED_HEADERS.has(name))
   return { ...Object.fromEntries(kept), 'rackwalk-request-id': requestId }
 }
 
 /**
- * Returns the headers of an answer that was received completely. Includes its length if the framing
- * proves that nothing is missing.
+ * Returns the headers of an answer that was received completely. Includes the length of the body if
+ * the framing or the body proves that nothing is missing; an answer without a body gets no length.
  */
 export function completeAnswerHeaders(
   request: DispatchedRequest,
--- a/packages/router/src/filters/chatEventDelivery.ts
+++ b/packages/router/src/filters/chatEventDelivery.ts
@@ -1,6 +1,7 @@
 /**
- * Delivers a chat's event stream: withholds the closing events, reads the usage reports, and joins
- * the events of an engine that continues an answer to those that the caller already has.
+ * Delivers a chat's event stream: withholds the closing events (the usage chunk and the end
+ * marker), reads the usage reports, and appends the events of an engine that continues an answer to
+ * those that the caller already has.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
@@ -64,8 +65,8 @@
     const closing = this.withheldChunks.find(event => isUsageEvent(event)) ?? this.usageEvent
     const reported = findUsage((closing ?? this.lastEvent)?.toString('utf8') ?? '')
     if (reported !== undefined) return reported
-    // The usage of an engine that reports nothing before the end is counted from the delivered
-    // events.
+    // Without a report, each delivered event counts as one generated token, and outside of a
+    // continuation the prompt counts with its upper bound.
     if (this.continuation !== undefined) return this.continuation.usage()
     return { promptTokens: this.chat.promptTokenBound, generatedTokens: this.deliveredEvents }
   }
--- a/packages/router/src/filters/chatRelay.ts
+++ b/packages/router/src/filters/chatRelay.ts
@@ -1,8 +1,10 @@
 /**
- * Relays a chat to another instance when this one reaches no engine. The other instance serves the
- * chat as its own: it admits it, holds its budget, claims its key and makes the attempts. Owns the
- * exchange in progress and the times of recent refusals by instance. The rules are in
- * decisions/choosing/relayPeer and decisions/retrying/relayStep.
+ * Relays a chat to another instance when this instance can connect to no engine. Without relaying,
+ * such chats would be refused although other instances reach the engines. The other instance serves
+ * the chat as its own: the other instance admits the chat, reserves its budget, claims its key and
+ * makes the attempts. Owns the connections to other instances, the exchanges in progress, and the
+ * times of recent refusals by instance. The rules are in decisions/choosing/relayPeer and
+ * decisions/retrying/relayStep.
  */
 
 import { chooseRelayPeer, isProvenComplete, relayStep } from '@rackwalk/decisions'
@@ -33,6 +35,7 @@
   readonly random: RandomSource
   /** Returns the other instances that serve callers. */
   readonly peers: () => readonly ChatRelayPeer[]
+  /** Called with the outcome at each instance that was tried. */
   readonly onHandedOver: (outcome: RelayOutcome) => void
 }
 
@@ -40,12 +43,14 @@
   readonly peer: ChatRelayPeer
 }
 
+/** Longest wait for a connection to another instance. */
 const CONNECT_MILLISECONDS: Milliseconds = 300
 /** Maximum number of connections to one instance. */
 const MAXIMUM_PEER_CONNECTIONS = 256
 /**
- * An instance that refused because it is cut off or overloaded is asked last for this time.
- * Instances do not announce these states for chats, so the refusal is the only sign.
+ * Time after a refusal (status 503) for which an instance counts as overloaded and is tried last.
+ * Instances do not announce for chats that they are overloaded or without a connection to the
+ * engines, so the refusal is the only sign.
  */
 const REFUSAL_MILLISECONDS: Milliseconds = 1_000
 const STATUS_UNAVAILABLE = 503
@@ -64,14 +69,18 @@
     for (const agent of this.agents.values()) agent.destroy()
   }
 
-  /** Whether the request may be relayed at all. */
+  /**
+   * Whether the request may be relayed: only chats may, and only once, so that instances do not
+   * relay a request in a circle.
+   */
   canRelay({ incoming, call }: ParsedRequest): boolean {
     return call.kind === 'chat' && !incoming.headers.has(RELAYED_BY)
   }
 
   /**
-   * Relays the request and returns the outcome; undefined if it was sent to no instance. Throws if
-   * it may have run and no answer arrived.
+   * Relays the request and returns the outcome whose answer was forwarded to the caller; undefined
+   * if no answer was forwarded and no instance can have run the request. Throws if no answer was
+   * forwarded and the request may have run.
    */
   async relay(request: ParsedRequest): Promise<RelayOutcome | undefined> {
     const { call } = request
@@ -99,7 +108,10 @@
     return incoming.caller.disconnectSignal.aborted || this.parts.clock.sinceStart() >= deadline
   }
 
-  /** Waits for the answer and forwards it if the rule says so. */
+  /**
+   * Waits for the answer and adds the outcome to `outcomes`. Forwards the answer to the caller if
+   * `relayStep` decides so; otherwise reads the answer to its end and discards it.
+   */
   private async forwardAnswer(
     exchange: UpstreamExchange,
     request: ParsedRequest,
@@ -181,7 +193,8 @@
 }
 
 /**
- * Forwards the answer at the caller's pace. Resolves with whether all of it arrived and was sent.
+ * Forwards the answer at the caller's pace. Resolves with whether the answer is proven complete; if
+ * so, after the caller's connection has taken all of it.
  */
 function forwardBody(
   exchange: UpstreamExchange,
--- a/packages/router/src/filters/claim.ts
+++ b/packages/router/src/filters/claim.ts
@@ -1,6 +1,7 @@
 /**
- * Decides whether a request that may run only once may run. The claim is made in the table right
- * before dispatch, and released if the request turns out not to have run.
+ * Decides whether a request that may run only once may be dispatched. The claim, a row in the store
+ * under the caller's idempotency key, is made before dispatch and released if the request turns out
+ * not to have run. Without the claim, two instances could run the same request.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -13,8 +14,8 @@
 
   async apply(request: ReservedRequest): Promise<ClaimedRequest> {
     const { callerKey, team, requestId } = request
-    // Without a key nobody can send the same request again, so there are no other attempts to
-    // exclude.
+    // Without a key, two requests cannot be recognised as attempts of the same request, so there
+    // are no other attempts to exclude.
     if (request.repeatable || callerKey === undefined) return { ...request, claim: undefined }
     const result = await this.claims.claim(team.teamId, callerKey, requestId)
     const claim = claimOrRefuse(result)
--- a/packages/router/src/filters/complete.ts
+++ b/packages/router/src/filters/complete.ts
@@ -1,6 +1,6 @@
 /**
- * Ends the answer at the caller. The end is withheld until the bill is durable, so that no caller
- * gets a complete answer that is never billed.
+ * Ends the answer to the caller. The end is withheld until the bill would survive a crash of this
+ * instance, so that no caller gets a complete answer that is never billed.
  */
 
 import { DispatchedError, ResultCode } from '@rackwalk/shared'
@@ -9,7 +9,8 @@
 import type { Filter, SettledRequest } from './stages.js'
 
 /**
- * Releases the end of an answer whose bill is durable, and cuts off an answer that is incomplete.
+ * Releases the end of a complete answer whose bill is durable, and ends any other answer with an
+ * error.
  */
 export class CompleteFilter implements Filter<SettledRequest, SettledRequest> {
   async apply(request: SettledRequest): Promise<SettledRequest> {
@@ -36,8 +37,9 @@
   }
 
   /**
-   * Reports an error on an answer that has begun. A stream can carry an error event; any other
-   * answer ends with its connection.
+   * Reports an error to the caller. Throws the error if the head was not sent, since an error
+   * answer can still be sent then. Otherwise an event stream ends with an error event, and for any
+   * other answer the connection is closed.
    */
   private async cutOff(request: SettledRequest, error: DispatchedError): Promise<void> {
     const { caller } = request.incoming
--- a/packages/router/src/filters/continueAnswer.ts
+++ b/packages/router/src/filters/continueAnswer.ts
@@ -1,6 +1,7 @@
 /**
- * Lets another engine continue a streamed chat that was interrupted. Owns the record of what
- * callers have received; relies on dispatch for the engine. The rule is in
+ * Lets another engine continue a streamed chat whose answer was interrupted. Creates the record of
+ * what the caller has received, decides whether the answer is continued, closed or left incomplete,
+ * and has dispatch send the request for the remaining output. The rule is in
  * decisions/retrying/continuation.
  */
 
@@ -28,8 +29,9 @@
 }
 
 /**
- * Ends after which another engine may continue the answer: the engine, or the connection to it,
- * caused them.
+ * Ends of an answer after which another engine may continue the answer, because the engine or the
+ * connection to the engine caused the end. An answer without its end marker is incomplete even if
+ * its framing is complete.
  */
 const CONTINUABLE_ENDS: ReadonlySet<AnswerEnd> = new Set([
   'complete',
@@ -44,8 +46,8 @@
   constructor(private readonly parts: ContinuationParts) {}
 
   /**
-   * Creates the record of what the caller receives; undefined if no engine could continue the
-   * answer.
+   * Creates the record of what the caller receives; undefined if the chat cannot be continued or no
+   * other configured engine could continue the answer.
    */
   trackDelivered(request: DispatchedRequest, chat: ChatRequest): DeliveredChat | undefined {
     if (!isContinuable(request, chat) || !this.hasEngine(request, chat)) return undefined
@@ -57,8 +59,9 @@
   }
 
   /**
-   * Returns the answer of the engine that continues; undefined if none does, or if nothing is
-   * missing.
+   * Returns the answer of the engine that continues the interrupted answer; undefined if no engine
+   * does. If only the closing events are missing, appends them to the delivery and returns
+   * undefined.
    */
   async continueAnswer(
     interrupted: DispatchedRequest,
@@ -81,7 +84,7 @@
 
   /**
    * Records that the answer stays interrupted. If the continuing engine failed before its first
-   * event, checks whether the request may have crashed it.
+   * output, the crash guard checks whether the request may have crashed the engine.
    */
   noteInterrupted(interrupted: DispatchedRequest, delivery: ChatEventDelivery): void {
     const { continuation } = delivery
--- a/packages/router/src/filters/crashScreen.ts
+++ b/packages/router/src/filters/crashScreen.ts
@@ -1,6 +1,6 @@
 /**
- * Refuses crash-inducing requests. A request that is known to crash endpoints is refused before it
- * takes a key, a queue place or tokens.
+ * Refuses crash-inducing requests. A request that is known to crash endpoints is refused before the
+ * request takes a key, a queue place or tokens.
  */
 
 import { NotRunError, ResultCode } from '@rackwalk/shared'
--- a/packages/router/src/filters/deduplicate.ts
+++ b/packages/router/src/filters/deduplicate.ts
@@ -1,6 +1,7 @@
 /**
- * Detects an attempt with the same key that is already running, and the tokens billed for earlier
- * ones. Relies on the key's registrar.
+ * Detects whether another attempt with the same idempotency key is running, and how many tokens
+ * were billed for earlier attempts. Asks the key's registrar, the instance that keeps track of the
+ * key.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -10,8 +11,8 @@
 
 /**
  * Keeps a caller's retry from running concurrently with the first attempt. For repeatable requests
- * the registrar's answer is a hint that saves work; for others, the durable claim that is made
- * later decides.
+ * the registrar's answer is a hint that saves work; for other requests, the durable claim that is
+ * made later decides.
  */
 export class DeduplicateFilter implements Filter<ParsedRequest, DeduplicatedRequest> {
   constructor(
--- a/packages/router/src/filters/delivery.ts
+++ b/packages/router/src/filters/delivery.ts
@@ -1,5 +1,6 @@
 /**
- * Delivers an endpoint's answer at the caller's pace, withholds its end and determines its cost.
+ * Delivers an endpoint's answer at the caller's pace, withholds the end of the answer, lets another
+ * engine continue an interrupted chat, and determines the result code and the cost.
  */
 
 import { ResultCode } from '@rackwalk/shared'
@@ -31,7 +32,7 @@
 const TAIL_BYTES = 64 * 1024
 const NO_USAGE: ReportedUsage = { promptTokens: 0, generatedTokens: 0 }
 
-/** The last run of an answer, and the error that interrupted it. */
+/** The last engine's part of an answer, and the error that interrupted it, if any. */
 interface DeliveredRun {
   readonly request: DispatchedRequest
   readonly failure: Error | undefined
@@ -159,8 +160,8 @@
 }
 
 /**
- * A service's event stream. It is complete if its framing proves so or if it ends with a done event
- * as a chat does.
+ * The delivery of a service's event stream, which is complete if its framing proves so or if it
+ * contains a done event as the stream of a chat does.
  */
 class ServiceEventDelivery implements AnswerDelivery {
   hasEndMarker = false
@@ -198,8 +199,8 @@
 }
 
 /**
- * Any other answer that was received completely. All of it is withheld, including its head, so that
- * an error can still replace it.
+ * The delivery of an answer that is no event stream and was received completely. All of the answer
+ * is withheld, including its head, so that an error can still replace it.
  */
 class BufferedAnswerDelivery implements AnswerDelivery {
   readonly withheldChunks: Buffer[] = []
@@ -219,7 +220,7 @@
   }
 }
 
-/** Any other answer that is delivered as it arrives. Its last chunk is withheld. */
+/** The delivery of any other answer, as the answer arrives. Its last chunk is withheld. */
 class StreamedAnswerDelivery implements AnswerDelivery {
   readonly hasEndMarker = false
   readonly isComplete = true
@@ -266,8 +267,9 @@
 }
 
 /**
- * Returns the tokens to bill. Complete answers are billed, and so are those that the caller gave up
- * or whose deadline passed. An answer that the fleet failed to complete costs its team nothing.
+ * Returns the tokens to bill, less those already billed for the same key. Complete answers are
+ * billed, and so are those that the caller gave up or whose deadline passed. Service calls, answers
+ * with an error status and answers that the fleet failed to complete cost nothing.
  */
 function billableTokens(
   request: DispatchedRequest,
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -1,6 +1,9 @@
 /**
- * Sends the request to endpoints until one answers. Owns the attempts of one request; relies on the
- * router for the endpoint and on the retry budget for further attempts.
+ * Sends a request to endpoints until one answers, and sends the request for the rest of an
+ * interrupted answer. Decides after each failed attempt whether another attempt is made, records
+ * endpoints' advice and failures, and reports resets (requests whose connection was broken off
+ * before any answer) to the crash guard. The router chooses the endpoint; the retry budget limits
+ * further attempts.
  */
 
 import { DispatchedError, NotRunError, endpointStart, sleep } from '@rackwalk/shared'
@@ -35,10 +38,11 @@
   readonly client: EndpointClient
   readonly crashes: CrashGuard
   readonly advices: EndpointAdviceStore
-  /** Upper bound for the time that an endpoint's own advice keeps requests away from it. */
+  /** Longest backoff (Retry-After) that is accepted from an endpoint. */
   readonly longestRestMilliseconds: Milliseconds
   readonly clock: Clock
   readonly random: RandomSource
+  /** Longest wait for the first bytes of an answer. */
   readonly firstByteMilliseconds: Milliseconds
   readonly onRetry: () => void
   /** Called when no connection to an endpoint could be established. */
@@ -47,10 +51,13 @@
   readonly isCutOff: (target: string) => boolean
 }
 
+/**
+ * Maximum number of attempts of a request, and of endpoints that are tried including continuation.
+ */
 const MAXIMUM_ATTEMPTS = 4
 /**
- * Resolution of the time that identifies an endpoint's start after its first reset. An engine takes
- * longer than this to restart.
+ * Resolution of the time that identifies a start (run) of an endpoint whose platform reports none.
+ * An engine takes longer than this to restart, so two starts do not get the same time.
  */
 const START_RESOLUTION_MILLISECONDS = 1_000
 /** Path at which model engines report their state without using a slot. */
@@ -79,7 +86,7 @@
 interface AttemptSend {
   /** Whether the request was isolated as possibly crash-inducing. */
   readonly wasIsolated: boolean
-  /** Monotonic time. */
+  /** Monotonic time just before the attempt. */
   readonly sentAt: Milliseconds
 }
 
@@ -101,9 +108,11 @@
 type NextStep = 'try-another' | 'retry' | 'give-up'
 
 /**
- * Sends the request. An attempt of which no byte was sent may always be repeated at another
- * endpoint. An attempt that may have run is repeated only if the request is repeatable, within the
- * retry budget, and before any part of an answer was delivered.
+ * Sends the request. After an attempt of which no byte was sent, another endpoint is tried without
+ * taking from the retry budget, unless this instance reaches no endpoint. Any other failed attempt,
+ * including a refusal by status, is repeated only if the request is repeatable, within the retry
+ * budget, and before any part of an answer was delivered. A request whose streamed body was read is
+ * never repeated.
  */
 export class DispatchFilter implements Filter<RoutedRequest, DispatchedRequest> {
   private readonly retries: RetryBudget
@@ -142,7 +151,8 @@
         incoming.caller.disconnectSignal.aborted ? 'dropped' : 'refused',
       )
       if (step === 'give-up') throw this.failure(request, results)
-      // An endpoint that asked for rest is not tried again, so there is nothing to wait for.
+      // An endpoint that asked for a backoff (Retry-After) is not tried again before its time, so
+      // the next attempt goes elsewhere and needs no delay.
       if (step === 'retry' && !this.isResting(endpointId)) await this.backOff(attempt)
       endpointId = this.chooseAnother(request, results, { tried, resetOnce })
       recordDisposition(routing, result, 'repeated')
@@ -150,9 +160,10 @@
   }
 
   /**
-   * Has another engine continue an interrupted answer; undefined if none does. The limits on
-   * attempts, endpoints and time are those of the request. At most one engine runs the request once
-   * more, as an isolated request, because the request may have crashed the first engine.
+   * Has another engine continue an interrupted answer; undefined if no engine does. The endpoints
+   * that the request already tried count towards the maximum, and the deadline is that of the
+   * request. After one more attempt that may have run, no further engine is tried, and the attempt
+   * counts as isolated, because the request may have crashed the first engine.
    */
   async dispatchContinuation(
     interrupted: DispatchedRequest,
@@ -193,8 +204,8 @@
   }
 
   /**
-   * Whether the engine terminated during the answer. Releases what the interrupted answer holds at
-   * once, because the chat may continue for long.
+   * Whether the engine is known to have terminated during the answer. Releases the slot and the
+   * buffer of the interrupted answer at once, because the continued chat may last long.
    */
   private async hasTerminatedDuring(interrupted: DispatchedRequest): Promise<boolean> {
     const { answer } = interrupted
@@ -267,8 +278,9 @@
   }
 
   /**
-   * Records a reset. Resolves once it is known whether the endpoint terminated as it reset the
-   * request.
+   * Reports a failed attempt as a reset to the crash guard and resolves with whether the endpoint
+   * terminated as it reset the request. Resolves with false, without a report, if the attempt is no
+   * reset: it stalled, or the caller left or the deadline passed.
    */
   private async noteReset(
     request: RoutedRequest,
@@ -304,9 +316,9 @@
   }
 
   /**
-   * Returns the start that the endpoint is in. Its platform does not distinguish one start from the
-   * next, so without a known start the time of the first reset of a termination identifies it,
-   * whichever instance observed it.
+   * Returns the current start (run) of the endpoint. The platform does not distinguish one start
+   * from the next, so unless the crash guard knows the start, the current wall time in seconds
+   * identifies it. All instances use the start of the first reset that any of them has announced.
    */
   private startOf(endpointId: EndpointId): EndpointStart {
     const { clock, crashes, endpoints } = this.parts
@@ -348,13 +360,13 @@
     return controller.signal
   }
 
-  /** Whether the endpoint asked for rest. Such an endpoint has not failed. */
+  /** Whether the endpoint asked for a backoff (Retry-After). Such an endpoint has not failed. */
   private isResting(endpointId: EndpointId): boolean {
     const advice = this.parts.advices.of(endpointStart(endpointId, undefined))
     return advice !== undefined && advice.retryAfterMilliseconds > 0
   }
 
-  /** Records the endpoint's advice in an answer, whatever becomes of the answer. */
+  /** Records the advice in an endpoint's answer, also if the answer is discarded. */
   private noteAdvice(endpointId: EndpointId, { status, headers }: EndpointAnswer): void {
     const { clock, longestRestMilliseconds, advices } = this.parts
     const context = { wallTime: clock.wallTime(), longestRestMilliseconds }
@@ -425,8 +437,8 @@
   }
 
   /**
-   * If this instance reaches no endpoint, the request is relayed to another instance instead of
-   * tried at the next endpoint.
+   * If this instance reaches no endpoint of the target, dispatch gives up, so that the request is
+   * relayed to another instance instead of tried at the next endpoint.
    */
   private afterUnsent({ target }: RoutedRequest): NextStep {
     return this.parts.isCutOff(target) ? 'give-up' : 'try-another'
@@ -435,9 +447,9 @@
   /**
    * Whether a retry does not count against the budget. Retries are bounded so that the load of a
    * failing endpoint is not multiplied. An endpoint that terminated bears no load, and all requests
-   * that ran there fail at the same moment, more than the budget ever accumulates; so their retries
-   * are free. The number of attempts per request is bounded nevertheless, and the crash guard keeps
-   * crash-inducing requests from endpoints.
+   * that it was running fail at the same moment, more than the budget ever accumulates; so their
+   * retries are free. The number of attempts per request is bounded nevertheless, and the crash
+   * guard keeps crash-inducing requests from endpoints.
    */
   private async isFree({ result, isTerminated }: FailedAttempt): Promise<boolean> {
     const hasTerminated = await isTerminated
@@ -489,8 +501,8 @@
 }
 
 /**
- * Returns the answer if it goes to the caller. A refusal by status is retried if the request is
- * repeatable.
+ * Returns the answer if it goes to the caller. A refusal (status 429 or 503) goes to the caller
+ * only if the request is not repeatable.
  */
 function acceptedAnswer(result: AttemptResult, request: RoutedRequest): EndpointAnswer | undefined {
   if (result.kind !== 'answering') return undefined
@@ -499,7 +511,7 @@
   return isRefusal && request.repeatable ? undefined : result.answer
 }
 
-/** Cancels an answer that nobody needs. */
+/** Cancels an answer that is not delivered, and releases its buffer. */
 function discard(answer: EndpointAnswer): void {
   answer.cancel()
   answer.releaseBuffer()
--- a/packages/router/src/filters/dispatchFailure.ts
+++ b/packages/router/src/filters/dispatchFailure.ts
@@ -2,8 +2,8 @@
  * Chooses the error for a request of the OpenAI-style kind that no endpoint answered.
  *
  * `NotRunError` is used only if no attempt can have run the request: no byte of it was sent, or the
- * endpoint rejected it. If all endpoints have asked for rest, the error says when the first of them
- * may be tried again.
+ * endpoint rejected it without running it. If the endpoints' own advice (backoff, Retry-After)
+ * forbids another attempt, the error says when the first endpoint may be tried again.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -16,13 +16,18 @@
   /** Results of the attempts, newest last. */
   readonly results: readonly AttemptResult[]
   readonly isCallerGone: boolean
+  /** Whether the deadline has passed. */
   readonly isLate: boolean
   readonly isRepeatable: boolean
   /** Why no endpoint may get the request now; undefined if one may. */
   readonly refusal: NotRunError | undefined
 }
 
-/** Returns the error of a request that no endpoint answered. */
+/**
+ * Returns the error of a request that no endpoint answered. If the request may have run, the first
+ * that applies decides: the caller left, the deadline passed, the request is not repeatable, the
+ * newest failure.
+ */
 export function dispatchFailure(request: UnansweredRequest): RackwalkError {
   const { results, refusal } = request
   if (results.some(mayHaveRun)) return failureAfterRun(request)
@@ -42,7 +47,7 @@
 function failureCode(newest: AttemptResult | undefined) {
   if (newest?.kind !== 'failed') return ResultCode.EndpointFailed
   if (newest.stalled) return ResultCode.EndpointStalled
-  // An endpoint that has begun to answer has run the request.
+  // The head of an answer had arrived, so the endpoint did run the request.
   return newest.framing === undefined ? ResultCode.EndpointFailed : ResultCode.EndpointBrokeOff
 }
 
--- a/packages/router/src/filters/parse.ts
+++ b/packages/router/src/filters/parse.ts
@@ -1,6 +1,6 @@
 /**
- * Parses what the caller asks for. Every mistake that a caller can make is rejected here, before
- * the request uses any resources.
+ * Parses a request: its path, the headers that concern Rackwalk, and the body of a chat. Rejects
+ * malformed requests before they take a key, a queue place, tokens or an endpoint.
  */
 
 import { createHash } from 'node:crypto'
@@ -34,7 +34,7 @@
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS'])
 const PRIORITIES: Readonly<Record<string, number>> = { low: 0, normal: 1, high: 2 }
 
-/** Parses the headers and, for a model, the body. Checks everything that a caller can get wrong. */
+/** Parses the headers and, for a chat, the body. The body of a service call is streamed unread. */
 export class ParseFilter implements Filter<AuthenticatedRequest, ParsedRequest> {
   constructor(
     private readonly catalogue: Catalogue,
@@ -162,8 +162,9 @@
 }
 
 /**
- * Whether the request may run more than once. Chats may; a service call only if its method or its
- * caller says so.
+ * Whether the request may run more than once. A chat may, unless its caller says no. A service call
+ * may if its caller says yes, or if its caller says nothing and its method is safe. An unknown
+ * value of the caller's header is rejected for service calls and ignored for chats.
  */
 function isRepeatable({ incoming }: AuthenticatedRequest, call: Call): boolean {
   const stated = incoming.headers.get('rackwalk-repeatable')?.toLowerCase()
--- a/packages/router/src/filters/settle.ts
+++ b/packages/router/src/filters/settle.ts
@@ -1,6 +1,7 @@
 /**
- * Bills the cost of a request and waits until the bill survives this instance. A request that
- * failed costs nothing but is still recorded in the journal.
+ * Writes the bill of a request to the journal and waits for a limited time until the bill would
+ * survive a crash of this instance. A request that was sent but got no answer costs nothing and is
+ * recorded in the journal all the same.
  */
 
 import { RackwalkError } from '@rackwalk/shared'
@@ -23,7 +24,7 @@
 
 const NO_USAGE: ReportedUsage = { promptTokens: 0, generatedTokens: 0 }
 
-/** Writes the bill and waits until it survives this instance. */
+/** Writes the bill and waits until it would survive a crash of this instance. */
 export class SettleFilter implements Filter<DeliveredRequest, SettledRequest> {
   constructor(private readonly parts: SettleParts) {}
 
@@ -43,14 +44,14 @@
     }
   }
 
-  /** Records the end of a request that was sent but got no answer. It costs nothing. */
+  /** Records the end of a request that was sent but got no answer. Such a request costs nothing. */
   noteFailure(request: ClaimedRequest, code: DispatchedCode): void {
     const ending = { code, usage: NO_USAGE, billedTokens: 0 }
     try {
       this.journal(request, ending)
     } catch (thrown) {
-      // A sealed incarnation can record nothing. The caller gets the failure's own error all the
-      // same.
+      // A sealed journal accepts no entries. The caller gets the error of the failed request all
+      // the same.
       if (!(thrown instanceof RackwalkError)) throw thrown
     }
   }
--- a/packages/router/src/filters/stages.ts
+++ b/packages/router/src/filters/stages.ts
@@ -78,9 +78,12 @@
   readonly creditedTokens: TokenCount
 }
 
-/** A request for which an endpoint has room. */
+/** A request for which an endpoint had room when the request was admitted. */
 export interface AdmittedRequest extends DeduplicatedRequest {
-  /** To be called when an endpoint has received the request. Further calls have no effect. */
+  /**
+   * To be called once the request counts among the requests in progress at an endpoint. Further
+   * calls have no effect.
+   */
   readonly noteDispatched: () => void
 }
 
@@ -101,7 +104,7 @@
   readonly continuedBody?: Readonly<Record<string, unknown>>
 }
 
-/** What an engine that continues an answer is asked for. */
+/** The request to an engine that is to continue an answer. */
 export interface ContinuationRequest {
   readonly body: Readonly<Record<string, unknown>>
   /** Software version of the engine that began the answer. */
@@ -125,7 +128,7 @@
   readonly isDelimited: boolean
   /** Starts to pass chunks to the consumer; to be called once. */
   startReading(consumer: AnswerConsumer): void
-  /** Continues after the consumer was full. */
+  /** Continues reading after the consumer was full. */
   resume(): void
   /** Aborts the exchange, which cancels the work at the endpoint. */
   readonly cancel: () => void
@@ -136,7 +139,7 @@
 /** Receives an answer as it arrives. */
 export interface AnswerConsumer {
   receive(chunk: Buffer): void
-  /** Whether the endpoint must pause until `resume`. */
+  /** Whether reading from the endpoint must pause until `resume` is called. */
   readonly isFull: boolean
   end(): void
   fail(error: Error): void
@@ -161,6 +164,9 @@
 
 /** A request whose bill is written, whether or not it is durable. */
 export interface SettledRequest extends DeliveredRequest {
-  /** Whether the bill is durable; without this, the end is not released. */
+  /**
+   * Whether the bill would survive a crash of this instance, because the table has the bill or
+   * enough peers hold it. If not, the end of the answer is not released.
+   */
   readonly isBillDurable: boolean
 }
