--- a/packages/router/src/limits/fairQueue.ts
+++ b/packages/router/src/limits/fairQueue.ts
@@ -1,6 +1,7 @@
 /**
- * A queue of requests that wait for an endpoint: decides which one goes next, and which one is
- * refused when the queue is full. Owns the waiting requests of one model.
+ * A queue of requests that wait for a free slot at an endpoint: decides which request is admitted
+ * next, and which one is refused when the queue is full. Without the queue, the team that sends
+ * most would get most of the slots. Owns the waiting requests of one model or service.
  */
 
 import { ResultCode, deferred } from '@rackwalk/shared'
@@ -18,15 +19,18 @@
 export interface QueueRequest {
   readonly teamId: TeamId
   readonly weight: number
-  /** Greater is more urgent. */
+  /** Priority; a greater number is more urgent. */
   readonly priority: number
-  /** Time after which admission is useless, on the clock that includes suspensions. */
+  /**
+   * Time at which the request is refused if it still waits, on the clock that includes suspensions.
+   */
   readonly startDeadline: Milliseconds
   /** Expected cost, in any unit common to all requests. Teams share it by weight. */
   readonly cost: number
 }
 
 interface Entry extends QueueRequest {
+  /** Virtual time at which the cost of the request is used up; the smallest goes first. */
   readonly finishTag: number
   readonly queuedAt: Milliseconds
   readonly done: Deferred<QueueOutcome>
@@ -40,21 +44,25 @@
 }
 
 /**
- * The queue of one model on this instance. Higher priorities go first; within a priority, teams
- * share by weight (start-time fair queueing, Goyal 1996). When the queue is full, a request of the
- * lowest priority is refused at once, from the team with the most waiting requests for its weight.
+ * The queue of one model or service on this instance. Higher priorities go first; within a
+ * priority, teams share by weight: the request with the smallest finish tag goes first, and virtual
+ * time is the greatest finish tag admitted from the queue. When the queue is full, a request of the
+ * lowest waiting priority is refused at once, from the team with the most waiting requests of that
+ * priority for its weight.
  */
 export class FairQueue {
   private entries: Entry[] = []
   private virtualTime = 0
-  /** Number of requests that were admitted but have not reached an endpoint yet. */
+  /** Number of requests that were admitted but are not in progress at an endpoint yet. */
   private pendingDispatch = 0
+  /** Finish tag of each team's newest request; cleared when the queue is empty. */
   private readonly lastFinish = new Map<TeamId, number>()
 
   constructor(
     private readonly clock: Clock,
     /**
-     * Returns the free slots of the endpoints, in which requests admitted just now do not show yet.
+     * Returns the number of free slots of the endpoints. Requests that were admitted but not sent
+     * yet still count as free slots.
      */
     private readonly freeCapacity: () => number,
   ) {}
@@ -78,7 +86,8 @@
   }
 
   /**
-   * Admits as many requests as there is capacity for. Called whenever a slot may have become free.
+   * Admits as many waiting requests as there are free slots. Called whenever a slot may have become
+   * free.
    */
   admitWaiting(): void {
     while (this.entries.length > 0 && this.hasCapacity) {
@@ -89,7 +98,7 @@
     }
   }
 
-  /** Records that an admitted request has reached an endpoint or never will. */
+  /** Records that an admitted request is being sent to an endpoint or will never be sent. */
   noteDispatched(): void {
     this.pendingDispatch -= 1
   }
@@ -126,7 +135,8 @@
     const leastUrgent = this.entries.filter(entry => entry.priority === lowest)
     const waiting = countByTeam(leastUrgent)
     const share = (entry: Entry) => (waiting.get(entry.teamId) ?? 0) / entry.weight
-    // The newest request of the team with the greatest share: it has waited least.
+    // The newest request of the team with the most waiting requests for its weight, since the
+    // newest has waited least.
     const victim = leastUrgent.reduce((worst, entry) =>
       share(entry) >= share(worst) ? entry : worst,
     )
--- a/packages/router/src/limits/outlierEjection.ts
+++ b/packages/router/src/limits/outlierEjection.ts
@@ -1,28 +1,39 @@
 /**
- * Ejects endpoints that keep failing. Owns the numbers of consecutive failures and the times at
- * which ejections end.
+ * Decides which endpoints get no requests for a time because several requests in a row failed there
+ * (ejection). Without ejection, an endpoint that fails fast looks idle and attracts requests. Each
+ * further ejection of an endpoint lasts twice as long, up to a limit. Owns the number of
+ * consecutive failures of each endpoint and the times at which ejections end.
  */
 
 import type { Clock, EndpointId, Milliseconds } from '@rackwalk/shared'
 
 interface Health {
   consecutiveFailures: number
+  /** Number of ejections since the latest success outside of an ejection. */
   ejections: number
+  /** Monotonic time at which the latest ejection ends. */
   ejectedUntil: Milliseconds
 }
 
 const FAILURES_BEFORE_EJECTION = 3
 const FIRST_EJECTION_MILLISECONDS = 5_000
 const LONGEST_EJECTION_MILLISECONDS = 60_000
-/** Greatest share of a pool that may be ejected, so that a wrong reading cannot empty it. */
+/**
+ * Greatest share of a pool that is left out because of ejections, so that a fault of this instance,
+ * which looks like failures of all endpoints, does not leave it without endpoints.
+ */
 const MAXIMUM_EJECTED_SHARE = 0.34
 
-/** Ejects endpoints that keep failing, for a limited time and never too many of them. */
+/** Ejects endpoints that keep failing, for a limited time and up to a share of each pool. */
 export class OutlierEjection {
   private readonly health = new Map<EndpointId, Health>()
 
   constructor(private readonly clock: Clock) {}
 
+  /**
+   * Records a success, which ends a series of failures. Outside of an ejection it also makes the
+   * next ejection as short as the first.
+   */
   noteSuccess(endpointId: EndpointId): void {
     const health = this.health.get(endpointId)
     if (health === undefined) return
@@ -44,8 +55,8 @@
   }
 
   /**
-   * Returns the endpoints that may be used. If too many are ejected, those whose ejection ends
-   * first are included.
+   * Returns the endpoints of a pool that may be used. If more than the permitted share is ejected,
+   * the ejected endpoints whose ejection ends first are included.
    */
   usableEndpoints<Endpoint extends { readonly endpointId: EndpointId }>(
     pool: readonly Endpoint[],
