--- a/packages/router/src/engine/answerBuffer.ts
+++ b/packages/router/src/engine/answerBuffer.ts
@@ -1,24 +1,29 @@
 /**
- * Buffers answers until they are complete, within limits. If a buffered answer is interrupted, the
- * request gets an error with a result code or another attempt, and never half an answer. Owns the
- * memory that all buffered answers share.
+ * Decides whether an answer is buffered until it is complete, and limits the memory for buffers. If
+ * a buffered answer is interrupted, the caller has received none of it, so the request gets another
+ * attempt or an error with a result code. An answer beyond the limits is streamed, and its caller
+ * may receive a truncated answer. Owns the count of the memory that all buffered answers and the
+ * records of delivered chats share.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
 
 /** Limits of answer buffering. */
 export interface AnswerBufferLimits {
-  /** Larger answers are streamed. */
+  /** Limit for one answer. Larger answers are streamed. */
   readonly maximumAnswerBytes: number
-  /** Limit for all answers of an instance together. Beyond it, answers are streamed. */
+  /** Limit for all answers of an instance together. Answers beyond the limit are streamed. */
   readonly maximumTotalBytes: number
-  /** Longest time for which an answer is buffered that may be meant to be read as it arrives. */
+  /**
+   * Longest time for which an answer without a length, and that is no JSON document, is buffered.
+   * Callers may want to read such an answer as it arrives.
+   */
   readonly maximumUnsizedMilliseconds: Milliseconds
 }
 
 const MEBIBYTE = 1024 * 1024
 
-/** Limits of an instance. */
+/** Limits of answer buffering on an instance. */
 export const ANSWER_BUFFER_LIMITS: AnswerBufferLimits = {
   maximumAnswerBytes: MEBIBYTE,
   maximumTotalBytes: 64 * MEBIBYTE,
@@ -60,7 +65,10 @@
 
   constructor(private readonly pool: AnswerBufferPool) {}
 
-  /** Reserves memory for one more chunk. Returns whether the chunk may be buffered. */
+  /**
+   * Reserves memory for one more chunk. Returns false if the chunk exceeds a limit or buffering has
+   * stopped; the answer is streamed then.
+   */
   reserve(bytes: number): boolean {
     if (!this.isOpen) return false
     const hasRoom =
@@ -84,17 +92,22 @@
 }
 
 /**
- * A JSON document is useless in part. Any other answer without a length may be read as it arrives.
+ * Content types of JSON documents. A part of a JSON document is useless to a caller, whereas a part
+ * of any other answer without a length may be useful as it arrives.
  */
 const DOCUMENT_TYPE = /^application\/(?!stream\+)([\w.-]+\+)?json\s*(;|$)/i
 const STREAM_TYPE = /^text\/event-stream/i
 
-/** How an answer is buffered, by its headers. */
+/**
+ * How an answer is buffered, by its headers: until it is complete, for a limited time, or not at
+ * all.
+ */
 export type BufferingMode = 'until-whole' | 'for-a-while' | 'not'
 
 /**
- * Returns whether and how long an answer is buffered. Events are delivered at once and never
- * buffered.
+ * Returns whether and for how long an answer is buffered. An event stream is never buffered. An
+ * answer with a length or a JSON document is buffered until it is complete, any other answer for a
+ * limited time.
  */
 export function bufferingModeOf(headers: Readonly<Record<string, string>>): BufferingMode {
   if (STREAM_TYPE.test(headers['content-type'] ?? '')) return 'not'
--- a/packages/router/src/engine/bodyCompleteness.ts
+++ b/packages/router/src/engine/bodyCompleteness.ts
@@ -1,18 +1,19 @@
 /**
- * Determines from the body of an answer whether it is complete. Used if nothing else shows this: an
- * answer without a length ends with its connection, whatever the reason was.
+ * Determines from the body of an answer whether the answer is complete. Used for JSON answers
+ * without a length and without chunked encoding: such an answer ends with its connection, so the
+ * framing does not show whether the connection was closed after the answer or broken off within it.
  */
 
 import type { AnswerFraming } from '@rackwalk/decisions'
 import { isJson } from './answerBuffer.js'
 
 /**
- * `open`: something is missing. `closed`: nothing is missing. `unknown`: a body of this type cannot
- * show it.
+ * `open`: the end of the body is missing. `closed`: the body is complete. `unknown`: the body does
+ * not show whether it is complete.
  */
 export type BodyCompleteness = 'open' | 'closed' | 'unknown'
 
-/** Follows a body as it arrives. */
+/** Reads a body as it arrives and tells whether the body is complete so far. */
 export interface CompletenessCheck {
   read(chunk: Buffer): void
   readonly state: BodyCompleteness
@@ -26,12 +27,12 @@
   return framing === 'connection' && isJson(headers) ? new JsonCompletenessCheck() : NO_PROOF
 }
 
-/** The check of a body that cannot or need not show whether it is complete. */
+/** The check of a body that does not show whether it is complete, or whose framing shows it. */
 class UnknownCompleteness implements CompletenessCheck {
   readonly state = 'unknown'
 
   read(): void {
-    // No byte of such a body would change the state.
+    // The state does not depend on the body.
   }
 }
 
@@ -44,9 +45,10 @@
 const BLANK = new Set([0x09, 0x0a, 0x0d, 0x20])
 
 /**
- * The check of a JSON document, which is complete once everything that it opened is closed. Only
- * brackets and strings are followed, so that a document that a strict parser would reject is not
- * mistaken for a truncated one. A top-level number or literal may continue, so it proves nothing.
+ * The check of a JSON document, which is complete once all its brackets and strings are closed.
+ * Only brackets and strings are tracked, so that a document that a strict parser would reject is
+ * not mistaken for a truncated one. A number or literal at the top level may continue in the next
+ * chunk, so its state is `unknown`. An empty body is `open`.
  */
 export class JsonCompletenessCheck implements CompletenessCheck {
   private depth = 0
--- a/packages/router/src/engine/chatContinuation.ts
+++ b/packages/router/src/engine/chatContinuation.ts
@@ -1,6 +1,7 @@
 /**
- * The request that makes another engine continue a chat: which chats can be continued, and the body
- * to send. The options are those that engines publish for continuing the last message of a chat.
+ * The request that makes another engine continue the answer to a chat: which chats can be
+ * continued, and the body to send. The body uses the engines' options for continuing the last
+ * message of a chat (`continue_final_message`, `add_generation_prompt`).
  */
 
 import type { TokenCount } from '@rackwalk/shared'
@@ -8,8 +9,8 @@
 type ChatBody = Readonly<Record<string, unknown>>
 
 /**
- * Fields whose meaning would not survive a second run, because the second run would restart their
- * grammar, offsets or stop strings.
+ * Fields that exclude a chat from continuation. The second run would start their grammar, offsets
+ * or stop strings anew, or the output is not plain text of a single run.
  */
 const FORBIDDEN_FIELDS = [
   'tools',
@@ -27,13 +28,16 @@
   'modalities',
   'use_beam_search',
   'best_of',
-  // The caller's own use of the continuation options.
+  // If the caller uses the continuation options, the router cannot set them.
   'continue_final_message',
   'add_generation_prompt',
 ]
 const FORBIDDEN_PREFIX = 'guided_'
 
-/** Whether a chat can be continued, by its body. */
+/**
+ * Whether a chat can be continued, by its body: the chat is streamed, has none of the excluded
+ * fields, contains only text, and does not end with a message of the assistant.
+ */
 export function isContinuableChat(body: ChatBody): boolean {
   if (body['stream'] !== true || FORBIDDEN_FIELDS.some(field => isSet(body[field]))) return false
   const isGuided = Object.keys(body).some(
@@ -52,7 +56,7 @@
     add_generation_prompt: false,
     max_tokens: outputTokens,
   }
-  // Fewer tokens may remain than the requested minimum.
+  // The remaining output limit may be less than the requested minimum.
   delete continued['min_tokens']
   return continued
 }
--- a/packages/router/src/engine/chatRequest.ts
+++ b/packages/router/src/engine/chatRequest.ts
@@ -1,6 +1,7 @@
 /**
- * Parses the body of a chat request. The fields that routing and billing need are checked and
- * bounded; the rest is sent to the engine unchanged.
+ * Parses the body of a chat request. The fields that routing and billing need are checked, the
+ * output limit is bounded, and usage reports are requested; all other fields are sent to the engine
+ * unchanged.
  */
 
 import * as z from 'zod'
@@ -41,21 +42,25 @@
 export interface ChatRequest {
   readonly modelId: ModelId
   readonly isStreamed: boolean
-  /** Whether the caller asked for the chunk that reports usage. */
+  /** Whether the caller of a streamed chat asked for the chunk that reports usage. */
   readonly wantsUsage: boolean
-  /** All input of the engine as bytes. Engines cache prefixes of it. */
+  /** The messages and tools as JSON text. Engines cache prefixes of this input. */
   readonly prompt: Buffer
   readonly messages: number
   readonly promptTokenBound: TokenCount
   readonly promptTokenEstimate: TokenCount
-  /** The output limit that the engine is told to enforce. */
+  /** Maximum number of output tokens, which the engine has to enforce. */
   readonly outputTokenLimit: TokenCount
-  /** Whether another engine can continue its answer. */
+  /** Whether another engine can continue the answer to this chat. */
   readonly isContinuable: boolean
+  /** The body that is sent to the engine. */
   readonly body: Readonly<Record<string, unknown>>
 }
 
-/** Parses and checks a body. Throws a refusal that lists every fault. */
+/**
+ * Parses and checks a body. Throws a refusal if the body is malformed, requests more than one
+ * choice or names an unknown model.
+ */
 export function parseChatRequest(
   raw: Buffer,
   findModel: (modelId: ModelId) => ModelLimits | undefined,
@@ -103,8 +108,8 @@
 }
 
 /**
- * Returns the body as another instance expects it from a caller, without the options that were
- * added for the engine.
+ * Returns the body as another instance expects it from a caller: without the stream options that
+ * were added for the engine.
  */
 export function relayedChatBody({ body, wantsUsage }: ChatRequest): Record<string, unknown> {
   const options = body['stream_options']
@@ -115,8 +120,8 @@
 }
 
 /**
- * Returns the body for the engine, which must report usage and enforce the limit whatever the
- * caller asked for.
+ * Returns the body for the engine. Whatever the caller asked for, the engine has to enforce the
+ * output limit and, in a stream, to report usage with each chunk.
  */
 function engineBody(body: ChatBody, outputTokenLimit: TokenCount): Record<string, unknown> {
   const options = { ...body.stream_options, include_usage: true, continuous_usage_stats: true }
--- a/packages/router/src/engine/continuationRewriter.ts
+++ b/packages/router/src/engine/continuationRewriter.ts
@@ -1,7 +1,8 @@
 /**
- * Rewrites the events of an engine that continues another engine's answer: gives them the ids of
- * that answer and the usage of both runs. The first chunk with output is marked, so that the caller
- * can see where the text was joined.
+ * Rewrites the events of an engine that continues another engine's answer, so that the caller gets
+ * one consistent stream: the events get the id and the other common fields of the first engine's
+ * answer, and their usage reports cover both runs. The first chunk with output is marked, so that
+ * the caller can see where the continuation begins.
  */
 
 import { continuedUsage } from '@rackwalk/decisions'
@@ -24,7 +25,7 @@
 
 type Chunk = Record<string, unknown>
 
-/** Marks the first chunk after the join. */
+/** Field that is added to the first chunk of the continuation. */
 const CONTINUED_MARKER = { rackwalk: { continued: true } }
 
 /** Rewrites the events of one continuation. */
@@ -38,7 +39,10 @@
     return this.outputChunks > 0
   }
 
-  /** Returns the event for the caller; undefined for an event that only opens an answer. */
+  /**
+   * Returns the event for the caller; undefined for a chunk that only opens an answer, which the
+   * caller already has. An event that is no chunk is returned unchanged.
+   */
   rewrite(event: Buffer): Buffer | undefined {
     const chunk = parseChunk(event.toString('utf8'))
     const choices = chunk?.['choices']
@@ -52,7 +56,10 @@
     return chunkEvent({ ...rewritten, choices: [withoutRole(choice)], ...mark })
   }
 
-  /** Returns the usage of both runs, given the number of tokens that the second one generated. */
+  /**
+   * Returns the usage of both runs, given the number of tokens that the second run generated; by
+   * default, each chunk with output counts as one token.
+   */
   usage(generatedTokens = this.outputChunks): ReportedUsage {
     const { usage, outputTokenLimit } = this.prefix
     return continuedUsage(usage, generatedTokens, outputTokenLimit)
@@ -76,7 +83,10 @@
   }
 }
 
-/** Returns the closing events of an answer whose text is complete. */
+/**
+ * Returns the closing events of an answer whose text is complete. The `finish` event is only
+ * present if a finish reason is given.
+ */
 export function closingEvents({ head, usage }: DeliveredPrefix, finishReason: string | undefined) {
   const document = usageDocument(usage)
   const choice = { index: 0, delta: {}, finish_reason: finishReason }
@@ -101,7 +111,7 @@
   return field !== 'role'
 }
 
-/** Whether a chunk contains no more than the role. */
+/** Whether a chunk contains neither output nor a finish reason, but at most the role. */
 function isOpening({ delta = {}, finish_reason }: Choice): boolean {
   if (typeof finish_reason === 'string') return false
   return Object.entries(delta).every(
--- a/packages/router/src/engine/deliveredChat.ts
+++ b/packages/router/src/engine/deliveredChat.ts
@@ -1,8 +1,8 @@
 /**
- * Records what a caller has received of a streamed chat, so that another engine can continue it.
- * Events are stored as they are and parsed in batches, since parsing each one as it passes would
- * cost more than delivering it. The memory is bounded: an answer for which there is no room is not
- * recorded and therefore not continued.
+ * Records what a caller has received of the answer to a streamed chat, so that another engine can
+ * continue the answer. Events are stored unparsed and parsed in batches, since parsing each event
+ * at once would cost more than delivering it. The memory is bounded: the record of an answer for
+ * which there is no room is dropped, and the answer is then not continued.
  */
 
 import * as z from 'zod'
@@ -10,7 +10,7 @@
 import type { AnswerBufferPool } from './answerBuffer.js'
 import type { ReportedUsage } from './usage.js'
 
-/** Unparsed events are parsed together once they exceed this size. */
+/** Size in bytes above which the unparsed events are parsed. */
 const PARSE_BATCH_BYTES = 16 * 1024
 const DATA = 'data: '
 
@@ -40,7 +40,7 @@
   )
 }
 
-/** Parses a chunk of the answer as an object; undefined for any other event. */
+/** Parses an event of the answer as a chunk; undefined if the event holds no JSON object. */
 export function parseChunk(event: string): Record<string, unknown> | undefined {
   if (!event.startsWith(DATA)) return undefined
   try {
@@ -58,12 +58,16 @@
   return Buffer.from(`${DATA}${JSON.stringify(chunk)}\n\n`)
 }
 
-/** The part of one answer that its caller has received. */
+/**
+ * The part of one answer that its caller has received. The events appended since the latest batch
+ * count for `head`, `usage` and `isFinished` only after `isReconstructible` or `text` was read.
+ */
 export class DeliveredChat {
   private unparsed: Buffer[] = []
   private bytes = 0
   private unparsedBytes = 0
   private readonly texts: string[] = []
+  /** Whether all recorded output is plain text; false after the record was released or dropped. */
   private isPlainText = true
   private firstHead: ChunkMetadata | undefined
   private newestUsage: ReportedUsage | undefined
@@ -75,18 +79,18 @@
     readonly softwareVersion: SoftwareVersion,
   ) {}
 
-  /** Records a delivered event. */
+  /** Records a delivered event. If there is no memory for the event, drops the whole record. */
   append(event: Buffer): void {
     if (!this.isPlainText) return
     if (!this.pool.reserve(event.length)) return this.giveUp()
     this.bytes += event.length
     this.unparsedBytes += event.length
-    // Copied, because the slice would keep the whole network chunk in memory.
+    // The event is copied, because a slice would keep the whole network chunk in memory.
     this.unparsed.push(Buffer.from(event))
     if (this.unparsedBytes > PARSE_BATCH_BYTES) this.parsePending()
   }
 
-  /** Whether everything that the caller has is recorded and is plain text. */
+  /** Whether all that the caller has received is recorded and is plain text. */
   get isReconstructible(): boolean {
     this.parsePending()
     return this.isPlainText
@@ -106,7 +110,7 @@
     return this.hasFinish
   }
 
-  /** The usage that the latest chunk reports; undefined if it reports none. */
+  /** The usage that the latest chunk with output reports; undefined if that chunk reports none. */
   get usage(): ReportedUsage | undefined {
     return this.newestUsage
   }
@@ -138,7 +142,7 @@
   }
 
   private parseEvent(event: string): void {
-    // A comment only keeps the connection open.
+    // A comment has no content; engines send comments to keep the connection open.
     if (event.startsWith(':')) return
     const parsed = chunkSchema.safeParse(parseChunk(event))
     if (parsed.success) this.applyChunk(parsed.data)
--- a/packages/router/src/engine/endpointClient.ts
+++ b/packages/router/src/engine/endpointClient.ts
@@ -1,4 +1,7 @@
-/** Persistent connections to the endpoints of the OpenAI-style kind. Owns one pool per address. */
+/**
+ * Sends requests to endpoints of the OpenAI-style kind over persistent connections. Owns one
+ * connection pool per address, the memory for buffered answers and the exchanges in progress.
+ */
 
 import { Agent, Pool, request as sendRequest } from 'undici'
 import type { Client } from 'undici'
@@ -26,11 +29,13 @@
   readonly firstByteMilliseconds: Milliseconds
   /** Whether the request may run more than once. Defaults to true. */
   readonly isRepeatable?: boolean
-  /** Aborted when the caller leaves or the deadline passes. The reason says which. */
+  /** Aborted when the caller leaves or the deadline passes. The abort reason is the `AnswerEnd`. */
   readonly signal: AbortSignal
 }
 
+/** Longest wait for a connection to be established. */
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000
+/** Maximum number of connections, and so of concurrent requests, per address. */
 const CONNECTIONS_PER_ENDPOINT = 512
 
 function openConnection(origin: URL, options: object): EndpointConnection {
@@ -46,6 +51,7 @@
 
   constructor(
     private readonly clock: Clock,
+    /** Longest pause within an answer before the attempt fails as stalled. */
     private readonly stallMilliseconds: Milliseconds,
     bufferLimits: AnswerBufferLimits = ANSWER_BUFFER_LIMITS,
   ) {
@@ -53,7 +59,8 @@
     this.agent = new Agent({
       connections: CONNECTIONS_PER_ENDPOINT,
       pipelining: 1,
-      // The client closes its side itself, once the reader of the answer has received everything.
+      // With a half-open socket, the client closes its own side only after the reader of the answer
+      // has received everything.
       connect: { timeout: CONNECT_TIMEOUT_MILLISECONDS, allowHalfOpen: true },
       bodyTimeout: stallMilliseconds,
       factory: (origin, options) => new Pool(origin, { ...options, factory: openConnection }),
@@ -62,7 +69,7 @@
 
   /**
    * Sends the request. Resolves when the answer is complete or is being streamed, or when the
-   * attempt has failed.
+   * attempt has failed; never rejects.
    */
   attempt(call: EndpointRequest): Promise<AttemptResult> {
     if (call.signal.aborted) return Promise.resolve({ kind: 'unsent', reason: 'the caller left' })
@@ -95,7 +102,10 @@
     return exchange.result
   }
 
-  /** Fails the exchanges at a terminated endpoint that will not be answered. */
+  /**
+   * Fails the exchanges that a terminated endpoint will not answer. `endpointHeardAt` is the
+   * monotonic time of the endpoint's latest state report.
+   */
   noteTermination(
     endpointId: EndpointId,
     end: KnownTermination,
@@ -113,7 +123,7 @@
     return response.body.json()
   }
 
-  /** Posts a small JSON document and returns the status of the answer. */
+  /** Posts a small JSON document and resolves with the status of the answer. */
   async postJson(address: string, path: string, body: unknown, timeout: Milliseconds) {
     const response = await sendRequest(`${address}${path}`, {
       method: 'POST',
@@ -126,6 +136,7 @@
     return response.statusCode
   }
 
+  /** Closes all connections. Exchanges in progress fail. */
   async close(): Promise<void> {
     await this.agent.destroy()
   }
--- a/packages/router/src/engine/endpointConnection.ts
+++ b/packages/router/src/engine/endpointConnection.ts
@@ -1,8 +1,8 @@
 /**
- * A persistent connection to an endpoint. The underlying client treats every end of a connection,
- * even a reset, as the end of an answer without a length, and an assertion in it fails if the
- * answer's reader is paused at that time. Owns what the client learns about the end of the
- * connection.
+ * A persistent connection to an endpoint. Controls when and how the underlying HTTP client (undici)
+ * learns that the connection ended. On its own, the client takes every end of a connection, even a
+ * reset, as the end of an answer without a length, so a truncated answer would look complete; and
+ * an assertion of the client fails if the answer's reader is paused when the connection ends.
  */
 
 import type { Socket } from 'node:net'
@@ -10,7 +10,7 @@
 import type { Dispatcher, buildConnector } from 'undici'
 import { socketEnd } from '../socketEnd.js'
 
-/** The reader of an answer. */
+/** The reader of the answer that a connection carries. */
 export interface ConnectionReader {
   readonly isPaused: boolean
 }
@@ -20,17 +20,21 @@
   /** Assigns the reader whose answer the connection carries from now on. */
   assignReader(reader: ConnectionReader): void
   /**
-   * Called when the reader resumes. Delivers an end that was deferred while the reader was paused.
+   * Called when the reader resumes. Passes on an end of the connection that was deferred while the
+   * reader was paused.
    */
   noteResumed(): void
 }
 
-/** Options of a request whose exchange needs its connection. */
+/** Options of a request whose exchange needs access to its connection. */
 export interface EndpointDispatch extends Dispatcher.DispatchOptions {
   readonly onConnection?: (end: ConnectionEndGuard) => void
 }
 
-/** A connection reset. The client treats the system's own error code as a regular end. */
+/**
+ * The error that the client gets for a connection reset. The client would treat the system's own
+ * error code (`ECONNRESET`) as a regular end.
+ */
 class ConnectionResetError extends Error {
   readonly code = 'UND_ERR_SOCKET'
 
@@ -39,7 +43,7 @@
   }
 }
 
-/** Controls when the client learns about the end of the connection. */
+/** Intercepts the end of a connection before the client learns about the end. */
 class SocketEndGuard implements ConnectionEndGuard {
   private reader: ConnectionReader | undefined
   private socket: Socket | undefined
@@ -56,7 +60,10 @@
     if (this.socket?.destroyed === false) deliver()
   }
 
-  /** Intercepts the socket's `emit`, because the client reads from the socket itself. */
+  /**
+   * Starts to guard a new socket of the connection. Overrides the socket's `emit`, because the
+   * client attaches its own listeners to the socket.
+   */
   watch(socket: Socket): void {
     this.socket = socket
     this.deferredEnd = undefined
@@ -98,7 +105,7 @@
   }
 }
 
-/** Wraps the pool's connector so that its sockets are guarded. */
+/** Wraps the connector of a pool, so that every socket that the connector opens is guarded. */
 function guardedConnector(
   connect: Client.Options['connect'],
   end: SocketEndGuard,
--- a/packages/router/src/engine/endpointExchange.ts
+++ b/packages/router/src/engine/endpointExchange.ts
@@ -1,6 +1,8 @@
 /**
- * One exchange with an endpoint, from its first byte to its end. Distinguishes a request that was
- * never sent from one that may have run, because only the former may always be repeated.
+ * One exchange (a request and its answer) with an endpoint of the OpenAI-style kind. Buffers or
+ * streams the answer, determines whether the answer is complete, and classifies a failure.
+ * Distinguishes a request that was never sent from a request that may have run, because only the
+ * former may be repeated in any case.
  */
 
 import type { Dispatcher } from 'undici'
@@ -17,15 +19,16 @@
 import type { ConnectionEndGuard, ConnectionReader } from './endpointConnection.js'
 import type { InFlightExchange, InFlightExchanges } from './inFlightExchanges.js'
 
-// Error codes that show that the connection was never established.
+// Error codes that show that no connection was established.
 const NEVER_CONNECTED = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
   'UND_ERR_CONNECT_TIMEOUT',
 ])
+// Error codes that show that the endpoint sent nothing for too long.
 const STALLED = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'])
-// Error codes that show that this instance closes its connections.
+// Error codes that show that this instance closed its connections, since it stops.
 const STOPPED = new Set(['UND_ERR_DESTROYED', 'UND_ERR_CLOSED'])
 
 type Headers = Record<string, string | string[] | undefined>
@@ -36,7 +39,7 @@
   readonly method: string
   /** Whether the request may run more than once. Defaults to true. */
   readonly isRepeatable?: boolean
-  /** Aborted when the answer is no longer needed. The reason says why. */
+  /** Aborted when the answer is no longer needed. The abort reason is the `AnswerEnd`. */
   readonly signal: AbortSignal
   readonly bufferPool: AnswerBufferPool
   /** The registry that lists the exchange until it ends. */
@@ -46,7 +49,7 @@
 
 /**
  * One exchange with an endpoint. Chunks go directly from the connection's parser to the consumer,
- * because a stream object between the two takes a third of the processing time per token.
+ * because a stream object between them would take a third of the processing time per token.
  */
 export class EndpointExchange
   implements Dispatcher.DispatchHandler, EndpointAnswer, ConnectionReader, InFlightExchange
@@ -84,14 +87,15 @@
     parts.signal.addEventListener('abort', this.abandon, { once: true })
   }
 
-  /** Called with the connection that carries the request, as soon as it is free. */
+  /** Called with the connection that is to carry the request, just before the request is sent. */
   readonly noteConnection = (connection: ConnectionEndGuard): void => {
     this.connection = connection
   }
 
   /**
-   * Settles when the answer is complete, when it is too large or too slow to be buffered and is
-   * streamed instead, or when it has failed.
+   * Resolves when the answer is complete, when reading the answer has failed, or when the answer is
+   * streamed: an event stream at its first chunk, any other answer once it is too large or, if its
+   * headers allow streaming, too slow to be buffered.
    */
   get result(): Promise<AttemptResult> {
     return this.attemptResult.promise
@@ -114,8 +118,8 @@
   }
 
   /**
-   * Starts to pass the answer to the consumer. Until now at most the buffered part and one further
-   * chunk were read.
+   * Starts to pass the answer to the consumer. Before this call, at most the buffered part and one
+   * further chunk of a streamed answer have been read.
    */
   startReading(consumer: AnswerConsumer): void {
     this.consumer = consumer
@@ -223,8 +227,9 @@
   }
 
   /**
-   * Only for a request that was in flight is it still to be found out whether the endpoint
-   * terminated because of it.
+   * Describes a failure by the endpoint's termination. The failure of a request that was in flight
+   * at the termination is not attributed yet: the crash guard still has to determine whether the
+   * request crashed the endpoint.
    */
   private terminationDetails() {
     return {
@@ -244,7 +249,11 @@
     this.controller?.pause()
   }
 
-  /** Limits the time for which an answer is buffered that may be meant to be read as it arrives. */
+  /**
+   * Limits the time for which an answer is buffered that callers may want to read as it arrives.
+   * After this time, the answer is streamed from the first chunk on that has arrived or will
+   * arrive.
+   */
   private limitBuffering(): void {
     const { clock, bufferPool } = this.parts
     this.bufferTimer = clock.after(bufferPool.limits.maximumUnsizedMilliseconds, () => {
@@ -271,7 +280,7 @@
   }
 }
 
-/** The error with which this side aborts an exchange. */
+/** The error with which this instance aborts an exchange. */
 class CancelledError extends Error {
   readonly code = 'CANCELLED'
 
@@ -289,7 +298,7 @@
   }
 }
 
-/** Classifies an error that occurred before any answer. */
+/** Classifies an error that ended an attempt before any of its answer was passed on. */
 export function classifyAttemptError(thrown: unknown): AttemptResult {
   const code = errorCode(thrown)
   if (NEVER_CONNECTED.has(code)) return { kind: 'unsent', reason: code }
@@ -309,7 +318,8 @@
 }
 
 /**
- * Returns the code of an error. Connecting to several addresses of a host gives an aggregate error.
+ * Returns the code of an error. If a host has several addresses and none accepts the connection,
+ * the error is an aggregate, whose first code is returned.
  */
 function errorCode(thrown: unknown): string {
   const error = thrown as { code?: string; name?: string; errors?: readonly { code?: string }[] }
--- a/packages/router/src/engine/engineReports.ts
+++ b/packages/router/src/engine/engineReports.ts
@@ -1,6 +1,8 @@
 /**
  * Parses the reports of engines about themselves (`GET /load`, `GET /cache-events?after=N`). A
- * malformed report is treated as missing, so that it is never mistaken for an idle engine.
+ * malformed report is treated as missing, so that it is never mistaken for the report of an idle
+ * engine. Fields that an engine leaves out get defaults, except the numbers of running and waiting
+ * requests, which are required.
  */
 
 import * as z from 'zod'
@@ -35,6 +37,7 @@
 /** A load report with the models that the engine has loaded. */
 export interface ParsedReport {
   readonly report: LoadReport
+  /** The loaded models with their versions; undefined if the engine does not report them. */
   readonly loaded: readonly LoadedModel[] | undefined
 }
 
--- a/packages/router/src/engine/eventSplitter.ts
+++ b/packages/router/src/engine/eventSplitter.ts
@@ -1,13 +1,15 @@
 /**
- * Splits a stream into events and recognises the two that matter to delivery: the usage report and
- * the end marker.
+ * Splits a stream of server-sent events into events, and recognises the two kinds that delivery
+ * withholds: the usage report and the end marker.
  */
 
 const EVENT_END = Buffer.from('\n\n')
-/** A model's answer has no events longer than this. */
+/**
+ * Maximum size of an incomplete event, which bounds the memory. Engines send only shorter events.
+ */
 const MAXIMUM_EVENT_BYTES = 1024 * 1024
 
-/** Thrown if an endpoint sends an event without an end. */
+/** Thrown if an incomplete event exceeds the maximum size. */
 class OversizedEventError extends Error {}
 
 /**
@@ -17,7 +19,10 @@
 export class EventSplitter {
   private incomplete: Buffer | undefined
 
-  /** Returns the complete events in the chunk, one slice each, including the blank line. */
+  /**
+   * Returns the events that the chunk completes, one slice each, including the blank line at the
+   * end. Keeps the bytes of an incomplete event for the next call.
+   */
   split(chunk: Buffer): readonly Buffer[] {
     const data = this.incomplete === undefined ? chunk : Buffer.concat([this.incomplete, chunk])
     const events: Buffer[] = []
@@ -52,7 +57,7 @@
   return event.length >= DONE.length && event.subarray(0, DONE.length).equals(DONE)
 }
 
-/** Whether an event is the chunk that only reports usage. */
+/** Whether an event is the chunk that only reports usage, which has an empty list of choices. */
 export function isUsageEvent(event: Buffer): boolean {
   return event.includes(EMPTY_CHOICES)
 }
--- a/packages/router/src/engine/inFlightExchanges.ts
+++ b/packages/router/src/engine/inFlightExchanges.ts
@@ -1,7 +1,8 @@
 /**
- * Registry of the exchanges in progress with endpoints of the OpenAI-style kind. Allows the
- * exchanges at an endpoint to fail as soon as the endpoint is known to have terminated; the rule is
- * in decisions/retrying/withdrawal.
+ * Registry of the exchanges in progress with endpoints of the OpenAI-style kind. Fails the
+ * exchanges at an endpoint as soon as the endpoint is known to have terminated. Without this, a
+ * request at a terminated endpoint whose connection stays open would wait until it stalls or its
+ * deadline passes. The rule is in decisions/retrying/withdrawal.
  */
 
 import { judgeWithdrawal } from '@rackwalk/decisions'
@@ -13,8 +14,8 @@
   readonly endpointId: EndpointId
   firstDoubtedAt: Milliseconds | undefined
   /**
-   * Fails the exchange because its endpoint terminated. `wasInFlight` says whether it was in flight
-   * then.
+   * Fails the exchange because its endpoint terminated. `wasInFlight` says whether the request was
+   * in flight at the time of the termination.
    */
   failByTermination(wasInFlight: boolean): void
 }
@@ -35,8 +36,8 @@
   }
 
   /**
-   * Fails the exchanges at a terminated endpoint that will not be answered. `endpointHeardAt` is
-   * the time of the endpoint's latest state report.
+   * Fails the exchanges that a terminated endpoint will not answer. `endpointHeardAt` is the
+   * monotonic time of the endpoint's latest state report.
    */
   noteTermination(
     endpointId: EndpointId,
@@ -52,8 +53,9 @@
 }
 
 /**
- * Records the first doubt about an exchange. A state report since an earlier doubt has resolved
- * that one.
+ * Records the time of the first evidence that casts doubt on an exchange. If the endpoint has
+ * reported its state since the recorded time, the earlier doubt is resolved and the new time
+ * replaces it.
  */
 function noteDoubt(
   exchange: InFlightExchange,
--- a/packages/router/src/engine/tokenBound.ts
+++ b/packages/router/src/engine/tokenBound.ts
@@ -1,20 +1,22 @@
 /**
- * Bound and estimate of a prompt's token count. Budgets reserve the bound, which is never exceeded;
- * only routing uses the estimate.
+ * Upper bound and estimate of a prompt's number of tokens. Budgets reserve the bound, so that no
+ * prompt costs more than was reserved; routing and queueing use the estimate.
  */
 
 import type { TokenCount } from '@rackwalk/shared'
 
-/** Tokens that a chat template may add per message. */
+/** Maximum number of tokens that a chat template adds per message. */
 const TEMPLATE_TOKENS_PER_MESSAGE = 16
-/** Tokens that a chat template may add once per prompt. */
+/** Maximum number of tokens that a chat template adds once per prompt. */
 const TEMPLATE_TOKENS = 64
-/** Bytes per token of ordinary text. For estimates only, never for a bound. */
+/**
+ * Average number of bytes per token of ordinary text. Used for estimates only, not for the bound.
+ */
 const TYPICAL_BYTES_PER_TOKEN = 4
 
 /**
- * Returns an upper bound of a prompt's tokens. Byte-level vocabularies never produce more tokens
- * than bytes, and the part of the template is bounded by the number of messages.
+ * Returns an upper bound of a prompt's number of tokens. Byte-level vocabularies never produce more
+ * tokens than bytes, and the number of messages bounds the tokens that the chat template adds.
  */
 export function promptTokenBound(promptBytes: number, messages: number): TokenCount {
   return promptBytes + messages * TEMPLATE_TOKENS_PER_MESSAGE + TEMPLATE_TOKENS
--- a/packages/router/src/engine/usage.ts
+++ b/packages/router/src/engine/usage.ts
@@ -1,4 +1,7 @@
-/** Extracts an engine's usage report from the text of its answer. The result is billed. */
+/**
+ * Extracts the usage report (numbers of tokens) from the text of an engine's answer. Requests are
+ * billed by this report.
+ */
 
 import * as z from 'zod'
 import type { TokenCount } from '@rackwalk/shared'
@@ -17,8 +20,8 @@
 const FIELD = '"usage":'
 
 /**
- * Returns the last usage report in a piece of JSON text without parsing the rest; undefined if
- * there is none or if it is null.
+ * Returns the last usage report in a piece of JSON text without parsing the rest of the text;
+ * undefined if there is none, or if the last one is null, truncated or malformed.
  */
 export function findUsage(text: string): ReportedUsage | undefined {
   const start = text.lastIndexOf(FIELD)
@@ -40,8 +43,8 @@
 }
 
 /**
- * Returns the position of the closing brace. Usage objects contain only numbers and objects, so
- * there are no braces in strings.
+ * Returns the position of the brace that closes the brace at `open`; undefined if there is none.
+ * Usage objects contain only numbers and objects, so no string contains a brace.
  */
 function matchingBrace(text: string, open: number): number | undefined {
   let depth = 0
