--- a/packages/router/src/placement/planner.ts
+++ b/packages/router/src/placement/planner.ts
@@ -1,6 +1,7 @@
 /**
- * Plans which endpoints load or unload which models. Pure, so that every holder of the planner's
- * lease arrives at the same orders.
+ * Plans which endpoints load or unload which models, so that each placement has its number of
+ * replicas. Pure, so that successive holders of the planner's lease arrive at the same orders from
+ * the same configuration and reports.
  */
 
 import type { EndpointId, ModelId } from '@rackwalk/shared'
@@ -12,11 +13,13 @@
   readonly spec: ModelEndpointSpec
   /** Loaded versions by model; undefined until the endpoint has reported. */
   readonly loaded: ReadonlyMap<ModelId, string> | undefined
+  /** Whether the endpoint accepts no new requests because it is about to terminate. */
   readonly leaving: boolean
 }
 
 /**
- * An order to an engine, which obeys only if the epoch is not older than that of the latest order.
+ * An order to an engine. The order is sent with the epoch of the planner's lease. An engine that
+ * checks orders obeys only if the epoch is not older than that of the latest order.
  */
 export interface PlacementOrder {
   readonly endpointId: EndpointId
@@ -29,15 +32,15 @@
 
 /** Limits of one planning round. */
 export interface PlanLimits {
-  /** Number of loads that the weight store can serve at the same time. */
+  /** Maximum number of loads ordered: as many as the weight store can serve at the same time. */
   readonly maximumLoads: number
 }
 
 /**
- * Returns the orders that bring the endpoints closer to the placements. Depends only on
- * configuration and reports, so that every planner arrives at the same plan. Only endpoints that
- * check epochs are ordered to unload: any other endpoint could obey an order of a planner that was
- * replaced long ago.
+ * Returns the orders that bring the endpoints closer to the placements, loads first. Depends only
+ * on configuration and reports, so that every planner arrives at the same plan. Leaving endpoints
+ * and those without a report get no orders. Only endpoints that check epochs are ordered to unload:
+ * any other endpoint could obey an old order of a planner that was replaced since.
  */
 export function planPlacements(
   placements: readonly PlacementSpec[],
@@ -73,7 +76,7 @@
     .map(endpoint => orderFor(endpoint, placement, 'unload', `${-missing} replicas too many`))
 }
 
-/** Returns the endpoints in a stable order, those with the fewest models first. */
+/** Returns the endpoints by the number of loaded models, fewest first, and then by id. */
 function byLoad(endpoints: readonly PlannerEndpoint[]): PlannerEndpoint[] {
   const size = (endpoint: PlannerEndpoint) => endpoint.loaded?.size ?? 0
   return [...endpoints].sort(
