--- a/packages/router/src/callerConnection.ts
+++ b/packages/router/src/callerConnection.ts
@@ -1,6 +1,6 @@
 /**
  * The caller's side of a request of the OpenAI-style kind, independent of the transport. Filters
- * write the answer to it and learn from it that the caller has disconnected.
+ * write the answer to the caller's connection, which also signals that the caller has disconnected.
  */
 
 import type { Readable } from 'node:stream'
@@ -11,13 +11,13 @@
   /** Aborts when the caller disconnects. */
   readonly disconnectSignal: AbortSignal
   /**
-   * Sends the status and headers; to be called once. An answer that is not delimited ends with the
-   * caller's connection, so nothing shows the caller that it is complete.
+   * Sends the status and headers; to be called once. The end of an answer that is not delimited is
+   * the end of the caller's connection, so the caller cannot tell whether the answer is complete.
    */
   writeHead(status: number, headers: Readonly<Record<string, string>>, isDelimited?: boolean): void
   /**
-   * Answers without the request's body, of which no more is read than the link's budget allows.
-   * Resolves like `end`.
+   * Sends a refusal without waiting for the request's body, of which no more is read than the
+   * bandwidth budget of this instance's link allows. Resolves like `end`.
    */
   refuse(refusal: RefusalFactory): Promise<void>
   /** Whether the head of an answer has been sent. */
--- a/packages/router/src/decisionRecord.ts
+++ b/packages/router/src/decisionRecord.ts
@@ -1,6 +1,6 @@
 /**
- * The decisions made for one request of the OpenAI-style kind. The filters fill it in as they run;
- * `explain` shows it.
+ * The decisions made for one request of the OpenAI-style kind. The filters fill in the record as
+ * they run, and `explain` shows the record.
  */
 
 import type {
@@ -24,7 +24,7 @@
   readonly compared: readonly ScoredEndpoint[]
   /** Outcome of the attempt. */
   outcome: string
-  /** How the answer ended; undefined if no answer head arrived. */
+  /** How the answer ended; undefined if no head of an answer arrived. */
   answer?: AnswerRecord
 }
 
@@ -46,8 +46,8 @@
   key?: IdempotencyKey
   repeatable?: boolean
   /**
-   * Whether the claim of a request that may run only once is held, which means that no earlier
-   * attempt ran.
+   * True if the request holds the claim of its key, which means that no earlier attempt with the
+   * key ran; undefined if no claim was made.
    */
   claimed?: boolean
   priority?: number
--- a/packages/router/src/errorBody.ts
+++ b/packages/router/src/errorBody.ts
@@ -1,6 +1,6 @@
 /**
  * Refusals and failures as callers see them: body, headers, or the last event of a stream. Both
- * kinds of daemon use the same ones.
+ * kinds of daemon use these formats.
  */
 
 import {
@@ -22,12 +22,12 @@
     readonly code: ResultCode
     readonly name: string
     readonly message: string
-    /** The field names from here on are those of the OpenAI error shape, for stock clients. */
+    /** Error class as in the OpenAI error format, for unmodified OpenAI clients. */
     readonly type: string
     readonly execution?: Execution
     /**
      * Set if the request may run only once and its key was not claimed: `execution` describes this
-     * attempt, and an earlier one with the same key may have run.
+     * attempt only, and an earlier attempt with the same key may have run.
      */
     readonly earlierAttempts?: 'unknown'
     readonly repeatable: boolean
@@ -37,8 +37,9 @@
 }
 
 /**
- * Builds the body of an error from its row of the result table. A retry time, if there is one, is
- * at least `leastSeconds`.
+ * Builds the body of an error from the error and its row of the result table. An internal error
+ * shows callers only the message of the row. If the error has a retry time, the body states at
+ * least `leastSeconds`.
  */
 export function errorBody(
   error: RackwalkError,
--- a/packages/router/src/readBody.ts
+++ b/packages/router/src/readBody.ts
@@ -1,13 +1,16 @@
 /**
- * Reads a caller's body within limits of size and time, so that a slow or endless body does not
- * hold resources for long.
+ * Reads the body of a caller's request within limits of size and time, so that a slow or endless
+ * body does not hold resources for long.
  */
 
 import type { Readable } from 'node:stream'
 import { NotRunError, ResultCode } from '@rackwalk/shared'
 import type { Bytes, Clock, Milliseconds } from '@rackwalk/shared'
 
-/** Collects a body. Rejects if it exceeds `limit` or does not arrive within `timeout`. */
+/**
+ * Resolves with the whole body. Rejects if the body exceeds `limit`, does not arrive completely
+ * within `timeout`, or is interrupted.
+ */
 export function readBody(
   body: Readable,
   limit: Bytes,
--- a/packages/router/src/refusedBodyHandler.ts
+++ b/packages/router/src/refusedBodyHandler.ts
@@ -1,7 +1,9 @@
 /**
- * Sends refusals and handles the bodies of refused requests, which are discarded. Owns the set of
- * connections that are held or whose bodies are being discarded. The rule is in
- * decisions/admitting.
+ * Sends refusals and handles the bodies of refused requests: a body is read and discarded at once,
+ * read after a hold (a time in which nothing is read from the connection), or dropped with its
+ * connection. Without these limits, refused bodies would use up the bandwidth that admitted
+ * requests need. Owns the number of connections that are held or whose bodies are being discarded.
+ * The rule is in decisions/admitting.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -36,14 +38,14 @@
   readonly counters: RefusedBodyCounters
 }
 
-/** The answer to a request whose body is discarded. */
+/** The answer to a refused request. */
 export interface Refusal {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer
 }
 
-/** Creates a refusal whose retry time is at least `leastSeconds`. */
+/** Creates a refusal. A retry time, if the refusal states one, is at least `leastSeconds`. */
 export type RefusalFactory = (leastSeconds: number) => Refusal
 
 /**
@@ -56,7 +58,10 @@
 
   constructor(private readonly parts: RefusedBodiesParts) {}
 
-  /** Sends the whole refusal. Returns undefined if no request body is left to handle. */
+  /**
+   * Sends the whole refusal and returns what becomes of the request's body; undefined if the
+   * request has no body or the whole body was read before.
+   */
   refuse(response: ServerResponse, refusalAfter: RefusalFactory): RefusedBodyOutcome | undefined {
     const { req: request } = response
     if (!hasBody(request) || isFullyRead(request)) {
@@ -90,8 +95,8 @@
   }
 
   /**
-   * Sends the refusal and reads the connection again after the hold. The caller may send its next
-   * request in the meantime.
+   * Sends the refusal at once and resumes reading from the connection after the hold. Until then,
+   * the next request of the caller on the connection waits.
    */
   private sendAndRead(
     response: ServerResponse,
@@ -117,8 +122,9 @@
   }
 
   /**
-   * Sends the refusal with `connection: close` and leaves the caller time to read it before the
-   * connection ends. A reset that meets bytes still in flight would discard the refusal.
+   * Sends the refusal with `connection: close` and closes the connection only after a time in which
+   * the caller can read the refusal. Closing a connection with unread bytes resets the connection,
+   * and the caller's system would discard the refusal.
    */
   private sendAndClose(response: ServerResponse, refusal: Refusal): void {
     const { req: request } = response
@@ -143,7 +149,8 @@
     let bytes: Bytes = 0
     request.on('data', (chunk: Buffer) => {
       bytes += chunk.length
-      // A socket that is paused on its own resumes as soon as the request asks for more data.
+      // The request is paused, not the socket: a paused socket resumes as soon as the request asks
+      // for more data.
       if (bytes > REFUSED_BODY_BYTES) request.pause()
     })
     this.discardBody(request, () => socket.destroySoon())
@@ -155,8 +162,8 @@
   }
 
   /**
-   * Counts a connection until it closes or the returned function is called, and destroys it after a
-   * time.
+   * Counts a connection until the connection closes or the returned function is called. Destroys
+   * the connection if neither happens within `milliseconds`.
    */
   private trackConnection(socket: Socket, milliseconds: Milliseconds): () => void {
     this.unread += 1
@@ -184,8 +191,8 @@
 }
 
 /**
- * Runs the callback once the response owns the socket. Earlier answers on the connection go first,
- * and the limits for a refused body behind them do not cut them off.
+ * Runs the callback once the response owns the socket, that is, after all earlier answers on the
+ * connection, so that the limits for a refused body do not end an earlier answer.
  */
 function whenSocketAssigned(response: ServerResponse, run: () => void): void {
   if (response.socket === null) response.once('socket', run)
@@ -228,7 +235,7 @@
 
 /**
  * Pauses reading from a connection for a time. Node.js resumes the socket whenever a message ends,
- * so the pause is renewed until then.
+ * so the socket is paused again at each resume during this time.
  */
 function holdReading(
   socket: Socket,
@@ -254,8 +261,8 @@
 }
 
 /**
- * Sends `100 Continue` to a caller that expects it only once the body is read, so that a caller
- * that is refused never sends its body.
+ * Makes a server send `100 Continue` to a caller that expects the status only once reading of the
+ * body begins, so that a caller that is refused before then does not send its body.
  */
 export function sendContinueOnRead(server: Server): void {
   server.on('checkContinue', (request, response) => {
--- a/packages/router/src/requestPipeline.ts
+++ b/packages/router/src/requestPipeline.ts
@@ -1,6 +1,7 @@
 /**
- * The path of a request of the OpenAI-style kind through its filters, and the error that the caller
- * gets when a filter throws. Owns only the order.
+ * The path of a request of the OpenAI-style kind through its filters, the relaying of a request
+ * that this instance cannot send to any endpoint, and the error that the caller gets when a filter
+ * throws. Owns the order of the filters and the number of requests in progress.
  */
 
 import {
@@ -70,7 +71,7 @@
   readonly onFault: (error: unknown) => void
 }
 
-/** The path of a request as one list, read from top to bottom. */
+/** Passes each request through the filters, in the order of `RequestFilters`. */
 export class RequestPipeline {
   private openRequests = 0
 
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Relays a request to another instance if it is known not to have run and this instance cannot
-   * reach the endpoints.
+   * Relays a request to another instance if the request is known not to have run and this instance
+   * reaches no endpoint of the target. Otherwise throws the error of this instance.
    */
   private async serveElsewhere(
     request: ParsedRequest,
@@ -141,7 +142,7 @@
   }
 
   /**
-   * Dispatches the request. A request that was sent but got no answer is still recorded as ended in
+   * Dispatches the request. The end of a request that may have run but got no answer is recorded in
    * the journal.
    */
   private async dispatch(routed: RoutedRequest): Promise<DispatchedRequest> {
@@ -206,8 +207,8 @@
 }
 
 /**
- * Returns `unknown` for a request that may run only once and whose key is not claimed: its refusal
- * says nothing about earlier attempts.
+ * Returns `unknown` for a request that may run only once, did not run and has a key that is not
+ * claimed: the refusal of this attempt says nothing about earlier attempts with the key.
  */
 function earlierAttempts({ repeatable, key, claimed, execution }: DecisionRecord) {
   const isOpen = repeatable === false && key !== undefined && claimed !== true
--- a/packages/router/src/requestScope.ts
+++ b/packages/router/src/requestScope.ts
@@ -1,6 +1,7 @@
 /**
- * The resources that a request holds and has to release. A step that must be undone if the request
- * is refused registers with `onRefused`; a step that ends with the request registers with `onEnd`.
+ * The resources that a request holds and has to release. `onRefused` registers a callback that
+ * undoes a step if the request turns out not to have run; `onEnd` registers a callback for the end
+ * of the request, however the request ends.
  */
 export class RequestScope {
   private refusals: (() => void)[] = []
@@ -14,12 +15,15 @@
     this.ends.push(finish)
   }
 
-  /** Marks the request as possibly run, so that nothing is undone from here on. */
+  /** Marks the request as possibly run: drops the callbacks that `onRefused` registered so far. */
   commit(): void {
     this.refusals = []
   }
 
-  /** Runs the remaining steps, last registered first. */
+  /**
+   * Runs the remaining callbacks once: first those for a refusal, then those for the end, in both
+   * cases the last registered first.
+   */
   close(): void {
     const steps = [...this.ends, ...this.refusals].reverse()
     this.refusals = []
--- a/packages/router/src/retryAfter.ts
+++ b/packages/router/src/retryAfter.ts
@@ -1,4 +1,4 @@
-/** Retry time in the headers of a refusal. Has no dependencies. */
+/** The retry time of a refusal, as headers. */
 
 const MILLISECONDS_IN_SECOND = 1_000
 
@@ -8,8 +8,9 @@
 }
 
 /**
- * Formats whole seconds, as RFC 9110 defines `Retry-After`, rounded up so that no caller retries
- * too early. `retry-after-ms` carries the exact time for clients that read it.
+ * Formats the retry time in whole seconds, as RFC 9110 defines `Retry-After`, rounded up so that no
+ * caller retries too early. `retry-after-ms` carries the time in milliseconds for clients that read
+ * that header.
  */
 export class StandardRetryAfter implements RetryAfterFormat {
   retryHeaders(afterSeconds: number): Readonly<Record<string, string>> {
--- a/packages/router/src/socketEnd.ts
+++ b/packages/router/src/socketEnd.ts
@@ -11,8 +11,8 @@
 
 /**
  * Returns how a connection ended; to be called when its socket reports the end. The kernel knows
- * the peer address of a connection that was closed in order, and none for one that was reset.
- * Node.js caches the address once it is read, so no code may read it earlier.
+ * the peer address of a connection that was closed in order, but no address of a connection that
+ * was reset. Node.js caches the address at the first read, so no code may read the address earlier.
  */
 export function socketEnd(socket: Socket): SocketEnd {
   return socket.remoteAddress === undefined ? 'reset' : 'closed'
