--- a/packages/router/src/engine/deliveredChat.ts
+++ b/packages/router/src/engine/deliveredChat.ts
@@ -110,7 +110,10 @@
     return this.hasFinish
   }
 
-  /** The usage that the latest chunk with output reports; undefined if that chunk reports none. */
+  /**
+   * The usage that the latest chunk reports; undefined if that chunk has a choice and reports none.
+   * Chunks with neither a choice nor a usage are ignored.
+   */
   get usage(): ReportedUsage | undefined {
     return this.newestUsage
   }
--- a/packages/stores/src/awsErrors.ts
+++ b/packages/stores/src/awsErrors.ts
@@ -1,17 +1,19 @@
 /**
- * Classifies errors of the AWS clients by what they say about a write: certainly refused, or
- * outcome unknown.
+ * Classifies errors of the AWS clients by whether a write certainly did not take effect or its
+ * outcome is unknown.
  */
 
 import { RackwalkError, ResultCode } from '@rackwalk/shared'
 
+// Names of errors with which the service rejects an operation because of its rate.
 const THROTTLED = new Set([
   'ProvisionedThroughputExceededException',
   'ThrottlingException',
   'RequestLimitExceeded',
   'SlowDown',
 ])
-// The connection was never established, so no byte of the request can have arrived.
+// Codes of errors after which no connection was established, so no byte of the request can have
+// arrived.
 const NEVER_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND'])
 
 interface ServiceFailure {
@@ -21,8 +23,9 @@
 }
 
 /**
- * Classifies a client library's error by what it says about the write: a definite refusal, or an
- * unknown outcome (a timeout, a reset, a 5xx).
+ * Converts an error of a client library. Throttling and a connection that was never established
+ * mean that nothing took effect. Any other error (such as a timeout, a reset or a 5xx status)
+ * counts as an unknown outcome.
  */
 export function classifyServiceError(thrown: unknown): RackwalkError {
   if (thrown instanceof RackwalkError) return thrown
--- a/packages/stores/src/dynamodbTableService.ts
+++ b/packages/stores/src/dynamodbTableService.ts
@@ -1,4 +1,4 @@
-/** The table service over the DynamoDB API. Owns the connections to it; caches no rows. */
+/** The table service over the DynamoDB API. Owns the connections to DynamoDB; caches no rows. */
 
 import {
   DynamoDBClient,
@@ -50,7 +50,8 @@
         accessKeyId: options.accessKeyId,
         secretAccessKey: options.secretAccessKey,
       },
-      // A retry hidden in the client would turn an unknown outcome into a false conflict.
+      // The client must not retry: if the first attempt of a write took effect and its answer was
+      // lost, a second attempt would report a conflict although the write took effect.
       maxAttempts: 1,
     })
   }
@@ -110,7 +111,8 @@
       ExpressionAttributeNames: { '#partition': 'partition', '#sort': 'sort' },
       ExpressionAttributeValues: {
         ':partition': { S: partition },
-        // BETWEEN includes its bounds; the smallest suffix makes the lower one exclusive.
+        // BETWEEN includes both bounds. The suffix excludes the row with the key `after` itself; a
+        // row with the key `before` is included.
         ':after': { S: range.after === undefined ? after : `${after}\u0001` },
         ':before': { S: before },
       },
@@ -188,7 +190,8 @@
     reason.Code === 'ConditionalCheckFailed' ? [position] : [],
   )
   if (conflicts.length > 0) return { committed: false, conflicts }
-  // Cancelled for another reason (throttling, a transaction in progress): nothing was applied.
+  // The transaction was cancelled for another reason, such as throttling or a concurrent
+  // transaction on the same rows, so nothing was applied.
   const detail = reasons.map(reason => reason.Code).join(',')
   throw new RackwalkError(ResultCode.PlatformThrottled, detail, thrown)
 }
--- a/packages/stores/src/framedAnswers.ts
+++ b/packages/stores/src/framedAnswers.ts
@@ -1,6 +1,6 @@
 /**
- * Rejects answers of the platform whose framing does not mark their end. If only the end of the
- * connection marks it, half an object looks like a complete one.
+ * Rejects answers of the object store whose framing does not mark their end. If only the end of the
+ * connection marks the end of an answer, a truncated object looks like a complete one.
  */
 
 import { IncomingMessage } from 'node:http'
@@ -13,7 +13,7 @@
   readonly body?: unknown
 }
 
-/** Makes the client fail on answers without a length and without chunked encoding. */
+/** Makes the client reject answers that have neither a length nor chunked encoding. */
 export function refuseUnframedAnswers(client: S3Client): void {
   client.middlewareStack.add(
     next => async input => {
--- a/packages/stores/src/instanceList.ts
+++ b/packages/stores/src/instanceList.ts
@@ -1,8 +1,8 @@
-/** The platform's list of live and leaving instances. */
+/** Interface of the platform's list of live and leaving instances (those about to terminate). */
 
 import type { InstanceId } from '@rackwalk/shared'
 
-/** An entry of the platform's list, which lags behind the actual state. */
+/** An entry of the platform's list of instances. */
 export interface ListedInstance {
   readonly instanceId: InstanceId
   /** Address at which peers reach the instance, as `host:port`. */
--- a/packages/stores/src/instanceListFormat.ts
+++ b/packages/stores/src/instanceListFormat.ts
@@ -1,4 +1,6 @@
-/** The object in which the platform publishes its list of instances: key and JSON format. */
+/**
+ * The key and the JSON format of the object in which the platform publishes its list of instances.
+ */
 
 import * as z from 'zod'
 import { asId } from '@rackwalk/shared'
@@ -16,7 +18,7 @@
 /** Object key under which the platform publishes its list. */
 export const INSTANCE_LIST_KEY = 'platform/instances.json'
 
-/** Decodes the published list. Throws on malformed input. */
+/** Decodes the published list. Throws if the text is not JSON or does not match the format. */
 export function parseInstanceList(body: Buffer): readonly ListedInstance[] {
   return listSchema.parse(JSON.parse(body.toString('utf8')))
 }
--- a/packages/stores/src/jsonCodec.ts
+++ b/packages/stores/src/jsonCodec.ts
@@ -1,7 +1,8 @@
 /**
  * Text formats that leave the process: stored rows and messages between instances. A codec maps
- * field by field, so that types in memory can be renamed while the text stays the same. In every
- * rolling restart two versions of the program read each other's text.
+ * each field explicitly, so that types in memory can be renamed while the text stays the same. The
+ * text has to stay the same because two versions of the program read each other's text during every
+ * rolling restart.
  */
 
 import type * as z from 'zod'
@@ -9,10 +10,11 @@
 
 /** A JSON format and its mapping to values in memory. */
 export interface JsonFormat<Wire, Value> {
-  /** Unknown fields are ignored, since a newer version may write more. */
+  /** Describes the JSON text. Unknown fields are ignored, since a newer version may write more. */
   readonly schema: z.ZodType<Wire>
-  /** Returns the fields in the order in which they are written. */
+  /** Returns the JSON form of a value, with the fields in the order in which they are written. */
   readonly toWire: (value: Value) => Wire
+  /** Returns the value of a JSON form that matches the schema. */
   readonly fromWire: (wire: Wire) => Value
 }
 
@@ -25,7 +27,7 @@
   }
 
   /**
-   * Decodes a text. Returns undefined if it does not match the format; the caller counts such
+   * Decodes a text. Returns undefined if the text does not match the format; the caller counts such
    * texts.
    */
   decode(text: string): Value | undefined {
@@ -34,11 +36,11 @@
 
   /** Returns the encoded form as a value, for stores that serialize JSON themselves. */
   toJson(value: Value): JsonValue {
-    // Each format's schema describes JSON, which its type does not express.
+    // The schema of each format describes JSON, but the type `Wire` does not express this.
     return this.format.toWire(value) as JsonValue
   }
 
-  /** Decodes a JSON value. Returns undefined if it does not match the format. */
+  /** Decodes a JSON value. Returns undefined if the JSON value does not match the format. */
   fromJson(json: unknown): Value | undefined {
     const wire = this.format.schema.safeParse(json).data
     return wire === undefined ? undefined : this.format.fromWire(wire)
@@ -46,13 +48,13 @@
 }
 
 /**
- * Parses a JSON text. Returns undefined, which no JSON text represents, if the text is not JSON.
+ * Parses a JSON text. Returns undefined if the text is not JSON; no JSON text has this value.
  */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text)
   } catch {
-    // Not an error here: the caller sees the result and counts it.
+    // Malformed text is an expected result, which the caller handles.
     return undefined
   }
 }
--- a/packages/stores/src/s3ObjectStore.ts
+++ b/packages/stores/src/s3ObjectStore.ts
@@ -1,4 +1,4 @@
-/** The object store over the S3 API. Owns the connections to it; caches no objects. */
+/** The object store over the S3 API. Owns the connections to the store; caches no objects. */
 
 import {
   GetObjectCommand,
--- a/packages/stores/src/tableService.ts
+++ b/packages/stores/src/tableService.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's table service as the OpenAI-style kind uses it: versioned rows and conditional
- * transactions. Implemented over DynamoDB, and in memory for tests.
+ * Interface of the platform's table service as the OpenAI-style kind uses it: versioned rows and
+ * conditional transactions. Implemented over DynamoDB, and in memory for tests.
  */
 
 import type { TransactionId, Version } from '@rackwalk/shared'
@@ -20,20 +20,29 @@
   readonly sort: string
 }
 
-/** A stored row. `version` starts at 1 and increases by one with each write. */
+/** A stored row. `version` is 1 when the row is created and increases by one with each put. */
 export interface Row<Value = JsonValue> {
   readonly key: RowKey
   readonly version: Version
-  /** The transaction that wrote this version; distinguishes a lost answer from a lost write. */
+  /**
+   * Id of the transaction that wrote this version. After a write without an answer, the writer
+   * reads the row and sees from this id whether the write took effect.
+   */
   readonly writtenBy: TransactionId
   readonly value: Value
 }
 
-/** A condition that must hold for a write to take effect. */
+/**
+ * A condition that must hold for a transaction to take effect: the row does not exist, or has the
+ * version.
+ */
 export type RowCondition =
   { readonly kind: 'absent' } | { readonly kind: 'version'; readonly version: Version }
 
-/** One write of a transaction. All writes take effect or none; a row may occur only once. */
+/**
+ * One write of a transaction; `check` only has a condition. All writes of a transaction take effect
+ * or none does. A row may occur only once in a transaction.
+ */
 export type RowWrite =
   | {
       readonly kind: 'put'
@@ -45,8 +54,8 @@
   | { readonly kind: 'check'; readonly key: RowKey; readonly condition: RowCondition }
 
 /**
- * The result of a transaction. `conflicts` holds the positions of the writes whose condition
- * failed.
+ * The result of a transaction. `conflicts` holds the positions of the writes whose condition did
+ * not hold; for several transactions executed as one, positions count through all their writes.
  */
 export type TransactResult =
   | { readonly committed: true }
@@ -58,7 +67,11 @@
   readonly writes: readonly RowWrite[]
 }
 
-/** A range of one partition; both bounds are exclusive. */
+/**
+ * A range of the sort keys of one partition. `after` is exclusive. `before` is exclusive in memory
+ * but inclusive over DynamoDB. `limit` is the maximum number of rows; `reverse` reads in descending
+ * order.
+ */
 export interface QueryRange {
   readonly after?: string
   readonly before?: string
@@ -66,21 +79,27 @@
   readonly reverse?: boolean
 }
 
-/** Maximum number of items in one transaction (the DynamoDB limit). */
+/** Maximum number of writes in one transaction, set by DynamoDB. */
 export const MAXIMUM_TRANSACTION_WRITES = 100
 
 /**
- * The platform's transactional table service. Every operation may throw a RackwalkError:
- * `PlatformUnavailable` and `PlatformThrottled` mean that nothing took effect; `PlatformAmbiguous`
- * means that a write may have taken effect or may do so later.
+ * The platform's transactional table service. Every operation may throw a RackwalkError. The codes
+ * `PlatformUnavailable` and `PlatformThrottled` mean that nothing took effect. `PlatformAmbiguous`
+ * means that a write may have taken effect or may take effect later.
  */
 export interface TableService {
-  /** Reads a row with strong consistency. */
+  /** Reads a row with strong consistency; undefined if the row does not exist. */
   get(key: RowKey): Promise<Row | undefined>
-  /** Reads a range with strong consistency, in order of `sort`. */
+  /**
+   * Reads a range with strong consistency, in ascending order of `sort` unless `reverse` is set.
+   */
   query(partition: string, range?: QueryRange): Promise<readonly Row[]>
+  /** Executes one transaction. A conflict is a result and not an error. */
   transact(id: TransactionId, writes: readonly RowWrite[]): Promise<TransactResult>
-  /** Executes several transactions as one. Each row keeps the id of its own part. */
+  /**
+   * Executes several transactions as one: all take effect or none does. Each row is stored with the
+   * id of the transaction that holds its write.
+   */
   transactMany(parts: readonly TransactionWrites[]): Promise<TransactResult>
 }
 
@@ -94,7 +113,7 @@
   return `${key.partition}\0${key.sort}`
 }
 
-/** Encodes a number as a sort key, so that text order is numeric order. */
+/** Encodes a number of up to 14 digits as a sort key, so that text order is numeric order. */
 export function encodeSortKey(count: number): string {
   return String(count).padStart(14, '0')
 }
