--- a/packages/router/src/engine/bodyCompleteness.ts
+++ b/packages/router/src/engine/bodyCompleteness.ts
@@ -24,7 +24,9 @@
   framing: AnswerFraming,
   headers: Readonly<Record<string, string>>,
 ): CompletenessCheck {
-  return framing === 'connection' && isJson(headers) ? new JsonCompletenessCheck() : NO_PROOF
+  return framing === 'connection' && isJson(headers)
+    ? new JsonCompletenessCheck()
+    : UNKNOWN_COMPLETENESS
 }
 
 /** The check of a body that does not show whether it is complete, or whose framing shows it. */
@@ -36,7 +38,7 @@
   }
 }
 
-const NO_PROOF = new UnknownCompleteness()
+const UNKNOWN_COMPLETENESS = new UnknownCompleteness()
 
 const QUOTE = 0x22
 const BACKSLASH = 0x5c
--- a/packages/router/src/engine/continuationRewriter.ts
+++ b/packages/router/src/engine/continuationRewriter.ts
@@ -47,7 +47,7 @@
     const chunk = parseChunk(event.toString('utf8'))
     const choices = chunk?.['choices']
     if (chunk === undefined || !Array.isArray(choices)) return event
-    const rewritten = this.withUsage({ ...withoutHead(chunk), ...this.prefix.head })
+    const rewritten = this.withUsage({ ...withoutMetadata(chunk), ...this.prefix.head })
     const [choice] = choices as readonly Choice[]
     if (choice === undefined) return chunkEvent(rewritten)
     if (!this.hasBegun && isOpening(choice)) return undefined
@@ -97,7 +97,7 @@
   }
 }
 
-function withoutHead(chunk: Chunk): Chunk {
+function withoutMetadata(chunk: Chunk): Chunk {
   const own = chunkMetadataOf(chunk)
   return Object.fromEntries(Object.entries(chunk).filter(([field]) => !(field in own)))
 }
--- a/packages/router/src/engine/deliveredChat.ts
+++ b/packages/router/src/engine/deliveredChat.ts
@@ -31,12 +31,12 @@
 /** The fields that all chunks of one answer share. */
 export type ChunkMetadata = Readonly<Record<string, unknown>>
 
-const HEAD_FIELDS = ['id', 'object', 'created', 'model', 'system_fingerprint'] as const
+const METADATA_FIELDS = ['id', 'object', 'created', 'model', 'system_fingerprint'] as const
 
 /** Returns the fields that identify the answer that a chunk belongs to. */
 export function chunkMetadataOf(chunk: Readonly<Record<string, unknown>>): ChunkMetadata {
   return Object.fromEntries(
-    HEAD_FIELDS.filter(field => chunk[field] !== undefined).map(field => [field, chunk[field]]),
+    METADATA_FIELDS.filter(field => chunk[field] !== undefined).map(field => [field, chunk[field]]),
   )
 }
 
@@ -69,9 +69,9 @@
   private readonly texts: string[] = []
   /** Whether all recorded output is plain text; false after the record was released or dropped. */
   private isPlainText = true
-  private firstHead: ChunkMetadata | undefined
+  private firstMetadata: ChunkMetadata | undefined
   private newestUsage: ReportedUsage | undefined
-  private hasFinish = false
+  private hasFinishReason = false
 
   constructor(
     private readonly pool: AnswerBufferPool,
@@ -82,7 +82,7 @@
   /** Records a delivered event. If there is no memory for the event, drops the whole record. */
   append(event: Buffer): void {
     if (!this.isPlainText) return
-    if (!this.pool.reserve(event.length)) return this.giveUp()
+    if (!this.pool.reserve(event.length)) return this.dropRecord()
     this.bytes += event.length
     this.unparsedBytes += event.length
     // The event is copied, because a slice would keep the whole network chunk in memory.
@@ -102,12 +102,12 @@
   }
 
   get head(): ChunkMetadata {
-    return this.firstHead ?? {}
+    return this.firstMetadata ?? {}
   }
 
   /** Whether the engine sent a finish reason. */
   get isFinished(): boolean {
-    return this.hasFinish
+    return this.hasFinishReason
   }
 
   /**
@@ -128,7 +128,7 @@
     this.texts.length = 0
   }
 
-  private giveUp(): void {
+  private dropRecord(): void {
     this.release()
   }
 
@@ -153,13 +153,13 @@
   }
 
   private applyChunk(chunk: Chunk): void {
-    this.firstHead ??= chunkMetadataOf(chunk)
+    this.firstMetadata ??= chunkMetadataOf(chunk)
     const { usage } = chunk
     const [choice] = chunk.choices
     if (usage) this.newestUsage = usageOf(usage)
     else if (choice !== undefined) this.newestUsage = undefined
     if (choice === undefined) return
-    this.hasFinish ||= typeof choice.finish_reason === 'string'
+    this.hasFinishReason ||= typeof choice.finish_reason === 'string'
     for (const [field, value] of Object.entries(choice.delta ?? {})) this.applyDelta(field, value)
   }
 
--- a/packages/router/src/filters/admit.ts
+++ b/packages/router/src/filters/admit.ts
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Admits waiting requests of all models and services. Called whenever load reports have arrived.
+   * Admits waiting requests of all models and services. Called after each round of load reports.
    */
   admitAllWaiting(): void {
     for (const queue of this.queues.values()) queue.admitWaiting()
--- a/packages/router/src/filters/answerDelivery.ts
+++ b/packages/router/src/filters/answerDelivery.ts
@@ -12,7 +12,10 @@
   readonly hasEndMarker: boolean
   /** Whether the answer is complete, given that reading it ended without an error. */
   readonly isComplete: boolean
-  /** Returns the usage that the engine reported, or an estimate from the delivered events. */
+  /**
+   * Returns the usage that the engine reported. Without a report, the usage of a chat's event
+   * stream is estimated from the delivered events, and that of any other answer is zero.
+   */
   usage(): ReportedUsage
 }
 
--- a/packages/router/src/filters/continueAnswer.ts
+++ b/packages/router/src/filters/continueAnswer.ts
@@ -88,8 +88,8 @@
    */
   noteInterrupted(interrupted: DispatchedRequest, delivery: ChatEventDelivery): void {
     const { continuation } = delivery
-    const isAtJoin = continuation !== undefined && !continuation.hasBegun
-    if (isAtJoin && isCausedByEngine(interrupted))
+    const isBeforeOutput = continuation !== undefined && !continuation.hasBegun
+    if (isBeforeOutput && isCausedByEngine(interrupted))
       this.parts.dispatch.noteContinuationFailure(interrupted)
   }
 
--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -153,7 +153,7 @@
       if (step === 'give-up') throw this.failure(request, results)
       // An endpoint that asked for a backoff (Retry-After) is not tried again before its time, so
       // the next attempt goes elsewhere and needs no delay.
-      if (step === 'retry' && !this.isResting(endpointId)) await this.backOff(attempt)
+      if (step === 'retry' && !this.isBackingOff(endpointId)) await this.backOff(attempt)
       endpointId = this.chooseAnother(request, results, { tried, resetOnce })
       recordDisposition(routing, result, 'repeated')
     }
@@ -171,11 +171,12 @@
   ): Promise<DispatchedRequest | undefined> {
     const hasTerminated = await this.hasTerminatedDuring(interrupted)
     const tried = new Set(interrupted.tried)
-    let isFree = hasTerminated
+    let isBudgetExempt = hasTerminated
     while (tried.size < MAXIMUM_ATTEMPTS && !this.isOver(interrupted, undefined)) {
       const choice = this.parts.router.chooseForContinuation(interrupted, tried, softwareVersion)
       const endpointId = choice?.endpointId
-      if (endpointId === undefined || (!isFree && !this.retries.withdraw())) return undefined
+      if (endpointId === undefined || (!isBudgetExempt && !this.retries.withdraw()))
+        return undefined
       tried.add(endpointId)
       const request: RoutedRequest = { ...interrupted, endpointId, continuedBody: body }
       const sent = { wasIsolated: true, sentAt: this.parts.clock.monotonic() }
@@ -187,7 +188,7 @@
       }
       void this.noteReset(request, endpointId, { ...sent, result })
       if (result.kind === 'failed') return undefined
-      isFree = result.kind === 'unsent'
+      isBudgetExempt = result.kind === 'unsent'
     }
     return undefined
   }
@@ -253,8 +254,9 @@
   }
 
   /**
-   * Rejects an error answer from a proxy whose engine has terminated. Such an error is not the
-   * engine's answer, so the request may go to another endpoint.
+   * Turns a server error into a failed attempt if the engine has terminated. A proxy or load
+   * balancer in front of the engine then sent the error, which is not the engine's answer, so the
+   * request may go to another endpoint.
    */
   private async rejectProxyError(
     request: RoutedRequest,
@@ -279,8 +281,10 @@
 
   /**
    * Reports a failed attempt as a reset to the crash guard and resolves with whether the endpoint
-   * terminated as it reset the request. Resolves with false, without a report, if the attempt is no
-   * reset: it stalled, or the caller left or the deadline passed.
+   * terminated as it reset the request. Resolves without a report with true if the attempt is
+   * already attributed to a termination, and with false if the attempt is no reset (it stalled, the
+   * caller left or the deadline passed), the request has no fingerprint or the endpoint was
+   * removed.
    */
   private async noteReset(
     request: RoutedRequest,
@@ -308,7 +312,7 @@
       service: target,
       address: new URL(address).host,
       isPlannedShutdown: endpoints.isLeaving(endpointId),
-      // A plain service has no path for probes: a GET there would be a service call.
+      // A plain service has no path for probes: a GET of any path would be a service call.
       statePath: call.kind === 'chat' ? LOAD_PATH : undefined,
       heard: () => endpoints.lastHeard(endpointId),
       hasEnded: false,
@@ -317,8 +321,8 @@
 
   /**
    * Returns the current start (run) of the endpoint. The platform does not distinguish one start
-   * from the next, so unless the crash guard knows the start, the current wall time in seconds
-   * identifies it. All instances use the start of the first reset that any of them has announced.
+   * from the next. If the crash guard already suspects a start that the reset is attributed to,
+   * that start is returned; otherwise the current wall time in seconds identifies the start.
    */
   private startOf(endpointId: EndpointId): EndpointStart {
     const { clock, crashes, endpoints } = this.parts
@@ -361,7 +365,7 @@
   }
 
   /** Whether the endpoint asked for a backoff (Retry-After). Such an endpoint has not failed. */
-  private isResting(endpointId: EndpointId): boolean {
+  private isBackingOff(endpointId: EndpointId): boolean {
     const advice = this.parts.advices.of(endpointStart(endpointId, undefined))
     return advice !== undefined && advice.retryAfterMilliseconds > 0
   }
@@ -389,13 +393,14 @@
     if (result.kind === 'answering') discard(result.answer)
     if (result.kind === 'unsent') this.parts.onConnectFailed(request.target, endpointId)
     this.parts.endpoints.noteRequestEnded(endpointId)
-    if (!this.isOver(request, result) && !this.isResting(endpointId))
+    if (!this.isOver(request, result) && !this.isBackingOff(endpointId))
       this.parts.endpoints.noteFailure(endpointId)
   }
 
   /**
-   * Clears the request of suspicion after an answer. A server error may come from a proxy whose
-   * engine terminated while it ran the request, so it clears nothing while the endpoint is suspect.
+   * Clears the request of suspicion after an answer. A server error may come from a proxy in front
+   * of an engine that terminated while it ran the request, so a server error clears nothing while
+   * the endpoint is suspect.
    */
   private clearSuspicion(request: RoutedRequest, result: AttemptResult): void {
     const { crashFingerprint } = request
@@ -430,8 +435,9 @@
     if (isBodySpent) return 'give-up'
     if (result.kind === 'unsent') return this.afterUnsent(request)
     if (!request.repeatable) return 'give-up'
-    const isFree = await this.isFree(failed)
-    if (this.isOver(request, result) || (!isFree && !this.retries.withdraw())) return 'give-up'
+    const isBudgetExempt = await this.isBudgetExempt(failed)
+    if (this.isOver(request, result) || (!isBudgetExempt && !this.retries.withdraw()))
+      return 'give-up'
     this.parts.onRetry()
     return 'retry'
   }
@@ -451,7 +457,7 @@
    * retries are free. The number of attempts per request is bounded nevertheless, and the crash
    * guard keeps crash-inducing requests from endpoints.
    */
-  private async isFree({ result, isTerminated }: FailedAttempt): Promise<boolean> {
+  private async isBudgetExempt({ result, isTerminated }: FailedAttempt): Promise<boolean> {
     const hasTerminated = await isTerminated
     return hasTerminated || (result.kind === 'failed' && result.end === 'endpoint-ended')
   }
--- a/packages/router/src/limits/fairQueue.ts
+++ b/packages/router/src/limits/fairQueue.ts
@@ -61,8 +61,8 @@
   constructor(
     private readonly clock: Clock,
     /**
-     * Returns the number of free slots of the endpoints. Requests that were admitted but not sent
-     * yet still count as free slots.
+     * Returns the number of free slots of the endpoints. The slots of requests that were admitted
+     * but are not in progress yet still count as free.
      */
     private readonly freeCapacity: () => number,
   ) {}
--- a/packages/router/src/limits/outlierEjection.ts
+++ b/packages/router/src/limits/outlierEjection.ts
@@ -24,7 +24,10 @@
  */
 const MAXIMUM_EJECTED_SHARE = 0.34
 
-/** Ejects endpoints that keep failing, for a limited time and up to a share of each pool. */
+/**
+ * Ejects endpoints that keep failing, for a limited time and up to a share of each pool. In a pool
+ * of fewer than three endpoints, all stay in use.
+ */
 export class OutlierEjection {
   private readonly health = new Map<EndpointId, Health>()
 
--- a/packages/router/src/refusedBodyHandler.ts
+++ b/packages/router/src/refusedBodyHandler.ts
@@ -54,7 +54,7 @@
  */
 export class RefusedBodyHandler {
   /** Number of connections that are held or whose bodies are being discarded. */
-  private unread = 0
+  private unreadConnections = 0
 
   constructor(private readonly parts: RefusedBodiesParts) {}
 
@@ -91,7 +91,7 @@
       expectsContinue: isAwaitingContinue(request),
       waitMilliseconds: link.refusedBodyWait(bytes, clock.monotonic()),
     }
-    return refusedBodyDisposition(body, this.unread)
+    return refusedBodyDisposition(body, this.unreadConnections)
   }
 
   /**
@@ -166,13 +166,13 @@
    * the connection if neither happens within `milliseconds`.
    */
   private trackConnection(socket: Socket, milliseconds: Milliseconds): () => void {
-    this.unread += 1
+    this.unreadConnections += 1
     const timer = this.parts.clock.after(milliseconds, () => socket.destroy())
     let isKept = true
     const finish = () => {
       if (!isKept) return
       isKept = false
-      this.unread -= 1
+      this.unreadConnections -= 1
       timer.cancel()
       socket.off('close', finish)
     }
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -32,7 +32,10 @@
   reportAt: Milliseconds
   /** Monotonic time at which the latest report was requested. */
   reportAskedAt: Milliseconds
-  /** This instance's requests that the latest report may not include, oldest first. */
+  /**
+   * This instance's requests that the latest report may not include, oldest first. Only a report
+   * removes entries, so for the endpoints of plain services, which report nothing, none is removed.
+   */
   recent: RecentRequest[]
   /**
    * Monotonic time until which the endpoint gets no requests, because it terminated and may not
@@ -181,6 +184,10 @@
     else this.noteStaying(endpointId)
   }
 
+  /**
+   * Records that the endpoint is leaving. Only a load report ends the leaving, so an endpoint of a
+   * plain service, which reports nothing, stays leaving until its state is pruned.
+   */
   noteLeaving(endpointId: EndpointId, source: LeavingSource): void {
     const state = this.stateOf(endpointId)
     state.hasAnnouncedLeaving ||= source === 'answer'
--- a/packages/router/src/routing/linkMonitor.ts
+++ b/packages/router/src/routing/linkMonitor.ts
@@ -116,10 +116,10 @@
    */
   async reachesOthers(address: string, service: string): Promise<boolean> {
     const { endpointsOf, endpointsOfOthers } = this.parts
-    const beside = endpointsOf(service).filter(endpoint => endpoint.address !== address)
-    const elsewhere = endpointsOfOthers(service)
-    if (beside.length + elsewhere.length === 0) return true
-    return (await this.reachesAny(beside)) || this.reachesAny(elsewhere)
+    const sameService = endpointsOf(service).filter(endpoint => endpoint.address !== address)
+    const otherServices = endpointsOfOthers(service)
+    if (sameService.length + otherServices.length === 0) return true
+    return (await this.reachesAny(sameService)) || this.reachesAny(otherServices)
   }
 
   private async reachesAny(endpoints: readonly Endpoint[]): Promise<boolean> {
