--- a/packages/router/src/filters/dispatch.ts
+++ b/packages/router/src/filters/dispatch.ts
@@ -321,8 +321,10 @@
 
   /**
    * Returns the current start (run) of the endpoint. The platform does not distinguish one start
-   * from the next. If the crash guard already suspects a start that the reset is attributed to,
-   * that start is returned; otherwise the current wall time in seconds identifies the start.
+   * from the next. If the crash guard already suspects a start that the reset is attributed to, by
+   * a reset that any instance observed, that start is returned. Otherwise the current wall time in
+   * seconds identifies the start, so the first reset of a termination names the start for all
+   * instances.
    */
   private startOf(endpointId: EndpointId): EndpointStart {
     const { clock, crashes, endpoints } = this.parts
--- a/packages/router/src/limits/fairQueue.ts
+++ b/packages/router/src/limits/fairQueue.ts
@@ -39,16 +39,18 @@
 
 /** Limits of a queue. */
 export interface QueueLimits {
+  /** Maximum number of waiting requests. */
   readonly maximumQueue: number
+  /** Time after which a request that still waits is refused. */
   readonly maximumWaitMilliseconds: Milliseconds
 }
 
 /**
  * The queue of one model or service on this instance. Higher priorities go first; within a
- * priority, teams share by weight: the request with the smallest finish tag goes first, and virtual
- * time is the greatest finish tag admitted from the queue. When the queue is full, a request of the
- * lowest waiting priority is refused at once, from the team with the most waiting requests of that
- * priority for its weight.
+ * priority, teams share by weight, by a variant of start-time fair queueing (Goyal 1996): the
+ * request with the smallest finish tag goes first, and virtual time is the greatest finish tag
+ * admitted from the queue. When the queue is full, a request of the lowest waiting priority is
+ * refused at once, from the team with the most waiting requests of that priority for its weight.
  */
 export class FairQueue {
   private entries: Entry[] = []
--- a/packages/router/src/routing/endpointTable.ts
+++ b/packages/router/src/routing/endpointTable.ts
@@ -74,7 +74,7 @@
 /**
  * Time since the first sign of leaving for which an endpoint that announced in an answer that it is
  * leaving gets no requests, although its reports say that it stays. A report after this time ends
- * the leaving. Without the limit, an endpoint that cancelled its shutdown would stay unused.
+ * the leaving. Without the limit, an endpoint that restarted between two reports would stay unused.
  */
 const LONGEST_LEAVING_MILLISECONDS = 60_000
 /**
@@ -180,7 +180,8 @@
     const asOf = state.reportAt - REPORT_LAG_MILLISECONDS
     state.recent = state.recent.filter(sent => sent.at > asOf)
     if (report.leaving) this.noteLeaving(endpointId, 'report')
-    // The report is newer than what the endpoint list and the peers say about leaving.
+    // The endpoint reports that it stays, so it has restarted or does not shut down after all. The
+    // endpoint list and the peers may lag behind.
     else this.noteStaying(endpointId)
   }
 
