--- a/packages/router/src/engine/deliveredChat.ts
+++ b/packages/router/src/engine/deliveredChat.ts
@@ -1,8 +1,8 @@
 /**
- * Records what a caller has received of a streamed chat, so that another engine can continue it.
- * Events are stored as they are and parsed in batches, since parsing each one as it passes would
- * cost more than delivering it. The memory is bounded: an answer for which there is no room is not
- * recorded and therefore not continued.
+ * Records what a caller has received of the answer to a streamed chat, so that another engine can
+ * continue the answer. Events are stored unparsed and parsed in batches, since parsing each event
+ * at once would cost more than delivering it. The memory is bounded: the record of an answer for
+ * which there is no room is dropped, and the answer is then not continued.
  */
 
 import * as z from 'zod'
@@ -10,7 +10,7 @@
 import type { AnswerBufferPool } from './answerBuffer.js'
 import type { ReportedUsage } from './usage.js'
 
-/** Unparsed events are parsed together once they exceed this size. */
+/** Size in bytes above which the unparsed events are parsed. */
 const PARSE_BATCH_BYTES = 16 * 1024
 const DATA = 'data: '
 
@@ -31,16 +31,16 @@
 /** The fields that all chunks of one answer share. */
 export type ChunkMetadata = Readonly<Record<string, unknown>>
 
-const HEAD_FIELDS = ['id', 'object', 'created', 'model', 'system_fingerprint'] as const
+const METADATA_FIELDS = ['id', 'object', 'created', 'model', 'system_fingerprint'] as const
 
 /** Returns the fields that identify the answer that a chunk belongs to. */
 export function chunkMetadataOf(chunk: Readonly<Record<string, unknown>>): ChunkMetadata {
   return Object.fromEntries(
-    HEAD_FIELDS.filter(field => chunk[field] !== undefined).map(field => [field, chunk[field]]),
+    METADATA_FIELDS.filter(field => chunk[field] !== undefined).map(field => [field, chunk[field]]),
   )
 }
 
-/** Parses a chunk of the answer as an object; undefined for any other event. */
+/** Parses an event of the answer as a chunk; undefined if the event holds no JSON object. */
 export function parseChunk(event: string): Record<string, unknown> | undefined {
   if (!event.startsWith(DATA)) return undefined
   try {
@@ -58,16 +58,20 @@
   return Buffer.from(`${DATA}${JSON.stringify(chunk)}\n\n`)
 }
 
-/** The part of one answer that its caller has received. */
+/**
+ * The part of one answer that its caller has received. The events appended since the latest batch
+ * count for `head`, `usage` and `isFinished` only after `isReconstructible` or `text` was read.
+ */
 export class DeliveredChat {
   private unparsed: Buffer[] = []
   private bytes = 0
   private unparsedBytes = 0
   private readonly texts: string[] = []
+  /** Whether all recorded output is plain text; false after the record was released or dropped. */
   private isPlainText = true
-  private firstHead: ChunkMetadata | undefined
+  private firstMetadata: ChunkMetadata | undefined
   private newestUsage: ReportedUsage | undefined
-  private hasFinish = false
+  private hasFinishReason = false
 
   constructor(
     private readonly pool: AnswerBufferPool,
@@ -75,18 +79,18 @@
     readonly softwareVersion: SoftwareVersion,
   ) {}
 
-  /** Records a delivered event. */
+  /** Records a delivered event. If there is no memory for the event, drops the whole record. */
   append(event: Buffer): void {
     if (!this.isPlainText) return
-    if (!this.pool.reserve(event.length)) return this.giveUp()
+    if (!this.pool.reserve(event.length)) return this.dropRecord()
     this.bytes += event.length
     this.unparsedBytes += event.length
-    // Copied, because the slice would keep the whole network chunk in memory.
+    // The event is copied, because a slice would keep the whole network chunk in memory.
     this.unparsed.push(Buffer.from(event))
     if (this.unparsedBytes > PARSE_BATCH_BYTES) this.parsePending()
   }
 
-  /** Whether everything that the caller has is recorded and is plain text. */
+  /** Whether all that the caller has received is recorded and is plain text. */
   get isReconstructible(): boolean {
     this.parsePending()
     return this.isPlainText
@@ -98,15 +102,18 @@
   }
 
   get head(): ChunkMetadata {
-    return this.firstHead ?? {}
+    return this.firstMetadata ?? {}
   }
 
   /** Whether the engine sent a finish reason. */
   get isFinished(): boolean {
-    return this.hasFinish
+    return this.hasFinishReason
   }
 
-  /** The usage that the latest chunk reports; undefined if it reports none. */
+  /**
+   * The usage that the latest chunk reports; undefined if that chunk has a choice and reports none.
+   * Chunks with neither a choice nor a usage are ignored.
+   */
   get usage(): ReportedUsage | undefined {
     return this.newestUsage
   }
@@ -121,7 +128,7 @@
     this.texts.length = 0
   }
 
-  private giveUp(): void {
+  private dropRecord(): void {
     this.release()
   }
 
@@ -138,7 +145,7 @@
   }
 
   private parseEvent(event: string): void {
-    // A comment only keeps the connection open.
+    // A comment has no content; engines send comments to keep the connection open.
     if (event.startsWith(':')) return
     const parsed = chunkSchema.safeParse(parseChunk(event))
     if (parsed.success) this.applyChunk(parsed.data)
@@ -146,13 +153,13 @@
   }
 
   private applyChunk(chunk: Chunk): void {
-    this.firstHead ??= chunkMetadataOf(chunk)
+    this.firstMetadata ??= chunkMetadataOf(chunk)
     const { usage } = chunk
     const [choice] = chunk.choices
     if (usage) this.newestUsage = usageOf(usage)
     else if (choice !== undefined) this.newestUsage = undefined
     if (choice === undefined) return
-    this.hasFinish ||= typeof choice.finish_reason === 'string'
+    this.hasFinishReason ||= typeof choice.finish_reason === 'string'
     for (const [field, value] of Object.entries(choice.delta ?? {})) this.applyDelta(field, value)
   }
 
