--- a/packages/coordination/src/prepaid/demandMeter.ts
+++ b/packages/coordination/src/prepaid/demandMeter.ts
@@ -1,6 +1,9 @@
 /**
- * Measures tokens or requests per second as an exponentially weighted average over the last few
- * seconds. Owns one decaying sum.
+ * Measures an amount per second (of tokens, requests or streams) as an exponentially weighted
+ * average over the last few seconds. Owns one decaying sum.
+ *
+ * Without the average, decisions that depend on a rate, such as the size of a holding, would follow
+ * every single request.
  */
 
 import type { Clock, Milliseconds, TokenCount } from '@rackwalk/shared'
@@ -16,7 +19,7 @@
  */
 const MINIMUM_WINDOW_MILLISECONDS = 2_000
 
-/** Measures tokens or requests per second with exponential decay. */
+/** Measures tokens, requests or streams per second with exponential decay. */
 export class DemandMeter {
   private decayedTotal = 0
   private countedAt: Milliseconds
@@ -37,12 +40,15 @@
     this.countedAt = this.startedAt
   }
 
-  /** Adds tokens; a negative number subtracts tokens that were added before. */
-  add(tokens: TokenCount): void {
+  /**
+   * Adds an amount, in the unit that this meter measures. A negative amount subtracts from what was
+   * added before; the sum does not fall below 0.
+   */
+  add(amount: TokenCount): void {
     this.decay()
     if (this.countedAt - this.addedAt > IDLE_MILLISECONDS) this.startedAt = this.countedAt
     this.addedAt = this.countedAt
-    this.decayedTotal = Math.max(0, this.decayedTotal + tokens)
+    this.decayedTotal = Math.max(0, this.decayedTotal + amount)
   }
 
   get perSecond(): number {
--- a/packages/coordination/src/prepaid/writePlan.ts
+++ b/packages/coordination/src/prepaid/writePlan.ts
@@ -3,6 +3,10 @@
  * of its inputs: decides which waiting requests the write covers, how many tokens move between pool
  * and holding, whether the write ends the holding of an earlier incarnation (an earlier run of the
  * instance's process), and how much may be spent before the following write.
+ *
+ * Without these rules, tokens would stay with instances that have no demand while requests wait at
+ * others, and what an earlier incarnation left unspent would never return to the pool. Nor could
+ * a crashed instance's unrecorded spending be bounded, so the budget could be overspent.
  */
 
 import {
@@ -48,7 +52,10 @@
   /** Tokens per second that this instance commits. */
   readonly spendingPerSecond: number
   readonly budgetView: BudgetView
-  /** Sum of the tokens that other holders lack for requests in progress. */
+  /**
+   * Sum over the other holders of the largest request that waits there uncovered, each at its whole
+   * size (`HolderRow.wanted`), whatever the holder still has.
+   */
   readonly othersWant: TokenCount
 }
 
@@ -107,8 +114,9 @@
 }
 
 /**
- * Whether the next write takes tokens from the pool, gives some back or sets the pool's limit;
- * computes only the pool part of the plan.
+ * Whether the next write creates the pool row, takes tokens from the pool, gives some back, sets
+ * the pool's limit or ends an earlier incarnation's holding; computes only the pool part of the
+ * plan.
  */
 export function wouldChangePool(inputs: WriteInputs): boolean {
   return planPool(inputs).changesPool
@@ -157,29 +165,31 @@
 }
 
 /**
- * Returns the tokens to take from the pool, negative if tokens are given back. `rest` is what is
- * left of the holding after the admitted requests, negative if they exceed the holding.
+ * Returns the tokens to take from the pool, negative if tokens are given back. `remaining` is what
+ * is left of the holding after the admitted requests, negative if they exceed the holding. The pool
+ * first covers what they lack, and `unspent` is what the holding then has. To reach its target the
+ * holding takes only tokens of the pool beyond `poolMinimum`.
  */
-function holdingChange(inputs: WriteInputs, pool: PoolRow, rest: TokenCount): TokenCount {
+function holdingChange(inputs: WriteInputs, pool: PoolRow, remaining: TokenCount): TokenCount {
   const { policy, budgetView } = inputs
   const free = freeInPool(pool)
   const tolerance = rebalanceTolerance(budgetView)
-  const needed = Math.max(0, -rest)
+  const needed = Math.max(0, -remaining)
   const target = Math.max(0, policy.target({ ...budgetView, free }))
-  const floor =
+  const poolMinimum =
     inputs.othersWant > 0
       ? Math.max(inputs.othersWant, policy.poolFloor(budgetView))
       : policy.poolFloor(budgetView)
-  const after = rest + needed
-  if (free < 0) return -Math.min(after, -free)
-  if (after < target * (1 - tolerance)) {
-    return needed + Math.max(0, Math.min(target - after, free - needed - floor))
+  const unspent = remaining + needed
+  if (free < 0) return -Math.min(unspent, -free)
+  if (unspent < target * (1 - tolerance)) {
+    return needed + Math.max(0, Math.min(target - unspent, free - needed - poolMinimum))
   }
-  const isShortElsewhere = free < floor / 2 || inputs.othersWant > free
-  const excess = after - target * (isShortElsewhere ? 1 : 1 + tolerance)
+  const isShortElsewhere = free < poolMinimum / 2 || inputs.othersWant > free
+  const excess = unspent - target * (isShortElsewhere ? 1 : 1 + tolerance)
   const tolerated = target > 0 ? Math.max(1, target * tolerance) : 0
-  if (excess > tolerated) return needed - Math.floor(after - target)
-  if (inputs.othersWant > free) return needed - tokensToRelease(inputs, after, free)
+  if (excess > tolerated) return needed - Math.floor(unspent - target)
+  if (inputs.othersWant > free) return needed - tokensToRelease(inputs, unspent, free)
   return needed
 }
 
@@ -198,14 +208,15 @@
 }
 
 /**
- * Returns the tokens to give back because other instances lack them for requests in progress: twice
- * an equal part of what the pool lacks, but at most half of the unspent tokens.
+ * Returns the tokens to give back because requests that wait at other instances exceed the free
+ * tokens of the pool: twice an equal part of what the pool lacks for them, but at most half of the
+ * unspent tokens.
  */
-function tokensToRelease(inputs: WriteInputs, after: TokenCount, free: TokenCount): TokenCount {
+function tokensToRelease(inputs: WriteInputs, unspent: TokenCount, free: TokenCount): TokenCount {
   const holders = inputs.budgetView.others.length
   const missing = inputs.othersWant - free
   const part = Math.ceil((2 * missing) / Math.max(1, holders))
-  return Math.floor(Math.min(after / 2, part))
+  return Math.floor(Math.min(unspent / 2, part))
 }
 
 function holderRow(
--- a/packages/daemon/src/gateway/crashCoordinator.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -36,12 +36,13 @@
 
 /**
  * Time after which gossip is sent once more, since a datagram may be lost. Only gossip with crash marks, clearances,
- * crashes of prompt parts (`partEnds`) or verdicts on prompt parts is repeated. Marks, clearances and verdicts also go
- * to the store, whose rows make up for messages that are lost twice.
+ * crashes of prompt parts (`partEnds`) or verdicts on prompt parts is repeated. Marks and refused prompt parts are also
+ * written to the store as rows, and clearances (of requests or parts) remove these rows, which makes up for messages
+ * that are lost twice.
  */
 const REPEAT_MILLISECONDS: Milliseconds = 250
 
-/** Detects requests that crash endpoints, records them in the store and shares them with other instances. */
+/** Connects the crash guard, which detects crash-inducing requests, with other instances, the store and the log. */
 export class CrashCoordinator {
   readonly guard: CrashGuard
   readonly records: CrashRecordStore
@@ -85,7 +86,10 @@
     for (const start of away) this.parts.directory().noteUnresponsive(start)
   }
 
-  /** Broadcasts gossip of this instance, repeats it if it has to be, and records its marks and clearances. */
+  /**
+   * Broadcasts gossip of this instance, and once more later if the gossip is of a kind that is repeated. Records the
+   * gossip's crash marks in the store and removes the records of the requests that it clears.
+   */
   private broadcastAndRecord(gossip: CrashGossip): void {
     this.parts.broadcast(gossip)
     this.noteUnresponsive(gossip)
@@ -106,7 +110,10 @@
     if (hasParts) this.parts.clock.after(REPEAT_MILLISECONDS, () => this.parts.broadcast(repeated))
   }
 
-  /** A refused prompt part is recorded like a refused request, under a key that no request has. */
+  /**
+   * Logs a verdict on a prompt part. A refused part is recorded like a refused request, under a key that no request has;
+   * the record of a part that is not refused any more is removed.
+   */
   private notePartVerdict(part: PromptPartKey, isRefused: boolean): void {
     const event = isRefused ? 'deadly_prompt_part' : 'sound_prompt_part'
     this.parts.telemetry.note(event, { part })
--- a/packages/decisions/src/admitting/configurationStaleness.ts
+++ b/packages/decisions/src/admitting/configurationStaleness.ts
@@ -9,22 +9,23 @@
  * revoked, uses routes that were deleted and sends requests to endpoints that are leaving.
  *
  * Inputs: for each table of rows its age, its bound from the settings and the time since this
- * instance sent the newest query that a peer answered with nothing newer; and the times since the
- * store last answered and since a peer's message last arrived. All are in milliseconds.
+ * instance sent the newest query that a peer answered, with newer rows or without; and the times
+ * since the store last answered and since a peer's message last arrived. All are in milliseconds.
  *
- * | copy older than 0.9 of its bound, and                                   | requests    |
- * | ----------------------------------------------------------------------- | ----------- |
- * | a peer answered a query sent within 0.4 of the bound with nothing newer | are served  |
- * | else the store or a peer was in contact within 0.25 of the bound        | are refused |
- * | neither                                                                 | are served  |
+ * | copy older than 0.9 of its bound, and                                      | requests    |
+ * | -------------------------------------------------------------------------- | ----------- |
+ * | a peer answered a query that was sent at most 0.4 of the bound ago         | are served  |
+ * | else the store or a peer was last in contact at most 0.25 of the bound ago | are refused |
+ * | neither                                                                    | are served  |
  *
  * Age alone is not enough to refuse: while no instance reaches the store, none can have newer rows,
- * and an instance that refused by age would refuse for the whole outage. A peer that answers either
- * sends newer rows or says that it has none. Where no peer answers, but the store has answered
- * another call or a peer has sent another message, this instance is still connected. Then its copy
- * is late because of its own load, and it refuses requests. An instance in contact with nobody is
- * cut off, that is, without a connection to the store and the peers; it serves by the copy that it
- * has.
+ * and an instance that refused by age would refuse for the whole outage. A peer's answer holds the
+ * rows that are newer than this copy, if the peer has any, and this instance applies them. So after
+ * any answer the copy is at least as new as that peer's. Where no peer answers, but the store has
+ * answered another call or a peer has sent another message, this instance is still connected. Then
+ * its copy is late because of its own load, and it refuses requests. An instance in contact with
+ * nobody is cut off, that is, without a connection to the store and the peers; it serves by the
+ * copy that it has.
  *
  * Limits: the margin before the bound covers the time in which a request reaches its endpoint.
  * Peers are asked well before the bound, so that their answers have arrived by then. A peer's
@@ -44,8 +45,8 @@
   /** Time within which a change has to take effect; from the settings. */
   readonly boundMilliseconds: Milliseconds
   /**
-   * Time since this instance sent the newest query that a peer answered with nothing newer;
-   * infinite if no peer has done so.
+   * Time since this instance sent the newest query that a peer answered, with newer rows or
+   * without; infinite if no peer has answered any.
    */
   readonly confirmedAgoMilliseconds: Milliseconds
 }
@@ -64,9 +65,11 @@
  */
 const MARGIN_SHARE = 0.1
 /**
- * Part of a bound after which peers are asked. A query for changes waits for half a bound at the
- * store and is repeated after a quarter of a second, so an active instance asks no peer while the
- * store answers. The time left until the bound is for answers that a full link delays.
+ * Part of a bound after which peers are asked. A query for changes waits for at most half a bound
+ * at the store, and an instance to which the directory sends callers (an active one) repeats it
+ * after at most a quarter of a second. With bounds of some seconds, an active instance therefore
+ * asks no peer while the store answers. The time left until the bound is for answers that a full
+ * link delays.
  */
 const PEER_QUERY_SHARE = 0.64
 /**
@@ -77,8 +80,9 @@
 const CONTACT_SHARE = 0.25
 /**
  * A peer's answer is valid for this part of a bound, counted from the time of the query. The rows
- * of a peer that follows the store may be late by the time for which a query waits at the store
- * (`FEED_WAIT_SHARE`), and both together stay within the bound less its margin.
+ * of a peer that follows the store may be late by the time for which its query waits at the store:
+ * 0.5 of the bound (`FEED_WAIT_SHARE`). With this 0.4, the total is 0.9 of the bound, which leaves
+ * the margin of 0.1 (`MARGIN_SHARE`).
  */
 const CONFIRMATION_SHARE = 0.4
 /**
--- a/packages/decisions/src/admitting/listenerPause.ts
+++ b/packages/decisions/src/admitting/listenerPause.ts
@@ -21,9 +21,10 @@
  * Limits: each pause is far shorter than the time after which callers and readiness checks consider
  * an instance lost. An instance keeps its listener open while it hears of no other instance, or
  * while more than half of those it hears of are overloaded, since no other instance would serve the
- * callers that it rejects. Before its first pause the instance waits for reports of others that are
- * overloaded. Windows vary at random, and so do pauses that are longer than the shortest one and
- * shorter than their limit, so that instances do not all close at the same time.
+ * callers that it rejects. Before the first pause of an overload the instance waits for
+ * `ONSET_MILLISECONDS`, so that reports of other overloaded instances arrive first. Windows vary at
+ * random, and so do pauses that are longer than the shortest one and shorter than their limit, so
+ * that instances do not all close at the same time.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -31,8 +32,9 @@
 /** An instance that refuses this share of its requests or more becomes overloaded. */
 const OVERLOADED_SHARE = 0.2
 /**
- * While the instance is overloaded, there are no pauses below this share. The share is lower than
- * `OVERLOADED_SHARE`, so that pauses do not begin and end with each burst.
+ * While the instance is overloaded, a sample of this share or more prolongs the overload and allows
+ * a pause; a sample below it does neither. The share is lower than `OVERLOADED_SHARE`, so that
+ * overload does not begin and end with each burst.
  */
 const RELIEVED_SHARE = 0.05
 /**
@@ -51,7 +53,7 @@
 const SHORTEST_PAUSE_MILLISECONDS: Milliseconds = 100
 /** Factor by which the limit grows with every pause of an overload, whatever the pause's length. */
 const PAUSE_LIMIT_GROWTH = 2
-/** Longest limit of a pause. */
+/** The limit of a pause grows no further than this. */
 const LONGEST_PAUSE_MILLISECONDS: Milliseconds = 1_000
 /** Windows, and pauses before they are limited, are up to this share longer or shorter. */
 const SPREAD = 0.25
@@ -70,7 +72,7 @@
 export class ListenerPause {
   /** Time of the last sample that showed overload. */
   private overloadedAt: Milliseconds = Number.NEGATIVE_INFINITY
-  /** Begin of the present or last overload. */
+  /** Start of the present overload, or of the last one. */
   private overloadedSince: Milliseconds = Number.POSITIVE_INFINITY
   /** Limit of the next pause. */
   private pauseLimit = SHORTEST_PAUSE_MILLISECONDS
@@ -106,7 +108,8 @@
    */
   pauseMilliseconds(others: PeerOverload, now: Milliseconds, randomFraction: number): Milliseconds {
     if (!this.mayPause(others, now) || this.refusedShare < RELIEVED_SHARE) return 0
-    // A window followed by such a pause is closed for the share of time given by `refusedShare`.
+    // With s = `refusedShare`, a window of length w and then a pause of w * s / (1 - s), the
+    // listener is closed for the share s of the time. `EPSILON` avoids a division by 0 for s = 1.
     const mean =
       (WINDOW_MILLISECONDS * this.refusedShare) / Math.max(Number.EPSILON, 1 - this.refusedShare)
     const pause = Math.max(SHORTEST_PAUSE_MILLISECONDS, spread(mean, randomFraction))
--- a/packages/decisions/src/admitting/refusedBody.ts
+++ b/packages/decisions/src/admitting/refusedBody.ts
@@ -1,25 +1,28 @@
 /**
- * Decides what happens to the body of a request that is refused before its body was read, and to
- * the connection.
+ * Decides what happens to the body of a request that is refused before its whole body was read, and
+ * to the connection.
  *
  * Load pattern: callers that keep their connections open are refused and retry at once, each time
  * with a whole body. Discarded bodies fill the link as much as admitted ones, and answers of the
  * store and of other instances queue behind them.
  *
- * Inputs: what is known of the body (size in bytes, how much has arrived), the time in milliseconds
- * after which the link's budget has covered the body (`LinkBandwidthBudget`), and the number of
- * other unread bodies.
+ * Inputs: the body's size in bytes, where it is known; whether the whole body has arrived; whether
+ * reading it was stopped midway; whether its caller awaits `100 Continue`; whether the connection
+ * ends with the refusal in any case; the time in milliseconds after which the link's budget has
+ * covered the body (`LinkBandwidthBudget`); and the number of other unread bodies.
  *
  * Limits: the refusal itself is sent at once. The connection is read again only once the link's
  * budget has covered the body, which holds back a caller that retries at once. In these cases the
  * connection is closed instead:
  *
- * - The connection would be left unread for longer than `MAXIMUM_HOLD_MILLISECONDS`, and the next
- *   request on it with it.
- * - Too many other refused bodies are unread, and this one has not arrived or is not covered.
- * - Reading the body was stopped midway, or the size of a body that is arriving is unknown or
- *   larger than keeping the connection is worth.
- * - The caller sends the body only when asked to, or the connection ends in any case.
+ * - The connection, and with it the caller's next request, would stay unread for longer than
+ *   `MAXIMUM_HOLD_MILLISECONDS`.
+ * - `MAXIMUM_UNREAD_BODIES` other refused bodies are unread, and this one has not arrived or is not
+ *   covered yet.
+ * - Reading the body was stopped midway.
+ * - The body has not arrived, and its size is unknown or above `MAXIMUM_READ_BYTES`.
+ * - The caller sends the body only after `100 Continue`.
+ * - The connection ends with the refusal in any case (`mustClose`).
  */
 
 import type { Bytes, Milliseconds } from '@rackwalk/shared'
@@ -30,16 +33,18 @@
  */
 const MAXIMUM_HOLD_MILLISECONDS: Milliseconds = 3_000
 /**
- * Largest number of connections that are left unread, or whose refused bodies are being read, at a
- * time, so that slow callers cannot take up all connections.
+ * Number of connections that are left unread, or whose refused bodies are being read, from which
+ * further connections are closed, so that slow callers cannot take up all connections. It is no
+ * upper limit: a connection that is being closed counts too while its body arrives.
  */
 const MAXIMUM_UNREAD_BODIES = 512
 /** Connections are not kept for larger bodies that are still arriving, however fast the link is. */
 const MAXIMUM_READ_BYTES: Bytes = 262_144
 
 /**
- * Time within which a refused body has to end, and within which a caller that was told to close its
- * connection has to do so.
+ * Time within which a refused body has to end, counted from the end of the hold, and within which a
+ * caller that was told to close its connection has to do so, counted from the refusal. The
+ * connection is destroyed otherwise.
  */
 export const REFUSED_BODY_MILLISECONDS: Milliseconds = 3_000
 /** Largest number of bytes that are read of a body whose connection is to be closed. */
--- a/packages/decisions/src/choosing/rateQuota.ts
+++ b/packages/decisions/src/choosing/rateQuota.ts
@@ -1,6 +1,6 @@
 /**
- * Decides how much of a rate that the whole fleet has to keep this instance may use at one
- * endpoint.
+ * Decides how many requests this instance may send to an endpoint that can take only a limited rate
+ * of requests from the whole fleet: the instance's quota (its part) of that rate.
  *
  * Load pattern: an endpoint that has just started, or returned, is empty and so looks best to every
  * instance at once, but can take only a few requests a second; an overloaded endpoint states in its
@@ -13,8 +13,9 @@
  * quota, as many as the rate has whole requests a second, but at least one. The holders are the
  * first in an order by hash over all recorded instances, whether or not these are heard of at
  * present; instances with callers come before the others. Each quota is at least one whole request
- * a second, or the whole rate where the rate is lower. The division needs no message, so the sum of
- * the quotas holds while all instances are cut off from each other.
+ * a second, or the whole rate where the rate is lower. The division needs no message, so instances
+ * that know the same recorded instances keep to the rate together, even while they are all cut off
+ * from each other.
  *
  * Requests have to go on to an endpoint that stated a rate, or no instance would learn that it can
  * take more again. The holders of quotas may have crashed, or may get no callers. So while no
@@ -24,9 +25,11 @@
  * Inputs: the rate in requests a second, the recorded instances and the time in milliseconds since
  * an answer of the endpoint or gossip about it last arrived.
  *
- * Limits: quotas add up to at most what the endpoint can take, and the bound that operators of
- * callers set is higher than that; the difference covers substitutes, and instances that learn of
- * others a moment earlier or later. An instance that is not recorded yet, or does not know the
+ * Limits: the quotas add up to at most the rate, and to less where rounding down to whole requests
+ * leaves a part of the rate unused. Requests of substitutes come on top of the quotas: each
+ * substitute may send one request in `SUBSTITUTE_AFTER_MILLISECONDS`. The fleet may also exceed the
+ * rate for a moment while instances learn of a change of the recorded instances at different times
+ * and so rank the holders differently. An instance that is not recorded yet, or does not know the
  * other instances yet, has no quota. Requests beyond the quota go to other endpoints.
  */
 
@@ -64,7 +67,10 @@
  * the endpoint.
  */
 const SUBSTITUTE_AFTER_MILLISECONDS: Milliseconds = 4_000
-/** Quota of an instance that may send because the holders of quotas are silent. */
+/**
+ * Quota of a substitute: an instance without a regular quota that may send because no answer of the
+ * endpoint and no gossip about it has arrived.
+ */
 const SUBSTITUTE_QUOTA: RateQuota = {
   requests: 1,
   windowMilliseconds: SUBSTITUTE_AFTER_MILLISECONDS,
@@ -79,7 +85,7 @@
 
 /**
  * Divides a rate among this many recorded instances; there is at least one holder. The window of a
- * quota is at least as long as the rate requires, so the quotas do not exceed the rate.
+ * quota is long enough that the requests of all holders together do not exceed the rate.
  */
 export function divideRate(requestsPerSecond: number, instances: number): RateShares {
   const holders = Math.max(1, Math.min(instances, Math.floor(requestsPerSecond)))
--- a/packages/decisions/src/retrying/terminationSigns.ts
+++ b/packages/decisions/src/retrying/terminationSigns.ts
@@ -10,15 +10,20 @@
  * although no answer can come. On the other hand, a draining endpoint may close its listener or lose its row and still
  * serve, and a slow or full one fails a short probe while it works.
  *
- * Inputs: the sign, the state of each exchange, the results of the state probes and their age, when the newest probe began
- * (or when a proof was seen), and when the endpoint was last heard from. All times are monotonic milliseconds.
+ * Inputs: the sign; the state of each exchange; the results of the state probes and the time since the newest probe began;
+ * when the probe behind the sign began, or when a proof (defined below) was seen; when the endpoint was last heard from;
+ * and, for the causes of a crash, when this instance saw the first reset or learned of the termination. All times are
+ * monotonic milliseconds.
+ *
+ * A state probe asks the endpoint for its state without taking a slot. A probe fails if the answer is a server error
+ * (status 500 or more), and is held while its connection is established and no answer has arrived.
  *
  * | sign                                                                    | retryable  | final      | started    | probe |
  * | ----------------------------------------------------------------------- | ---------- | ---------- | ---------- | ----- |
  * | `replaced`: the endpoint's row names a new start                        | terminated | terminated | terminated |       |
  * | `misdirected`: another server answers at the address                    | terminated | terminated | terminated |       |
  * | `silent`: a state probe failed or was held for 200 ms                   | terminated |            |            |       |
- * | `still-silent`: the newest one failed or was held for 500 ms (see text) | terminated | terminated |            |       |
+ * | `still-silent`: newest probe failed or was held for 500 ms (see text)   | terminated | terminated |            |       |
  * | `cut-off`: unlisted; no connection in the second probe                  | terminated |            |            |       |
  * | `away`: gossip that short probes got no answer from the engine          |            |            |            | yes   |
  * | `broke-off`: the endpoint interrupted an answer that had begun          |            |            |            | yes   |
@@ -34,16 +39,16 @@
  * if nothing has arrived in the exchange or from the endpoint since the probe began. A paused exchange, whose caller accepts
  * no data at present, is terminated by no sign, not even by a proof: its whole answer may already have arrived unread.
  *
- * A state probe asks the endpoint for its state without taking a slot. It fails if the answer is an error, and is held if
- * the connection is established and no answer arrives. `still-silent` takes one probe after `away`, and two after
- * `broke-off` or `unlisted`. The second probe follows if the first one failed, was held or, after `unlisted`, got no
- * connection. Only the result of the newest probe counts, so after `unlisted` one probe without a connection and one that
- * failed or was held can give `still-silent` as well as `cut-off`, depending on their order.
+ * `still-silent` takes one probe after `away`, and two after `broke-off` or `unlisted`. The second probe follows if the
+ * first one failed, was held or, after `unlisted`, got no connection. Only the result of the newest probe counts, so
+ * after `unlisted` one probe without a connection and one that failed or was held can give `still-silent` as well as
+ * `cut-off`, depending on their order.
  *
- * Gossip (messages that instances send each other) carries no time, so gossip terminates nothing. The probe that gossip
- * causes is made by this instance and terminates only exchanges that were sent before that probe. An engine that came back
- * between another instance's probe and its gossip answers the probe. A dead process resets its own connections, so
- * `nobody-listens` needs no action. A full endpoint may close or reset a probe's connection, so `turned-away` has no effect.
+ * Gossip (messages that instances send each other) carries no time, so gossip terminates nothing by itself. Gossip
+ * makes this instance probe the endpoint, and only exchanges that were sent before this probe can be terminated. If the
+ * engine has come back since the other instance's probe, the engine answers, and nothing is terminated. A dead process
+ * resets its own connections, so `nobody-listens` needs no action. A full endpoint may close or reset a probe's
+ * connection, so `turned-away` has no effect.
  *
  * Limits: a host without power whose row is still listed is not probed. A stream that cannot be resumed is terminated only
  * by a proof, since a long silence may be the prefill of a long prompt.
--- a/packages/decisions/src/stopping/finalError.ts
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -5,9 +5,15 @@
  * has passed. Waiting times are in milliseconds.
  *
  * The error says "not run" only if no attempt can have run the request, since a caller may safely send such a request
- * again. A disconnected caller or a passed deadline determines the error before anything else, then the reason for which
- * no endpoint was chosen. After that, the newest failed attempt that may have run the request determines the error, or else
- * the newest answered one. Without this rule a request that must run only once could run twice.
+ * again. Without this rule a request that must run only once could run twice. The first of these that applies determines
+ * the error:
+ *
+ * 1. The caller has disconnected.
+ * 2. The deadline has passed.
+ * 3. There is a reason for which no endpoint was chosen.
+ * 4. Attempts may have run the request. The newest failed one of these decides, or else the newest of these.
+ * 5. No attempt can have run the request. The error then says that the endpoint refused the request, if the endpoint
+ *    refused the newest attempt as not run; otherwise the error says that there is no endpoint, or no connection.
  */
 
 import { DispatchedError, NotRunError, ResultCode } from '@rackwalk/shared'
@@ -27,30 +33,36 @@
 
 /** Why no endpoint was chosen. */
 export type NoEndpointReason =
-  /** No endpoint of the service is listed. */
+  /** No endpoint of the service is listed, or all listed ones count as unreachable. */
   | { readonly kind: 'none-listed' }
-  /** Endpoints of the service are listed, but none has room. */
+  /**
+   * Endpoints of the service are available, but each of them has no room, would probably reject the request, or is behind a
+   * lost link.
+   */
   | { readonly kind: 'none-with-room' }
   /**
-   * No endpoint with room may receive requests from this instance now. `refusal` is the endpoints' refusal that ends first.
-   * `chance` is a random number in [0, 1) that spreads the times at which callers return.
+   * No endpoint with room can be sent the request, and at least one of them may receive no requests from this instance now
+   * (see `SendRefusal`). `refusal` is the endpoints' refusal that ends first. `chance` is a random number in [0, 1) that
+   * spreads the times at which callers return.
    */
   | { readonly kind: 'none-permitted'; readonly refusal: SendRefusal; readonly chance: number }
-  /** Endpoints crashed under the request, and it is not sent to another one. */
+  /** The request, or one of its prompt parts, is refused because it appears to crash endpoints. */
   | { readonly kind: 'crashing' }
 
 /** A request that ended without a complete answer. */
 export interface EndedRequest {
   readonly service: string
-  /** Outcomes of all attempts, the newest last. An attempt that was in progress when the request ended is left out. */
+  /** Outcomes of all attempts, the newest last, including an attempt that the deadline or a disconnected caller aborted. */
   readonly history: readonly AttemptOutcome[]
   /** Whether the caller has disconnected. */
   readonly isCallerGone: boolean
   /** Whether the deadline has passed. */
   readonly isLate: boolean
   /**
-   * Why no endpoint was chosen, if no attempt can have run the request. Undefined if an endpoint was chosen, or if the
-   * outcomes of the attempts give the better error.
+   * Why no endpoint was chosen. Set only if no attempt can have run the request and
+   * - no endpoint was found for the first attempt,
+   * - the request is refused as `crashing`, also after attempts that cannot have run it, or
+   * - the newest attempt was refused and no available endpoint may receive requests now (`none-permitted`).
    */
   readonly noChoice: NoEndpointReason | undefined
 }
--- a/packages/router/src/gateway/peerRelay.ts
+++ b/packages/router/src/gateway/peerRelay.ts
@@ -1,7 +1,9 @@
 /**
- * Relays one request, which this instance can't send to any endpoint, to another instance. That instance
- * serves the request as its own: it admits the request, reserves its budget and makes the attempts. Owns the
- * exchange in progress; the rules are in decisions/choosing/relayPeer and decisions/retrying/relayStep.
+ * Relays one request, which this instance can't send to any endpoint, to other instances, one after another.
+ * An instance that takes the request serves it as its own: it admits the request, reserves its budget and
+ * makes the attempts. Without the relay, callers of an instance that is cut off (without a connection to the
+ * endpoints) would get errors while other instances could serve them. Owns the exchange in progress; the
+ * rules are in decisions/choosing/relayPeer and decisions/retrying/relayStep.
  */
 
 import type { Agent, IncomingMessage } from 'node:http'
@@ -56,7 +58,7 @@
   readonly record: GatewayRecord
 }
 
-/** Header that names the relaying instance; a request that carries it is never relayed again. */
+/** Header that names the relaying instance; a request with this header is never relayed again. */
 export const RELAYED_BY = 'rackwalk-relayed-by'
 
 /**
@@ -80,8 +82,9 @@
   ) {}
 
   /**
-   * Relays the request. Resolves with true if the caller has an answer or an error, or has left; with
-   * false if the caller has nothing yet and no instance may have run the request.
+   * Relays the request. Resolves with true if the request is over: the caller has received an answer, a part
+   * of an interrupted answer or an error, or has left. Resolves with false if the caller has received nothing
+   * yet and none of the other instances can have run the request.
    */
   async run(): Promise<boolean> {
     const { reply, deadlineAt } = this.request
@@ -124,7 +127,9 @@
   }
 
   /**
-   * Resolves with whether the caller received the answer, or as much of the answer as arrived, or an error.
+   * Relays the request to one instance. Resolves with true if the answer's delivery ended the request: the
+   * caller received the whole answer, a part of it or an error, or left meanwhile. Resolves with false if
+   * nothing was delivered, also if the caller left or the deadline passed before the answer began.
    */
   private async relayTo(peer: RelayPeer): Promise<boolean> {
     this.triedInstances.add(peer.instance)
@@ -195,7 +200,7 @@
 
   /**
    * The answer was interrupted. If this instance or the caller interrupted it, or the caller has begun to
-   * receive the answer, the request is given up. Returns whether it was.
+   * receive the answer, the request is given up. Returns whether the request was given up.
    */
   private endInterrupted(ended: EndedAnswer, relayRecord: RelayRecord): boolean {
     this.outcomes.pop()
