--- a/bench/src/capacity/gatewaySlopes.ts
+++ b/bench/src/capacity/gatewaySlopes.ts
@@ -112,7 +112,7 @@
     directory,
     clock,
     capacityOf: () => CAPACITY,
-    isTold: () => true,
+    isReported: () => true,
     users: () => 7,
   })
   return { directory, fleetLoad }
--- a/bench/src/routing/routingSimulation.ts
+++ b/bench/src/routing/routingSimulation.ts
@@ -106,7 +106,7 @@
     this.scheduleBurst()
     await this.clock.advance(milliseconds)
     const tokens = this.engines.reduce((sum, engine) => sum + engine.promptTokens, 0)
-    const hits = this.engines.reduce((sum, engine) => sum + engine.hitTokens, 0)
+    const hits = this.engines.reduce((sum, engine) => sum + engine.cacheHitTokens, 0)
     const busiest = Math.max(...this.engines.map(engine => engine.requests))
     return {
       firstToken: this.firstToken,
--- a/packages/coordination/__tests__/crashRecords.spec.ts
+++ b/packages/coordination/__tests__/crashRecords.spec.ts
@@ -75,11 +75,11 @@
     const { clock, startInstance, rows } = setUp()
     const { records, faults } = startInstance()
     await clock.advance(1_000)
-    faults.isTurnedAway = true
+    faults.isThrottled = true
     records.record([mark('a')])
     await clock.advance(5_000)
     expect(rows()).toHaveLength(0)
-    faults.isTurnedAway = false
+    faults.isThrottled = false
     await clock.advance(2_000)
     expect(rows()).toHaveLength(1)
   })
--- a/packages/coordination/__tests__/prepaidExploration.spec.ts
+++ b/packages/coordination/__tests__/prepaidExploration.spec.ts
@@ -1,5 +1,10 @@
 import { describe, expect, it } from 'vitest'
-import { BROKEN_LEDGERS, SECRETIVE_LEDGER, SOUND_LEDGER, explorePrepaid } from '@rackwalk/stand-ins'
+import {
+  BROKEN_LEDGERS,
+  UNANNOUNCING_LEDGER,
+  SOUND_LEDGER,
+  explorePrepaid,
+} from '@rackwalk/stand-ins'
 
 const SEEDS = [1, 20261202]
 const RUNS = 400
@@ -26,7 +31,7 @@
   })
 
   it('is found to be out of reach with a ledger that does not announce its demand', async () => {
-    const variant = SECRETIVE_LEDGER
+    const variant = UNANNOUNCING_LEDGER
     const result = await explorePrepaid({ runs: CONTROL_RUNS, seed: 1, variant })
     expect(result.failure).toContain('reach')
   })
--- a/packages/coordination/__tests__/standbyDemand.spec.ts
+++ b/packages/coordination/__tests__/standbyDemand.spec.ts
@@ -38,7 +38,7 @@
   readonly clock = new VirtualClock()
   private readonly rows = new MemoryRowStore(this.clock)
   private readonly ledgers = new Map<string, PrepaidLedger>()
-  private readonly faults = new Map<string, { isCut: boolean; isTurnedAway: boolean }>()
+  private readonly faults = new Map<string, { isCut: boolean; isThrottled: boolean }>()
   /** Instances that no other instance can reach. */
   private readonly unreached = new Set<string>()
   private starts = 0
@@ -80,7 +80,7 @@
 
   /** Makes the store reject this instance's calls; other instances can still reach it. */
   rejectCalls(instance: string): void {
-    Object.assign(this.faults.get(instance) ?? {}, { isTurnedAway: true })
+    Object.assign(this.faults.get(instance) ?? {}, { isThrottled: true })
   }
 
   /** Kills the process of an instance and starts a new one later. */
--- a/packages/coordination/src/coordinationNode.ts
+++ b/packages/coordination/src/coordinationNode.ts
@@ -77,11 +77,11 @@
   /** Number of requests in progress, reported to peers. */
   readonly inFlight?: () => number
   /** Called when a peer reports the advice of endpoints. */
-  readonly onAdviceNews?: (news: readonly AdviceGossip[]) => void
+  readonly onAdviceGossip?: (news: readonly AdviceGossip[]) => void
   /** Endpoints that this instance knows to be leaving (about to terminate), reported to peers. */
   readonly leavingEndpoints?: () => readonly string[]
   /** Called when a peer reports requests that crash endpoints. */
-  readonly onCrashNews?: (news: CrashGossip) => void
+  readonly onCrashGossip?: (news: CrashGossip) => void
   /**
    * Called with the platform's list of instances, so that the channel to peers learns their
    * addresses.
@@ -233,8 +233,8 @@
       describe: () => this.describe(),
       canHoldEntries: () => this.canHoldEntries(),
       drain: () => this.drain(),
-      noteCrashes: news => this.parts.onCrashNews?.(news),
-      noteAdvice: news => this.parts.onAdviceNews?.(news),
+      noteCrashes: news => this.parts.onCrashGossip?.(news),
+      noteAdvice: news => this.parts.onAdviceGossip?.(news),
       askForMembers: (target, group) => this.askForMembers(target, group),
     })
   }
--- a/packages/daemon/src/createChatRelay.ts
+++ b/packages/daemon/src/createChatRelay.ts
@@ -26,7 +26,14 @@
     node.membership.liveMembers().filter(member => {
       return member.state === 'serving' && member.incarnation !== incarnation
     })
-  const onHandedOver = ({ kind }: { readonly kind: string }) => metrics.noteRelay(kind)
-  const parts = { incarnation, failureDomain, clock, random, peers: others, onHandedOver }
+  const onRelayed = ({ kind }: { readonly kind: string }) => metrics.noteRelay(kind)
+  const parts = {
+    incarnation,
+    failureDomain,
+    clock,
+    random,
+    peers: others,
+    onRelayed,
+  }
   return new ChatRelay(parts)
 }
--- a/packages/daemon/src/gateway/crashCoordinator.ts
+++ b/packages/daemon/src/gateway/crashCoordinator.ts
@@ -74,7 +74,7 @@
 
   /** Applies crash gossip of another instance. */
   observe(gossip: CrashGossip): void {
-    this.guard.applyNews(gossip)
+    this.guard.applyGossip(gossip)
     this.noteUnresponsive(gossip)
   }
 
--- a/packages/daemon/src/gateway/endpointSubsystem.ts
+++ b/packages/daemon/src/gateway/endpointSubsystem.ts
@@ -115,7 +115,7 @@
       instances: () => fleet().sharers,
       maximumConnections: name => service(name)?.maximumConnections ?? 1,
       coldMilliseconds: name => service(name)?.warmUp?.durationMilliseconds ?? 0,
-      saysLeaving: start => this.advice.advices.isLeaving(start),
+      hasAnnouncedLeaving: start => this.advice.advices.isLeaving(start),
       onChange: (endpoint, change) => this.noteChange(endpoint, change),
       onReplaced: start => this.noteReplaced(start),
     })
@@ -207,10 +207,10 @@
       capacityOf: name => service(name)?.engine?.capacity,
       // A standby instance reports only its load of services whose engine is configured: other requests wait while
       // such an endpoint reads a prompt, whereas the endpoints' own answers soon show load of other services.
-      isTold: name => fleet().isSelfActive || service(name)?.engine !== undefined,
+      isReported: name => fleet().isSelfActive || service(name)?.engine !== undefined,
       users: () => fleet().usingOthers.length + 1,
       onSent: () => this.exchange?.noteSent(),
-      onAsked: id => this.advice.notePeerRequests(this.directory.startOf(id)),
+      onPeerRequests: id => this.advice.notePeerRequests(this.directory.startOf(id)),
     })
   }
 
@@ -230,8 +230,8 @@
       onCutOff: (...report) => this.cutOff.note(...report),
       onStreamGossip: gossip => this.streams.origins.observe(gossip),
       onSender: sender => unknownSenders.note(sender),
-      standingAdvice: () => this.advice.advices.newsSnapshot,
-      standingCrashes: () => this.crashes.guard.newsSnapshot,
+      standingAdvice: () => this.advice.advices.gossipSnapshot,
+      standingCrashes: () => this.crashes.guard.gossipSnapshot,
       standingVersions: () => this.streams.origins.versionsSnapshot,
       clock,
       onMalformed: input => telemetry.noteMalformed(input),
--- a/packages/daemon/src/gateway/gatewayDaemon.ts
+++ b/packages/daemon/src/gateway/gatewayDaemon.ts
@@ -328,7 +328,7 @@
       linkBytesPerSecond: linkBytesPerSecond(instance.capacity),
       refusedBodyCounters: this.telemetry,
       instances: () => this.fleet.worstCaseSharers,
-      checkKnowledge: () => this.health.checkStaleness(),
+      checkStaleness: () => this.health.checkStaleness(),
       isDraining: () => this.isDrainStarted,
       isRefusing: () => this.isRefusing,
       onRecord: record => {
--- a/packages/daemon/src/requestPath.ts
+++ b/packages/daemon/src/requestPath.ts
@@ -118,7 +118,7 @@
     claim: new ClaimFilter(claims),
     route: new RouteFilter(router),
     dispatch,
-    relay: new DeliveryFilter({
+    delivery: new DeliveryFilter({
       ledger,
       endpoints,
       clock,
@@ -138,7 +138,7 @@
     incarnation,
     clock,
     createRequestId: () => createRequestId(incarnation, clock.wallTime(), (count += 1)),
-    handOver: parts.chatRelay,
+    chatRelay: parts.chatRelay,
     isCutOff,
     onRecord: parts.onRecord,
     onFault: parts.onFault,
--- a/packages/daemon/src/tasks/crashTask.ts
+++ b/packages/daemon/src/tasks/crashTask.ts
@@ -76,7 +76,7 @@
         logger.warn('endpoint_ended', { endpoint: endpoint.id, signs, unanswered: requests })
       },
       onUnreachable: start => parts.onUnreachable(endpointOf(start)),
-      onKnownEnd: (start, end) => parts.onKnownTermination(endpointOf(start), end),
+      onKnownTermination: (start, end) => parts.onKnownTermination(endpointOf(start), end),
       broadcast: gossip => this.recordAndBroadcast(gossip),
       onVerdict: (fingerprint, isRefused) => {
         const event = isRefused ? 'crashing_request_refused' : 'crashing_request_cleared'
--- a/packages/decisions/__tests__/abandonedRequests.spec.ts
+++ b/packages/decisions/__tests__/abandonedRequests.spec.ts
@@ -24,7 +24,7 @@
     const requests = new AbandonedRequests()
     const seen: string[] = []
     const note = (label: string, now: number) => {
-      const wait = requests.confirmationMilliseconds(now).toFixed(0)
+      const wait = requests.leaveNoticeMilliseconds(now).toFixed(0)
       seen.push(`${label}: share ${requests.share(now).toFixed(2)}, waits ${wait} ms`)
     }
     let now = read(requests, 0, 100, () => false)
@@ -56,6 +56,6 @@
       late.noteRead(now)
       late.noteLeft(400, now + 400)
     }
-    expect([few.isElevated(60), late.isElevated(1_000)]).toEqual([false, false])
+    expect([few.isShareElevated(60), late.isShareElevated(1_000)]).toEqual([false, false])
   })
 })
--- a/packages/decisions/__tests__/finalError.spec.ts
+++ b/packages/decisions/__tests__/finalError.spec.ts
@@ -30,14 +30,18 @@
 
 function errorText(
   history: readonly AttemptOutcome[],
-  more: { isCallerGone?: boolean; isLate?: boolean; noChoice?: NoEndpointReason } = {},
+  more: {
+    isCallerGone?: boolean
+    isDeadlinePassed?: boolean
+    noEndpointReason?: NoEndpointReason
+  } = {},
 ): string {
   const error = finalError({
     service: 'models',
     history,
     isCallerGone: false,
-    isLate: false,
-    noChoice: undefined,
+    isDeadlinePassed: false,
+    noEndpointReason: undefined,
     ...more,
   })
   return `${error.code} ${RESULT_TABLE[error.code].execution}: ${error.message}`
@@ -62,16 +66,16 @@
 
   it('says where the deadline passed', () => {
     const table = Object.entries(HISTORIES).map(
-      ([name, history]) => `${name} | ${errorText(history, { isLate: true })}`,
+      ([name, history]) => `${name} | ${errorText(history, { isDeadlinePassed: true })}`,
     )
     expect(table).toMatchSnapshot()
   })
 
   it('says that nobody could be asked, or that the caller left', () => {
     expect([
-      errorText([], { noChoice: { kind: 'none-listed' } }),
-      errorText([], { noChoice: { kind: 'none-with-room' } }),
-      errorText([FAILED], { isCallerGone: true, isLate: true }),
+      errorText([], { noEndpointReason: { kind: 'none-listed' } }),
+      errorText([], { noEndpointReason: { kind: 'none-with-room' } }),
+      errorText([FAILED], { isCallerGone: true, isDeadlinePassed: true }),
     ]).toMatchSnapshot()
   })
 
@@ -80,8 +84,8 @@
       service: 'model',
       history: [],
       isCallerGone: false,
-      isLate: false,
-      noChoice: {
+      isDeadlinePassed: false,
+      noEndpointReason: {
         kind: 'none-permitted',
         refusal: { kind: 'cold', waitMilliseconds: 1_700 },
         chance: 0,
--- a/packages/decisions/__tests__/livenessProbe.spec.ts
+++ b/packages/decisions/__tests__/livenessProbe.spec.ts
@@ -74,7 +74,7 @@
 
 describe('contact with an endpoint that reset a request', () => {
   const never = Number.NEGATIVE_INFINITY
-  const reset = { brokenAt: 100, lookedAt: 130 }
+  const reset = { resetAt: 100, lookedAt: 130 }
 
   it('proves life by the time of the state request, or by bytes read after the first probe', () => {
     const proofs = [100, 101, 130, 131].map(at => [
--- a/packages/decisions/__tests__/terminationSigns.spec.ts
+++ b/packages/decisions/__tests__/terminationSigns.spec.ts
@@ -2,7 +2,7 @@
 import {
   PROBE_TIMEOUT_MILLISECONDS,
   LONG_PROBE_TIMEOUT_MILLISECONDS,
-  isAsked,
+  requiresStateProbe,
   requiresAnotherProbe,
   isTerminatedBy,
   signOfProbes,
@@ -59,7 +59,7 @@
 describe('a sign that an endpoint start is over', () => {
   it('terminates these exchanges there', () => {
     const table = SIGNS.map(sign => {
-      const asked = isAsked(sign, Object.values(EXCHANGES)) ? 'asked' : 'not asked'
+      const asked = requiresStateProbe(sign, Object.values(EXCHANGES)) ? 'asked' : 'not asked'
       return `${sign} | ${asked} | ${terminatedBy(sign).join(', ') || 'none'}`
     })
     expect(table).toMatchInlineSnapshot(`
@@ -107,8 +107,8 @@
 
   it('causes no probe if the result could terminate nothing', () => {
     const { 'began, may not be resumed': begun } = EXCHANGES
-    expect(isAsked('away', [])).toBe(false)
-    expect(isAsked('away', begun === undefined ? [] : [begun])).toBe(false)
+    expect(requiresStateProbe('away', [])).toBe(false)
+    expect(requiresStateProbe('away', begun === undefined ? [] : [begun])).toBe(false)
   })
 })
 
--- a/packages/decisions/__tests__/withdrawal.spec.ts
+++ b/packages/decisions/__tests__/withdrawal.spec.ts
@@ -9,7 +9,7 @@
 
 const RESET_AT = 10_000
 const PROBED_AT = 10_200
-const PROBE: KnownTermination = { source: 'look', brokenAt: RESET_AT, lookedAt: PROBED_AT }
+const PROBE: KnownTermination = { source: 'look', resetAt: RESET_AT, lookedAt: PROBED_AT }
 
 function sent(sentAt: number, part: Partial<InFlightAttempt> = {}): InFlightAttempt {
   return {
@@ -22,8 +22,8 @@
   }
 }
 
-function gossip(toldAt: number, firstToldAt = toldAt): KnownTermination {
-  return { source: 'news', firstToldAt, toldAt }
+function gossip(reportedAt: number, firstReportedAt = reportedAt): KnownTermination {
+  return { source: 'news', firstReportedAt, reportedAt }
 }
 
 describe('an attempt without a part of an answer', () => {
--- a/packages/decisions/src/admitting/abandonedRequests.ts
+++ b/packages/decisions/src/admitting/abandonedRequests.ts
@@ -85,7 +85,7 @@
   }
 
   /** Whether the share is so high that the caller of a request just read may have left. */
-  isElevated(now: Milliseconds): boolean {
+  isShareElevated(now: Milliseconds): boolean {
     return this.share(now) > ELEVATED_SHARE
   }
 
@@ -93,8 +93,8 @@
    * Returns how long a request waits for a notice that its caller has left, before it is sent to an
    * endpoint; 0 while the share is not elevated.
    */
-  confirmationMilliseconds(now: Milliseconds): Milliseconds {
-    if (!this.isElevated(now)) return 0
+  leaveNoticeMilliseconds(now: Milliseconds): Milliseconds {
+    if (!this.isShareElevated(now)) return 0
     return Math.min(LONGEST_CONFIRMATION_MILLISECONDS, DELAY_MARGIN * (this.leaveDelay ?? 0))
   }
 }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -101,7 +101,7 @@
 export {
   PROBE_TIMEOUT_MILLISECONDS,
   LONG_PROBE_TIMEOUT_MILLISECONDS,
-  isAsked,
+  requiresStateProbe,
   requiresAnotherProbe,
   isTerminatedBy,
   signOfProbes,
--- a/packages/decisions/src/retrying/livenessProbe.ts
+++ b/packages/decisions/src/retrying/livenessProbe.ts
@@ -75,17 +75,17 @@
 /** A reset that caused probes of the endpoint. Times are monotonic. */
 interface ProbedReset {
   /** When this instance saw the reset. */
-  readonly brokenAt: Milliseconds
+  readonly resetAt: Milliseconds
   /** When the first probe after the reset was over. */
   readonly lookedAt: Milliseconds
 }
 
 /** Whether the last contact with an endpoint proves that the endpoint was alive after a reset. */
 export function wasAliveAfterReset(
-  { brokenAt, lookedAt }: ProbedReset,
+  { resetAt, lookedAt }: ProbedReset,
   contact: LastContactTimes,
 ): boolean {
-  return contact.askedAt > brokenAt || contact.readAt > lookedAt
+  return contact.askedAt > resetAt || contact.readAt > lookedAt
 }
 
 /** Returns the latest monotonic time at which an endpoint was certainly alive, according to its last contact. */
--- a/packages/decisions/src/retrying/requestQuarantine.ts
+++ b/packages/decisions/src/retrying/requestQuarantine.ts
@@ -120,7 +120,7 @@
   }
 
   /** Returns the crash marks of which a request is not cleared. */
-  openMarksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
+  unclearedMarksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
     return this.unclearedCrashes(fingerprint).map(([start, wasIsolated]) => {
       return { fingerprint, start, wasIsolated }
     })
--- a/packages/decisions/src/retrying/terminationSigns.ts
+++ b/packages/decisions/src/retrying/terminationSigns.ts
@@ -164,7 +164,10 @@
  * Whether a sign makes this instance probe the endpoint's state. No probe is made if every exchange in flight there is
  * "started", since no probe result could terminate those.
  */
-export function isAsked(sign: TerminationSign, exchanges: readonly InFlightState[]): boolean {
+export function requiresStateProbe(
+  sign: TerminationSign,
+  exchanges: readonly InFlightState[],
+): boolean {
   return (
     SIGN_RULES[sign].requiresProbe &&
     exchanges.some(exchange => exchangeClassOf(exchange) !== 'cut')
--- a/packages/decisions/src/retrying/withdrawal.ts
+++ b/packages/decisions/src/retrying/withdrawal.ts
@@ -28,7 +28,7 @@
       /** This instance's own probes, or a row with a new start of an endpoint that reset requests here. */
       readonly source: 'look'
       /** When this instance saw the reset that caused the probes. */
-      readonly brokenAt: Milliseconds
+      readonly resetAt: Milliseconds
       /** When the newest probe that confirmed the termination began, or when the reset was seen if no probe was made. */
       readonly lookedAt: Milliseconds
     }
@@ -36,9 +36,9 @@
       /** A gossip message from another instance. */
       readonly source: 'news'
       /** When this instance received the first gossip message about this termination. */
-      readonly firstToldAt: Milliseconds
+      readonly firstReportedAt: Milliseconds
       /** When this instance received the newest gossip message about this termination. */
-      readonly toldAt: Milliseconds
+      readonly reportedAt: Milliseconds
     }
 
 /** An attempt that is still in progress at an endpoint. Times are monotonic. */
@@ -95,7 +95,7 @@
 
 /** Returns when the newest evidence of a termination was obtained. */
 function knownAt(termination: KnownTermination): Milliseconds {
-  return termination.source === 'look' ? termination.lookedAt : termination.toldAt
+  return termination.source === 'look' ? termination.lookedAt : termination.reportedAt
 }
 
 /** Whether later evidence confirms the first, and the endpoint has reported no state in between. */
@@ -114,13 +114,16 @@
  */
 function sendingBounds(termination: KnownTermination, endpointHeardAt: Milliseconds) {
   if (termination.source === 'look')
-    return { unansweredBefore: termination.lookedAt, presentBefore: termination.brokenAt }
-  const leftAt = termination.toldAt - GOSSIP_DELAY_MILLISECONDS
+    return { unansweredBefore: termination.lookedAt, presentBefore: termination.resetAt }
+  const leftAt = termination.reportedAt - GOSSIP_DELAY_MILLISECONDS
   // The gossip message left its sender at `leftAt` at the earliest. An endpoint that has reported its state since then may
   // be back, or may never have terminated.
   const isBack = endpointHeardAt >= leftAt
   const unansweredBefore = isBack ? Number.NEGATIVE_INFINITY : leftAt
-  return { unansweredBefore, presentBefore: termination.firstToldAt - GOSSIP_DELAY_MILLISECONDS }
+  return {
+    unansweredBefore,
+    presentBefore: termination.firstReportedAt - GOSSIP_DELAY_MILLISECONDS,
+  }
 }
 
 /** Whether an answer that has begun stalled before the newest probe of this instance. */
--- a/packages/decisions/src/stopping/finalError.ts
+++ b/packages/decisions/src/stopping/finalError.ts
@@ -57,20 +57,20 @@
   /** Whether the caller has disconnected. */
   readonly isCallerGone: boolean
   /** Whether the deadline has passed. */
-  readonly isLate: boolean
+  readonly isDeadlinePassed: boolean
   /**
    * Why no endpoint was chosen. Set only if no attempt can have run the request and
    * - no endpoint was found for the first attempt,
    * - the request is refused as `crashing`, also after attempts that cannot have run it, or
    * - the newest attempt was refused and no available endpoint may receive requests now (`none-permitted`).
    */
-  readonly noChoice: NoEndpointReason | undefined
+  readonly noEndpointReason: NoEndpointReason | undefined
 }
 
 /** Returns the error of a request that ended without a complete answer. */
 export function finalError(request: EndedRequest): RackwalkError {
   if (request.isCallerGone) return new DispatchedError(ResultCode.CallerLeft)
-  if (request.isLate) return lateError(request)
+  if (request.isDeadlinePassed) return lateError(request)
   return errorAfter(request)
 }
 
@@ -84,8 +84,8 @@
   return new NotRunError(ResultCode.DeadlineUnreachable)
 }
 
-function errorAfter({ service, history, noChoice }: EndedRequest): RackwalkError {
-  if (noChoice !== undefined) return noEndpointError(service, noChoice)
+function errorAfter({ service, history, noEndpointReason }: EndedRequest): RackwalkError {
+  if (noEndpointReason !== undefined) return noEndpointError(service, noEndpointReason)
   const possibleRuns = history.filter(mayHaveRun)
   const failure = possibleRuns.findLast(isFailure) ?? possibleRuns.at(-1)
   if (failure !== undefined) return errorOfRun(failure)
--- a/packages/router/__tests__/crashGuard.spec.ts
+++ b/packages/router/__tests__/crashGuard.spec.ts
@@ -29,7 +29,7 @@
       },
       onCrash: () => {},
       onUnreachable: () => {},
-      broadcast: (gossip: CrashGossip) => guards[1]?.applyNews(gossip),
+      broadcast: (gossip: CrashGossip) => guards[1]?.applyGossip(gossip),
       onVerdict: () => {},
     })
   guards.push(createGuard(), createGuard())
--- a/packages/router/__tests__/inFlightExchanges.spec.ts
+++ b/packages/router/__tests__/inFlightExchanges.spec.ts
@@ -10,7 +10,7 @@
 
 /** The exchanges that fail when an endpoint is known to have terminated. */
 
-const END: KnownTermination = { source: 'look', brokenAt: 100, lookedAt: 200 }
+const END: KnownTermination = { source: 'look', resetAt: 100, lookedAt: 200 }
 
 function exchange(
   exchanges: InFlightExchanges,
@@ -57,7 +57,7 @@
     const probe = (lookedAt: number, heardAt: number) =>
       exchanges.noteTermination(
         asId<EndpointId>('one'),
-        { source: 'look', brokenAt: 100, lookedAt },
+        { source: 'look', resetAt: 100, lookedAt },
         heardAt,
       )
     probe(200, 0)
@@ -107,7 +107,7 @@
     })
     await sleep(300)
     const now = clock.monotonic()
-    client.noteTermination(id, { source: 'look', brokenAt: now, lookedAt: now }, 0)
+    client.noteTermination(id, { source: 'look', resetAt: now, lookedAt: now }, 0)
     expect((await result).kind).toBe('answering')
     await client.close()
     server.close()
--- a/packages/router/__tests__/innocentSuspects.spec.ts
+++ b/packages/router/__tests__/innocentSuspects.spec.ts
@@ -41,7 +41,7 @@
     return guard.noteReset(endpoint, { fingerprint, wasIsolated, sentAt: clock.monotonic() })
   }
   const receive = (gossip: { marks?: readonly CrashMark[]; away?: readonly (typeof START)[] }) => {
-    guard.applyNews({ marks: [], cleared: [], ...gossip })
+    guard.applyGossip({ marks: [], cleared: [], ...gossip })
   }
   return { clock, probe, guard, reset, receive }
 }
@@ -85,7 +85,7 @@
     probe.result = 'pending'
     void reset()
     await clock.advance(0)
-    expect(guard.newsSnapshot.suspected).toEqual([
+    expect(guard.gossipSnapshot.suspected).toEqual([
       { fingerprint: SUSPECT, start: START, wasIsolated: false },
     ])
   })
--- a/packages/router/__tests__/knownEnds.spec.ts
+++ b/packages/router/__tests__/knownEnds.spec.ts
@@ -17,7 +17,7 @@
     probe: async () => 'does-not-answer',
     onCrash: () => {},
     onUnreachable: () => {},
-    onKnownEnd: (_, termination) => terminations.push(termination),
+    onKnownTermination: (_, termination) => terminations.push(termination),
     broadcast: () => {},
     onVerdict: () => {},
   })
@@ -48,25 +48,25 @@
     await clock.advance(500)
     guard.stop()
     const [first] = terminations
-    expect(first).toEqual({ source: 'look', brokenAt: 1_000, lookedAt: 1_025 })
-    expect(terminations.at(-1)).toEqual({ source: 'look', brokenAt: 1_000, lookedAt: 1_525 })
+    expect(first).toEqual({ source: 'look', resetAt: 1_000, lookedAt: 1_025 })
+    expect(terminations.at(-1)).toEqual({ source: 'look', resetAt: 1_000, lookedAt: 1_525 })
   })
 
   it('is reported by gossip, with the time of the first message', async () => {
     const { clock, terminations, guard } = setUp()
     await clock.advance(1_000)
-    guard.applyNews({ marks: [], cleared: [], away: [START] })
+    guard.applyGossip({ marks: [], cleared: [], away: [START] })
     await clock.advance(500)
-    guard.applyNews({ marks: [], cleared: [], away: [START] })
+    guard.applyGossip({ marks: [], cleared: [], away: [START] })
     expect(terminations).toEqual([
-      { source: 'news', firstToldAt: 1_000, toldAt: 1_000 },
-      { source: 'news', firstToldAt: 1_000, toldAt: 1_500 },
+      { source: 'news', firstReportedAt: 1_000, reportedAt: 1_000 },
+      { source: 'news', firstReportedAt: 1_000, reportedAt: 1_500 },
     ])
   })
 
   it('is not reported by a stored record, which may be a week old', () => {
     const { terminations, guard } = setUp()
-    guard.applyNews({
+    guard.applyGossip({
       marks: [{ fingerprint: FINGERPRINT, start: START, wasIsolated: false }],
       cleared: [],
     })
--- a/packages/router/__tests__/restartedEnds.spec.ts
+++ b/packages/router/__tests__/restartedEnds.spec.ts
@@ -36,7 +36,7 @@
       onUnreachable: () => {},
       broadcast: (gossip: CrashGossip) => {
         unresponsive.push(...(gossip.away ?? []))
-        guards.forEach((guard, index) => index !== own && guard.applyNews(gossip))
+        guards.forEach((guard, index) => index !== own && guard.applyGossip(gossip))
       },
       onVerdict: () => {},
     })
--- a/packages/router/__tests__/standIns/markedChats.ts
+++ b/packages/router/__tests__/standIns/markedChats.ts
@@ -128,7 +128,8 @@
         )
       },
       onUnreachable: start => this.endpoints.noteUnreachable(endpointOf(start)),
-      onKnownEnd: (start, termination) => this.applyTermination(endpointOf(start), termination),
+      onKnownTermination: (start, termination) =>
+        this.applyTermination(endpointOf(start), termination),
       broadcast: gossip => simulation.broadcast(this, gossip),
       onVerdict: (fingerprint, isRefused) => {
         if (fingerprint === MARKED)
@@ -283,7 +284,7 @@
   broadcast(from: Member, gossip: CrashGossip): void {
     const delay = this.scenario.gossipMilliseconds?.[from.number] ?? 2
     for (const member of this.members) {
-      if (member !== from) member.clock.after(delay, () => member.guard.applyNews(gossip))
+      if (member !== from) member.clock.after(delay, () => member.guard.applyGossip(gossip))
     }
   }
 
--- a/packages/router/src/advice/endpointAdviceStore.ts
+++ b/packages/router/src/advice/endpointAdviceStore.ts
@@ -81,13 +81,13 @@
   }
 
   /** Current advice of all starts, for an instance that may not have received it. */
-  get newsSnapshot(): readonly AdviceGossip[] {
-    return [...this.starts.values()].flatMap(({ advice }) => advice.newsSnapshot ?? [])
+  get gossipSnapshot(): readonly AdviceGossip[] {
+    return [...this.starts.values()].flatMap(({ advice }) => advice.gossipSnapshot ?? [])
   }
 
   /** Number of starts that advertise a rate limit. */
   get rateLimitedCount(): number {
-    return this.newsSnapshot.filter(({ requestsPerSecond }) => requestsPerSecond !== undefined)
+    return this.gossipSnapshot.filter(({ requestsPerSecond }) => requestsPerSecond !== undefined)
       .length
   }
 
--- a/packages/router/src/advice/startAdvice.ts
+++ b/packages/router/src/advice/startAdvice.ts
@@ -106,7 +106,7 @@
   }
 
   /** Current advice, for an instance that may not have received it; undefined if there is none. */
-  get newsSnapshot(): AdviceGossip | undefined {
+  get gossipSnapshot(): AdviceGossip | undefined {
     return this.requestsPerSecond === undefined && !this.isLeaving ? undefined : this.gossip
   }
 
--- a/packages/router/src/crashes/crashGuard.ts
+++ b/packages/router/src/crashes/crashGuard.ts
@@ -56,7 +56,7 @@
    * Like `onUnreachable`, with the evidence, so that requests in flight to the endpoint can move to other
    * endpoints. Not called for crash marks of other instances or of stored records.
    */
-  readonly onKnownEnd?: (start: EndpointStart, termination: KnownTermination) => void
+  readonly onKnownTermination?: (start: EndpointStart, termination: KnownTermination) => void
   /** Sends gossip to all other instances. */
   readonly broadcast: (gossip: CrashGossip) => void
   /** A request is refused from now on, or no longer refused. */
@@ -118,7 +118,7 @@
 
   /** Crash marks against a request that no answer has cleared. */
   marksOf(fingerprint: RequestFingerprint): readonly CrashMark[] {
-    return this.quarantine.openMarksOf(fingerprint)
+    return this.quarantine.unclearedMarksOf(fingerprint)
   }
 
   /** Fingerprints of requests with crash evidence that are isolated or refused. */
@@ -161,7 +161,7 @@
    * This instance's open suspicions and unresponsive starts, and its evidence against prompt parts, for an
    * instance that joined after they were announced.
    */
-  get newsSnapshot(): CrashGossip {
+  get gossipSnapshot(): CrashGossip {
     const { openSuspicions } = this.detector
     const suspected = openSuspicions
       .filter(({ isUnresponsive }) => !isUnresponsive)
@@ -169,7 +169,7 @@
     const away = openSuspicions
       .filter(({ isUnresponsive }) => isUnresponsive)
       .map(({ start }) => start)
-    return { marks: [], cleared: [], suspected, away, ...this.promptParts.newsSnapshot }
+    return { marks: [], cleared: [], suspected, away, ...this.promptParts.gossipSnapshot }
   }
 
   /**
@@ -209,9 +209,9 @@
   }
 
   /** Applies gossip from other instances. */
-  applyNews(gossip: CrashGossip): void {
+  applyGossip(gossip: CrashGossip): void {
     this.applyLocally(gossip)
-    this.promptParts.applyNews(gossip)
+    this.promptParts.applyGossip(gossip)
     for (const start of gossip.away ?? []) {
       this.detector.notePeerReport(start)
       this.notePeerReport(start)
@@ -249,7 +249,7 @@
 
   private noteUnresponsive(start: EndpointStart, seen: CrashTimes): void {
     this.applyAndBroadcast({ marks: [], cleared: [], away: [start] })
-    this.parts.onKnownEnd?.(start, { source: 'look', ...seen })
+    this.parts.onKnownTermination?.(start, { source: 'look', ...seen })
   }
 
   private noteCrash(crash: EndpointCrash): void {
@@ -258,15 +258,19 @@
     const marks = crash.unanswered.map(request => crashMarkOf(start, request))
     this.applyAndBroadcast({ marks, cleared: [] })
     this.promptParts.noteCrash(start, crash.unanswered)
-    this.parts.onKnownEnd?.(start, { source: 'look', ...crash.seen })
+    this.parts.onKnownTermination?.(start, { source: 'look', ...crash.seen })
   }
 
   private notePeerReport(start: EndpointStart): void {
-    const toldAt = this.parts.clock.monotonic()
-    const firstToldAt = this.firstReportedAt.get(start) ?? toldAt
+    const reportedAt = this.parts.clock.monotonic()
+    const firstReportedAt = this.firstReportedAt.get(start) ?? reportedAt
     if (this.firstReportedAt.size >= MAXIMUM_REPORTED_STARTS) this.firstReportedAt.clear()
-    this.firstReportedAt.set(start, firstToldAt)
-    this.parts.onKnownEnd?.(start, { source: 'news', firstToldAt, toldAt })
+    this.firstReportedAt.set(start, firstReportedAt)
+    this.parts.onKnownTermination?.(start, {
+      source: 'news',
+      firstReportedAt,
+      reportedAt,
+    })
   }
 
   /** Applies evidence that this instance found, and broadcasts it. */
--- a/packages/router/src/crashes/endpointCrashDetector.ts
+++ b/packages/router/src/crashes/endpointCrashDetector.ts
@@ -60,7 +60,7 @@
 /** When a crash was detected; times are monotonic. */
 export interface CrashTimes {
   /** When the reset or interruption occurred that started the probes. */
-  readonly brokenAt: Milliseconds
+  readonly resetAt: Milliseconds
   /** When the newest probe began. */
   readonly lookedAt: Milliseconds
 }
@@ -131,7 +131,7 @@
   /** Requests that the next announcement contains. */
   readonly pendingAnnouncements: ResetRequest[]
   /** Monotonic time of the reset or interruption that started the probes. */
-  brokenAt: Milliseconds
+  resetAt: Milliseconds
   /** Monotonic time at which the first probe was complete; infinite before. */
   lookedAt: Milliseconds
   /** Monotonic time at which the newest probe began. */
@@ -318,8 +318,8 @@
   }
 
   private startProbing(suspicion: SuspicionState): Promise<void> {
-    suspicion.brokenAt = this.parts.clock.monotonic()
-    this.parts.suspects.noteReset(suspicion.endpoint.start, suspicion.brokenAt)
+    suspicion.resetAt = this.parts.clock.monotonic()
+    this.parts.suspects.noteReset(suspicion.endpoint.start, suspicion.resetAt)
     suspicion.lookedAt = Number.POSITIVE_INFINITY
     suspicion.signs = []
     suspicion.wasReportedByPeer = false
@@ -330,9 +330,9 @@
 
   /** Probing may last longer than peers keep an announced suspicion. */
   private scheduleRenewal(suspicion: SuspicionState): void {
-    const { brokenAt, endpoint } = suspicion
+    const { resetAt, endpoint } = suspicion
     this.parts.clock.after(RENEWAL_MILLISECONDS, () => {
-      const isOver = suspicion.probing === undefined || suspicion.brokenAt !== brokenAt
+      const isOver = suspicion.probing === undefined || suspicion.resetAt !== resetAt
       if (isOver || suspicion.hasEnded || this.isStopped) return
       const requests = suspicion.unreported.map(({ request }) => request)
       if (requests.length > 0) this.parts.onProbing(endpoint.start, uniqueByFingerprint(requests))
@@ -403,13 +403,13 @@
    * whatever the probe finds, since the probe may meet the next crash.
    */
   private async isStillUnresponsive(suspicion: SuspicionState): Promise<boolean> {
-    const { endpoint, brokenAt } = suspicion
+    const { endpoint, resetAt } = suspicion
     if (suspicion.isReplaced) return false
     const probeStartedAt = this.parts.clock.monotonic()
     const sign = await this.parts.probe(endpoint)
     // Only a probe that finds the engine unresponsive again renews the time of the evidence.
     if (sign === 'does-not-answer') suspicion.probeStartedAt = probeStartedAt
-    const isBack = isRecovery(sign) || endpoint.heard().askedAt > brokenAt
+    const isBack = isRecovery(sign) || endpoint.heard().askedAt > resetAt
     return !isBack && !suspicion.isReplaced
   }
 
@@ -443,7 +443,7 @@
       reportedKeys: new Set(),
       announced: new Set(),
       pendingAnnouncements: [],
-      brokenAt: now,
+      resetAt: now,
       lookedAt: Number.POSITIVE_INFINITY,
       probeStartedAt: now,
       newestAt: now,
@@ -495,8 +495,8 @@
   return [...new Map(requests.map(request => [request.fingerprint, request])).values()]
 }
 
-function crashTimesOf({ brokenAt, probeStartedAt }: SuspicionState): CrashTimes {
-  return { brokenAt, lookedAt: probeStartedAt }
+function crashTimesOf({ resetAt, probeStartedAt }: SuspicionState): CrashTimes {
+  return { resetAt, lookedAt: probeStartedAt }
 }
 
 /**
--- a/packages/router/src/crashes/promptPartGuard.ts
+++ b/packages/router/src/crashes/promptPartGuard.ts
@@ -94,7 +94,7 @@
   /**
    * Refused parts and the crashes that involve them, for an instance that joined after their announcement.
    */
-  get newsSnapshot(): Pick<CrashGossip, 'partEnds' | 'deadlyParts'> {
+  get gossipSnapshot(): Pick<CrashGossip, 'partEnds' | 'deadlyParts'> {
     const { refusedParts } = this.crashingParts
     const refused = new Set(refusedParts)
     const crashes = this.crashingParts.evidence(this.now)
@@ -103,7 +103,7 @@
   }
 
   /** Applies gossip from other instances. */
-  applyNews({
+  applyGossip({
     partEnds = [],
     deadlyParts = [],
     soundParts = [],
--- a/packages/router/src/crashes/promptPartRecords.ts
+++ b/packages/router/src/crashes/promptPartRecords.ts
@@ -28,7 +28,7 @@
 export function observeRecords(guard: CrashGuard, marks: readonly CrashMark[]): void {
   const byPart = groupBy(marks, ({ fingerprint }) => partOf(fingerprint))
   for (const [part, partMarks] of byPart) {
-    if (part === undefined) guard.applyNews({ marks: partMarks, cleared: [] })
+    if (part === undefined) guard.applyGossip({ marks: partMarks, cleared: [] })
     else applyPartRecord(guard, part, partMarks)
   }
 }
--- a/packages/router/src/engine/inFlightExchanges.ts
+++ b/packages/router/src/engine/inFlightExchanges.ts
@@ -64,5 +64,5 @@
 ): void {
   const { firstDoubtedAt } = exchange
   if (firstDoubtedAt !== undefined && endpointHeardAt < firstDoubtedAt) return
-  exchange.firstDoubtedAt = end.source === 'look' ? end.lookedAt : end.toldAt
+  exchange.firstDoubtedAt = end.source === 'look' ? end.lookedAt : end.reportedAt
 }
--- a/packages/router/src/filters/chatRelay.ts
+++ b/packages/router/src/filters/chatRelay.ts
@@ -36,7 +36,7 @@
   /** Returns the other instances that serve callers. */
   readonly peers: () => readonly ChatRelayPeer[]
   /** Called with the outcome at each instance that was tried. */
-  readonly onHandedOver: (outcome: RelayOutcome) => void
+  readonly onRelayed: (outcome: RelayOutcome) => void
 }
 
 interface Candidate extends RelayCandidate {
@@ -137,7 +137,7 @@
 
   private noteOutcome({ incarnation }: ChatRelayPeer, outcome: RelayOutcome): void {
     if (outcome.kind === 'refused') this.refusedAt.set(incarnation, this.now)
-    this.parts.onHandedOver(outcome)
+    this.parts.onRelayed(outcome)
   }
 
   private choose(tried: ReadonlySet<IncarnationId>): ChatRelayPeer | undefined {
--- a/packages/router/src/gateway/dialect.ts
+++ b/packages/router/src/gateway/dialect.ts
@@ -66,7 +66,7 @@
    * Unparsed number of rejections per second that the endpoint tolerates; undefined if the answer names
    * none.
    */
-  readonly turnAways?: string | undefined
+  readonly rejectionLimit?: string | undefined
   /** Unparsed advice on whether and at which rate the endpoint may be sent further requests. */
   readonly advice: AdviceHeaders
 }
--- a/packages/router/src/gateway/endpointDirectory.ts
+++ b/packages/router/src/gateway/endpointDirectory.ts
@@ -30,7 +30,7 @@
   /** How long endpoints of a service stay cold after a start; 0 if they never are. */
   readonly coldMilliseconds: (service: string) => Milliseconds
   /** Whether one run (start) of an endpoint announced in an answer that it leaves. */
-  readonly saysLeaving?: (start: EndpointStart) => boolean
+  readonly hasAnnouncedLeaving?: (start: EndpointStart) => boolean
   /** An endpoint's entry changed; `change` describes how, for the log. */
   readonly onChange: (endpoint: EndpointRecord, change: string) => void
   /** A start was replaced: another one is listed under its id. */
@@ -228,15 +228,20 @@
 
   /** Factor by which an endpoint is slower than usual for its service; at least 1. */
   slownessOf(endpoint: EndpointState): number {
-    if (endpoint.pace === undefined) return 1
-    return slownessFactor(endpoint.pace, this.baselineInterval(endpoint.record.service))
+    if (endpoint.eventIntervalMilliseconds === undefined) return 1
+    return slownessFactor(
+      endpoint.eventIntervalMilliseconds,
+      this.baselineInterval(endpoint.record.service),
+    )
   }
 
   private baselineInterval(service: string): Milliseconds | undefined {
     const now = this.parts.clock.monotonic()
     const known = this.baselineIntervals.get(service)
     if (known !== undefined && now - known.at < BASELINE_MILLISECONDS) return known.pace
-    const paces = this.available(service).flatMap(({ pace }) => pace ?? [])
+    const paces = this.available(service).flatMap(
+      ({ eventIntervalMilliseconds }) => eventIntervalMilliseconds ?? [],
+    )
     const pace = baselineEventInterval(paces)
     this.baselineIntervals.set(service, { pace, at: now })
     return pace
@@ -285,7 +290,7 @@
       const all = this.parts.maximumConnections(record.service) * CONNECTION_SHARE
       return Math.max(1, Math.floor(all / Math.max(1, this.parts.instances())))
     }
-    return new EndpointState(record, this.parts.clock, limit, this.parts.saysLeaving)
+    return new EndpointState(record, this.parts.clock, limit, this.parts.hasAnnouncedLeaving)
   }
 }
 
--- a/packages/router/src/gateway/endpointExchanges.ts
+++ b/packages/router/src/gateway/endpointExchanges.ts
@@ -4,7 +4,7 @@
  * their deadlines. Owns these exchanges; the rule is in decisions/retrying/terminationSigns.
  */
 
-import { isAsked, isTerminatedBy, wasInFlightAtCrash } from '@rackwalk/decisions'
+import { requiresStateProbe, isTerminatedBy, wasInFlightAtCrash } from '@rackwalk/decisions'
 import type { InFlightState, SignEvidenceTimes, TerminationSign } from '@rackwalk/decisions'
 import type { Milliseconds } from '@rackwalk/shared'
 
@@ -50,7 +50,7 @@
   probePath(sign: TerminationSign): string | undefined {
     const all = [...this.exchanges]
     if (
-      !isAsked(
+      !requiresStateProbe(
         sign,
         all.map(({ open }) => open),
       )
--- a/packages/router/src/gateway/endpointSnapshots.ts
+++ b/packages/router/src/gateway/endpointSnapshots.ts
@@ -53,7 +53,7 @@
       waiting: endpoint.load.waiting,
       ageMilliseconds: now - endpoint.loadAt,
     },
-    failureShare: endpoint.failures,
+    failureShare: endpoint.failureShare,
     // The load that the endpoint itself reports covers a request without a prompt, so no urgent reports of
     // peers are needed and any endpoint counts as part of the subset.
     isInSubset: prompt.tokens === undefined || fleet.isInSubset(id),
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -73,7 +73,7 @@
   /** Monotonic time at which `load` was received. */
   loadAt: Milliseconds = Number.NEGATIVE_INFINITY
   /** Estimated milliseconds per event of its answers, near the shortest intervals; undefined until timed. */
-  pace: Milliseconds | undefined
+  eventIntervalMilliseconds: Milliseconds | undefined
   /**
    * Whether another endpoint answered at the endpoint's address or another start replaced this one. Either
    * proves that this start has terminated, whatever its row says.
@@ -241,8 +241,8 @@
    * Updates the estimated interval with the mean interval over some events of one answer; milliseconds per
    * event.
    */
-  notePace(pace: Milliseconds): void {
-    this.pace = nextEventInterval(this.pace, pace)
+  noteEventInterval(pace: Milliseconds): void {
+    this.eventIntervalMilliseconds = nextEventInterval(this.eventIntervalMilliseconds, pace)
   }
 
   noteLoad(load: EndpointLoad): void {
@@ -252,13 +252,13 @@
 
   /** Records whether an attempt at the endpoint succeeded. */
   noteOutcome(succeeded: boolean): void {
-    const share = this.failures
+    const share = this.failureShare
     this.lastFailureShare = share + FAILURE_WEIGHT * ((succeeded ? 0 : 1) - share)
     this.lastOutcomeAt = this.clock.monotonic()
   }
 
   /** Weighted share of recent attempts at the endpoint that failed, in [0, 1], decaying with time. */
-  get failures(): number {
+  get failureShare(): number {
     const age = this.clock.monotonic() - this.lastOutcomeAt
     return this.lastFailureShare * 0.5 ** (age / FAILURE_HALF_LIFE_MILLISECONDS)
   }
--- a/packages/router/src/gateway/fleetLoad.ts
+++ b/packages/router/src/gateway/fleetLoad.ts
@@ -29,9 +29,9 @@
   /** A request was sent to an endpoint and is to be reported to peers. */
   readonly onSent?: () => void
   /** Another instance reported requests in progress at an endpoint. */
-  readonly onAsked?: (endpoint: string) => void
+  readonly onPeerRequests?: (endpoint: string) => void
   /** Whether loads at endpoints of a service are reported to peers. */
-  readonly isTold: (service: string) => boolean
+  readonly isReported: (service: string) => boolean
 }
 
 /** Load of the whole fleet, as known to one instance. */
@@ -53,7 +53,7 @@
       { instance: parts.instance, incarnation: parts.incarnation },
       parts.directory,
       this.caches,
-      parts.isTold,
+      parts.isReported,
     )
   }
 
@@ -98,7 +98,7 @@
       this.prefills.note(endpoint, tokens)
     }
     for (const { endpoint, running, parts } of report.loads) {
-      if (running > 0) this.parts.onAsked?.(endpoint)
+      if (running > 0) this.parts.onPeerRequests?.(endpoint)
       if (parts.length > 0) this.caches.note(endpoint, parts, this.capacityAt(endpoint))
     }
   }
@@ -144,7 +144,7 @@
 
   /** Whether a report of an instance was received and the instance was not forgotten as silent since. */
   hasRecentHeartbeat(instance: string): boolean {
-    return this.peers.hears(instance)
+    return this.peers.hasRecentReport(instance)
   }
 
   /** Time since the newest report of any other instance. */
--- a/packages/router/src/gateway/gateway.ts
+++ b/packages/router/src/gateway/gateway.ts
@@ -52,7 +52,7 @@
   readonly retryBounds: RetryBounds
   readonly instances: () => number
   /** Throws if this instance's knowledge is too stale to serve requests. */
-  readonly checkKnowledge: () => void
+  readonly checkStaleness: () => void
   /** Whether callers' connections close after their next answer. */
   readonly isDraining: () => boolean
   /** Whether new requests are refused. */
@@ -269,7 +269,7 @@
   ): IdentifiedRequest {
     const matched = this.matchRequest(request, metadata, record)
     if (this.parts.isRefusing()) throw new NotRunError(ResultCode.InstanceDraining)
-    this.parts.checkKnowledge()
+    this.parts.checkStaleness()
     if (matched === undefined) throw new NotRunError(ResultCode.InstanceNotReady)
     const { routes, path, route, team } = matched
     if (route === undefined) throw new NotRunError(ResultCode.NotFound, path)
--- a/packages/router/src/gateway/instanceAdmission.ts
+++ b/packages/router/src/gateway/instanceAdmission.ts
@@ -127,7 +127,7 @@
       const now = clock.monotonic()
       this.abandoned.noteLeft(now - readAt, now)
     })
-    const wait = this.abandoned.confirmationMilliseconds(readAt)
+    const wait = this.abandoned.leaveNoticeMilliseconds(readAt)
     if (wait > 0) await sleep(clock, wait)
     if (reply.isCallerGone) throw new NotRunError(ResultCode.CallerLeftUnsent)
   }
--- a/packages/router/src/gateway/peerLoads.ts
+++ b/packages/router/src/gateway/peerLoads.ts
@@ -100,7 +100,7 @@
   }
 
   /** Whether a report of an instance was received and the instance was not forgotten as silent since. */
-  hears(instance: string): boolean {
+  hasRecentReport(instance: string): boolean {
     return this.peers.has(instance)
   }
 
--- a/packages/router/src/gateway/requestAttempts.ts
+++ b/packages/router/src/gateway/requestAttempts.ts
@@ -297,7 +297,7 @@
     this.lastReceivedAt = this.parts.clock.monotonic()
     const reply = this.parts.dialect.readReply(status, response.headers)
     if (reply.load !== undefined) endpoint.noteLoad(reply.load)
-    this.parts.turnAways.note(endpoint.service, parseRejectionLimit(reply.turnAways))
+    this.parts.turnAways.note(endpoint.service, parseRejectionLimit(reply.rejectionLimit))
     const outcome = this.judge(status, reply)
     this.noteAdvice(endpoint, reply, outcome)
     if (outcome.kind === 'refused' && isMisdirected(status)) {
@@ -432,7 +432,7 @@
     return new StreamPace({
       clock: this.parts.clock,
       pendingTokens: () => this.pendingTokens(endpoint),
-      onPace: pace => endpoint.notePace(pace),
+      onPace: pace => endpoint.noteEventInterval(pace),
     })
   }
 
@@ -487,8 +487,8 @@
       service: service.name,
       history: this.history,
       isCallerGone: reply.isCallerGone,
-      isLate: this.isDeadlinePassed,
-      noChoice: this.selector.noChoice,
+      isDeadlinePassed: this.isDeadlinePassed,
+      noEndpointReason: this.selector.noChoice,
     })
     record.code = error.code
     record.detail = error.message
--- a/packages/router/src/requestPipeline.ts
+++ b/packages/router/src/requestPipeline.ts
@@ -48,14 +48,14 @@
   readonly claim: ClaimFilter
   readonly route: RouteFilter
   readonly dispatch: DispatchFilter
-  readonly relay: DeliveryFilter
+  readonly delivery: DeliveryFilter
   readonly settle: SettleFilter
   readonly complete: CompleteFilter
 }
 
 /** Handles requests that this instance cannot send to any endpoint. */
 interface CutOffFallback {
-  readonly handOver: ChatRelay
+  readonly chatRelay: ChatRelay
   /** Whether no endpoint of a model or service can be reached from this instance. */
   readonly isCutOff: (target: string) => boolean
 }
@@ -115,13 +115,13 @@
     request: ParsedRequest,
     thrown: unknown,
   ): Promise<{ code: ResultCode }> {
-    const { handOver, isCutOff } = this.parts
+    const { chatRelay, isCutOff } = this.parts
     const isEligible = thrown instanceof NotRunError && isCutOff(request.target)
-    if (!isEligible || !handOver.canRelay(request)) throw thrown
+    if (!isEligible || !chatRelay.canRelay(request)) throw thrown
     // The local reservations of the request are released first, because the other instance makes
     // its own.
     request.scope.close()
-    const outcome = await handOver.relay(request)
+    const outcome = await chatRelay.relay(request)
     if (outcome === undefined) throw new NotRunError(ResultCode.CutOff, request.target)
     return { code: outcome.kind === 'refused' ? ResultCode.RelayRefused : ResultCode.Ok }
   }
@@ -136,7 +136,7 @@
     const claimed = await this.filters.claim.apply(reserved)
     const routed = await this.filters.route.apply(claimed)
     const dispatched = await this.dispatch(routed)
-    const relayed = await this.filters.relay.apply(dispatched)
+    const relayed = await this.filters.delivery.apply(dispatched)
     const settled = await this.filters.settle.apply(relayed)
     return this.filters.complete.apply(settled)
   }
--- a/packages/stand-ins/src/engine/engineModel.ts
+++ b/packages/stand-ins/src/engine/engineModel.ts
@@ -64,7 +64,7 @@
   /** Totals of submitted requests, their prompt tokens, and the tokens found in the prefix cache. */
   requests = 0
   promptTokens = 0
-  hitTokens = 0
+  cacheHitTokens = 0
 
   constructor(
     readonly endpointId: EndpointId,
@@ -159,7 +159,7 @@
     const kept = firstMissing < 0 ? parts : parts.slice(0, firstMissing)
     const tokens = kept.reduce((sum, part) => sum + part.tokens, 0)
     this.promptTokens += promptTokens
-    this.hitTokens += tokens
+    this.cacheHitTokens += tokens
     this.store(parts)
     // The last prompt token is always prefilled, because it generates the first token of the answer.
     return Math.min(tokens, promptTokens - 1)
--- a/packages/stand-ins/src/exploration/prepaidVariants.ts
+++ b/packages/stand-ins/src/exploration/prepaidVariants.ts
@@ -59,7 +59,7 @@
 ]
 
 /** Announces no demand and borrows no tokens. The check of the guarantee "reach" must detect this. */
-export const SECRETIVE_LEDGER: PrepaidVariant = {
+export const UNANNOUNCING_LEDGER: PrepaidVariant = {
   name: 'tells nobody that callers ask, and borrows nothing',
   storeOf: store => ({
     readPartition: (table, partition) => store.readPartition(table, partition),
--- a/packages/stand-ins/src/exploration/prepaidWorld.ts
+++ b/packages/stand-ins/src/exploration/prepaidWorld.ts
@@ -254,7 +254,7 @@
     const { faults } = this.nodeAt(index)
     faults.isCut = fault === 'cut'
     faults.isUnreachable = fault === 'unreachable'
-    faults.isTurnedAway = fault === 'turned-away'
+    faults.isThrottled = fault === 'turned-away'
     faults.losesAnswers = fault === 'lost'
     faults.lateMilliseconds = fault === 'late' ? LATE_WRITE_MILLISECONDS : 0
   }
@@ -370,7 +370,7 @@
 const NO_FAULTS: RowStoreFaults = {
   isCut: false,
   isUnreachable: false,
-  isTurnedAway: false,
+  isThrottled: false,
   losesAnswers: false,
   slowMilliseconds: 0,
   lateMilliseconds: 0,
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -22,7 +22,7 @@
 export type { ConfiguredFleetOptions } from './configuredFleet.js'
 export { MemoryRowStore } from './platform/memoryRowStore.js'
 export { explorePrepaid } from './exploration/prepaidWorld.js'
-export { BROKEN_LEDGERS, SECRETIVE_LEDGER, SOUND_LEDGER } from './exploration/prepaidVariants.js'
+export { BROKEN_LEDGERS, UNANNOUNCING_LEDGER, SOUND_LEDGER } from './exploration/prepaidVariants.js'
 export { replayEscrowRestart } from './replay/escrowRestartReplay.js'
 export type { EscrowRestartOutcome } from './replay/escrowRestartReplay.js'
 export { Replay } from './replay/replay.js'
--- a/packages/stand-ins/src/platform/memoryRowStore.ts
+++ b/packages/stand-ins/src/platform/memoryRowStore.ts
@@ -19,7 +19,7 @@
   /** Connections fail, so that the client knows that nothing was sent. */
   isUnreachable: boolean
   /** The store throttles the client: calls fail without an effect. */
-  isTurnedAway: boolean
+  isThrottled: boolean
   /** Writes take effect, but their answers are lost. */
   losesAnswers: boolean
   /** Additional delay of each answer. */
@@ -52,7 +52,7 @@
     const faults: RowStoreFaults = {
       isCut: false,
       isUnreachable: false,
-      isTurnedAway: false,
+      isThrottled: false,
       losesAnswers: false,
       slowMilliseconds: 0,
       lateMilliseconds: 0,
@@ -133,7 +133,7 @@
     const { faults, target } = this
     if (faults.isCut) return this.timeOut({ kind: 'unknown' })
     if (faults.isUnreachable) return this.timeOut({ kind: 'not-done', reason: 'unavailable' })
-    if (faults.isTurnedAway) return this.answer({ kind: 'not-done', reason: 'throttled' })
+    if (faults.isThrottled) return this.answer({ kind: 'not-done', reason: 'throttled' })
     if (faults.lateMilliseconds > 0) {
       this.clock.after(faults.lateMilliseconds, () => target.apply(transaction))
       return this.timeOut({ kind: 'unknown' })
@@ -165,7 +165,7 @@
     if (this.faults.isCut || this.faults.isUnreachable) {
       return this.timeOut({ kind: 'failed', reason: 'unknown' })
     }
-    if (this.faults.isTurnedAway) return this.answer({ kind: 'failed', reason: 'throttled' })
+    if (this.faults.isThrottled) return this.answer({ kind: 'failed', reason: 'throttled' })
     return this.answer(read())
   }
 
--- a/packages/stand-ins/src/replay/crashReplay.ts
+++ b/packages/stand-ins/src/replay/crashReplay.ts
@@ -66,7 +66,7 @@
   }
 
   noteAnswered(fingerprint: RequestFingerprint): void {
-    const starts = this.quarantine.openMarksOf(fingerprint).map(({ start }) => start)
+    const starts = this.quarantine.unclearedMarksOf(fingerprint).map(({ start }) => start)
     this.quarantine.clear(fingerprint, starts)
   }
 }
--- a/packages/stand-ins/src/replay/fleetReplay.ts
+++ b/packages/stand-ins/src/replay/fleetReplay.ts
@@ -302,7 +302,7 @@
       isServing: () => members.isInitialized,
       self: () => members.self,
       others: () => members.others,
-      hasRecentHeartbeat: ({ instance }) => peers.hears(instance),
+      hasRecentHeartbeat: ({ instance }) => peers.hasRecentReport(instance),
       silenceMilliseconds: () => this.silenceMilliseconds,
       hasEndpointLoad: ({ instance }) => peers.isUsing(instance),
       isCutOff: () => false,
--- a/packages/stand-ins/src/replay/replay.ts
+++ b/packages/stand-ins/src/replay/replay.ts
@@ -147,12 +147,19 @@
     }
     const identity = { instance: `instance-${index}`, incarnation: '1' }
     const capacityOf = () => MEMORY_TOKENS
-    const isTold = () => true
+    const isReported = () => true
     const users = () => this.load.instances.length
     return {
       name: identity.instance,
       directory,
-      fleetLoad: new FleetLoad({ ...identity, directory, clock, capacityOf, isTold, users }),
+      fleetLoad: new FleetLoad({
+        ...identity,
+        directory,
+        clock,
+        capacityOf,
+        isReported,
+        users,
+      }),
     }
   }
 
@@ -243,7 +250,7 @@
     const pace = new StreamPace({
       clock: this.clock,
       pendingTokens: () => endpoint.pendingTokens + fleetLoad.ofPeers(id).pendingTokens,
-      onPace: milliseconds => endpoint.notePace(milliseconds),
+      onPace: milliseconds => endpoint.noteEventInterval(milliseconds),
     })
     const monitor = new StreamMonitor(kind, this.load.tokensPerEvent, this.clock)
     engine.submit({
--- a/packages/stand-ins/src/replay/weakProcessorReplay.ts
+++ b/packages/stand-ins/src/replay/weakProcessorReplay.ts
@@ -285,9 +285,9 @@
     this.abandoned.noteRead(readAt)
     // If the caller has disconnected, the event loop reads the end of the connection in its next turn.
     if (attempt.hasLeft) this.ready.push(() => this.abandoned.noteLeft(this.now - readAt, this.now))
-    const isHeld = this.policy.confirmsCallers && this.abandoned.isElevated(readAt)
+    const isHeld = this.policy.confirmsCallers && this.abandoned.isShareElevated(readAt)
     if (isHeld)
-      this.after(this.abandoned.confirmationMilliseconds(readAt), () => this.confirm(attempt))
+      this.after(this.abandoned.leaveNoticeMilliseconds(readAt), () => this.confirm(attempt))
     else this.forward(attempt)
   }
 
