--- a/bench/src/capacity/gatewayEstimate.ts
+++ b/bench/src/capacity/gatewayEstimate.ts
@@ -132,7 +132,7 @@
   ]
 }
 
-/** Share of requests with tokens that wait for a write: 0.55 in the booking office's trouble-1. */
+/** Share of requests with tokens that wait for a write: 0.55 under load and faults. */
 const TRANSACTION_SHARE = 0.55
 
 function recordWritesPerSecond(fleet: FleetSize): number {
--- a/packages/coordination/src/prepaid/partitionView.ts
+++ b/packages/coordination/src/prepaid/partitionView.ts
@@ -146,7 +146,7 @@
       .map(({ instance }) => instance)
   }
 
-  /** Sum of the tokens that other holders lack for requests in progress. */
+  /** Sum of each other holder's largest waiting request, at its whole size (`HolderRow.wanted`). */
   wantedByOthers(instance: string): TokenCount {
     let wanted = 0
     for (const [holder, { row }] of this.holders) {
--- a/packages/decisions/src/retrying/terminationSigns.ts
+++ b/packages/decisions/src/retrying/terminationSigns.ts
@@ -1,8 +1,8 @@
 /**
  * Decides what follows from a sign that an endpoint start (one run of an endpoint: its id and start time) may be over:
  * - which exchanges with the start are terminated (`isTerminatedBy`),
- * - whether this instance probes the endpoint's state (`isAsked`), how often (`requiresAnotherProbe`), and which sign the
- *   results give (`signOfProbes`),
+ * - whether this instance probes the endpoint's state (`requiresStateProbe`), how often (`requiresAnotherProbe`), and
+ *   which sign the results give (`signOfProbes`),
  * - which exchanges may have caused the crash (`wasInFlightAtCrash`).
  *
  * Load pattern: an engine terminates behind a front (a proxy or load balancer in front of the engine) that holds the
@@ -25,7 +25,7 @@
  * | `silent`: a state probe failed or was held for 200 ms                   | terminated |            |            |       |
  * | `still-silent`: newest probe failed or was held for 500 ms (see text)   | terminated | terminated |            |       |
  * | `cut-off`: unlisted; no connection in the second probe                  | terminated |            |            |       |
- * | `away`: gossip that short probes got no answer from the engine          |            |            |            | yes   |
+ * | `away`: a crash detector's short probes got no answer from the engine   |            |            |            | yes   |
  * | `broke-off`: the endpoint interrupted an answer that had begun          |            |            |            | yes   |
  * | `unlisted`: the endpoint's row is gone without announcement             |            |            |            | yes   |
  * | `nobody-listens`: a probe or a new connection was refused               |            |            |            |       |
@@ -44,14 +44,16 @@
  * after `unlisted` one probe without a connection and one that failed or was held can give `still-silent` as well as
  * `cut-off`, depending on their order.
  *
- * Gossip (messages that instances send each other) carries no time, so gossip terminates nothing by itself. Gossip
- * makes this instance probe the endpoint, and only exchanges that were sent before this probe can be terminated. If the
- * engine has come back since the other instance's probe, the engine answers, and nothing is terminated. A dead process
- * resets its own connections, so `nobody-listens` needs no action. A full endpoint may close or reset a probe's
- * connection, so `turned-away` has no effect.
+ * `away` comes from this instance's own crash detector or, as gossip (messages that instances send each other), from the
+ * detector of another instance. Gossip carries no time, so `away` terminates nothing by itself. The sign makes this
+ * instance probe the endpoint, and only exchanges that were sent before this probe can be terminated. If the engine has
+ * come back since the detector's probes, the engine answers, and nothing is terminated. A dead process resets its own
+ * connections, so `nobody-listens` needs no action. A full endpoint may close or reset a probe's connection, so
+ * `turned-away` has no effect.
  *
- * Limits: a host without power whose row is still listed is not probed. A stream that cannot be resumed is terminated only
- * by a proof, since a long silence may be the prefill of a long prompt.
+ * Limits: a host without power whose row is still listed is not probed. Once its caller has a part of the answer, a stream
+ * that cannot be resumed is terminated only by a proof, since a long silence may be the prefill of a long prompt. Before
+ * that, `still-silent` terminates the stream too, and so do `silent` and `cut-off` if the request may be repeated.
  */
 
 import type { Milliseconds } from '@rackwalk/shared'
@@ -129,8 +131,8 @@
 /** Number of probes of an unlisted endpoint after which a newest probe without a connection gives the sign `cut-off`. */
 const UNCONNECTED_PROBES = 2
 /**
- * Number of probes that must have been made for the sign `still-silent` if no gossip triggered them. After gossip one
- * probe is enough, since the instance that sent the gossip has already probed twice.
+ * Number of probes that must have been made for the sign `still-silent` if `away` did not trigger them. After `away` one
+ * probe is enough, since the crash detector, here or at another instance, has already probed twice.
  */
 const PROBES_WITHOUT_GOSSIP = 2
 /**
--- a/packages/router/src/gateway/endpointState.ts
+++ b/packages/router/src/gateway/endpointState.ts
@@ -45,9 +45,10 @@
 /** Half-life of the failure share since the newest outcome. */
 const FAILURE_HALF_LIFE_MILLISECONDS = 2_500
 /**
- * An endpoint that refused a connection, left a state probe unanswered or was reported as crashed gets no
- * request for this long: its row may stay listed for longer, and each instance would detect the termination
- * with requests of its own. An endpoint that recovers in the meantime is unused for this long at most.
+ * An endpoint that refused a connection, did not pass a state probe (no answer in time, or an error status)
+ * or was reported as crashed gets no request for this long: its row may stay listed for longer, and each
+ * instance would detect the termination with requests of its own. An endpoint that recovers in the meantime
+ * is unused for this long at most.
  */
 const UNREACHABLE_MILLISECONDS = 1_000
 
@@ -136,7 +137,7 @@
     return this.isLeaving || (!this.isListed && !this.hasEnded)
   }
 
-  /** The endpoint refuses connections, does not answer probes or was reported as crashed. */
+  /** The endpoint refused a connection, did not pass a state probe or was reported as crashed. */
   noteUnreachable(): void {
     this.unreachableUntil = this.clock.monotonic() + UNREACHABLE_MILLISECONDS
   }
